--- a/crates/freeze/tests/register.rs
+++ b/crates/change-freeze/tests/register.rs
@@ -1,9 +1,9 @@
 //! Incidents and permits by their rules, and under random commands.
 
-use hillstall_freeze::detect::{Detector, Fact, Limits, Sign};
-use hillstall_freeze::register::{Answer, By, Command, Refused, Register, Stand, Wish};
-use hillstall_freeze::rules::{Kind, Reaction, Severity, PRECEDENCE};
-use hillstall_freeze::scope::Scope;
+use hillstall_change_freeze::detect::{Detector, Fact, Limits, Sign};
+use hillstall_change_freeze::register::{Answer, By, Command, Refused, Register, Stand, Wish};
+use hillstall_change_freeze::rules::{Kind, Reaction, Severity, PRECEDENCE};
+use hillstall_change_freeze::scope::Scope;
 use proptest::prelude::*;
 
 fn wish(kind: Kind, scope: &str, who: &str, reaction: Reaction) -> Wish {
@@ -135,7 +135,7 @@
 
 #[test]
 fn the_operators_page_has_the_rules_in_their_order() {
-    let page = include_str!("../../../docs/operate/fleet.md");
+    let page = include_str!("../../../docs/operate/coordination.md");
     let mut at = 0;
     for (_, name, what) in PRECEDENCE {
         let line = format!("| `{name}` | {what} |");
--- a/crates/quorum/src/member.rs
+++ b/crates/consensus/src/member.rs
@@ -8,9 +8,9 @@
 use crate::reports::{Report, Reports};
 use crate::state::{Command, Id, Outcome, Proposal, State, COORDINATOR};
 use crate::stream::Streams;
-use hillstall_freeze::detect::{Detector, Fact, Limits, Sign};
-use hillstall_freeze::register::{Register, Stand, Wait};
-use hillstall_freeze::scope::Scope;
+use hillstall_change_freeze::detect::{Detector, Fact, Limits, Sign};
+use hillstall_change_freeze::register::{Register, Stand, Wait};
+use hillstall_change_freeze::scope::Scope;
 use hillstall_lease::book;
 use hillstall_lease::gate::Order;
 use hillstall_lease::terms::Terms;
@@ -766,7 +766,7 @@
     }
     let bad = register.incidents().iter().find(|(_, i)| {
         // What happens at the site itself, while people work there, is what the window is for.
-        !i.cooling && i.scope != own && i.severity >= hillstall_freeze::rules::Severity::Major
+        !i.cooling && i.scope != own && i.severity >= hillstall_change_freeze::rules::Severity::Major
     });
     bad.map(|(number, i)| format!("incident {number} at {}: {}", i.scope, i.evidence))
 }
--- a/crates/quorum/src/reports.rs
+++ b/crates/consensus/src/reports.rs
@@ -1,7 +1,7 @@
 //! What copies count and tell, with its age, and what is made of it for all.
 
-use hillstall_freeze::detect::{Fact, Sign};
-use hillstall_freeze::scope::Scope;
+use hillstall_change_freeze::detect::{Fact, Sign};
+use hillstall_change_freeze::scope::Scope;
 use hillstall_lease::{Copy, Millis};
 use hillstall_maintenance::steps::{Figures, Load};
 use serde::{Deserialize, Serialize};
--- a/crates/quorum/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -1,7 +1,7 @@
 //! The one state that the keepers agree on: duties, windows, incidents and permits. Commands come in the same order to
 //! each keeper; one that comes twice acts once.
 
-use hillstall_freeze::register::{self as freeze, By, Register};
+use hillstall_change_freeze::register::{self as freeze, By, Register};
 use hillstall_lease::book::{self, Book, Grant};
 use hillstall_lease::{Copy, Duty, Token};
 use hillstall_maintenance::machine::{self as window, Windows};
--- a/crates/quorum/tests/frames.rs
+++ b/crates/consensus/tests/frames.rs
@@ -1,8 +1,8 @@
 //! Frames and snapshots from outside: whatever comes is read or refused, and nothing panics.
 
+use hillstall_consensus::frame::{Frame, Unreadable, VERSION};
+use hillstall_consensus::state::State;
 use hillstall_lease::Copy;
-use hillstall_quorum::frame::{Frame, Unreadable, VERSION};
-use hillstall_quorum::state::State;
 use proptest::prelude::*;
 
 #[test]
--- a/crates/quorum/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -2,12 +2,12 @@
 //! never stands beside an incident that bars it, two that meet are never in flight, and what a coordinator that was
 //! followed by another says has no effect.
 
-use hillstall_freeze::register::{By, Command as Freeze, Wish};
-use hillstall_freeze::rules::{Kind, Reaction, Severity};
-use hillstall_freeze::scope::Scope;
+use hillstall_change_freeze::register::{By, Command as Freeze, Wish};
+use hillstall_change_freeze::rules::{Kind, Reaction, Severity};
+use hillstall_change_freeze::scope::Scope;
+use hillstall_consensus::state::{Command, Id, Outcome, Proposal, State, COORDINATOR};
 use hillstall_lease::book::Command as Lease;
 use hillstall_lease::{Copy, Duty, Token};
-use hillstall_quorum::state::{Command, Id, Outcome, Proposal, State, COORDINATOR};
 use stateright::{Checker, Model, Property};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -187,7 +187,7 @@
             Property::always("no two that meet, none that an incident bars", |_, now: &Now| {
                 let register = now.state.register();
                 let barred = register.changes().values().any(|c| {
-                    c.stand == hillstall_freeze::register::Stand::InFlight
+                    c.stand == hillstall_change_freeze::register::Stand::InFlight
                         && register.bars(c.wish.kind, &c.wish.scope).is_some()
                 });
                 register.wrong().is_none() && !barred
--- a/crates/quorum/tests/sim/mod.rs
+++ b/crates/consensus/tests/sim/mod.rs
@@ -1,19 +1,19 @@
 //! The simulated fleet.
 
-use hillstall_freeze::detect::Limits;
-use hillstall_freeze::register::{Answer, By, Command as Freeze, Wish};
-use hillstall_freeze::rules::{Kind, Reaction, Severity};
-use hillstall_freeze::scope::Scope;
+use hillstall_change_freeze::detect::Limits;
+use hillstall_change_freeze::register::{Answer, By, Command as Freeze, Wish};
+use hillstall_change_freeze::rules::{Kind, Reaction, Severity};
+use hillstall_change_freeze::scope::Scope;
+use hillstall_consensus::disk::{Change, Disk, DiskFailed, Kept};
+use hillstall_consensus::frame::Frame;
+use hillstall_consensus::keeper::new_id;
+use hillstall_consensus::member::{Did, Member, Out, Setup, To};
+use hillstall_consensus::reports::{Counts, Report};
+use hillstall_consensus::state::{Command, Outcome};
 use hillstall_lease::terms::Terms;
 use hillstall_lease::{Copy, Duty, Millis, Token};
 use hillstall_maintenance::machine::{Command as Window, Overrun, Plan, Stage};
 use hillstall_maintenance::steps::Pace;
-use hillstall_quorum::disk::{Change, Disk, DiskFailed, Kept};
-use hillstall_quorum::frame::Frame;
-use hillstall_quorum::keeper::new_id;
-use hillstall_quorum::member::{Did, Member, Out, Setup, To};
-use hillstall_quorum::reports::{Counts, Report};
-use hillstall_quorum::state::{Command, Outcome};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cell::{Cell, RefCell};
@@ -717,7 +717,7 @@
                 self.wrong.push(format!("the gates of copy {i} are closed"));
             }
         }
-        let coordinator = Duty::new(hillstall_quorum::state::COORDINATOR).expect("a name");
+        let coordinator = Duty::new(hillstall_consensus::state::COORDINATOR).expect("a name");
         let held = self.ones.iter().filter_map(|one| Some((one.member.as_ref()?, one.clock.read(self.now))));
         let held: usize =
             held.map(|(m, now)| m.holds(now).iter().filter(|(duty, _)| *duty == coordinator).count()).sum();
--- a/crates/fleet/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,5 +1,5 @@
 //! The fleet's part of a copy on sockets and disk: one loop on one thread of its own, beside the loop that carries calls.
-//! The two speak by messages and neither waits for the other. Whatever is decided is decided in `hillstall-quorum`.
+//! The two speak by messages and neither waits for the other. Whatever is decided is decided in `hillstall-consensus`.
 //!
 //! [`settings`] reads the section `[fleet]` of the operator file; [`start`] begins; [`Handle`] is what the calls' loop has.
 
@@ -10,7 +10,7 @@
 pub mod settings;
 mod shell;
 
-pub use hillstall_quorum::reports::{Counts, Report};
+pub use hillstall_consensus::reports::{Counts, Report};
 pub use shell::{start, Handle, Hint, NotStarted, Place};
 
 /// A length of time in milliseconds.
--- a/crates/fleet/src/links.rs
+++ b/crates/coordination/src/links.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use futures_util::SinkExt;
+use hillstall_consensus::frame::{Frame, FRAME_MOST};
 use hillstall_lease::Copy;
-use hillstall_quorum::frame::{Frame, FRAME_MOST};
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/fleet/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -193,8 +193,8 @@
 
 fn settle(raw: Raw, faults: &mut Faults) -> Settings {
     let second = Duration::from_secs(1);
-    if !hillstall_freeze::is_name(raw.name.get_ref()) {
-        faults.say(raw.name.span(), "name", hillstall_freeze::NAME_RULE);
+    if !hillstall_change_freeze::is_name(raw.name.get_ref()) {
+        faults.say(raw.name.span(), "name", hillstall_change_freeze::NAME_RULE);
     }
     let keepers: Vec<SocketAddr> =
         raw.keepers.get_ref().iter().filter_map(|one| faults.address(one, "keepers")).collect();
@@ -231,8 +231,8 @@
             None => faults.say(one.span(), "from", format!("{:?} is not an IPv4 address", one.get_ref())),
         }
     }
-    if let Some(site) = raw.site.as_ref().filter(|site| !hillstall_freeze::is_name(site.get_ref())) {
-        faults.say(site.span(), "site", hillstall_freeze::NAME_RULE);
+    if let Some(site) = raw.site.as_ref().filter(|site| !hillstall_change_freeze::is_name(site.get_ref())) {
+        faults.say(site.span(), "site", hillstall_change_freeze::NAME_RULE);
     }
     let usual = Duration::from_secs(2);
     let term = raw.term.as_ref().map_or(usual, |term| term.get_ref().0);
@@ -254,7 +254,7 @@
             continue;
         };
         for name in names.get_ref() {
-            if !hillstall_freeze::is_name(name) {
+            if !hillstall_change_freeze::is_name(name) {
                 faults.say(names.span(), "people", format!("{name:?} is no name"));
             } else if people.insert(name.clone(), first.clone()).is_some() {
                 faults.say(names.span(), "people", format!("{name:?} is the name of two people"));
--- a/crates/fleet/src/shell.rs
+++ b/crates/coordination/src/shell.rs
@@ -6,11 +6,11 @@
 use crate::millis;
 use crate::settings::Settings;
 use bytes::Bytes;
+use hillstall_consensus::member::{Did, Member, Out, Setup, To};
+use hillstall_consensus::reports::Report;
+use hillstall_consensus::state::Command;
 use hillstall_lease::Copy;
 use hillstall_maintenance::machine::Command as Window;
-use hillstall_quorum::member::{Did, Member, Out, Setup, To};
-use hillstall_quorum::reports::Report;
-use hillstall_quorum::state::Command;
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
 use std::net::IpAddr;
@@ -312,7 +312,7 @@
 
     fn write_down(&mut self, now: u64, signal: &str) {
         let what = format!("{signal} at copy {}", self.own.copy.rank);
-        self.member.tell(now, Command::Freeze(hillstall_freeze::register::Command::Signal { what }));
+        self.member.tell(now, Command::Freeze(hillstall_change_freeze::register::Command::Signal { what }));
     }
 
     /// The answer, or `None` if the keepers have to agree first.
--- a/crates/module/src/choice.rs
+++ b/crates/decision/src/choice.rs
@@ -6,8 +6,8 @@
 //! weighted by rating, warmth, feedback and load. Where it departs from this, the comment says when.
 
 use crate::api::*;
-use hillstall_storm::room::Room;
-use hillstall_storm::site::Sites;
+use hillstall_overload::room::Room;
+use hillstall_overload::site::Sites;
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rustc_hash::FxHashMap;
--- a/crates/module/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A small proxy for tests: feeds events to a balancer, keeps what it sent and answered.
 #![allow(dead_code)] // each test file uses a part
 
-use hillstall_module::api::*;
-use hillstall_module::Balancer;
+use hillstall_decision::api::*;
+use hillstall_decision::Balancer;
 
 /// A class of requests with an aim of 1 s and a deadline of 4 s.
 pub fn class(effect: Effect, scope: Scope) -> Class {
--- a/crates/module/tests/gate.rs
+++ b/crates/decision/tests/gate.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use hillstall_module::api::*;
+use hillstall_decision::api::*;
 
 fn many_backends(stage: u32) -> Proxy {
     Proxy::new(Settings { stage, ..settings() }, &backends(40))
@@ -233,7 +233,7 @@
     for rank in 0..100 {
         let mut p = Proxy::new(Settings { rank, fleet_size: 100, ..settings() }, &backends(4));
         p.balancer =
-            hillstall_module::Balancer::new(Settings { rank, fleet_size: 100, ..settings() }, rank.into());
+            hillstall_decision::Balancer::new(Settings { rank, fleet_size: 100, ..settings() }, rank.into());
         p.list(ListKind::Cached, &backends(4));
         p.rounds(40, 2, 3_500.0, Outcome::Ok);
         p.now += 100.0;
--- a/crates/module/tests/pick.rs
+++ b/crates/decision/tests/pick.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use hillstall_module::api::*;
+use hillstall_decision::api::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often each backend is sent to, over `n` calls one after another.
--- a/crates/module/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use hillstall_module::api::*;
+use hillstall_decision::api::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
--- a/crates/module/tests/sparse.rs
+++ b/crates/decision/tests/sparse.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use hillstall_module::api::*;
+use hillstall_decision::api::*;
 
 const COPIES: u32 = 300;
 const BACKENDS: u32 = 24;
--- a/crates/drill/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -9,10 +9,10 @@
 use crate::referee::{Server as TrueServer, Truth};
 use crate::server::{Below, Figures as ServerFigures, Server, WhoCalls};
 use crate::talk::Talk;
-use hillstall_lab::scenario::Repeats;
-use hillstall_lab::sim::setup::{chance, Figures, Stream};
-use hillstall_lab::sim::Tally;
-use hillstall_module::api::{BackendState, Settings};
+use hillstall_decision::api::{BackendState, Settings};
+use hillstall_simulation::scenario::Repeats;
+use hillstall_simulation::sim::setup::{chance, Figures, Stream};
+use hillstall_simulation::sim::Tally;
 use rand_xoshiro::rand_core::RngCore;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cell::{Cell, RefCell};
@@ -570,7 +570,7 @@
             let figures = ServerFigures {
                 number: all.len(),
                 zone: place.zone,
-                kind: hillstall_lab::model::machine::Kind { speed: place.speed, ..of.kind },
+                kind: hillstall_simulation::model::machine::Kind { speed: place.speed, ..of.kind },
                 part: of.part,
                 calls: of.calls,
             };
--- a/crates/drill/src/platform.rs
+++ b/crates/fault-injection/src/platform.rs
@@ -1,12 +1,12 @@
 //! The file that the platform gives a proxy, made from the module's settings.
 
-use hillstall_module::api::{Effect, Scope, Settings};
+use hillstall_decision::api::{Effect, Scope, Settings};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
 /// The settings as the platform writes them: what is read back from them is what was given.
 pub fn settings(of: &Settings) -> Value {
-    let class = |c: &hillstall_module::api::Class| {
+    let class = |c: &hillstall_decision::api::Class| {
         let effect = match c.effect {
             Effect::Repeatable => "repeatable",
             Effect::Keyed => "by_key",
@@ -21,7 +21,7 @@
             "Effect": effect, "KeyScope": scope, "Window": c.window_ms, "LateWorth": c.late_worth,
             "Points": c.worth, "Streaming": c.streaming})
     };
-    let tenant = |t: &hillstall_module::api::Tenant| json!({"Name": t.name, "AllowancePerS": t.allowance_per_s, "Fraction": t.fraction});
+    let tenant = |t: &hillstall_decision::api::Tenant| json!({"Name": t.name, "AllowancePerS": t.allowance_per_s, "Fraction": t.fraction});
     let (rules, allowed, prices, mix) = (&of.rules, &of.allowed, &of.prices, &of.objective);
     json!({
         "Rank": of.rank, "FleetSize": of.fleet_size, "Az": of.zone, "Zones": of.zones, "Stage": of.stage,
@@ -79,8 +79,8 @@
 
 #[cfg(test)]
 mod tests {
-    use hillstall_lab::scenarios;
-    use hillstall_lab::sim::setup;
+    use hillstall_simulation::scenarios;
+    use hillstall_simulation::sim::setup;
 
     #[test]
     fn what_is_read_back_is_what_was_given() {
--- a/crates/drill/src/referee.rs
+++ b/crates/fault-injection/src/referee.rs
@@ -2,8 +2,8 @@
 //! the platform's protocol. It knows the rules and the true figures, and nothing of how a proxy decides.
 
 use crate::record::{Done, Ended, Hop, Lived, Seen, Stood, Try};
-use hillstall_lab::model::cold::ColdStart;
-use hillstall_module::api::{BackendState, Effect, Settings};
+use hillstall_decision::api::{BackendState, Effect, Settings};
+use hillstall_simulation::model::cold::ColdStart;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
--- a/crates/drill/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -5,7 +5,7 @@
 use crate::link::{Callers, Link};
 use crate::port::Port;
 use crate::record::{Done, Ended, History, Hop, Start, Try};
-use hillstall_lab::model::machine::{Job, Kind, Machine, Taken};
+use hillstall_simulation::model::machine::{Job, Kind, Machine, Taken};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io::Result;
--- a/crates/drill/src/udp.rs
+++ b/crates/fault-injection/src/udp.rs
@@ -2,7 +2,7 @@
 //! datagram that is held is lost. A reset or a refusal means nothing to datagrams: they are lost too.
 
 use crate::link::Fault;
-use hillstall_lab::chance::part;
+use hillstall_simulation::chance::part;
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cell::{Cell, RefCell};
--- a/crates/drill/tests/links.rs
+++ b/crates/fault-injection/tests/links.rs
@@ -1,7 +1,7 @@
 //! Each fault of a link, on real sockets: what passes, what does not, and what each side hears of it.
 
-use hillstall_drill::link::{Callers, Fault, Link};
-use hillstall_drill::udp::UdpLink;
+use hillstall_fault_injection::link::{Callers, Fault, Link};
+use hillstall_fault_injection::udp::UdpLink;
 use std::future::Future;
 use std::io::ErrorKind;
 use std::rc::Rc;
--- a/crates/drill/tests/referee.rs
+++ b/crates/fault-injection/tests/referee.rs
@@ -1,12 +1,12 @@
 //! The referee on histories that are made by hand: each rule kept, and broken by as little as can be.
 
-use hillstall_drill::pulse::waited_ns;
-use hillstall_drill::record::{Cut, Done, Ended, Hop, Life, Lived, Seen, Start, Stood, Told, Try};
-use hillstall_drill::referee::{judge, late, story, Rule, Server, Truth, Verdict};
-use hillstall_lab::model::cold::ColdStart;
-use hillstall_lab::scenarios;
-use hillstall_lab::sim::setup;
-use hillstall_module::api::BackendState;
+use hillstall_decision::api::BackendState;
+use hillstall_fault_injection::pulse::waited_ns;
+use hillstall_fault_injection::record::{Cut, Done, Ended, Hop, Life, Lived, Seen, Start, Stood, Told, Try};
+use hillstall_fault_injection::referee::{judge, late, story, Rule, Server, Truth, Verdict};
+use hillstall_simulation::model::cold::ColdStart;
+use hillstall_simulation::scenarios;
+use hillstall_simulation::sim::setup;
 
 const BROWSE: usize = 0;
 const PURCHASE: usize = 1;
--- a/crates/hillstall/src/admin.rs
+++ b/crates/hillstall/src/admin.rs
@@ -1,11 +1,11 @@
 //! The second address: one line a connection, for those who operate the proxy.
 
-use hillstall_core::driver::Driver;
-use hillstall_core::lifecycle::{Lifecycle, Phase};
-use hillstall_core::limits::ADMIN_MOST;
-use hillstall_core::metrics::Metrics;
 use hillstall_http1::front::Server;
 use hillstall_http1::upstream::Upstream;
+use hillstall_proxy_core::driver::Driver;
+use hillstall_proxy_core::lifecycle::{Lifecycle, Phase};
+use hillstall_proxy_core::limits::ADMIN_MOST;
+use hillstall_proxy_core::metrics::Metrics;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     /// Knows whether clients can be served.
     pub server: Rc<Server>,
     /// The fleet's part, where it is on.
-    pub fleet: Option<Rc<hillstall_fleet::Handle>>,
+    pub fleet: Option<Rc<hillstall_coordination::Handle>>,
 }
 
 impl Admin {
--- a/crates/hillstall/src/cli.rs
+++ b/crates/hillstall/src/cli.rs
@@ -75,7 +75,7 @@
     Lab {
         /// What to do
         #[command(subcommand)]
-        what: crate::lab::Lab,
+        what: crate::simulation::Lab,
     },
     /// Print a script that completes commands in a shell
     Completions {
--- a/crates/hillstall/src/fleet.rs
+++ b/crates/hillstall/src/coordination.rs
@@ -1,13 +1,13 @@
 //! The fleet's part beside the calls' loop: what the loop counts goes there, and hints come back. Without the section
 //! `[fleet]`, or where the platform bars talk among copies, there is none of it: no socket, no thread, no timer.
 
-use hillstall_core::driver::{Driver, ToZone};
-use hillstall_core::lifecycle::{Lifecycle, Phase};
-use hillstall_core::metrics::Metrics;
-use hillstall_fleet::settings::Settings as Section;
-use hillstall_fleet::{Counts, Handle, Hint, Place, Report};
+use hillstall_coordination::settings::Settings as Section;
+use hillstall_coordination::{Counts, Handle, Hint, Place, Report};
+use hillstall_decision::api::Settings;
 use hillstall_http1::upstream::Upstream;
-use hillstall_module::api::Settings;
+use hillstall_proxy_core::driver::{Driver, ToZone};
+use hillstall_proxy_core::lifecycle::{Lifecycle, Phase};
+use hillstall_proxy_core::metrics::Metrics;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -41,7 +41,7 @@
     }
     let rank = settings.stage.saturating_mul(TIER_COPIES).saturating_add(settings.rank);
     let place = Place { rank, site, sites: settings.zones.clone() };
-    hillstall_fleet::start(section.clone(), place).map(Some).map_err(|why| why.to_string())
+    hillstall_coordination::start(section.clone(), place).map(Some).map_err(|why| why.to_string())
 }
 
 /// What the calls' loop has for the fleet.
--- a/crates/hillstall/src/demo.rs
+++ b/crates/hillstall/src/demo.rs
@@ -1,9 +1,9 @@
 //! `hillstall demo`: the proxy in front of stand-ins of the project's own, in one process, for a first look.
 
 use crate::config::{self, Config};
-use hillstall_lab::servers::Answers;
-use hillstall_lab::site;
-use hillstall_lab::stand::Stand;
+use hillstall_simulation::servers::Answers;
+use hillstall_simulation::site;
+use hillstall_simulation::stand::Stand;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
--- a/crates/hillstall/src/drill.rs
+++ b/crates/hillstall/src/fault_injection.rs
@@ -1,13 +1,13 @@
 //! `hillstall lab drill`: a scenario on real processes.
 
 use crate::commands::print;
-use crate::lab::write_lines;
-use hillstall_drill::{run as play, Drilled, Options};
-use hillstall_lab::experiment::{self, Mean};
-use hillstall_lab::policy::Named;
-use hillstall_lab::report;
-use hillstall_lab::scenario::Scenario;
-use hillstall_lab::sim::{self, Tally};
+use crate::simulation::write_lines;
+use hillstall_fault_injection::{run as play, Drilled, Options};
+use hillstall_simulation::experiment::{self, Mean};
+use hillstall_simulation::policy::Named;
+use hillstall_simulation::report;
+use hillstall_simulation::scenario::Scenario;
+use hillstall_simulation::sim::{self, Tally};
 use std::fmt::Write as _;
 use std::path::PathBuf;
 
@@ -31,7 +31,7 @@
         let drilled = play(&program, scenario, *seed, options).map_err(|why| format!("{name}: {why}"))?;
         print(&format!("seed {seed}: {}", drilled.told()));
         print(&figures(&drilled));
-        if !matches!(drilled.verdict, hillstall_drill::referee::Verdict::Kept) {
+        if !matches!(drilled.verdict, hillstall_fault_injection::referee::Verdict::Kept) {
             bad.push(seed.to_string());
         }
         // A void drill says nothing, so it is not counted.
@@ -85,6 +85,6 @@
         seen.tries.len(),
         seen.hops.len(),
         seen.list_calls,
-        hillstall_drill::referee::overshoot(&drilled.truth, seen),
+        hillstall_fault_injection::referee::overshoot(&drilled.truth, seen),
     )
 }
--- a/crates/hillstall/src/main.rs
+++ b/crates/hillstall/src/main.rs
@@ -4,28 +4,28 @@
 mod cli;
 mod commands;
 mod config;
+mod coordination;
 mod demo;
-mod drill;
-mod fleet;
+mod fault_injection;
 mod handover;
-mod lab;
 mod logs;
 mod operator;
 mod platform;
+mod simulation;
 
 use admin::Admin;
 use clap::Parser;
 use cli::{exit, Command, Set, What};
 use config::Config;
 use handover::Handover;
-use hillstall_core::driver::{Driver, Start};
-use hillstall_core::lifecycle::Lifecycle;
-use hillstall_core::limits::Limits;
-use hillstall_core::metrics::Metrics;
-use hillstall_core::sockets;
 use hillstall_http1::discovery::HttpDiscovery;
 use hillstall_http1::front::Server;
 use hillstall_http1::upstream::Upstream;
+use hillstall_proxy_core::driver::{Driver, Start};
+use hillstall_proxy_core::lifecycle::Lifecycle;
+use hillstall_proxy_core::limits::Limits;
+use hillstall_proxy_core::metrics::Metrics;
+use hillstall_proxy_core::sockets;
 use logs::Logs;
 use operator::{keys, Operator};
 use std::cell::RefCell;
@@ -58,7 +58,7 @@
     let mut reload = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
     let mut term = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let settings = config.settings.clone();
-    let (fleet, hints) = fleet::start(operator.fleet.as_ref(), &settings)?.unzip();
+    let (fleet, hints) = coordination::start(operator.fleet.as_ref(), &settings)?.unzip();
     let fleet = fleet.map(Rc::new);
     let allowed = &settings.allowed;
     let limits = Limits::new(config.sockets, config.memory_mb);
@@ -99,7 +99,7 @@
         server.share_with(1);
     }
     if let Some((fleet, hints)) = fleet.clone().zip(hints) {
-        let calls = fleet::Calls {
+        let calls = coordination::Calls {
             driver: driver.clone(),
             metrics: metrics.clone(),
             lifecycle: lifecycle.clone(),
@@ -150,7 +150,7 @@
     driver: Rc<Driver<Upstream>>,
     upstream: Rc<Upstream>,
     limits: Rc<Limits>,
-    fleet: Option<Rc<hillstall_fleet::Handle>>,
+    fleet: Option<Rc<hillstall_coordination::Handle>>,
 }
 
 impl Reloads {
@@ -221,7 +221,7 @@
         }),
         Some(What::Check { files }) => commands::check(&files),
         Some(What::Config { what: cli::Config::Show { json } }) => commands::show(&set, json),
-        Some(What::Lab { what }) => commands::done(lab::run(what)),
+        Some(What::Lab { what }) => commands::done(simulation::run(what)),
         Some(What::Completions { shell }) => commands::completions(shell),
     })
 }
--- a/crates/hillstall/src/operator/file.rs
+++ b/crates/hillstall/src/operator/file.rs
@@ -1,7 +1,7 @@
 //! The operator file: TOML, read key by key, so that all that is wrong in it can be told at once.
 
 use super::{at, line_of, Origin, Wrong};
-use hillstall_fleet::settings::Settings as Section;
+use hillstall_coordination::settings::Settings as Section;
 use std::path::Path;
 use toml::de::{DeTable, DeValue};
 
@@ -41,7 +41,7 @@
 
 /// The section of the fleet, if the file has one.
 fn fleet(path: &Path, text: &str) -> Result<Option<Section>, Vec<Wrong>> {
-    let told = |wrong: Vec<hillstall_fleet::settings::Wrong>| {
+    let told = |wrong: Vec<hillstall_coordination::settings::Wrong>| {
         let told = wrong.into_iter().map(|w| Wrong::Value {
             origin: at(path, line_of(text, w.at)),
             key: w.key,
@@ -49,7 +49,7 @@
         });
         told.collect::<Vec<_>>()
     };
-    let Some(read) = hillstall_fleet::settings::read(text).map_err(told)? else { return Ok(None) };
+    let Some(read) = hillstall_coordination::settings::read(text).map_err(told)? else { return Ok(None) };
     // The sites are the platform's to tell, so they are checked where both are known.
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     match read.contradictions(&[], now) {
--- a/crates/hillstall/src/operator/keys.rs
+++ b/crates/hillstall/src/operator/keys.rs
@@ -2,7 +2,7 @@
 //! `check` and `config show` all go by this one table.
 
 use super::value::Kind;
-use hillstall_core::tuning::Tuning;
+use hillstall_proxy_core::tuning::Tuning;
 use std::time::Duration;
 
 /// One key.
--- a/crates/hillstall/src/operator/mod.rs
+++ b/crates/hillstall/src/operator/mod.rs
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug)]
 pub struct Operator {
     /// The section of the fleet, where the file has one.
-    pub fleet: Option<hillstall_fleet::settings::Settings>,
+    pub fleet: Option<hillstall_coordination::settings::Settings>,
     values: BTreeMap<&'static str, (Value, Origin)>,
 }
 
--- a/crates/hillstall/src/operator/tests.rs
+++ b/crates/hillstall/src/operator/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use hillstall_core::tuning::Tuning;
+use hillstall_proxy_core::tuning::Tuning;
 
 /// A file of these lines, which goes with the test.
 fn file(text: &str) -> tempfile::NamedTempFile {
--- a/crates/hillstall/src/platform.rs
+++ b/crates/hillstall/src/platform.rs
@@ -3,8 +3,8 @@
 
 use crate::config;
 use crate::operator::line_of;
-use hillstall_core::directory::List;
-use hillstall_lab::site;
+use hillstall_proxy_core::directory::List;
+use hillstall_simulation::site;
 use serde_json::{Map, Value};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
--- a/crates/hillstall/src/lab.rs
+++ b/crates/hillstall/src/simulation.rs
@@ -1,18 +1,18 @@
 //! `hillstall lab`: experiments in simulated time.
 
 use crate::commands::print;
-use crate::drill;
+use crate::fault_injection;
 use crate::say;
 use clap::{Args, Subcommand};
-use hillstall_lab::account;
-use hillstall_lab::calls::Fleet;
-use hillstall_lab::experiment::{self, Axis};
-use hillstall_lab::policy::Named;
-use hillstall_lab::report;
-use hillstall_lab::scenario::Scenario;
-use hillstall_lab::scenarios;
-use hillstall_lab::sim::Tally;
-use hillstall_lab::stability;
+use hillstall_simulation::account;
+use hillstall_simulation::calls::Fleet;
+use hillstall_simulation::experiment::{self, Axis};
+use hillstall_simulation::policy::Named;
+use hillstall_simulation::report;
+use hillstall_simulation::scenario::Scenario;
+use hillstall_simulation::scenarios;
+use hillstall_simulation::sim::Tally;
+use hillstall_simulation::stability;
 use indicatif::ProgressBar;
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -224,7 +224,12 @@
         Lab::Drill { scenario, seed, seeds, keep, beside_lab, json } => {
             let (name, scenario) = parse(&scenario)?;
             let seeds: Vec<u64> = (seed..seed.saturating_add(seeds)).collect();
-            drill::run(&name, &scenario, &seeds, &drill::Wishes { keep, beside_lab, json })
+            fault_injection::run(
+                &name,
+                &scenario,
+                &seeds,
+                &fault_injection::Wishes { keep, beside_lab, json },
+            )
         }
         Lab::Account { scenario, copies, loads, how } => {
             let (name, text) = read(&scenario)?;
@@ -250,7 +255,7 @@
             give_out(map.cells.iter().flat_map(|cell| &cell.runs), &text, || map.html(&name), &how)
         }
         Lab::Keeper => {
-            hillstall_drill::keeper::serve();
+            hillstall_fault_injection::keeper::serve();
             Ok(())
         }
         Lab::Report { results: path, page } => {
--- a/crates/hillstall/tests/fleet/figures.rs
+++ b/crates/hillstall/tests/coordination/figures.rs
@@ -4,9 +4,9 @@
 use crate::harness::service;
 use crate::talking::{cut, settled, since, talk, COORDINATOR, SOON};
 use crate::windows::{plan, LONG, SECTION};
-use hillstall_drill::keeper::Sign;
-use hillstall_drill::link::Fault;
-use hillstall_drill::talk::from_process;
+use hillstall_fault_injection::keeper::Sign;
+use hillstall_fault_injection::link::Fault;
+use hillstall_fault_injection::talk::from_process;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Instant;
--- a/crates/hillstall/tests/fleet/freeze.rs
+++ b/crates/hillstall/tests/coordination/freeze.rs
@@ -1,10 +1,10 @@
 //! Incidents, permits, and their coordinator, while parts of the fleet fail.
 
 use crate::talking::{cut, says, settled, sure, talk, COORDINATOR, SOON};
-use hillstall_drill::fleet::Ends;
-use hillstall_drill::keeper::Sign;
-use hillstall_drill::link::Fault;
-use hillstall_drill::talk::from_process;
+use hillstall_fault_injection::fleet::Ends;
+use hillstall_fault_injection::keeper::Sign;
+use hillstall_fault_injection::link::Fault;
+use hillstall_fault_injection::talk::from_process;
 use std::time::Duration;
 use tokio::time::sleep;
 
--- a/crates/hillstall/tests/fleet/main.rs
+++ b/crates/hillstall/tests/coordination/main.rs
@@ -4,7 +4,7 @@
 
 mod figures;
 mod freeze;
-#[path = "../drill/harness.rs"]
+#[path = "../fault_injection/harness.rs"]
 #[allow(dead_code)]
 mod harness;
 mod owners;
--- a/crates/hillstall/tests/fleet/owners.rs
+++ b/crates/hillstall/tests/coordination/owners.rs
@@ -1,10 +1,10 @@
 //! One owner at a time, and no harm by an old one.
 
 use crate::talking::{cut, kill, says, settled, since, sure, talk, Told, COORDINATOR, SOON};
-use hillstall_drill::fleet::{Ends, Fleet};
-use hillstall_drill::keeper::Sign;
-use hillstall_drill::link::Fault;
-use hillstall_drill::talk::{from_process, to_keeper};
+use hillstall_fault_injection::fleet::{Ends, Fleet};
+use hillstall_fault_injection::keeper::Sign;
+use hillstall_fault_injection::link::Fault;
+use hillstall_fault_injection::talk::{from_process, to_keeper};
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
--- a/crates/hillstall/tests/fleet/talking.rs
+++ b/crates/hillstall/tests/coordination/talking.rs
@@ -1,12 +1,12 @@
 //! Plays a drill with a script, and judges its record.
 
 use crate::harness::{drill_with, Played};
-use hillstall_drill::fleet::{Ends, Fleet};
-use hillstall_drill::keeper::Sign;
-use hillstall_drill::link::Fault;
-use hillstall_drill::run::Script;
-use hillstall_drill::talk::{judge, Act, Talk};
-use hillstall_drill::Options;
+use hillstall_fault_injection::fleet::{Ends, Fleet};
+use hillstall_fault_injection::keeper::Sign;
+use hillstall_fault_injection::link::Fault;
+use hillstall_fault_injection::run::Script;
+use hillstall_fault_injection::talk::{judge, Act, Talk};
+use hillstall_fault_injection::Options;
 use std::cell::RefCell;
 use std::future::Future;
 use std::rc::Rc;
--- a/crates/hillstall/tests/fleet/windows.rs
+++ b/crates/hillstall/tests/coordination/windows.rs
@@ -2,9 +2,9 @@
 
 use crate::harness::{service, wait};
 use crate::talking::{settled, sure, talk, Talked, Told, BUSY, SOON};
-use hillstall_drill::fleet::{Ends, Fleet};
-use hillstall_drill::keeper::Sign;
-use hillstall_drill::link::Fault;
+use hillstall_fault_injection::fleet::{Ends, Fleet};
+use hillstall_fault_injection::keeper::Sign;
+use hillstall_fault_injection::link::Fault;
 use std::cell::RefCell;
 use std::future::Future;
 use std::rc::Rc;
--- a/crates/hillstall/tests/drill/harness.rs
+++ b/crates/hillstall/tests/fault_injection/harness.rs
@@ -1,13 +1,13 @@
 //! Plays drills, four at a time at the most, and again, alone, where the rig itself was late.
 
-use hillstall_drill::fleet::{Ends, Fleet, Lie};
-use hillstall_drill::link::Passed;
-use hillstall_drill::record::History;
-use hillstall_drill::referee::{Rule, Verdict};
-use hillstall_drill::run::Script;
-use hillstall_drill::{Drilled, Options};
-use hillstall_lab::scenarios;
-use hillstall_module::api::Settings;
+use hillstall_decision::api::Settings;
+use hillstall_fault_injection::fleet::{Ends, Fleet, Lie};
+use hillstall_fault_injection::link::Passed;
+use hillstall_fault_injection::record::History;
+use hillstall_fault_injection::referee::{Rule, Verdict};
+use hillstall_fault_injection::run::Script;
+use hillstall_fault_injection::{Drilled, Options};
+use hillstall_simulation::scenarios;
 use std::cell::RefCell;
 use std::path::Path;
 use std::rc::Rc;
@@ -77,7 +77,8 @@
     let mut why = String::new();
     for play in 0..PLAYS {
         let _turn = Turn::take(play > 0);
-        let drilled = hillstall_drill::run(program, &scenario, seed, options()).expect("it can be played");
+        let drilled =
+            hillstall_fault_injection::run(program, &scenario, seed, options()).expect("it can be played");
         assert!(drilled.processes >= 6, "a fleet is more than {} processes", drilled.processes);
         match &drilled.verdict {
             Verdict::Void(late) => why = late.clone(),
--- a/crates/hillstall/tests/drill/main.rs
+++ b/crates/hillstall/tests/fault_injection/main.rs
@@ -4,12 +4,12 @@
 mod harness;
 
 use harness::{drill, drill_with, lied, look, scripted, service, wait, Looks};
-use hillstall_drill::fleet::{Ends, Lie};
-use hillstall_drill::record::{Done, Ended, Life, Lived};
-use hillstall_drill::referee::{self, Rule};
-use hillstall_drill::Options;
-use hillstall_lab::stability::Course;
-use hillstall_module::api::{BackendState, Effect, Settings};
+use hillstall_decision::api::{BackendState, Effect, Settings};
+use hillstall_fault_injection::fleet::{Ends, Lie};
+use hillstall_fault_injection::record::{Done, Ended, Life, Lived};
+use hillstall_fault_injection::referee::{self, Rule};
+use hillstall_fault_injection::Options;
+use hillstall_simulation::stability::Course;
 use std::rc::Rc;
 
 /// Says what was measured: seen with `--nocapture`, and in a failure.
@@ -94,7 +94,7 @@
     // The last three seconds: all are back, with nothing learned.
     let after = |p: &harness::Played| {
         let last = &p.0.tally.seconds[6..];
-        let sum = |of: fn(&hillstall_lab::sim::Second) -> f64| last.iter().map(of).sum::<f64>();
+        let sum = |of: fn(&hillstall_simulation::sim::Second) -> f64| last.iter().map(of).sum::<f64>();
         100.0 * sum(|s| s.earned) / sum(|s| s.worth)
     };
     assert!(after(&kept) > 85.0, "service is {:.1} once they are back", after(&kept));
@@ -208,7 +208,7 @@
 
 #[test]
 fn what_a_keeper_started_ends_with_it() {
-    use hillstall_drill::keeper::{Keeper, News, Start};
+    use hillstall_fault_injection::keeper::{Keeper, News, Start};
     let (tell, news) = std::sync::mpsc::channel();
     let program = std::path::Path::new(env!("CARGO_BIN_EXE_hillstall"));
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/bench/src/main.rs
+++ b/crates/hot-path-bench/src/main.rs
@@ -60,7 +60,7 @@
     match ran {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("hillstall-bench: {why}");
+            eprintln!("hillstall-hot-path-bench: {why}");
             ExitCode::FAILURE
         }
     }
--- a/crates/bench/src/paths.rs
+++ b/crates/hot-path-bench/src/paths.rs
@@ -2,10 +2,10 @@
 //! proxy as processes.
 
 use crate::child::{await_listener, Broken, Measured};
-use hillstall_lab::callers::{self, Tally};
-use hillstall_lab::relay as bare;
-use hillstall_lab::site::{config, Holds};
-use hillstall_lab::stand::{listener, Stand};
+use hillstall_simulation::callers::{self, Tally};
+use hillstall_simulation::relay as bare;
+use hillstall_simulation::site::{config, Holds};
+use hillstall_simulation::stand::{listener, Stand};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::rc::Rc;
@@ -34,7 +34,7 @@
 
 fn start_proxy(program: &Path, site: &Stand, holds: Holds) -> Result<(Measured, SocketAddr), Broken> {
     let address = free_address()?;
-    let file = std::env::temp_dir().join(format!("hillstall-bench-{}.json", std::process::id()));
+    let file = std::env::temp_dir().join(format!("hillstall-hot-path-bench-{}.json", std::process::id()));
     std::fs::write(&file, config(address, site.discovery, &site.servers, holds).to_string())?;
     let proxy = Measured::start(program, |command| {
         command.env("NODE_CONFIG", &file);
--- a/crates/http1/src/conn.rs
+++ b/crates/http1/src/conn.rs
@@ -3,8 +3,8 @@
 use crate::body::{Outgoing, Rest};
 use crate::io::{Io, Wire};
 use bytes::Bytes;
-use hillstall_core::limits::{Body, Limits, Taken};
-use hillstall_core::tuning::Tuning;
+use hillstall_proxy_core::limits::{Body, Limits, Taken};
+use hillstall_proxy_core::tuning::Tuning;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{Builder, Connection, SendRequest};
--- a/crates/http1/src/discovery.rs
+++ b/crates/http1/src/discovery.rs
@@ -2,9 +2,9 @@
 
 use crate::io::{Io, Wire};
 use bytes::Bytes;
-use hillstall_core::directory::List;
-use hillstall_core::discovery::{Discovery, Pending, ANSWER};
-use hillstall_core::tuning::Tuning;
+use hillstall_proxy_core::directory::List;
+use hillstall_proxy_core::discovery::{Discovery, Pending, ANSWER};
+use hillstall_proxy_core::tuning::Tuning;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::{header::HOST, Request, StatusCode};
 use std::net::SocketAddr;
--- a/crates/http1/src/front/caller.rs
+++ b/crates/http1/src/front/caller.rs
@@ -2,7 +2,7 @@
 
 use crate::body::Upload;
 use crate::io::Wire;
-use hillstall_core::limits::{self, Taken};
+use hillstall_proxy_core::limits::{self, Taken};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/crates/http1/src/front/head.rs
+++ b/crates/http1/src/front/head.rs
@@ -2,9 +2,9 @@
 
 use super::Server;
 use crate::message::TIMEOUT_HEADER;
-use hillstall_core::directory::hash;
-use hillstall_core::driver::Asked;
-use hillstall_module::api::Effect;
+use hillstall_decision::api::Effect;
+use hillstall_proxy_core::directory::hash;
+use hillstall_proxy_core::driver::Asked;
 use hyper::header::HeaderMap;
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode};
--- a/crates/http1/src/front/record.rs
+++ b/crates/http1/src/front/record.rs
@@ -1,7 +1,7 @@
 //! One record of the log for each call, where the operator asks for it.
 
 use crate::upstream::Upstream;
-use hillstall_core::driver::{Course, Final};
+use hillstall_proxy_core::driver::{Course, Final};
 use std::time::{Duration, Instant};
 
 /// What the log is told of a call.
--- a/crates/http1/src/front/reply.rs
+++ b/crates/http1/src/front/reply.rs
@@ -4,7 +4,7 @@
 use super::record::Record;
 use crate::download::{Download, Passed};
 use bytes::Bytes;
-use hillstall_core::metrics::{Ending, InProgress};
+use hillstall_proxy_core::metrics::{Ending, InProgress};
 use http_body_util::Full;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::header::{HeaderValue, RETRY_AFTER};
--- a/crates/http1/src/io.rs
+++ b/crates/http1/src/io.rs
@@ -2,8 +2,8 @@
 //! follows a request on its way out, so that it is known whether the last byte of it was written.
 
 use crate::framing::Framing;
-use hillstall_core::metrics::Counter;
-use hillstall_core::tuning::Tuning;
+use hillstall_proxy_core::metrics::Counter;
+use hillstall_proxy_core::tuning::Tuning;
 use hyper::rt::{Read, ReadBufCursor, Write};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
--- a/crates/http1/src/message.rs
+++ b/crates/http1/src/message.rs
@@ -3,7 +3,7 @@
 use crate::body::Upload;
 use crate::download::Download;
 use crate::io::Length;
-use hillstall_core::limits::Body;
+use hillstall_proxy_core::limits::Body;
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::http::uri::PathAndQuery;
 use hyper::Method;
@@ -46,7 +46,7 @@
     }
 }
 
-impl hillstall_core::carrier::Payload for Inbound {
+impl hillstall_proxy_core::carrier::Payload for Inbound {
     fn is_spent(&self) -> bool {
         matches!(&self.body, Payload::Passing(upload) if upload.is_spent())
     }
--- a/crates/http1/src/report.rs
+++ b/crates/http1/src/report.rs
@@ -1,6 +1,6 @@
 //! Load reports, where the deployment has them.
 
-use hillstall_module::api::{Report, ReportField};
+use hillstall_decision::api::{Report, ReportField};
 use hyper::header::{HeaderMap, HeaderName};
 
 const SERVER_LOAD: HeaderName = HeaderName::from_static("server-load");
--- a/crates/maintenance/src/machine.rs
+++ b/crates/maintenance/src/machine.rs
@@ -2,9 +2,9 @@
 //! between the two; and no command makes two sites be away at once.
 
 use crate::{Millis, Part, WHOLE};
-use hillstall_freeze::register::{self as freeze, Answer, Number, Register, Stand, Wish};
-use hillstall_freeze::rules::{Kind, Reaction};
-use hillstall_freeze::scope::Scope;
+use hillstall_change_freeze::register::{self as freeze, Answer, Number, Register, Stand, Wish};
+use hillstall_change_freeze::rules::{Kind, Reaction};
+use hillstall_change_freeze::scope::Scope;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -301,7 +301,7 @@
     }
 
     fn plan(&mut self, plan: &Plan) -> Result<(), Refused> {
-        if !hillstall_freeze::is_name(&plan.site) {
+        if !hillstall_change_freeze::is_name(&plan.site) {
             return Err(Refused::Plan(
                 "a site's name has 1 to 64 letters, digits, '-', '.', '_', '/' or '@'",
             ));
--- a/crates/maintenance/src/steps.rs
+++ b/crates/maintenance/src/steps.rs
@@ -3,7 +3,7 @@
 
 use crate::machine::{Command, Overrun, Plan, Stage, Window};
 use crate::{Millis, Part, WHOLE};
-use hillstall_freeze::register::Number;
+use hillstall_change_freeze::register::Number;
 use std::collections::BTreeMap;
 
 /// What the copies report of one site, added up, over the last seconds.
--- a/crates/maintenance/tests/windows.rs
+++ b/crates/maintenance/tests/windows.rs
@@ -1,8 +1,8 @@
 //! The calendar, the states of a window, and the steps of its owner.
 
-use hillstall_freeze::register::{By, Command as Freeze, Register};
-use hillstall_freeze::rules::Severity;
-use hillstall_freeze::scope::Scope;
+use hillstall_change_freeze::register::{By, Command as Freeze, Register};
+use hillstall_change_freeze::rules::Severity;
+use hillstall_change_freeze::scope::Scope;
 use hillstall_maintenance::calendar::{check, Rule, Shown};
 use hillstall_maintenance::machine::{Command, Overrun, Plan, Refused, Stage, Windows};
 use hillstall_maintenance::part::SitePart;
--- a/crates/storm/tests/room.rs
+++ b/crates/overload/tests/room.rs
@@ -1,6 +1,6 @@
 //! The part of a tier that answers: exact figures, and what holds for any course.
 
-use hillstall_storm::room::Room;
+use hillstall_overload::room::Room;
 use proptest::prelude::*;
 
 #[test]
--- a/crates/core/src/carrier.rs
+++ b/crates/proxy-core/src/carrier.rs
@@ -2,7 +2,7 @@
 
 use crate::driver::Permit;
 use crate::metrics::Counter;
-use hillstall_module::api::{BackendId, Outcome, Report};
+use hillstall_decision::api::{BackendId, Outcome, Report};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/core/src/metrics.rs
+++ b/crates/proxy-core/src/metrics.rs
@@ -1,6 +1,6 @@
 //! What has happened since the start and what is going on now, in figures for the operators.
 
-use hillstall_module::api::{Class, Reason};
+use hillstall_decision::api::{Class, Reason};
 use std::cell::Cell;
 use std::fmt::Write;
 use std::rc::Rc;
--- a/crates/core/tests/fleet.rs
+++ b/crates/proxy-core/tests/fleet.rs
@@ -1,13 +1,13 @@
 //! Many copies behind one service that knows the servers: what each does alone must not harm in the sum. All of
 //! it in simulated time, from seeds.
 
-#[path = "../../module/tests/common/mod.rs"]
+#[path = "../../decision/tests/common/mod.rs"]
 mod common;
 
 use common::{backends, settings};
-use hillstall_core::discovery::ANSWER;
-use hillstall_module::api::{Action, Event, ListKind, Millis, Settings};
-use hillstall_module::Balancer;
+use hillstall_decision::api::{Action, Event, ListKind, Millis, Settings};
+use hillstall_decision::Balancer;
+use hillstall_proxy_core::discovery::ANSWER;
 
 /// A service that handles calls one after another. It answers what has waited up to so long, refuses at once what
 /// would have to wait longer, and does not see that a caller has given up.
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The settings: every key is read, absent ones get their meaning, unusable ones are named.
 
-use hillstall_module::api::*;
+use hillstall_decision::api::*;
 use serde_json::{json, Value};
 
 /// Settings in which every key has a value that is not its default.
--- a/crates/benchlink/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,9 +1,9 @@
 //! Hosts any number of balancers behind the bench's wire: one frame in on standard input, one reply out on
 //! standard output, until the input ends.
 
-use hillstall_benchlink::wire::{self, Header, Malformed, Record, Reply, BATCH_HEADER};
-use hillstall_module::api::{Action, BackendInfo, Event, ListKind};
-use hillstall_module::Balancer;
+use hillstall_decision::api::{Action, BackendInfo, Event, ListKind};
+use hillstall_decision::Balancer;
+use hillstall_sim_adapter::wire::{self, Header, Malformed, Record, Reply, BATCH_HEADER};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -108,7 +108,7 @@
     match run(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("hillstall-benchlink: {why}");
+            eprintln!("hillstall-sim-adapter: {why}");
             ExitCode::FAILURE
         }
     }
--- a/crates/benchlink/tests/adapter.rs
+++ b/crates/sim-adapter/tests/adapter.rs
@@ -8,7 +8,7 @@
 "Rules":{"DrainGrace":250,"ColdFrom":0.3,"Cold":8000,"FallMultiple":3,"Fall":3000},"Allowed":{"MaxAttempts":5}}"#;
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_hillstall-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_hillstall-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -115,7 +115,7 @@
         let text = String::from_utf8_lossy(&out.stderr);
         assert!(!out.status.success(), "{what}");
         assert_eq!(text.lines().count(), 1, "{what}: {text}");
-        assert!(text.starts_with("hillstall-benchlink: "), "{what}: {text}");
+        assert!(text.starts_with("hillstall-sim-adapter: "), "{what}: {text}");
     }
 }
 
--- a/crates/benchlink/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -1,7 +1,7 @@
 //! The codec against the wire's published example frames.
 
-use hillstall_benchlink::wire::{self, Header, Record, Reply, BATCH_HEADER};
-use hillstall_module::api::*;
+use hillstall_decision::api::*;
+use hillstall_sim_adapter::wire::{self, Header, Record, Reply, BATCH_HEADER};
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.chars().filter_map(|c| c.to_digit(16)).map(|d| d as u8).collect();
--- a/crates/lab/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -1,10 +1,10 @@
 //! Who decides about calls in an experiment: the decision module, or a textbook rule to hold it against.
 
-use hillstall_module::api::{
+use hillstall_decision::api::{
     Action, BackendId, BackendInfo, BackendState, Event, ListKind, Millis, Outcome, Reason, RequestId,
     Settings,
 };
-use hillstall_module::Balancer;
+use hillstall_decision::Balancer;
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::HashMap;
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/simulation/src/sim/attempts.rs
@@ -7,7 +7,7 @@
 use crate::chance::part;
 use crate::model::machine::Taken;
 use crate::model::work::{self, Shape};
-use hillstall_module::api::{BackendId, Event, Outcome, Report};
+use hillstall_decision::api::{BackendId, Event, Outcome, Report};
 
 impl World {
     fn way(&self, proxy: usize, host: usize) -> f64 {
--- a/crates/lab/src/sim/day.rs
+++ b/crates/simulation/src/sim/day.rs
@@ -1,5 +1,5 @@
 //! Reads a day of the bench: one draw of a site, with each machine's speed, the load and the troubles. What the lab
-//! has no model for is passed over (see `docs/measurements/lab.md`); what it can't be without is an error.
+//! has no model for is passed over (see `docs/measurements/simulation.md`); what it can't be without is an error.
 
 use super::setup::{ClassOf, Cut, FailureOf, Figures, Place, TenantOf, TierOf};
 use crate::model::machine::{Choke, Kind};
--- a/crates/lab/src/sim/failures.rs
+++ b/crates/simulation/src/sim/failures.rs
@@ -4,7 +4,7 @@
 use super::setup::some_of;
 use super::World;
 use crate::scenario::What;
-use hillstall_module::api::{BackendInfo, BackendState, Event, ListKind};
+use hillstall_decision::api::{BackendInfo, BackendState, Event, ListKind};
 
 /// How long a drained machine takes to start again.
 const RESTART_MS: f64 = 500.0;
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/simulation/src/sim/mod.rs
@@ -20,7 +20,7 @@
 use crate::policy::{Named, Policy};
 use crate::scenario::Scenario;
 use arrivals::{Arrival, Arrivals};
-use hillstall_module::api::{Action, BackendInfo, BackendState, Event, ListKind};
+use hillstall_decision::api::{Action, BackendInfo, BackendState, Event, ListKind};
 use queue::{Happening, Queue};
 use rand_xoshiro::rand_core::RngCore;
 use rand_xoshiro::Xoshiro256PlusPlus;
--- a/crates/lab/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -4,7 +4,7 @@
 use crate::model::machine::Kind;
 use crate::model::work::Shape;
 use crate::scenario::{Between, Mode, Repeats, Scenario, What};
-use hillstall_module::api::{
+use hillstall_decision::api::{
     Allowed, Class, Effect, Objective, Prices, ReportVia, Rules, Scope, Settings, Tenant, Weights,
 };
 use rand_xoshiro::rand_core::SeedableRng;
--- a/crates/lab/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -1,7 +1,7 @@
 //! Days in the form of the bench, made up here: what is read, what is passed over, what is refused.
 
-use hillstall_lab::experiment::days;
-use hillstall_lab::policy::Named;
+use hillstall_simulation::experiment::days;
+use hillstall_simulation::policy::Named;
 use serde_json::{json, Value};
 
 /// One tier of two machines in two zones, one class, two tenants, at 0.4 of what the machines can do.
@@ -24,7 +24,7 @@
     })
 }
 
-fn play(day: &Value) -> (hillstall_lab::sim::Tally, Vec<String>) {
+fn play(day: &Value) -> (hillstall_simulation::sim::Tally, Vec<String>) {
     let (mut tallies, unknown) = days(&day.to_string(), &[Named::LeastOutstanding], &[1]).expect("a day");
     (tallies.remove(0), unknown)
 }
--- a/crates/lab/tests/experiments.rs
+++ b/crates/simulation/tests/experiments.rs
@@ -1,11 +1,11 @@
 //! Whole runs: they repeat to the byte, keep the rules, and hold policies against each other on the same calls.
 
-use hillstall_lab::experiment::{gain, grid, runs, Axis, Mean, NoSweep};
-use hillstall_lab::policy::Named;
-use hillstall_lab::report;
-use hillstall_lab::scenario::{Invalid, Scenario};
-use hillstall_lab::scenarios;
-use hillstall_lab::sim::{self, Tally};
+use hillstall_simulation::experiment::{gain, grid, runs, Axis, Mean, NoSweep};
+use hillstall_simulation::policy::Named;
+use hillstall_simulation::report;
+use hillstall_simulation::scenario::{Invalid, Scenario};
+use hillstall_simulation::scenarios;
+use hillstall_simulation::sim::{self, Tally};
 
 fn bytes(tally: &Tally) -> String {
     serde_json::to_string(tally).expect("plain data")
--- a/crates/lab/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -1,9 +1,9 @@
 //! The model against theory where it is exact, and against the failures it is there to cause.
 
-use hillstall_lab::experiment::{runs, Mean};
-use hillstall_lab::model::machine::{Choke, Kind, Machine, Taken};
-use hillstall_lab::policy::Named;
-use hillstall_lab::scenario::Scenario;
+use hillstall_simulation::experiment::{runs, Mean};
+use hillstall_simulation::model::machine::{Choke, Kind, Machine, Taken};
+use hillstall_simulation::policy::Named;
+use hillstall_simulation::scenario::Scenario;
 
 fn kind() -> Kind {
     Kind {
