--- a/crates/change-freeze/src/detect.rs
+++ b/crates/change-freeze/src/detect.rs
@@ -6,6 +6,7 @@
 use crate::scope::Scope;
 use crate::Millis;
 use std::collections::BTreeMap;
+use std::fmt;
 
 /// What is watched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -20,6 +21,18 @@
     Margin,
 }
 
+impl fmt::Display for Sign {
+    /// The form that stands in an incident's evidence. It is replicated, so every version has to write the same bytes.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Sign::Lost => "Lost",
+            Sign::Refused => "Refused",
+            Sign::Failed => "Failed",
+            Sign::Margin => "Margin",
+        })
+    }
+}
+
 /// A figure of now, from reports that are young enough.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fact {
@@ -138,7 +151,7 @@
                 matches!(i.by, By::Rule(_)) && !i.cooling && i.scope == *scope && i.severity >= limit.severity
             });
             if !known {
-                let evidence = format!("{sign:?} at {:.2}, limit {:.2}", course.level, limit.bad);
+                let evidence = format!("{sign} at {:.2}, limit {:.2}", course.level, limit.bad);
                 let (severity, scope, by) = (limit.severity, scope.clone(), By::Rule(token));
                 commands.push(Command::Open { severity, scope, evidence, by });
             }
--- a/crates/change-freeze/src/register.rs
+++ b/crates/change-freeze/src/register.rs
@@ -6,6 +6,7 @@
 use crate::{is_name, Millis};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::fmt;
 
 /// Most incidents, changes and lines of the record that are kept: what a snapshot carries is bounded.
 pub const INCIDENTS_MOST: usize = 256;
@@ -38,6 +39,16 @@
     Rule(u64),
 }
 
+impl fmt::Display for By {
+    /// The form that stands in audit records. These are replicated, so every version has to write the same bytes.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            By::Person(name) => write!(f, "Person({name:?})"),
+            By::Rule(token) => write!(f, "Rule({token})"),
+        }
+    }
+}
+
 /// An incident.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Incident {
@@ -370,7 +381,7 @@
             self.incidents.insert(number, new);
             number
         };
-        let answer = self.noted(number, format!("{severity} incident at {scope} by {by:?}"));
+        let answer = self.noted(number, format!("{severity} incident at {scope} by {by}"));
         self.judge_in_flight(number);
         Ok(answer)
     }
@@ -412,7 +423,7 @@
         }
         of.cooling = true;
         of.version += 1;
-        Ok(self.noted(incident, format!("resolved by {by:?}")))
+        Ok(self.noted(incident, format!("resolved by {by}")))
     }
 
     // ---- changes ----
--- a/crates/maintenance/src/machine.rs
+++ b/crates/maintenance/src/machine.rs
@@ -358,7 +358,7 @@
         let stand = self.change.and_then(|change| register.changes().get(&change)).map(|c| c.stand);
         match stand {
             Some(Stand::InFlight) => Ok(()),
-            Some(stand) => Err(Refused::NoPermit(format!("it {stand:?}"))),
+            Some(stand) => Err(Refused::NoPermit(format!("it {}", stored_status(stand)))),
             None => Err(Refused::NoPermit("it has run out".into())),
         }
     }
@@ -385,6 +385,32 @@
             register.apply(&freeze::Command::Done { change });
             Err(Refused::NoPermit(format!("incident {incident} is active")))
         }
-        other => Err(Refused::NoPermit(format!("{other:?}"))),
+        Answer::Done(number) => Err(Refused::NoPermit(format!("Done({number})"))),
+        Answer::Half(number) => Err(Refused::NoPermit(format!("Half({number})"))),
+        Answer::Refused(reason) => Err(Refused::NoPermit(format!("Refused({})", stored_reason(reason)))),
+    }
+}
+
+/// The word for a status in a replicated outcome: every version has to write the same bytes.
+fn stored_status(status: Stand) -> &'static str {
+    match status {
+        Stand::Waits => "Waits",
+        Stand::Half => "Half",
+        Stand::InFlight => "InFlight",
+        Stand::Reacts => "Reacts",
+        Stand::Stuck => "Stuck",
+    }
+}
+
+/// The word for a reason in a replicated outcome: every version has to write the same bytes.
+fn stored_reason(reason: freeze::Refused) -> &'static str {
+    match reason {
+        freeze::Refused::Unknown => "Unknown",
+        freeze::Refused::Over => "Over",
+        freeze::Refused::NotByRule => "NotByRule",
+        freeze::Refused::SamePerson => "SamePerson",
+        freeze::Refused::Name => "Name",
+        freeze::Refused::Runs => "Runs",
+        freeze::Refused::Full => "Full",
     }
 }
