--- a/crates/consensus/src/duties.rs
+++ b/crates/consensus/src/duties.rs
@@ -3,10 +3,10 @@
 
 use crate::member::{Did, Setup};
 use crate::state::{shift_duty, Outcome, COORDINATOR};
-use hillstall_lease::book::{Book, Command};
-use hillstall_lease::gate::{Floor, Gates, Order};
-use hillstall_lease::hold::Hold;
-use hillstall_lease::{Copy, Duty, Millis, Token};
+use hillstall_lease::fencing::{Floor, Gates, Order};
+use hillstall_lease::session::Hold;
+use hillstall_lease::table::{Book, Command};
+use hillstall_lease::{FencingToken, Instance, LeaseName, Millis};
 use hillstall_maintenance::part::SitePart;
 use hillstall_maintenance::{Part, WHOLE};
 use std::collections::BTreeMap;
@@ -17,9 +17,9 @@
 /// A duty that this copy may act by.
 pub struct Owned {
     /// Which.
-    pub duty: Duty,
+    pub duty: LeaseName,
     /// By which token.
-    pub token: Token,
+    pub token: FencingToken,
     /// The site, if it is the shift of one.
     pub site: Option<String>,
 }
@@ -29,7 +29,7 @@
     site: Option<String>,
     rank: u8,
     /// The token that was told last.
-    told: Option<Token>,
+    told: Option<FencingToken>,
     orders: u64,
     stands_from: Millis,
     /// It was given up for good.
@@ -38,27 +38,27 @@
 
 /// See the module's text.
 pub struct Duties {
-    copy: Copy,
-    terms: hillstall_lease::terms::Terms,
-    mine: BTreeMap<Duty, Mine>,
-    sites: BTreeMap<Duty, String>,
+    copy: Instance,
+    terms: hillstall_lease::timing::Terms,
+    mine: BTreeMap<LeaseName, Mine>,
+    sites: BTreeMap<LeaseName, String>,
     gates: Gates<Part>,
     open: bool,
     leaving: bool,
     parts: BTreeMap<String, (SitePart, f64)>,
     /// What was carried out last, and by which token.
-    done: BTreeMap<Duty, (Token, Part)>,
+    done: BTreeMap<LeaseName, (FencingToken, Part)>,
     did: Vec<Did>,
 }
 
 impl Duties {
     /// Keepers stand for all duties of the fleet; a site's shift is held by a copy elsewhere if there is one.
     pub fn new(setup: &Setup, now: Millis) -> Duties {
-        let sites: BTreeMap<Duty, String> =
+        let sites: BTreeMap<LeaseName, String> =
             setup.sites.iter().filter_map(|site| Some((shift_duty(site)?, site.clone()))).collect();
         let mut mine = BTreeMap::new();
         if setup.keeper.is_some() {
-            let coordinator = Duty::new(COORDINATOR).ok().map(|duty| (duty, None));
+            let coordinator = LeaseName::new(COORDINATOR).ok().map(|duty| (duty, None));
             let shifts = sites.iter().map(|(duty, site)| (duty.clone(), Some(site.clone())));
             for (duty, site) in shifts.chain(coordinator) {
                 // One that goes down with its site could not bring the traffic back.
@@ -106,7 +106,7 @@
         now: Millis,
         asked_at: Millis,
         command: &Command,
-        renewed: Option<Token>,
+        renewed: Option<FencingToken>,
         outcome: &Outcome,
     ) {
         let Some(mine) = self.mine.get_mut(command.duty()) else { return };
@@ -143,7 +143,7 @@
     }
 
     /// Gives up one, and stands for it again after a while; false if it is not held.
-    pub fn hand_over(&mut self, now: Millis, duty: &Duty) -> bool {
+    pub fn hand_over(&mut self, now: Millis, duty: &LeaseName) -> bool {
         let Some(mine) = self.mine.get_mut(duty) else { return false };
         let held = mine.hold.token(now).is_some();
         if held {
@@ -153,7 +153,7 @@
     }
 
     /// The duties that may be acted by now.
-    pub fn held(&self, now: Millis) -> Vec<(Duty, Token)> {
+    pub fn held(&self, now: Millis) -> Vec<(LeaseName, FencingToken)> {
         self.owned(now).into_iter().map(|owned| (owned.duty, owned.token)).collect()
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// The next order of a grant.
-    pub fn order(&mut self, duty: &Duty, token: Token, part: Part, setup: &Setup) -> Order<Part> {
+    pub fn order(&mut self, duty: &LeaseName, token: FencingToken, part: Part, setup: &Setup) -> Order<Part> {
         let number = self.mine.get_mut(duty).map_or(0, |mine| {
             mine.orders += 1;
             mine.orders
@@ -205,7 +205,7 @@
                 let news = before != Some(order.what) || known != Some((order.token, order.what));
                 news.then_some(Did::CarriedOut(order))
             }
-            Err(hillstall_lease::gate::Refused::Passed { .. }) => None,
+            Err(hillstall_lease::fencing::Refused::Passed { .. }) => None,
             Err(why) => Some(Did::Refused(order, why.to_string())),
         }
     }
--- a/crates/consensus/src/frame.rs
+++ b/crates/consensus/src/frame.rs
@@ -3,9 +3,9 @@
 use crate::keeper::Word;
 use crate::reports::Report;
 use crate::state::{Id, Outcome, Proposal};
-use hillstall_lease::book::Entry;
-use hillstall_lease::gate::Order;
-use hillstall_lease::{Copy, Duty};
+use hillstall_lease::fencing::Order;
+use hillstall_lease::table::Entry;
+use hillstall_lease::{Instance, LeaseName};
 use hillstall_maintenance::Part;
 use serde::{Deserialize, Serialize};
 
@@ -20,7 +20,7 @@
     /// The command itself, which acts there as it did here.
     Command(Proposal),
     /// Who holds a duty and stands for it now: of most commands about duties only signs of life are left.
-    Duty(Duty, Entry),
+    Duty(LeaseName, Entry),
 }
 
 /// A frame.
@@ -31,7 +31,7 @@
         /// Which fleet: copies of two fleets never talk.
         fleet: String,
         /// Who.
-        copy: Copy,
+        copy: Instance,
         /// Its slot, if it is a keeper.
         keeper: Option<usize>,
     },
--- a/crates/consensus/src/keeper.rs
+++ b/crates/consensus/src/keeper.rs
@@ -5,7 +5,7 @@
 use crate::disk::{Change, Disk, Kept};
 use crate::log::Log;
 use crate::state::{Command, Outcome, Proposal, State};
-use hillstall_lease::book::Entry as DutyEntry;
+use hillstall_lease::table::Entry as DutyEntry;
 use hillstall_lease::Millis;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeSingle, ConfChangeType, ConfChangeV2, Entry, EntryType};
--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/member.rs
@@ -11,12 +11,12 @@
 use hillstall_change_freeze::detect::{Detector, Fact, Limits, Sign};
 use hillstall_change_freeze::register::{Register, Stand, Wait};
 use hillstall_change_freeze::scope::Scope;
-use hillstall_lease::book;
-use hillstall_lease::gate::Order;
-use hillstall_lease::terms::Terms;
+use hillstall_lease::expiry::Watch;
+use hillstall_lease::fencing::Order;
+use hillstall_lease::table;
 use hillstall_lease::timers::Timers;
-use hillstall_lease::watch::Watch;
-use hillstall_lease::{Copy, Duty, Millis, Token};
+use hillstall_lease::timing::Terms;
+use hillstall_lease::{FencingToken, Instance, LeaseName, Millis};
 use hillstall_maintenance::machine::Command as Window;
 use hillstall_maintenance::steps::{Figures, Pace, Steps};
 use hillstall_maintenance::Part;
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// Who it is.
-    pub copy: Copy,
+    pub copy: Instance,
     /// Its slot, if it is a keeper.
     pub keeper: Option<usize>,
     /// How many keepers there are.
@@ -74,7 +74,7 @@
     /// A keeper, over the connection that this copy opened to it.
     Keeper(usize),
     /// A copy that is attached here, over the connection that it opened.
-    Copy(Copy),
+    Copy(Instance),
 }
 
 /// What is to be done by whoever has sockets.
@@ -98,9 +98,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Did {
     /// This copy may act by a token from now on.
-    Holds(Duty, Token),
+    Holds(LeaseName, FencingToken),
     /// It may not any more.
-    Lost(Duty, Token),
+    Lost(LeaseName, FencingToken),
     /// An order was carried out here.
     CarriedOut(Order<Part>),
     /// One was refused, and why.
@@ -109,7 +109,7 @@
 
 enum Why {
     /// A lease is asked for, stood for or renewed; with the token if it is renewed.
-    Lease(Option<Token>),
+    Lease(Option<FencingToken>),
     /// Somebody waits, by this ticket.
     Line(u64),
     /// Nobody waits.
@@ -127,7 +127,7 @@
 #[derive(Clone, Copy)]
 enum Reader {
     Own,
-    Copy(Copy, u64),
+    Copy(Instance, u64),
 }
 
 /// See the module's text.
@@ -154,7 +154,7 @@
     timers: Timers<Wait>,
     reports: Reports,
     detector: Detector,
-    steps: BTreeMap<Duty, Steps>,
+    steps: BTreeMap<LeaseName, Steps>,
     clocks: BTreeMap<usize, (i64, Millis)>,
     shared_at: Millis,
     looked_at: Millis,
@@ -229,7 +229,7 @@
     }
 
     /// The duties that this copy may act by now.
-    pub fn holds(&self, now: Millis) -> Vec<(Duty, Token)> {
+    pub fn holds(&self, now: Millis) -> Vec<(LeaseName, FencingToken)> {
         self.duties.held(now)
     }
 
@@ -251,14 +251,14 @@
     // ---- what comes from outside ----
 
     /// A copy has connected here.
-    pub fn attached(&mut self, now: Millis, copy: Copy) {
+    pub fn attached(&mut self, now: Millis, copy: Instance) {
         if self.keeper.is_some() {
             self.streams.attach(now, copy);
         }
     }
 
     /// Its connection is gone.
-    pub fn detached(&mut self, copy: Copy) {
+    pub fn detached(&mut self, copy: Instance) {
         self.streams.detach(copy);
     }
 
@@ -352,7 +352,7 @@
     }
 
     /// A copy that is attached here sent this.
-    pub fn hear_copy(&mut self, now: Millis, copy: Copy, frame: Frame) {
+    pub fn hear_copy(&mut self, now: Millis, copy: Instance, frame: Frame) {
         let Some(keeper) = &mut self.keeper else { return };
         match frame {
             Frame::Propose(proposal) if proposal.id.copy == copy => {
@@ -404,7 +404,7 @@
     }
 
     /// Gives up one duty, and stands for it again later.
-    pub fn hand_over(&mut self, now: Millis, duty: &Duty) -> bool {
+    pub fn hand_over(&mut self, now: Millis, duty: &LeaseName) -> bool {
         let given = self.duties.hand_over(now, duty);
         self.ask_leases(now);
         given
@@ -597,7 +597,7 @@
         let random = (self.random.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
         for command in self.duties.ask(now, random) {
             let renewed = match &command {
-                book::Command::Renew { token, .. } => Some(*token),
+                table::Command::Renew { token, .. } => Some(*token),
                 _ => None,
             };
             // A newer question of the same lease takes the place of one that was lost.
@@ -693,7 +693,7 @@
         }
     }
 
-    fn coordinate(&mut self, now: Millis, token: Token) {
+    fn coordinate(&mut self, now: Millis, token: FencingToken) {
         let mut facts = self.reports.facts(now);
         if let Some(heard) = self.keeper.as_ref().and_then(|keeper| keeper.heard()) {
             let margin = heard <= self.setup.keepers / 2 + 1 && self.setup.keepers > 1;
@@ -714,8 +714,8 @@
         &mut self,
         now: Millis,
         time: Millis,
-        duty: &Duty,
-        token: Token,
+        duty: &LeaseName,
+        token: FencingToken,
         site: &str,
         figures: &mut Figures,
     ) -> Vec<Order<Part>> {
@@ -749,7 +749,7 @@
     keeper.as_ref().map_or(replica, |keeper| keeper.state())
 }
 
-fn is_shift(command: &Command, by: Token) -> bool {
+fn is_shift(command: &Command, by: FencingToken) -> bool {
     matches!(command, Command::Window { token, command } if *token == Some(by) && !matches!(command, Window::Plan(_)))
 }
 
--- a/crates/consensus/src/reports.rs
+++ b/crates/consensus/src/reports.rs
@@ -2,7 +2,7 @@
 
 use hillstall_change_freeze::detect::{Fact, Sign};
 use hillstall_change_freeze::scope::Scope;
-use hillstall_lease::{Copy, Millis};
+use hillstall_lease::{Instance, Millis};
 use hillstall_maintenance::steps::{Figures, Load};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// Whose.
-    pub copy: Option<Copy>,
+    pub copy: Option<Instance>,
     /// How old it is when it is sent on, in milliseconds.
     pub age: u32,
     /// Over how long it counts, in milliseconds.
@@ -72,7 +72,7 @@
     }
 
     /// What is worth telling another keeper of some copies, with its age.
-    pub fn share(&self, now: Millis, whose: impl Fn(Copy) -> bool) -> Vec<Report> {
+    pub fn share(&self, now: Millis, whose: impl Fn(Instance) -> bool) -> Vec<Report> {
         let young = self.heard.values().filter(|(_, at)| now.saturating_sub(*at) < YOUNG);
         let own = young.filter(|(report, _)| report.copy.is_some_and(&whose));
         own.map(|(report, at)| Report { age: now.saturating_sub(*at) as u32, ..report.clone() }).collect()
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -2,8 +2,8 @@
 //! each keeper; one that comes twice acts once.
 
 use hillstall_change_freeze::register::{self as freeze, By, Register};
-use hillstall_lease::book::{self, Book, Grant};
-use hillstall_lease::{Copy, Duty, Token};
+use hillstall_lease::table::{self, Book, Grant};
+use hillstall_lease::{FencingToken, Instance, LeaseName};
 use hillstall_maintenance::machine::{self as window, Windows};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -17,15 +17,15 @@
 pub const COORDINATOR: &str = "freeze/coordinator";
 
 /// The duty of shifting a site's traffic.
-pub fn shift_duty(site: &str) -> Option<Duty> {
-    Duty::new(&format!("shift/{}", site.to_lowercase())).ok()
+pub fn shift_duty(site: &str) -> Option<LeaseName> {
+    LeaseName::new(&format!("shift/{}", site.to_lowercase())).ok()
 }
 
 /// Names one command for ever.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id {
     /// Who proposes it.
-    pub copy: Copy,
+    pub copy: Instance,
     /// Its number there.
     pub number: u64,
 }
@@ -34,13 +34,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
     /// About who holds a duty.
-    Lease(book::Command),
+    Lease(table::Command),
     /// About incidents and changes.
     Freeze(freeze::Command),
     /// About a site's window, by whoever holds the duty of its shift, or by a person.
     Window {
         /// The token it goes by; none for what people may do.
-        token: Option<Token>,
+        token: Option<FencingToken>,
         /// What.
         command: window::Command,
     },
@@ -63,7 +63,7 @@
     /// It went by a grant that is over.
     Over {
         /// The duty's newest token.
-        newest: Token,
+        newest: FencingToken,
     },
     /// See there.
     Freeze(freeze::Answer),
@@ -90,7 +90,7 @@
     book: Book,
     register: Register,
     windows: Windows,
-    known: BTreeMap<Copy, Known>,
+    known: BTreeMap<Instance, Known>,
 }
 
 impl State {
@@ -122,7 +122,7 @@
     }
 
     /// Whether a token is the newest of a duty that is held.
-    fn holds(&self, duty: &Duty, token: Token) -> Result<(), Outcome> {
+    fn holds(&self, duty: &LeaseName, token: FencingToken) -> Result<(), Outcome> {
         match self.book.grant(duty) {
             Some(grant) if grant.token == token => Ok(()),
             _ => Err(Outcome::Over { newest: self.book.floor(duty) }),
@@ -133,7 +133,7 @@
         match command {
             Command::Lease(command) => match self.book.apply(command) {
                 Ok(grant) => Outcome::Grant(grant),
-                Err(book::Refused::Over { newest }) => Outcome::Over { newest },
+                Err(table::Refused::Over { newest }) => Outcome::Over { newest },
                 Err(why) => Outcome::Refused(why.to_string()),
             },
             Command::Freeze(command) => {
@@ -143,7 +143,8 @@
                     _ => None,
                 };
                 if let Some(By::Rule(token)) = by {
-                    let checked = Duty::new(COORDINATOR).map(|duty| self.holds(&duty, Token(*token)));
+                    let checked =
+                        LeaseName::new(COORDINATOR).map(|duty| self.holds(&duty, FencingToken(*token)));
                     if let Ok(Err(over)) = checked {
                         return over;
                     }
@@ -154,7 +155,7 @@
         }
     }
 
-    fn window(&mut self, token: Option<Token>, command: &window::Command) -> Outcome {
+    fn window(&mut self, token: Option<FencingToken>, command: &window::Command) -> Outcome {
         if command.is_owners() {
             let duty = self.windows.site_of(command).and_then(shift_duty);
             let Some((duty, token)) = duty.zip(token) else {
@@ -171,7 +172,7 @@
     }
 
     /// Takes over what a keeper has of a duty at `index`: followers are told the outcome, not each renewal.
-    pub fn set_duty(&mut self, index: u64, duty: &Duty, entry: book::Entry) {
+    pub fn set_duty(&mut self, index: u64, duty: &LeaseName, entry: table::Entry) {
         self.index = self.index.max(index);
         self.book.set(duty, entry);
     }
--- a/crates/consensus/src/stream.rs
+++ b/crates/consensus/src/stream.rs
@@ -3,8 +3,8 @@
 
 use crate::frame::{Frame, Piece};
 use crate::state::{Command, Proposal, State};
-use hillstall_lease::book::Entry;
-use hillstall_lease::{Copy, Duty, Millis};
+use hillstall_lease::table::Entry;
+use hillstall_lease::{Instance, LeaseName, Millis};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Pieces that may be out to a follower that has not said that it got them.
@@ -27,32 +27,32 @@
 /// The followers that are attached to a keeper.
 #[derive(Default)]
 pub struct Streams {
-    followers: BTreeMap<Copy, Follower>,
+    followers: BTreeMap<Instance, Follower>,
     /// Each with the index of the one before it.
     kept: VecDeque<(u64, u64, Piece)>,
     last: u64,
     /// Each duty as it was told last.
-    duties: BTreeMap<Duty, Entry>,
+    duties: BTreeMap<LeaseName, Entry>,
 }
 
 impl Streams {
     /// A copy has connected, perhaps once more.
-    pub fn attach(&mut self, now: Millis, copy: Copy) {
+    pub fn attach(&mut self, now: Millis, copy: Instance) {
         self.followers.insert(copy, Follower { next: None, acked: 0, heard_at: now, told_at: now });
     }
 
     /// Its connection is gone.
-    pub fn detach(&mut self, copy: Copy) {
+    pub fn detach(&mut self, copy: Instance) {
         self.followers.remove(&copy);
     }
 
     /// Those that are attached.
-    pub fn copies(&self) -> impl Iterator<Item = Copy> + '_ {
+    pub fn copies(&self) -> impl Iterator<Item = Instance> + '_ {
         self.followers.keys().copied()
     }
 
     /// Whether a copy is attached.
-    pub fn has(&self, copy: Copy) -> bool {
+    pub fn has(&self, copy: Instance) -> bool {
         self.followers.contains_key(&copy)
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// A follower says how far it is; 0 if it has missed something and needs the whole state.
-    pub fn ack(&mut self, now: Millis, copy: Copy, index: u64) {
+    pub fn ack(&mut self, now: Millis, copy: Instance, index: u64) {
         if let Some(follower) = self.followers.get_mut(&copy) {
             if index == 0 {
                 follower.next = None;
@@ -103,7 +103,7 @@
     }
 
     /// What to send to whom now. `state` is applied up to `index`.
-    pub fn feed(&mut self, now: Millis, index: u64, state: &State) -> Vec<(Copy, Frame)> {
+    pub fn feed(&mut self, now: Millis, index: u64, state: &State) -> Vec<(Instance, Frame)> {
         let mut out = Vec::new();
         // The newest that is kept no more: whoever has not been told of it can't be led on.
         let gone = self.kept.front().map_or(0, |(after, ..)| *after);
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -6,8 +6,8 @@
 use hillstall_change_freeze::rules::{Kind, Reaction, Severity};
 use hillstall_change_freeze::scope::Scope;
 use hillstall_consensus::state::{Command, Id, Outcome, Proposal, State, COORDINATOR};
-use hillstall_lease::book::Command as Lease;
-use hillstall_lease::{Copy, Duty, Token};
+use hillstall_lease::table::Command as Lease;
+use hillstall_lease::{FencingToken, Instance, LeaseName};
 use stateright::{Checker, Model, Property};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -48,12 +48,12 @@
     Cools(u64),
 }
 
-fn duty() -> Duty {
-    Duty::new(COORDINATOR).expect("a name")
+fn duty() -> LeaseName {
+    LeaseName::new(COORDINATOR).expect("a name")
 }
 
-fn copy(rank: u8) -> Copy {
-    Copy { rank: u32::from(rank), life: 1 }
+fn copy(rank: u8) -> Instance {
+    Instance { rank: u32::from(rank), life: 1 }
 }
 
 /// `nth` command of a step: each has a name of its own, as one that comes twice acts once.
@@ -69,11 +69,11 @@
     }
 
     /// The token that a coordinator believes in: its own, newest or not.
-    fn token(state: &State, by: u8) -> Token {
+    fn token(state: &State, by: u8) -> FencingToken {
         let newest = state.book().floor(&duty());
         match state.book().grant(&duty()) {
             Some(grant) if grant.holder == copy(by) => grant.token,
-            _ => Token(newest.0.saturating_sub(1)),
+            _ => FencingToken(newest.0.saturating_sub(1)),
         }
     }
 }
--- a/crates/consensus/tests/sim/mod.rs
+++ b/crates/consensus/tests/sim/mod.rs
@@ -10,8 +10,8 @@
 use hillstall_consensus::member::{Did, Member, Out, Setup, To};
 use hillstall_consensus::reports::{Counts, Report};
 use hillstall_consensus::state::{Command, Outcome};
-use hillstall_lease::terms::Terms;
-use hillstall_lease::{Copy, Duty, Millis, Token};
+use hillstall_lease::timing::Terms;
+use hillstall_lease::{FencingToken, Instance, LeaseName, Millis};
 use hillstall_maintenance::machine::{Command as Window, Overrun, Plan, Stage};
 use hillstall_maintenance::steps::Pace;
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
@@ -113,7 +113,7 @@
     old: Option<Kept>,
     full: Rc<Cell<bool>>,
     stopped_until: Millis,
-    highest: BTreeMap<Duty, Token>,
+    highest: BTreeMap<LeaseName, FencingToken>,
     follows: Option<usize>,
 }
 
@@ -281,7 +281,7 @@
             random: seed >> 8,
         });
         let setup = Setup {
-            copy: Copy { rank: i as u32, life: one.life },
+            copy: Instance { rank: i as u32, life: one.life },
             keeper: slot,
             keepers: KEEPERS,
             site: name(i),
@@ -352,7 +352,7 @@
                 if self.is_cut(i, keeper) || self.is_cut(keeper, i) || self.ones[keeper].stopped_until > now {
                     return self.at(now + 200, Happens::Connected(i, life, keeper));
                 }
-                let copy = Copy { rank: i as u32, life };
+                let copy = Instance { rank: i as u32, life };
                 let local = self.ones[keeper].clock.read(now);
                 if let Some(member) = &mut self.ones[keeper].member {
                     member.attached(local, copy);
@@ -383,7 +383,9 @@
                 if let Some(member) = &mut self.ones[to].member {
                     match from < KEEPERS {
                         true => member.hear_keeper(local, from, frame),
-                        false => member.hear_copy(local, Copy { rank: from as u32, life: from_life }, frame),
+                        false => {
+                            member.hear_copy(local, Instance { rank: from as u32, life: from_life }, frame)
+                        }
                     }
                 }
                 self.busy(to, at);
@@ -454,7 +456,7 @@
                 Out::Follow(keeper) => {
                     if let Some(old) = self.ones[i].follows.replace(keeper) {
                         if let Some(member) = &mut self.ones[old].member {
-                            member.detached(Copy { rank: i as u32, life });
+                            member.detached(Instance { rank: i as u32, life });
                         }
                     }
                     self.at(self.now + 2, Happens::Connected(i, life, keeper));
@@ -672,7 +674,7 @@
 
     fn look(&mut self) {
         let now = self.now;
-        let mut held: BTreeMap<Duty, usize> = BTreeMap::new();
+        let mut held: BTreeMap<LeaseName, usize> = BTreeMap::new();
         for one in &self.ones {
             let Some(member) = &one.member else { continue };
             for (duty, _) in member.holds(one.clock.read(now)) {
@@ -717,7 +719,7 @@
                 self.wrong.push(format!("the gates of copy {i} are closed"));
             }
         }
-        let coordinator = Duty::new(hillstall_consensus::state::COORDINATOR).expect("a name");
+        let coordinator = LeaseName::new(hillstall_consensus::state::COORDINATOR).expect("a name");
         let held = self.ones.iter().filter_map(|one| Some((one.member.as_ref()?, one.clock.read(self.now))));
         let held: usize =
             held.map(|(m, now)| m.holds(now).iter().filter(|(duty, _)| *duty == coordinator).count()).sum();
--- a/crates/coordination/src/lines.rs
+++ b/crates/coordination/src/lines.rs
@@ -4,7 +4,7 @@
 use hillstall_change_freeze::register::{Answer, By, Command as Freeze, Register, Stand, Wish};
 use hillstall_change_freeze::rules::{Kind, Reaction};
 use hillstall_consensus::state::{Command, Outcome};
-use hillstall_lease::Duty;
+use hillstall_lease::LeaseName;
 use hillstall_maintenance::machine::{Command as Window, Overrun, Plan, Windows};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -25,7 +25,7 @@
     /// What happened, in order.
     Record,
     /// Give up a duty.
-    HandOver(Duty),
+    HandOver(LeaseName),
     /// Have the keepers agree on something.
     Agree(Command),
 }
@@ -118,7 +118,7 @@
     let read = match (first, second) {
         ("FLEET", "") => Ok(Line::Fleet),
         ("FLEET", "HANDOVER") => {
-            words.word(2, "the duty").and_then(|duty| Duty::new(duty).map(Line::HandOver).map_err(bad))
+            words.word(2, "the duty").and_then(|duty| LeaseName::new(duty).map(Line::HandOver).map_err(bad))
         }
         ("WINDOW", "") => Ok(Line::Windows),
         ("INCIDENT", "") => Ok(Line::Incidents),
--- a/crates/coordination/src/links.rs
+++ b/crates/coordination/src/links.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use futures_util::SinkExt;
 use hillstall_consensus::frame::{Frame, FRAME_MOST};
-use hillstall_lease::Copy;
+use hillstall_lease::Instance;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -30,11 +30,11 @@
     /// A keeper sent a frame: over a connection opened here, or over one that it opened.
     Keeper(usize, Frame),
     /// Another copy did, over the connection of this number.
-    Copy(Copy, u64, Frame),
+    Copy(Instance, u64, Frame),
     /// A copy has connected.
-    Attached(Copy, u64, Sender<Bytes>),
+    Attached(Instance, u64, Sender<Bytes>),
     /// Its connection is gone.
-    Detached(Copy, u64),
+    Detached(Instance, u64),
     /// The connection to a keeper is up, or is gone.
     Up(usize, bool),
     /// Something that can't be read, and from whom.
@@ -47,7 +47,7 @@
     /// Its fleet.
     pub fleet: String,
     /// Itself.
-    pub copy: Copy,
+    pub copy: Instance,
     /// Its slot.
     pub keeper: Option<usize>,
 }
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -1,7 +1,7 @@
 //! The section `[fleet]` of the operator file.
 
 use crate::{calendar, millis as ms};
-use hillstall_lease::terms::Terms;
+use hillstall_lease::timing::Terms;
 use hillstall_maintenance::calendar::Rule;
 use hillstall_maintenance::machine::Overrun;
 use hillstall_maintenance::steps::Pace;
--- a/crates/coordination/src/shell.rs
+++ b/crates/coordination/src/shell.rs
@@ -9,7 +9,7 @@
 use hillstall_consensus::member::{Did, Member, Out, Setup, To};
 use hillstall_consensus::reports::Report;
 use hillstall_consensus::state::Command;
-use hillstall_lease::Copy;
+use hillstall_lease::Instance;
 use hillstall_maintenance::machine::Command as Window;
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
@@ -136,7 +136,7 @@
     member: Member<RedbDisk>,
     tell: UnboundedSender<Heard>,
     dialed: BTreeMap<usize, Dialed>,
-    attached: BTreeMap<Copy, (u64, Sender<Bytes>)>,
+    attached: BTreeMap<Instance, (u64, Sender<Bytes>)>,
     lines: BTreeMap<u64, oneshot::Sender<String>>,
     tickets: u64,
     hint: UnboundedSender<Hint>,
@@ -152,7 +152,7 @@
         mut said: UnboundedReceiver<Said>,
         hint: UnboundedSender<Hint>,
     ) {
-        let copy = Copy { rank: place.rank, life: RandomState::new().hash_one(std::process::id()) };
+        let copy = Instance { rank: place.rank, life: RandomState::new().hash_one(std::process::id()) };
         let own = Own { fleet: settings.name.clone(), copy, keeper: settings.keeper.map(|(slot, _)| slot) };
         let (tell, mut heard) = unbounded_channel();
         let mut disk = None;
--- a/crates/lease/src/watch.rs
+++ b/crates/lease/src/expiry.rs
@@ -1,13 +1,13 @@
 //! When a keeper proposes that a grant has lapsed. All keepers wait, each by its own monotonic clock alone: no reading of
 //! one clock is ever held against another's. The one that leads proposes.
 
-use crate::book::{Book, Command, Grant};
-use crate::terms::Terms;
+use crate::table::{Book, Command, Grant};
 use crate::timers::Timers;
-use crate::{Copy, Duty, Millis, Token};
+use crate::timing::Terms;
+use crate::{FencingToken, Instance, LeaseName, Millis};
 
 /// What is waited for: a renewal by the holder of a token, or a sign of one that stands and has none.
-type Key = (Duty, Copy, Option<Token>);
+type Key = (LeaseName, Instance, Option<FencingToken>);
 
 /// The waits of a keeper.
 #[derive(Clone, Debug)]
@@ -24,7 +24,7 @@
 
     /// A renewal that is applied now came to this keeper at `at`. Its holder had asked before that, so the wait may begin
     /// there: what was on its way while keepers changed does not prolong a lease.
-    pub fn saw(&mut self, at: Millis, duty: &Duty, grant: Grant) {
+    pub fn saw(&mut self, at: Millis, duty: &LeaseName, grant: Grant) {
         self.waits.saw(at, (duty.clone(), grant.holder, Some(grant.token)), grant.renewals);
     }
 
--- a/crates/lease/src/gate.rs
+++ b/crates/lease/src/fencing.rs
@@ -1,7 +1,7 @@
 //! The check at whatever carries out an order. What must never happen is prevented here, not where orders are given: an
 //! owner that was stopped between its own check and its act can know nothing of what happened meanwhile.
 
-use crate::{Duty, Millis, Token};
+use crate::{FencingToken, LeaseName, Millis};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -9,9 +9,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Order<T> {
     /// By which duty it is given.
-    pub duty: Duty,
+    pub duty: LeaseName,
     /// By which grant of it.
-    pub token: Token,
+    pub token: FencingToken,
     /// Rises with each order of a grant.
     pub number: u64,
     /// How long it holds once it was taken, in milliseconds.
@@ -32,9 +32,9 @@
     #[error("the order's token {token:?} is below {floor:?}")]
     Old {
         /// The order's.
-        token: Token,
+        token: FencingToken,
         /// The least that is taken.
-        floor: Token,
+        floor: FencingToken,
     },
     /// The same owner has ordered something newer, or this is the same order once more.
     #[error("order {number} came after {newest}")]
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Floor {
     /// The least token that is taken.
-    pub token: Token,
+    pub token: FencingToken,
     /// Orders of that token up to this number have been taken.
     pub number: Option<u64>,
 }
@@ -65,8 +65,8 @@
 /// The gates of one copy, by duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Gates<T> {
-    floors: BTreeMap<Duty, Floor>,
-    orders: BTreeMap<Duty, Standing<T>>,
+    floors: BTreeMap<LeaseName, Floor>,
+    orders: BTreeMap<LeaseName, Standing<T>>,
 }
 
 impl<T> Default for Gates<T> {
@@ -78,7 +78,7 @@
 
 impl<T: Clone> Gates<T> {
     /// A true read of the keepers, or this copy's own disk, has told a floor: the gate is open from then on.
-    pub fn told(&mut self, duty: &Duty, floor: Floor) {
+    pub fn told(&mut self, duty: &LeaseName, floor: Floor) {
         let known = self.floors.entry(duty.clone()).or_default();
         if (floor.token, floor.number) > (known.token, known.number) {
             *known = floor;
@@ -108,13 +108,13 @@
     }
 
     /// What holds for a duty at `now`; `None` if nothing was ever ordered.
-    pub fn holds(&self, duty: &Duty, now: Millis) -> Option<&T> {
+    pub fn holds(&self, duty: &LeaseName, now: Millis) -> Option<&T> {
         let order = self.orders.get(duty)?;
         Some(if now < order.until { &order.what } else { &order.after })
     }
 
     /// What is known of a duty; `None` while its gate is closed.
-    pub fn floor(&self, duty: &Duty) -> Option<Floor> {
+    pub fn floor(&self, duty: &LeaseName) -> Option<Floor> {
         self.floors.get(duty).copied()
     }
 }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -12,12 +12,12 @@
 //! [`terms::Terms`] states, two copies may believe that they hold one duty; the gates still act in the order of the
 //! tokens.
 
-pub mod book;
-pub mod gate;
-pub mod hold;
-pub mod terms;
+pub mod expiry;
+pub mod fencing;
+pub mod session;
+pub mod table;
 pub mod timers;
-pub mod watch;
+pub mod timing;
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -26,45 +26,45 @@
 pub type Millis = u64;
 
 /// Most bytes of a duty's name.
-pub const NAME_MOST: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// The name of a duty, such as `shift/north`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Duty(String);
+pub struct LeaseName(String);
 
 /// A name that can be no duty's.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a duty's name has 1 to {NAME_MOST} of a-z, 0-9, '-', '.', '_' and '/': {0:?}")]
-pub struct BadName(pub String);
+#[error("a duty's name has 1 to {MAX_NAME_BYTES} of a-z, 0-9, '-', '.', '_' and '/': {0:?}")]
+pub struct InvalidLeaseName(pub String);
 
-impl Duty {
+impl LeaseName {
     /// A duty of that name.
-    pub fn new(name: &str) -> Result<Duty, BadName> {
+    pub fn new(name: &str) -> Result<LeaseName, InvalidLeaseName> {
         let fits = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-._/".contains(&b);
-        if name.is_empty() || name.len() > NAME_MOST || !name.bytes().all(fits) {
+        if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(fits) {
             // What is told of a name that is too long is cut: it goes into logs.
-            return Err(BadName(name.chars().take(NAME_MOST).collect()));
+            return Err(InvalidLeaseName(name.chars().take(MAX_NAME_BYTES).collect()));
         }
-        Ok(Duty(name.to_owned()))
+        Ok(LeaseName(name.to_owned()))
     }
 }
 
-impl TryFrom<String> for Duty {
-    type Error = BadName;
+impl TryFrom<String> for LeaseName {
+    type Error = InvalidLeaseName;
 
-    fn try_from(name: String) -> Result<Duty, BadName> {
-        Duty::new(&name)
+    fn try_from(name: String) -> Result<LeaseName, InvalidLeaseName> {
+        LeaseName::new(&name)
     }
 }
 
-impl From<Duty> for String {
-    fn from(duty: Duty) -> String {
+impl From<LeaseName> for String {
+    fn from(duty: LeaseName) -> String {
         duty.0
     }
 }
 
-impl fmt::Display for Duty {
+impl fmt::Display for LeaseName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
@@ -73,7 +73,7 @@
 /// One life of one copy. During an upgrade two processes share a rank, and only one of them may hold a duty: the life
 /// tells them apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Copy {
+pub struct Instance {
     /// The copy's place in the fleet.
     pub rank: u32,
     /// Drawn anew at each start.
@@ -82,4 +82,4 @@
 
 /// Rises with each new grant, over all duties and for ever: also over snapshots, restores and new keepers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Token(pub u64);
+pub struct FencingToken(pub u64);
--- a/crates/lease/src/hold.rs
+++ b/crates/lease/src/session.rs
@@ -3,37 +3,37 @@
 //! To be given a duty is not to hold it: the keepers' wait begins when they give it, and this copy may hear of that much
 //! later. It first renews the grant, and acts from the answer on; that answer cannot be older than its own question.
 
-use crate::book::{Command, Grant};
-use crate::terms::Terms;
-use crate::{Copy, Duty, Millis, Token};
+use crate::table::{Command, Grant};
+use crate::timing::Terms;
+use crate::{FencingToken, Instance, LeaseName, Millis};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Held {
-    token: Token,
+    token: FencingToken,
     until: Millis,
 }
 
 /// See the module's text.
 #[derive(Clone, Debug)]
 pub struct Hold {
-    duty: Duty,
-    copy: Copy,
+    duty: LeaseName,
+    copy: Instance,
     rank: u8,
     terms: Terms,
     held: Option<Held>,
     /// Given to this copy, and not renewed yet.
-    found: Option<Token>,
+    found: Option<FencingToken>,
     /// The renewals of its grant that it has heard of.
     renewals: u64,
     /// Grants up to this one are over, whatever a late answer says.
-    over: Token,
+    over: FencingToken,
     ask_at: Millis,
     leaving: bool,
 }
 
 impl Hold {
     /// A copy that stands for a duty from `now` on. `rank`: lower ones come first.
-    pub fn new(duty: Duty, copy: Copy, rank: u8, terms: Terms, now: Millis) -> Hold {
+    pub fn new(duty: LeaseName, copy: Instance, rank: u8, terms: Terms, now: Millis) -> Hold {
         Hold {
             duty,
             copy,
@@ -42,14 +42,14 @@
             held: None,
             found: None,
             renewals: 0,
-            over: Token::default(),
+            over: FencingToken::default(),
             ask_at: now,
             leaving: false,
         }
     }
 
     /// The token to act by at `now`; `None` if this copy may not act. Asked right before each act.
-    pub fn token(&self, now: Millis) -> Option<Token> {
+    pub fn token(&self, now: Millis) -> Option<FencingToken> {
         self.held.filter(|held| now < held.until).map(|held| held.token)
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// The keepers have renewed the grant of this token, as was asked at `asked_at`.
-    pub fn renewed(&mut self, now: Millis, asked_at: Millis, token: Token) {
+    pub fn renewed(&mut self, now: Millis, asked_at: Millis, token: FencingToken) {
         self.expire(now);
         if token <= self.over || self.leaving {
             return;
@@ -119,7 +119,7 @@
     }
 
     /// The keepers say that the grant is over.
-    pub fn refused(&mut self, newest: Token) {
+    pub fn refused(&mut self, newest: FencingToken) {
         if self.held.is_some_and(|held| newest >= held.token) {
             self.give_up();
         }
--- a/crates/lease/src/book.rs
+++ b/crates/lease/src/table.rs
@@ -1,7 +1,7 @@
 //! Who holds which duty, as the keepers agree on it. It is the state of a replicated log: each keeper applies the same
 //! commands in the same order, so nothing in here looks at a clock, and each command may come twice.
 
-use crate::{Copy, Duty, Token};
+use crate::{FencingToken, Instance, LeaseName};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
     /// Who holds it.
-    pub holder: Copy,
+    pub holder: Instance,
     /// What its orders carry.
-    pub token: Token,
+    pub token: FencingToken,
     /// Rises with each renewal, so that a lapse that was proposed before one does nothing.
     pub renewals: u64,
 }
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Standing {
     /// Who.
-    pub copy: Copy,
+    pub copy: Instance,
     /// Lower ones come first: the copy's site seen from the duty's.
     pub rank: u8,
     /// Rises with each sign of life.
@@ -37,7 +37,7 @@
 pub struct Entry {
     grant: Option<Grant>,
     /// The highest token that was ever given out for it.
-    last: Token,
+    last: FencingToken,
     /// In the order in which they came.
     standing: Vec<Standing>,
 }
@@ -59,20 +59,20 @@
     /// A copy would take the duty, or gives a sign that it still would. It gets it at once if nobody holds it.
     Stand {
         /// Which.
-        duty: Duty,
+        duty: LeaseName,
         /// Who.
-        copy: Copy,
+        copy: Instance,
         /// See [`Standing::rank`].
         rank: u8,
     },
     /// The holder goes on.
     Renew {
         /// Which.
-        duty: Duty,
+        duty: LeaseName,
         /// Who.
-        copy: Copy,
+        copy: Instance,
         /// By which grant.
-        token: Token,
+        token: FencingToken,
         /// The renewals of it that the holder has heard of. One that is heard and hears nothing renews once more at the
         /// most: else it would keep for ever what it can't act by.
         heard: u64,
@@ -80,25 +80,25 @@
     /// The holder goes, and the next one in line has it in the same instant; also one that stands and would no more.
     Leave {
         /// Which.
-        duty: Duty,
+        duty: LeaseName,
         /// Who.
-        copy: Copy,
+        copy: Instance,
     },
     /// A keeper has waited for a whole term since this renewal.
     Lapse {
         /// Which.
-        duty: Duty,
+        duty: LeaseName,
         /// The grant it waited for.
-        token: Token,
+        token: FencingToken,
         /// What it had counted when it began to wait.
         renewals: u64,
     },
     /// A keeper has waited as long for a sign of one that stands.
     Gone {
         /// Which.
-        duty: Duty,
+        duty: LeaseName,
         /// Who.
-        copy: Copy,
+        copy: Instance,
         /// What it had counted when it began to wait.
         signs: u64,
     },
@@ -106,7 +106,7 @@
 
 impl Command {
     /// The duty it is about.
-    pub fn duty(&self) -> &Duty {
+    pub fn duty(&self) -> &LeaseName {
         match self {
             Command::Stand { duty, .. }
             | Command::Renew { duty, .. }
@@ -124,7 +124,7 @@
     #[error("the grant is over; the duty's newest token is {newest:?}")]
     Over {
         /// The highest token given out for the duty.
-        newest: Token,
+        newest: FencingToken,
     },
     /// It was renewed since, and the holder does not know.
     #[error("there was a renewal that the holder has not heard of")]
@@ -140,8 +140,8 @@
 /// See the module's text.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Book {
-    newest: Token,
-    duties: BTreeMap<Duty, Entry>,
+    newest: FencingToken,
+    duties: BTreeMap<LeaseName, Entry>,
 }
 
 impl Book {
@@ -151,7 +151,7 @@
             return self.stand(duty, *copy, *rank);
         }
         let Some(entry) = self.duties.get_mut(command.duty()) else {
-            return Err(Refused::Over { newest: Token::default() });
+            return Err(Refused::Over { newest: FencingToken::default() });
         };
         let over = Err(Refused::Over { newest: entry.last });
         match (command, &mut entry.grant) {
@@ -181,7 +181,7 @@
         Ok(self.duties.get(command.duty()).and_then(|entry| entry.grant))
     }
 
-    fn stand(&mut self, duty: &Duty, copy: Copy, rank: u8) -> Result<Option<Grant>, Refused> {
+    fn stand(&mut self, duty: &LeaseName, copy: Instance, rank: u8) -> Result<Option<Grant>, Refused> {
         if self.duties.len() >= DUTIES_MOST && !self.duties.contains_key(duty) {
             return Err(Refused::Duties);
         }
@@ -206,7 +206,7 @@
     }
 
     /// Gives the duty to the first in line, with a token above all that there were.
-    fn give_next(newest: &mut Token, entry: &mut Entry) {
+    fn give_next(newest: &mut FencingToken, entry: &mut Entry) {
         let next = (0..entry.standing.len()).min_by_key(|i| entry.standing[*i].rank);
         entry.grant = next.map(|next| {
             let holder = entry.standing.remove(next).copy;
@@ -217,28 +217,28 @@
     }
 
     /// Who holds a duty.
-    pub fn grant(&self, duty: &Duty) -> Option<Grant> {
+    pub fn grant(&self, duty: &LeaseName) -> Option<Grant> {
         self.duties.get(duty)?.grant
     }
 
     /// The highest token ever given out for a duty: what a gate that knows nothing begins with.
-    pub fn floor(&self, duty: &Duty) -> Token {
-        self.duties.get(duty).map_or(Token::default(), |entry| entry.last)
+    pub fn floor(&self, duty: &LeaseName) -> FencingToken {
+        self.duties.get(duty).map_or(FencingToken::default(), |entry| entry.last)
     }
 
     /// What the book has of a duty.
-    pub fn entry(&self, duty: &Duty) -> Option<&Entry> {
+    pub fn entry(&self, duty: &LeaseName) -> Option<&Entry> {
         self.duties.get(duty)
     }
 
     /// Takes over what another book has of a duty: for copies that are told the outcome and not each command.
-    pub fn set(&mut self, duty: &Duty, entry: Entry) {
+    pub fn set(&mut self, duty: &LeaseName, entry: Entry) {
         self.newest = self.newest.max(entry.last);
         self.duties.insert(duty.clone(), entry);
     }
 
     /// All duties, with who holds them and who stands for them.
-    pub fn duties(&self) -> impl Iterator<Item = (&Duty, Option<Grant>, &[Standing])> {
+    pub fn duties(&self) -> impl Iterator<Item = (&LeaseName, Option<Grant>, &[Standing])> {
         self.duties.iter().map(|(duty, entry)| (duty, entry.grant, entry.standing.as_slice()))
     }
 }
--- a/crates/lease/tests/fleet.rs
+++ b/crates/lease/tests/fleet.rs
@@ -1,12 +1,12 @@
 //! A small fleet in simulated time: keepers that change, copies that stop and start anew, clocks of different rates, and
 //! messages that come late, twice or never. A seed fixes everything; the invariants are looked at after each event.
 
-use hillstall_lease::book::{Book, Command, Grant};
-use hillstall_lease::gate::{Floor, Gates, Order};
-use hillstall_lease::hold::Hold;
-use hillstall_lease::terms::Terms;
-use hillstall_lease::watch::Watch;
-use hillstall_lease::{Copy, Duty, Millis, Token};
+use hillstall_lease::expiry::Watch;
+use hillstall_lease::fencing::{Floor, Gates, Order};
+use hillstall_lease::session::Hold;
+use hillstall_lease::table::{Book, Command, Grant};
+use hillstall_lease::timing::Terms;
+use hillstall_lease::{FencingToken, Instance, LeaseName, Millis};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cmp::Reverse;
@@ -34,11 +34,11 @@
     Tick(usize),
     Keeper,
     Trouble,
-    Ask(Command, Copy, Millis),
-    Answer(Copy, Millis, Option<Token>, Result<Option<Grant>, Token>),
+    Ask(Command, Instance, Millis),
+    Answer(Instance, Millis, Option<FencingToken>, Result<Option<Grant>, FencingToken>),
     Order(usize, Order<u64>),
-    Read(Copy),
-    Told(Copy, Token),
+    Read(Instance),
+    Told(Instance, FencingToken),
 }
 
 struct Clock {
@@ -53,13 +53,13 @@
 }
 
 struct One {
-    copy: Copy,
+    copy: Instance,
     clock: Clock,
     hold: Hold,
     gates: Gates<u64>,
     stopped_until: Millis,
     /// An order that was decided on before the stop, and is sent after it.
-    at_hand: Option<Token>,
+    at_hand: Option<FencingToken>,
     orders: u64,
 }
 
@@ -75,7 +75,7 @@
     keeper: Clock,
     keeper_down_until: Millis,
     copies: Vec<One>,
-    highest: Vec<Token>,
+    highest: Vec<FencingToken>,
     /// Problems seen, and when somebody held the duty last.
     wrong: Vec<String>,
     grants: u64,
@@ -83,8 +83,8 @@
     done: u64,
 }
 
-fn duty() -> Duty {
-    Duty::new("shift/north").expect("a name")
+fn duty() -> LeaseName {
+    LeaseName::new("shift/north").expect("a name")
 }
 
 fn terms() -> Terms {
@@ -100,7 +100,7 @@
         };
         let keeper = clock();
         let copies = (0..COPIES).map(|rank| {
-            let (copy, clock) = (Copy { rank: rank as u32, life: 1 }, clock());
+            let (copy, clock) = (Instance { rank: rank as u32, life: 1 }, clock());
             let hold = Hold::new(duty(), copy, rank as u8 % 2, terms(), clock.read(0));
             let gates = Gates::default();
             One { copy, clock, hold, gates, stopped_until: 0, at_hand: None, orders: 0 }
@@ -118,7 +118,7 @@
             keeper,
             keeper_down_until: 0,
             copies,
-            highest: vec![Token(0); COPIES],
+            highest: vec![FencingToken(0); COPIES],
             wrong: Vec::new(),
             grants: 0,
             held_at: 0,
@@ -178,7 +178,7 @@
         self
     }
 
-    fn alive(&self, copy: Copy) -> Option<usize> {
+    fn alive(&self, copy: Instance) -> Option<usize> {
         self.copies.iter().position(|one| one.copy == copy)
     }
 
@@ -209,7 +209,7 @@
                 };
                 let applied = self.book.apply(&command);
                 // One whose last answer was lost is told the grant as it is, and renews from there.
-                let unheard = applied == Err(hillstall_lease::book::Refused::Unheard);
+                let unheard = applied == Err(hillstall_lease::table::Refused::Unheard);
                 let renews = renews.filter(|_| !unheard);
                 let answer = match unheard {
                     true => Ok(self.book.grant(&duty())),
@@ -321,7 +321,8 @@
                     .map(|(id, _)| *id)
                     .collect();
                 ticks.into_iter().for_each(|id| {
-                    self.what.insert(id, Happens::Told(Copy { rank: u32::MAX, life: 0 }, Token(0)));
+                    self.what
+                        .insert(id, Happens::Told(Instance { rank: u32::MAX, life: 0 }, FencingToken(0)));
                 });
                 self.start(i);
             }
@@ -347,7 +348,7 @@
 
     fn look(&mut self) {
         let holders = self.copies.iter().filter_map(|one| one.hold.token(one.clock.read(self.now)));
-        let holders: Vec<Token> = holders.collect();
+        let holders: Vec<FencingToken> = holders.collect();
         if holders.len() > 1 {
             self.wrong.push(format!("{}: {holders:?} are held at once", self.now));
         }
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -1,9 +1,9 @@
 //! All that can happen, in every order, to a few owners, one place that carries out, and messages that come late, twice or
 //! never: a model check of grants and gates, complete for the bounds stated below. Each planted fault must be found.
 
-use hillstall_lease::book::{Book, Command};
-use hillstall_lease::gate::{Floor, Gates, Order};
-use hillstall_lease::{Copy, Duty, Token};
+use hillstall_lease::fencing::{Floor, Gates, Order};
+use hillstall_lease::table::{Book, Command};
+use hillstall_lease::{FencingToken, Instance, LeaseName};
 use stateright::{Checker, Model, Property};
 
 /// Owners, grants at the most, and starts of the place that carries out.
@@ -30,13 +30,13 @@
     /// The book as a keeper had it that was left behind.
     behind: Book,
     /// What each owner last heard that it holds: it may be long over, as owners are stopped and go on.
-    believes: Vec<Option<Token>>,
+    believes: Vec<Option<FencingToken>>,
     /// Orders under way; they stay, so that each may come late, twice, or never.
     sent: Vec<Order<u64>>,
     gates: Gates<u64>,
     starts: u8,
     /// The highest token that was ever carried out here, over all starts, and whether one below it was later.
-    highest: Token,
+    highest: FencingToken,
     fell: bool,
 }
 
@@ -51,12 +51,12 @@
     Read,
 }
 
-fn duty() -> Duty {
-    Duty::new("shift/north").expect("a name")
+fn duty() -> LeaseName {
+    LeaseName::new("shift/north").expect("a name")
 }
 
-fn owner(rank: u32) -> Copy {
-    Copy { rank, life: 0 }
+fn owner(rank: u32) -> Instance {
+    Instance { rank, life: 0 }
 }
 
 impl Model for Fleet {
@@ -71,7 +71,7 @@
             sent: Vec::new(),
             gates: Gates::default(),
             starts: 1,
-            highest: Token(0),
+            highest: FencingToken(0),
             fell: false,
         }]
     }
@@ -155,7 +155,7 @@
         vec![
             Property::always("no order has an effect after one of a later owner", |_, s: &State| !s.fell),
             Property::sometimes("the last grant is carried out after a restart", |_, s: &State| {
-                s.highest == Token(GRANTS) && s.starts == STARTS
+                s.highest == FencingToken(GRANTS) && s.starts == STARTS
             }),
         ]
     }
