--- a/crates/change-freeze/src/detect.rs
+++ b/crates/change-freeze/src/detection.rs
@@ -1,9 +1,9 @@
 //! What a coordinator makes of the copies' reports: incidents that open when something is bad for long enough, and close
 //! when it was well for longer. It proposes only; the register has the last word.
 
-use crate::register::{By, Command, Register};
 use crate::rules::Severity;
 use crate::scope::Scope;
+use crate::state::{By, Command, Register};
 use crate::Millis;
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/change-freeze/src/lib.rs
+++ b/crates/change-freeze/src/lib.rs
@@ -7,22 +7,22 @@
 //!   believes: no permit while it conflicts, no two in flight whose scopes meet, no incident forgotten.
 //! - [`detect`]: what a coordinator makes of the copies' reports.
 
-pub mod detect;
-pub mod register;
+pub mod detection;
 pub mod rules;
 pub mod scope;
+pub mod state;
 
 /// A length of time, in milliseconds.
 pub type Millis = u64;
 
 /// Most bytes of a name that comes from outside.
-pub const NAME_MOST: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// What a name has to be, for people.
 pub const NAME_RULE: &str = "a name has 1 to 64 letters, digits, '-', '.', '_', '/' or '@'";
 
 /// Whether a name may stand in the state: it is bounded and prints on one line.
-pub fn is_name(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     let fits = |c: char| c.is_alphanumeric() || "-._/@".contains(c);
-    !name.is_empty() && name.len() <= NAME_MOST && name.chars().all(fits)
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(fits)
 }
--- a/crates/change-freeze/src/rules.rs
+++ b/crates/change-freeze/src/rules.rs
@@ -60,7 +60,7 @@
                 let found = $of::ALL.iter().find(|value| value.word() == text).copied();
                 found.ok_or_else(|| BadWord {
                     what: $what,
-                    word: text.chars().take(crate::NAME_MOST).collect(),
+                    word: text.chars().take(crate::MAX_NAME_BYTES).collect(),
                     words: $of::ALL.iter().map(|value| value.word()).collect::<Vec<_>>().join(", "),
                 })
             }
--- a/crates/change-freeze/src/scope.rs
+++ b/crates/change-freeze/src/scope.rs
@@ -57,14 +57,14 @@
     type Err = BadScope;
 
     fn from_str(text: &str) -> Result<Scope, BadScope> {
-        let bad = || BadScope(text.chars().take(crate::NAME_MOST).collect());
+        let bad = || BadScope(text.chars().take(crate::MAX_NAME_BYTES).collect());
         match text {
             "fleet" => return Ok(Scope::Fleet),
             "keepers" => return Ok(Scope::Keepers),
             _ => {}
         }
         let (kind, name) = text.split_once(':').ok_or_else(bad)?;
-        if !crate::is_name(name) {
+        if !crate::is_valid_name(name) {
             return Err(bad());
         }
         let own = name.to_owned();
--- a/crates/change-freeze/src/register.rs
+++ b/crates/change-freeze/src/state.rs
@@ -3,7 +3,7 @@
 
 use crate::rules::{bars, Kind, Reaction, Rule, Severity};
 use crate::scope::Scope;
-use crate::{is_name, Millis};
+use crate::{is_valid_name, Millis};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
@@ -328,7 +328,8 @@
                 self.end(*change, format!("cleared by {person}"))
             }
             Command::Signal { what } => {
-                let what: String = what.chars().filter(|c| !c.is_control()).take(crate::NAME_MOST).collect();
+                let what: String =
+                    what.chars().filter(|c| !c.is_control()).take(crate::MAX_NAME_BYTES).collect();
                 Ok(self.noted(0, format!("without a permit: {what}")))
             }
         }
@@ -636,5 +637,5 @@
 }
 
 fn name(text: &str) -> Result<(), Refused> {
-    is_name(text).then_some(()).ok_or(Refused::Name)
+    is_valid_name(text).then_some(()).ok_or(Refused::Name)
 }
--- a/crates/change-freeze/tests/register.rs
+++ b/crates/change-freeze/tests/register.rs
@@ -1,9 +1,9 @@
 //! Incidents and permits by their rules, and under random commands.
 
-use hillstall_change_freeze::detect::{Detector, Fact, Limits, Sign};
-use hillstall_change_freeze::register::{Answer, By, Command, Refused, Register, Stand, Wish};
+use hillstall_change_freeze::detection::{Detector, Fact, Limits, Sign};
 use hillstall_change_freeze::rules::{Kind, Reaction, Severity, PRECEDENCE};
 use hillstall_change_freeze::scope::Scope;
+use hillstall_change_freeze::state::{Answer, By, Command, Refused, Register, Stand, Wish};
 use proptest::prelude::*;
 
 fn wish(kind: Kind, scope: &str, who: &str, reaction: Reaction) -> Wish {
--- a/crates/consensus/src/stream.rs
+++ b/crates/consensus/src/follower_streams.rs
@@ -3,7 +3,7 @@
 
 use crate::frame::{Frame, Piece};
 use crate::state::{Command, Proposal, State};
-use hillstall_lease::table::Entry;
+use hillstall_lease::table::LeaseRecord;
 use hillstall_lease::{Instance, LeaseName, Millis};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -32,7 +32,7 @@
     kept: VecDeque<(u64, u64, Piece)>,
     last: u64,
     /// Each duty as it was told last.
-    duties: BTreeMap<LeaseName, Entry>,
+    duties: BTreeMap<LeaseName, LeaseRecord>,
 }
 
 impl Streams {
@@ -58,12 +58,12 @@
 
     /// An entry was applied here, with the duty as it was right after if it was about one. Signs of life are passed over:
     /// with a few copies that stand for a few duties there are some twenty a second, and no follower needs them.
-    pub fn applied(&mut self, index: u64, proposal: &Proposal, entry: Option<Entry>) {
+    pub fn applied(&mut self, index: u64, proposal: &Proposal, entry: Option<LeaseRecord>) {
         let piece = match &proposal.command {
             Command::Lease(command) => {
-                let duty = command.duty();
+                let duty = command.lease();
                 let Some(entry) = entry else { return };
-                if self.duties.get(duty).is_some_and(|told| told.is_like(&entry)) {
+                if self.duties.get(duty).is_some_and(|told| told.has_same_parties(&entry)) {
                     return;
                 }
                 self.duties.insert(duty.clone(), entry.clone());
--- a/crates/consensus/src/frame.rs
+++ b/crates/consensus/src/frame.rs
@@ -1,12 +1,12 @@
 //! What copies send each other: one frame after another, each with the version of the code that wrote it.
 
-use crate::keeper::Word;
-use crate::reports::Report;
+use crate::load_reports::Report;
+use crate::replica::Word;
 use crate::state::{Id, Outcome, Proposal};
-use hillstall_lease::fencing::Order;
-use hillstall_lease::table::Entry;
+use hillstall_lease::fencing::FencedCommand;
+use hillstall_lease::table::LeaseRecord;
 use hillstall_lease::{Instance, LeaseName};
-use hillstall_maintenance::Part;
+use hillstall_maintenance::TrafficFraction;
 use serde::{Deserialize, Serialize};
 
 /// The version of these frames. A copy that hears another one passes it over.
@@ -20,7 +20,7 @@
     /// The command itself, which acts there as it did here.
     Command(Proposal),
     /// Who holds a duty and stands for it now: of most commands about duties only signs of life are left.
-    Duty(LeaseName, Entry),
+    Duty(LeaseName, LeaseRecord),
 }
 
 /// A frame.
@@ -74,7 +74,7 @@
     /// Nothing happens; that is the last that the follower was told of, or 0 if it is not told all yet.
     Beat(u64),
     /// An order, on its way to all copies.
-    Order(Order<Part>),
+    Order(FencedCommand<TrafficFraction>),
     /// What a copy has counted.
     Report(Report),
     /// What a keeper has heard of its copies lately, and its clock.
--- a/crates/consensus/src/duties.rs
+++ b/crates/consensus/src/lease_manager.rs
@@ -1,14 +1,14 @@
 //! The duties of one copy: those it stands for or holds, the orders it gives by them, and the gates through which orders
 //! come to be carried out.
 
-use crate::member::{Did, Setup};
+use crate::node::{Did, Setup};
 use crate::state::{shift_duty, Outcome, COORDINATOR};
-use hillstall_lease::fencing::{Floor, Gates, Order};
-use hillstall_lease::session::Hold;
-use hillstall_lease::table::{Book, Command};
+use hillstall_lease::fencing::{FencedCommand, FencingChecks, MinimumToken};
+use hillstall_lease::session::LeaseSession;
+use hillstall_lease::table::{LeaseCommand, LeaseTable};
 use hillstall_lease::{FencingToken, Instance, LeaseName, Millis};
-use hillstall_maintenance::part::SitePart;
-use hillstall_maintenance::{Part, WHOLE};
+use hillstall_maintenance::traffic::SitePart;
+use hillstall_maintenance::{TrafficFraction, FULL_TRAFFIC};
 use std::collections::BTreeMap;
 
 /// How long a copy that was asked to hand a duty over does not stand for it.
@@ -25,7 +25,7 @@
 }
 
 struct Mine {
-    hold: Hold,
+    hold: LeaseSession,
     site: Option<String>,
     rank: u8,
     /// The token that was told last.
@@ -39,15 +39,15 @@
 /// See the module's text.
 pub struct Duties {
     copy: Instance,
-    terms: hillstall_lease::timing::Terms,
+    terms: hillstall_lease::timing::LeaseTiming,
     mine: BTreeMap<LeaseName, Mine>,
     sites: BTreeMap<LeaseName, String>,
-    gates: Gates<Part>,
+    gates: FencingChecks<TrafficFraction>,
     open: bool,
     leaving: bool,
     parts: BTreeMap<String, (SitePart, f64)>,
     /// What was carried out last, and by which token.
-    done: BTreeMap<LeaseName, (FencingToken, Part)>,
+    done: BTreeMap<LeaseName, (FencingToken, TrafficFraction)>,
     did: Vec<Did>,
 }
 
@@ -63,7 +63,7 @@
             for (duty, site) in shifts.chain(coordinator) {
                 // One that goes down with its site could not bring the traffic back.
                 let rank = u8::from(site.as_deref() == Some(&setup.site));
-                let hold = Hold::new(duty.clone(), setup.copy, rank, setup.terms, now);
+                let hold = LeaseSession::new(duty.clone(), setup.copy, rank, setup.terms, now);
                 mine.insert(
                     duty,
                     Mine { hold, site, rank, told: None, orders: 0, stands_from: 0, gone: false },
@@ -77,7 +77,7 @@
             mine,
             parts: setup.sites.iter().map(whole).collect(),
             sites,
-            gates: Gates::default(),
+            gates: FencingChecks::default(),
             open: false,
             leaving: false,
             done: BTreeMap::new(),
@@ -88,15 +88,15 @@
     // ---- holding ----
 
     /// What to propose about leases now.
-    pub fn ask(&mut self, now: Millis, random: f64) -> Vec<Command> {
+    pub fn ask(&mut self, now: Millis, random: f64) -> Vec<LeaseCommand> {
         let due = self.mine.values_mut().filter(|mine| !mine.gone && now >= mine.stands_from);
-        due.filter_map(|mine| mine.hold.ask(now, random)).collect()
+        due.filter_map(|mine| mine.hold.acquire(now, random)).collect()
     }
 
     /// The book as it is known now.
-    pub fn heard(&mut self, now: Millis, book: &Book) {
+    pub fn heard(&mut self, now: Millis, book: &LeaseTable) {
         for (duty, mine) in &mut self.mine {
-            mine.hold.heard(now, book.grant(duty));
+            mine.hold.on_update(now, book.grant(duty));
         }
     }
 
@@ -105,25 +105,25 @@
         &mut self,
         now: Millis,
         asked_at: Millis,
-        command: &Command,
+        command: &LeaseCommand,
         renewed: Option<FencingToken>,
         outcome: &Outcome,
     ) {
-        let Some(mine) = self.mine.get_mut(command.duty()) else { return };
-        if let Command::Leave { duty, .. } = command {
+        let Some(mine) = self.mine.get_mut(command.lease()) else { return };
+        if let LeaseCommand::Release { lease: duty, .. } = command {
             // It stands for the duty again later, as one that was never asked to hand it over.
             mine.gone = self.leaving;
             mine.stands_from = now + STANDS_BACK;
-            mine.hold = Hold::new(duty.clone(), self.copy, mine.rank, self.terms, mine.stands_from);
+            mine.hold = LeaseSession::new(duty.clone(), self.copy, mine.rank, self.terms, mine.stands_from);
             return;
         }
         match (outcome, renewed) {
-            (Outcome::Over { newest }, _) => mine.hold.refused(*newest),
+            (Outcome::Over { newest }, _) => mine.hold.on_rejected(*newest),
             (Outcome::Grant(grant), Some(token)) => {
-                mine.hold.renewed(now, asked_at, token);
-                mine.hold.heard(now, *grant);
+                mine.hold.on_renewed(now, asked_at, token);
+                mine.hold.on_update(now, *grant);
             }
-            (Outcome::Grant(grant), None) if mine.stands_from <= now => mine.hold.heard(now, *grant),
+            (Outcome::Grant(grant), None) if mine.stands_from <= now => mine.hold.on_update(now, *grant),
             _ => {}
         }
     }
@@ -133,7 +133,7 @@
         self.leaving = true;
         self.mine.values_mut().for_each(|mine| {
             mine.stands_from = 0;
-            mine.hold.leave(now);
+            mine.hold.release(now);
         });
     }
 
@@ -147,7 +147,7 @@
         let Some(mine) = self.mine.get_mut(duty) else { return false };
         let held = mine.hold.token(now).is_some();
         if held {
-            mine.hold.leave(now);
+            mine.hold.release(now);
         }
         held
     }
@@ -167,21 +167,34 @@
     }
 
     /// The next order of a grant.
-    pub fn order(&mut self, duty: &LeaseName, token: FencingToken, part: Part, setup: &Setup) -> Order<Part> {
+    pub fn order(
+        &mut self,
+        duty: &LeaseName,
+        token: FencingToken,
+        part: TrafficFraction,
+        setup: &Setup,
+    ) -> FencedCommand<TrafficFraction> {
         let number = self.mine.get_mut(duty).map_or(0, |mine| {
             mine.orders += 1;
             mine.orders
         });
         let (duty, holds_for) = (duty.clone(), setup.holds_for);
-        Order { duty, token, number, holds_for, what: part, after: WHOLE }
+        FencedCommand {
+            lease: duty,
+            token,
+            sequence: number,
+            valid_for: holds_for,
+            value: part,
+            fallback: FULL_TRAFFIC,
+        }
     }
 
     // ---- carrying out ----
 
     /// A true read has told which orders are old.
-    pub fn open(&mut self, book: &Book) {
+    pub fn open(&mut self, book: &LeaseTable) {
         for duty in self.sites.keys() {
-            self.gates.told(duty, Floor { token: book.floor(duty), number: None });
+            self.gates.raise_minimum(duty, MinimumToken { token: book.highest_token(duty), sequence: None });
         }
         self.open = true;
     }
@@ -192,20 +205,20 @@
     }
 
     /// Carries out an order, if the gate lets it through. Gives what is worth writing down.
-    pub fn carry_out(&mut self, now: Millis, order: Order<Part>) -> Option<Did> {
-        let site = self.sites.get(&order.duty)?;
-        let before = self.gates.holds(&order.duty, now).copied();
-        match self.gates.take(now, order.clone()) {
+    pub fn carry_out(&mut self, now: Millis, order: FencedCommand<TrafficFraction>) -> Option<Did> {
+        let site = self.sites.get(&order.lease)?;
+        let before = self.gates.effective_value(&order.lease, now).copied();
+        match self.gates.accept(now, order.clone()) {
             Ok(()) => {
                 if let Some((part, _)) = self.parts.get_mut(site) {
-                    part.set(now, order.what);
+                    part.set(now, order.value);
                 }
                 // The same once more, by the same owner, is no news.
-                let known = self.done.insert(order.duty.clone(), (order.token, order.what));
-                let news = before != Some(order.what) || known != Some((order.token, order.what));
+                let known = self.done.insert(order.lease.clone(), (order.token, order.value));
+                let news = before != Some(order.value) || known != Some((order.token, order.value));
                 news.then_some(Did::CarriedOut(order))
             }
-            Err(hillstall_lease::fencing::Refused::Passed { .. }) => None,
+            Err(hillstall_lease::fencing::FencingError::StaleSequence { .. }) => None,
             Err(why) => Some(Did::Refused(order, why.to_string())),
         }
     }
@@ -215,7 +228,7 @@
         let mut changed = Vec::new();
         for (duty, site) in &self.sites {
             let Some((part, told)) = self.parts.get_mut(site) else { continue };
-            if let Some(holds) = self.gates.holds(duty, now) {
+            if let Some(holds) = self.gates.effective_value(duty, now) {
                 part.set(now, *holds);
             }
             let read = part.read(now);
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -7,12 +7,12 @@
 //! - [`member`]: what every copy does: it stands for duties, carries out orders, and learns the state.
 //! - [`frame`]: what copies send each other.
 
-pub mod disk;
-pub mod duties;
+mod follower_streams;
 pub mod frame;
-pub mod keeper;
+pub mod lease_manager;
+pub mod load_reports;
 pub mod log;
-pub mod member;
-pub mod reports;
+pub mod node;
+pub mod replica;
 pub mod state;
-mod stream;
+pub mod storage;
--- a/crates/consensus/src/reports.rs
+++ b/crates/consensus/src/load_reports.rs
@@ -1,9 +1,9 @@
 //! What copies count and tell, with its age, and what is made of it for all.
 
-use hillstall_change_freeze::detect::{Fact, Sign};
+use hillstall_change_freeze::detection::{Fact, Sign};
 use hillstall_change_freeze::scope::Scope;
 use hillstall_lease::{Instance, Millis};
-use hillstall_maintenance::steps::{Figures, Load};
+use hillstall_maintenance::shift::{Figures, Load};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,6 +1,6 @@
 //! A keeper's log as the consensus crate reads it: in memory, written to the disk before anything is told to others.
 
-use crate::disk::{Change, Kept};
+use crate::storage::{Change, Kept};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/node.rs
@@ -1,25 +1,25 @@
 //! What every copy does for the fleet: it stands for duties, carries out orders, reports, and learns the state. Keepers
 //! hold a [`Keeper`]; all others follow one of them.
 
-use crate::disk::Disk;
-use crate::duties::{Duties, Owned};
+use crate::follower_streams::Streams;
 use crate::frame::{Frame, Piece};
-use crate::keeper::{Keeper, News};
-use crate::reports::{Report, Reports};
+use crate::lease_manager::{Duties, Owned};
+use crate::load_reports::{Report, Reports};
+use crate::replica::{Keeper, News};
 use crate::state::{Command, Id, Outcome, Proposal, State, COORDINATOR};
-use crate::stream::Streams;
-use hillstall_change_freeze::detect::{Detector, Fact, Limits, Sign};
-use hillstall_change_freeze::register::{Register, Stand, Wait};
+use crate::storage::Disk;
+use hillstall_change_freeze::detection::{Detector, Fact, Limits, Sign};
 use hillstall_change_freeze::scope::Scope;
-use hillstall_lease::expiry::Watch;
-use hillstall_lease::fencing::Order;
+use hillstall_change_freeze::state::{Register, Stand, Wait};
+use hillstall_lease::expiry::ExpiryMonitor;
+use hillstall_lease::fencing::FencedCommand;
 use hillstall_lease::table;
-use hillstall_lease::timers::Timers;
-use hillstall_lease::timing::Terms;
+use hillstall_lease::timers::DeadlineTimers;
+use hillstall_lease::timing::LeaseTiming;
 use hillstall_lease::{FencingToken, Instance, LeaseName, Millis};
-use hillstall_maintenance::machine::Command as Window;
-use hillstall_maintenance::steps::{Figures, Pace, Steps};
-use hillstall_maintenance::Part;
+use hillstall_maintenance::shift::{Figures, Pace, Steps};
+use hillstall_maintenance::windows::Command as Window;
+use hillstall_maintenance::TrafficFraction;
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::BTreeMap;
@@ -55,7 +55,7 @@
     /// The fleet's sites.
     pub sites: Vec<String>,
     /// How leases last.
-    pub terms: Terms,
+    pub terms: LeaseTiming,
     /// How a shift goes.
     pub pace: Pace,
     /// When reports make an incident.
@@ -102,9 +102,9 @@
     /// It may not any more.
     Lost(LeaseName, FencingToken),
     /// An order was carried out here.
-    CarriedOut(Order<Part>),
+    CarriedOut(FencedCommand<TrafficFraction>),
     /// One was refused, and why.
-    Refused(Order<Part>, String),
+    Refused(FencedCommand<TrafficFraction>, String),
 }
 
 enum Why {
@@ -150,8 +150,8 @@
     /// The index that the state must reach before a true read opens the gates.
     opens_at: Option<u64>,
     read_at: Option<Millis>,
-    leases: Watch,
-    timers: Timers<Wait>,
+    leases: ExpiryMonitor,
+    timers: DeadlineTimers<Wait>,
     reports: Reports,
     detector: Detector,
     steps: BTreeMap<LeaseName, Steps>,
@@ -172,7 +172,7 @@
         let following = (random.next_u64() % setup.keepers.max(1) as u64) as usize;
         let mut member = Member {
             duties: Duties::new(&setup, now),
-            leases: Watch::new(setup.terms),
+            leases: ExpiryMonitor::new(setup.terms),
             detector: Detector::new(setup.limits),
             setup,
             random,
@@ -189,7 +189,7 @@
             reads: BTreeMap::new(),
             opens_at: None,
             read_at: None,
-            timers: Timers::default(),
+            timers: DeadlineTimers::default(),
             reports: Reports::default(),
             steps: BTreeMap::new(),
             clocks: BTreeMap::new(),
@@ -464,7 +464,7 @@
                     if let (Command::Lease(command), Outcome::Grant(Some(grant))) =
                         (&proposal.command, &outcome)
                     {
-                        self.leases.saw(came_at, command.duty(), *grant);
+                        self.leases.observe(came_at, command.lease(), *grant);
                     }
                     // A follower knows fewer of a copy's commands, so it could take one that was refused here for its age.
                     if outcome != Outcome::TooLate {
@@ -510,8 +510,8 @@
     fn run_out(&mut self, now: Millis) {
         let Some(keeper) = &self.keeper else { return };
         let leads = keeper.leads();
-        let lapsed = self.leases.look(now, keeper.state().book());
-        let over = self.timers.look(now, keeper.state().register().waits());
+        let lapsed = self.leases.poll(now, keeper.state().book());
+        let over = self.timers.poll(now, keeper.state().register().waits());
         if leads {
             let lapsed = lapsed.into_iter().map(Command::Lease);
             let over = over.into_iter().map(|(wait, version)| Command::Freeze(Register::ends(wait, version)));
@@ -597,13 +597,13 @@
         let random = (self.random.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
         for command in self.duties.ask(now, random) {
             let renewed = match &command {
-                table::Command::Renew { token, .. } => Some(*token),
+                table::LeaseCommand::Renew { token, .. } => Some(*token),
                 _ => None,
             };
             // A newer question of the same lease takes the place of one that was lost.
-            let duty = command.duty().clone();
+            let duty = command.lease().clone();
             let same = |p: &Pending| {
-                matches!(&p.proposal.command, Command::Lease(c) if *c.duty() == duty)
+                matches!(&p.proposal.command, Command::Lease(c) if *c.lease() == duty)
                     && matches!(p.why, Why::Lease(_))
             };
             self.pending.retain(|_, p| !same(p));
@@ -641,13 +641,13 @@
     // ---- orders ----
 
     /// An order of another keeper goes on to the copies that are attached here.
-    fn relay(&mut self, order: &Order<Part>) {
+    fn relay(&mut self, order: &FencedCommand<TrafficFraction>) {
         for copy in self.streams.copies().collect::<Vec<_>>() {
             self.out.push(Out::Send(To::Copy(copy), Frame::Order(order.clone())));
         }
     }
 
-    fn carry_out(&mut self, now: Millis, order: Order<Part>) {
+    fn carry_out(&mut self, now: Millis, order: FencedCommand<TrafficFraction>) {
         let did = self.duties.carry_out(now, order);
         let parts = self.duties.run_out(now);
         self.out.extend(parts.into_iter().map(|(site, part)| Out::Part(site, part)));
@@ -655,7 +655,7 @@
     }
 
     /// Gives an order to all copies; only its gates decide whether it is carried out.
-    fn give(&mut self, now: Millis, order: Order<Part>) {
+    fn give(&mut self, now: Millis, order: FencedCommand<TrafficFraction>) {
         for slot in (0..self.setup.keepers).filter(|slot| Some(*slot) != self.setup.keeper) {
             self.out.push(Out::Send(To::Keeper(slot), Frame::Order(order.clone())));
         }
@@ -718,7 +718,7 @@
         token: FencingToken,
         site: &str,
         figures: &mut Figures,
-    ) -> Vec<Order<Part>> {
+    ) -> Vec<FencedCommand<TrafficFraction>> {
         let state = known(&self.keeper, &self.replica);
         let windows = state.windows().all().iter().filter(|(_, w)| w.plan.site == site && !w.stage.is_over());
         // One that has begun goes first, then the earliest.
@@ -756,7 +756,7 @@
 /// What keeps a window from going on: its permit has to be given back, or another site is in trouble.
 fn trouble(
     register: &Register,
-    window: &hillstall_maintenance::machine::Window,
+    window: &hillstall_maintenance::windows::Window,
     site: &str,
 ) -> Option<String> {
     let own = Scope::Site(site.to_owned());
--- a/crates/consensus/src/keeper.rs
+++ b/crates/consensus/src/replica.rs
@@ -2,10 +2,10 @@
 //! the disk, a disk that is new, torn or older than its word does not vote as the old one did, and a keeper whose disk
 //! fails falls silent.
 
-use crate::disk::{Change, Disk, Kept};
 use crate::log::Log;
 use crate::state::{Command, Outcome, Proposal, State};
-use hillstall_lease::table::Entry as DutyEntry;
+use crate::storage::{Change, Disk, Kept};
+use hillstall_lease::table::LeaseRecord as DutyEntry;
 use hillstall_lease::Millis;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeSingle, ConfChangeType, ConfChangeV2, Entry, EntryType};
@@ -640,7 +640,7 @@
                     if let Ok(proposal) = postcard::from_bytes::<Proposal>(&entry.data) {
                         let outcome = self.state.apply(entry.index, &proposal);
                         let duty = match &proposal.command {
-                            Command::Lease(command) => self.state.book().entry(command.duty()).cloned(),
+                            Command::Lease(command) => self.state.book().record(command.lease()).cloned(),
                             _ => None,
                         };
                         let came_at = self.came_at.get(&entry.index).copied().unwrap_or(self.now);
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -1,10 +1,10 @@
 //! The one state that the keepers agree on: duties, windows, incidents and permits. Commands come in the same order to
 //! each keeper; one that comes twice acts once.
 
-use hillstall_change_freeze::register::{self as freeze, By, Register};
-use hillstall_lease::table::{self, Book, Grant};
+use hillstall_change_freeze::state::{self as freeze, By, Register};
+use hillstall_lease::table::{self, Grant, LeaseTable};
 use hillstall_lease::{FencingToken, Instance, LeaseName};
-use hillstall_maintenance::machine::{self as window, Windows};
+use hillstall_maintenance::windows::{self as window, Windows};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
     /// About who holds a duty.
-    Lease(table::Command),
+    Lease(table::LeaseCommand),
     /// About incidents and changes.
     Freeze(freeze::Command),
     /// About a site's window, by whoever holds the duty of its shift, or by a person.
@@ -87,7 +87,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct State {
     index: u64,
-    book: Book,
+    book: LeaseTable,
     register: Register,
     windows: Windows,
     known: BTreeMap<Instance, Known>,
@@ -125,7 +125,7 @@
     fn holds(&self, duty: &LeaseName, token: FencingToken) -> Result<(), Outcome> {
         match self.book.grant(duty) {
             Some(grant) if grant.token == token => Ok(()),
-            _ => Err(Outcome::Over { newest: self.book.floor(duty) }),
+            _ => Err(Outcome::Over { newest: self.book.highest_token(duty) }),
         }
     }
 
@@ -133,7 +133,7 @@
         match command {
             Command::Lease(command) => match self.book.apply(command) {
                 Ok(grant) => Outcome::Grant(grant),
-                Err(table::Refused::Over { newest }) => Outcome::Over { newest },
+                Err(table::LeaseError::GrantEnded { newest }) => Outcome::Over { newest },
                 Err(why) => Outcome::Refused(why.to_string()),
             },
             Command::Freeze(command) => {
@@ -172,9 +172,9 @@
     }
 
     /// Takes over what a keeper has of a duty at `index`: followers are told the outcome, not each renewal.
-    pub fn set_duty(&mut self, index: u64, duty: &LeaseName, entry: table::Entry) {
+    pub fn set_duty(&mut self, index: u64, duty: &LeaseName, entry: table::LeaseRecord) {
         self.index = self.index.max(index);
-        self.book.set(duty, entry);
+        self.book.set_record(duty, entry);
     }
 
     /// The index of the last entry that was applied.
@@ -183,7 +183,7 @@
     }
 
     /// Who holds what.
-    pub fn book(&self) -> &Book {
+    pub fn book(&self) -> &LeaseTable {
         &self.book
     }
 
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -2,11 +2,11 @@
 //! never stands beside an incident that bars it, two that meet are never in flight, and what a coordinator that was
 //! followed by another says has no effect.
 
-use hillstall_change_freeze::register::{By, Command as Freeze, Wish};
 use hillstall_change_freeze::rules::{Kind, Reaction, Severity};
 use hillstall_change_freeze::scope::Scope;
+use hillstall_change_freeze::state::{By, Command as Freeze, Wish};
 use hillstall_consensus::state::{Command, Id, Outcome, Proposal, State, COORDINATOR};
-use hillstall_lease::table::Command as Lease;
+use hillstall_lease::table::LeaseCommand as Lease;
 use hillstall_lease::{FencingToken, Instance, LeaseName};
 use stateright::{Checker, Model, Property};
 
@@ -70,7 +70,7 @@
 
     /// The token that a coordinator believes in: its own, newest or not.
     fn token(state: &State, by: u8) -> FencingToken {
-        let newest = state.book().floor(&duty());
+        let newest = state.book().highest_token(&duty());
         match state.book().grant(&duty()) {
             Some(grant) if grant.holder == copy(by) => grant.token,
             _ => FencingToken(newest.0.saturating_sub(1)),
@@ -86,7 +86,7 @@
         let mut now = Now { state: State::default(), steps: 0, wrong: false, opened: false };
         for rank in 0..2 {
             let id = Id { copy: copy(rank), number: 1 };
-            let command = Command::Lease(Lease::Stand { duty: duty(), copy: copy(rank), rank: 0 });
+            let command = Command::Lease(Lease::Acquire { lease: duty(), instance: copy(rank), rank: 0 });
             now.state.apply(u64::from(rank) + 1, &Proposal { id, command });
         }
         vec![now]
@@ -108,7 +108,7 @@
         let owner = before.state.book().grant(&duty()).map(|grant| grant.holder);
         match act {
             Act::Opens(by) | Act::Resolves(by) => {
-                let newest = before.state.book().floor(&duty());
+                let newest = before.state.book().highest_token(&duty());
                 let own = Permits::token(&before.state, by);
                 let token = if self.0 == Fault::AnyToken { newest } else { own };
                 let by_rule = By::Rule(token.0);
@@ -133,8 +133,8 @@
             Act::Lapses => {
                 let grant = before.state.book().grant(&duty())?;
                 let (token, renewals) = (grant.token, grant.renewals);
-                apply(&mut now, 0, Command::Lease(Lease::Lapse { duty: duty(), token, renewals }));
-                let stand = Lease::Stand { duty: duty(), copy: grant.holder, rank: 0 };
+                apply(&mut now, 0, Command::Lease(Lease::Expire { lease: duty(), token, renewals }));
+                let stand = Lease::Acquire { lease: duty(), instance: grant.holder, rank: 0 };
                 let id = Id { copy: grant.holder, number: u64::from(now.steps) + 1_000 };
                 now.state.apply(1, &Proposal { id, command: Command::Lease(stand) });
                 if self.0 == Fault::Forgets {
@@ -187,7 +187,7 @@
             Property::always("no two that meet, none that an incident bars", |_, now: &Now| {
                 let register = now.state.register();
                 let barred = register.changes().values().any(|c| {
-                    c.stand == hillstall_change_freeze::register::Stand::InFlight
+                    c.stand == hillstall_change_freeze::state::Stand::InFlight
                         && register.bars(c.wish.kind, &c.wish.scope).is_some()
                 });
                 register.wrong().is_none() && !barred
--- a/crates/consensus/tests/sim/mod.rs
+++ b/crates/consensus/tests/sim/mod.rs
@@ -1,19 +1,19 @@
 //! The simulated fleet.
 
-use hillstall_change_freeze::detect::Limits;
-use hillstall_change_freeze::register::{Answer, By, Command as Freeze, Wish};
+use hillstall_change_freeze::detection::Limits;
 use hillstall_change_freeze::rules::{Kind, Reaction, Severity};
 use hillstall_change_freeze::scope::Scope;
-use hillstall_consensus::disk::{Change, Disk, DiskFailed, Kept};
+use hillstall_change_freeze::state::{Answer, By, Command as Freeze, Wish};
 use hillstall_consensus::frame::Frame;
-use hillstall_consensus::keeper::new_id;
-use hillstall_consensus::member::{Did, Member, Out, Setup, To};
-use hillstall_consensus::reports::{Counts, Report};
+use hillstall_consensus::load_reports::{Counts, Report};
+use hillstall_consensus::node::{Did, Member, Out, Setup, To};
+use hillstall_consensus::replica::new_id;
 use hillstall_consensus::state::{Command, Outcome};
-use hillstall_lease::timing::Terms;
+use hillstall_consensus::storage::{Change, Disk, DiskFailed, Kept};
+use hillstall_lease::timing::LeaseTiming;
 use hillstall_lease::{FencingToken, Instance, LeaseName, Millis};
-use hillstall_maintenance::machine::{Command as Window, Overrun, Plan, Stage};
-use hillstall_maintenance::steps::Pace;
+use hillstall_maintenance::shift::Pace;
+use hillstall_maintenance::windows::{Command as Window, Overrun, Plan, Stage};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cell::{Cell, RefCell};
@@ -286,7 +286,7 @@
             keepers: KEEPERS,
             site: name(i),
             sites: (0..3).map(name).collect(),
-            terms: Terms::new(2_000, 50_000, 100).expect("terms"),
+            terms: LeaseTiming::new(2_000, 50_000, 100).expect("terms"),
             pace: Pace { wait: 300, ..Pace::default() },
             limits: Limits::default(),
             holds_for: 4_000,
@@ -478,12 +478,12 @@
             _ => return,
         };
         self.carried_out += 1;
-        let highest = self.ones[i].highest.entry(order.duty.clone()).or_default();
+        let highest = self.ones[i].highest.entry(order.lease.clone()).or_default();
         if order.token < *highest {
             let line = format!("{}: copy {i} carried out {order:?} after {highest:?}", self.now);
             self.wrong.push(line);
         }
-        let highest = self.ones[i].highest.entry(order.duty).or_default();
+        let highest = self.ones[i].highest.entry(order.lease).or_default();
         *highest = (*highest).max(order.token);
     }
 
@@ -733,7 +733,7 @@
         }
         // Followers are told what matters of duties, so they know who holds them and not each sign of life.
         let held = |m: &Member<MemDisk>| {
-            let duties = m.state().book().duties();
+            let duties = m.state().book().leases();
             let duties = duties.map(|(d, grant, _)| (d.clone(), grant.map(|g| g.token))).collect::<Vec<_>>();
             (duties, m.state().register().incidents().clone())
         };
@@ -749,7 +749,7 @@
 
     pub fn windows_begun(&self) -> usize {
         let state = self.ones[0].member.as_ref().map(|m| m.state());
-        let begun = |w: &&hillstall_maintenance::machine::Window| {
+        let begun = |w: &&hillstall_maintenance::windows::Window| {
             w.part < 1_000 || (w.stage == Stage::Done && w.why.is_empty())
         };
         state.map_or(0, |s| s.windows().all().values().filter(begun).count())
--- a/crates/coordination/src/lines.rs
+++ b/crates/coordination/src/admin_commands.rs
@@ -1,11 +1,11 @@
 //! What people say and ask on the second address: one line a call.
 
 use crate::calendar;
-use hillstall_change_freeze::register::{Answer, By, Command as Freeze, Register, Stand, Wish};
 use hillstall_change_freeze::rules::{Kind, Reaction};
+use hillstall_change_freeze::state::{Answer, By, Command as Freeze, Register, Stand, Wish};
 use hillstall_consensus::state::{Command, Outcome};
 use hillstall_lease::LeaseName;
-use hillstall_maintenance::machine::{Command as Window, Overrun, Plan, Windows};
+use hillstall_maintenance::windows::{Command as Window, Overrun, Plan, Windows};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::str::FromStr;
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -3,15 +3,15 @@
 //!
 //! [`settings`] reads the section `[fleet]` of the operator file; [`start`] begins; [`Handle`] is what the calls' loop has.
 
+mod admin_commands;
 mod calendar;
-mod disk;
-mod lines;
-mod links;
+mod connections;
+mod redb_storage;
+mod runtime;
 pub mod settings;
-mod shell;
 
-pub use hillstall_consensus::reports::{Counts, Report};
-pub use shell::{start, Handle, Hint, NotStarted, Place};
+pub use hillstall_consensus::load_reports::{Counts, Report};
+pub use runtime::{start, Handle, Hint, NotStarted, Place};
 
 /// A length of time in milliseconds.
 fn millis(time: std::time::Duration) -> u64 {
--- a/crates/coordination/src/disk.rs
+++ b/crates/coordination/src/redb_storage.rs
@@ -1,7 +1,7 @@
 //! A keeper's lasting disk: an embedded store, synced before anything is told to others.
 
-use hillstall_consensus::disk::{Change, Disk, DiskFailed, Kept};
-use hillstall_consensus::keeper::new_id;
+use hillstall_consensus::replica::new_id;
+use hillstall_consensus::storage::{Change, Disk, DiskFailed, Kept};
 use redb::{Database, Durability, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/coordination/src/shell.rs
+++ b/crates/coordination/src/runtime.rs
@@ -1,16 +1,16 @@
 //! The loop: frames, lines, reports and time go in, and what the member wants is done.
 
-use crate::disk::{NoDisk, RedbDisk};
-use crate::lines::{self, Line, People};
-use crate::links::{accept, Dialed, Heard, Own};
+use crate::admin_commands::{self, Line, People};
+use crate::connections::{accept, Dialed, Heard, Own};
 use crate::millis;
+use crate::redb_storage::{NoDisk, RedbDisk};
 use crate::settings::Settings;
 use bytes::Bytes;
-use hillstall_consensus::member::{Did, Member, Out, Setup, To};
-use hillstall_consensus::reports::Report;
+use hillstall_consensus::load_reports::Report;
+use hillstall_consensus::node::{Did, Member, Out, Setup, To};
 use hillstall_consensus::state::Command;
 use hillstall_lease::Instance;
-use hillstall_maintenance::machine::Command as Window;
+use hillstall_maintenance::windows::Command as Window;
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
 use std::net::IpAddr;
@@ -312,20 +312,20 @@
 
     fn write_down(&mut self, now: u64, signal: &str) {
         let what = format!("{signal} at copy {}", self.own.copy.rank);
-        self.member.tell(now, Command::Freeze(hillstall_change_freeze::register::Command::Signal { what }));
+        self.member.tell(now, Command::Freeze(hillstall_change_freeze::state::Command::Signal { what }));
     }
 
     /// The answer, or `None` if the keepers have to agree first.
     fn line(&mut self, now: u64, line: &str) -> Option<String> {
         let state = self.member.state();
-        Some(match lines::read(line, &People(&self.settings.people)) {
+        Some(match admin_commands::read(line, &People(&self.settings.people)) {
             None => "400 not a call for the fleet\n".into(),
             Some(Err(why)) => format!("400 {why}\n"),
             Some(Ok(Line::Fleet)) => self.fleet(now),
-            Some(Ok(Line::Windows)) => lines::windows(state.windows()),
-            Some(Ok(Line::Incidents)) => lines::incidents(state.register()),
-            Some(Ok(Line::Changes)) => lines::changes(state.register()),
-            Some(Ok(Line::Record)) => lines::record(state.register()),
+            Some(Ok(Line::Windows)) => admin_commands::windows(state.windows()),
+            Some(Ok(Line::Incidents)) => admin_commands::incidents(state.register()),
+            Some(Ok(Line::Changes)) => admin_commands::changes(state.register()),
+            Some(Ok(Line::Record)) => admin_commands::record(state.register()),
             Some(Ok(Line::HandOver(duty))) => match self.member.hand_over(now, &duty) {
                 true => "200 handed over\n".into(),
                 false => format!("400 this copy does not hold {duty}\n"),
@@ -366,7 +366,7 @@
             state.index(),
             if self.member.is_open() { "open" } else { "closed" }
         ));
-        for (duty, grant, standing) in state.book().duties() {
+        for (duty, grant, standing) in state.book().leases() {
             let held = grant.map_or("-".to_owned(), |g| format!("{} token {}", g.holder.rank, g.token.0));
             say(format!("duty {duty} held {held} standing {}", standing.len()));
         }
@@ -401,7 +401,7 @@
                 }
                 Out::Done(ticket, outcome) => {
                     if let Some(answer) = self.lines.remove(&ticket) {
-                        let _ = answer.send(lines::outcome(outcome.as_ref()));
+                        let _ = answer.send(admin_commands::outcome(outcome.as_ref()));
                     }
                 }
                 Out::Log(line) => tracing::info!("fleet: {line}"),
@@ -419,11 +419,11 @@
             }
             Did::Lost(duty, token) => tracing::info!(copy, life, at, %duty, token = token.0, "fleet lost"),
             Did::CarriedOut(order) => {
-                let (duty, token, number, part) = (&order.duty, order.token.0, order.number, order.what);
+                let (duty, token, number, part) = (&order.lease, order.token.0, order.sequence, order.value);
                 tracing::info!(copy, life, at, %duty, token, number, part, "fleet carried out");
             }
             Did::Refused(order, why) => {
-                let (duty, token) = (order.duty.clone(), order.token.0);
+                let (duty, token) = (order.lease.clone(), order.token.0);
                 if self.is_news("refused") {
                     tracing::warn!(copy, life, at, %duty, token, "fleet refused: {why}");
                 }
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -1,11 +1,11 @@
 //! The section `[fleet]` of the operator file.
 
 use crate::{calendar, millis as ms};
-use hillstall_lease::timing::Terms;
+use hillstall_lease::timing::LeaseTiming;
 use hillstall_maintenance::calendar::Rule;
-use hillstall_maintenance::machine::Overrun;
-use hillstall_maintenance::steps::Pace;
-use hillstall_maintenance::Part;
+use hillstall_maintenance::shift::Pace;
+use hillstall_maintenance::windows::Overrun;
+use hillstall_maintenance::TrafficFraction;
 use serde::{Deserialize, Deserializer};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
@@ -41,7 +41,7 @@
     /// The site of this copy, if not its zone.
     pub site: Option<String>,
     /// How leases last.
-    pub terms: Terms,
+    pub terms: LeaseTiming,
     /// How long an order holds that is not heard again.
     pub holds_for: Duration,
     /// From nothing to all of its load, where nobody leads a site back.
@@ -193,7 +193,7 @@
 
 fn settle(raw: Raw, faults: &mut Faults) -> Settings {
     let second = Duration::from_secs(1);
-    if !hillstall_change_freeze::is_name(raw.name.get_ref()) {
+    if !hillstall_change_freeze::is_valid_name(raw.name.get_ref()) {
         faults.say(raw.name.span(), "name", hillstall_change_freeze::NAME_RULE);
     }
     let keepers: Vec<SocketAddr> =
@@ -231,13 +231,15 @@
             None => faults.say(one.span(), "from", format!("{:?} is not an IPv4 address", one.get_ref())),
         }
     }
-    if let Some(site) = raw.site.as_ref().filter(|site| !hillstall_change_freeze::is_name(site.get_ref())) {
+    if let Some(site) =
+        raw.site.as_ref().filter(|site| !hillstall_change_freeze::is_valid_name(site.get_ref()))
+    {
         faults.say(site.span(), "site", hillstall_change_freeze::NAME_RULE);
     }
     let usual = Duration::from_secs(2);
     let term = raw.term.as_ref().map_or(usual, |term| term.get_ref().0);
     let drift = faults.within(&raw.drift, "drift", 0.0..20.0, 5.0, "from 0 to 20 in a hundred");
-    let terms = Terms::new(ms(term), (drift.clamp(0.0, 19.0) * 10_000.0) as u32, ms(term) / 20);
+    let terms = LeaseTiming::new(ms(term), (drift.clamp(0.0, 19.0) * 10_000.0) as u32, ms(term) / 20);
     if let (Err(why), Some(term)) = (terms, &raw.term) {
         faults.say(term.span(), "term", why.to_string());
     }
@@ -246,7 +248,12 @@
     let step = faults.within(&raw.step, "step", 1.0..100.001, 12.5, "from 1 to 100 in a hundred");
     let wait = faults.time(&raw.step_wait, "step_wait", second / 5, 600 * second, second);
     let heard = faults.within(&raw.heard, "heard", 1.0..100.001, 75.0, "from 1 to 100 in a hundred");
-    let pace = Pace { step: (step * 10.0) as Part, wait: ms(wait), heard: heard / 100.0, ..Pace::default() };
+    let pace = Pace {
+        step: (step * 10.0) as TrafficFraction,
+        wait: ms(wait),
+        heard: heard / 100.0,
+        ..Pace::default()
+    };
     let mut people = BTreeMap::new();
     for names in &raw.people {
         let Some(first) = names.get_ref().first() else {
@@ -254,7 +261,7 @@
             continue;
         };
         for name in names.get_ref() {
-            if !hillstall_change_freeze::is_name(name) {
+            if !hillstall_change_freeze::is_valid_name(name) {
                 faults.say(names.span(), "people", format!("{name:?} is no name"));
             } else if people.insert(name.clone(), first.clone()).is_some() {
                 faults.say(names.span(), "people", format!("{name:?} is the name of two people"));
--- a/crates/lease/src/fencing.rs
+++ b/crates/lease/src/fencing.rs
@@ -7,40 +7,40 @@
 
 /// An order to a copy. `T` is what is to be done.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Order<T> {
+pub struct FencedCommand<T> {
     /// By which duty it is given.
-    pub duty: LeaseName,
+    pub lease: LeaseName,
     /// By which grant of it.
     pub token: FencingToken,
     /// Rises with each order of a grant.
-    pub number: u64,
+    pub sequence: u64,
     /// How long it holds once it was taken, in milliseconds.
-    pub holds_for: Millis,
+    pub valid_for: Millis,
     /// What holds.
-    pub what: T,
+    pub value: T,
     /// What holds when that time is over and nothing newer was heard.
-    pub after: T,
+    pub fallback: T,
 }
 
 /// Why an order is not carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum FencingError {
     /// This copy has not been told yet which orders are old.
     #[error("the gate is closed: no floor was told since the start")]
-    Closed,
+    NoMinimumToken,
     /// A newer owner has ordered something, or is known of.
-    #[error("the order's token {token:?} is below {floor:?}")]
-    Old {
+    #[error("the order's token {token:?} is below {minimum:?}")]
+    StaleToken {
         /// The order's.
         token: FencingToken,
         /// The least that is taken.
-        floor: FencingToken,
+        minimum: FencingToken,
     },
     /// The same owner has ordered something newer, or this is the same order once more.
-    #[error("order {number} came after {newest}")]
-    Passed {
+    #[error("order {sequence} came after {newest}")]
+    StaleSequence {
         /// The order's number.
-        number: u64,
+        sequence: u64,
         /// The newest that was taken.
         newest: u64,
     },
@@ -48,73 +48,78 @@
 
 /// What a copy without a disk forgets, and one with a disk stores before it acts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Floor {
+pub struct MinimumToken {
     /// The least token that is taken.
     pub token: FencingToken,
     /// Orders of that token up to this number have been taken.
-    pub number: Option<u64>,
+    pub sequence: Option<u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Standing<T> {
-    what: T,
-    after: T,
-    until: Millis,
+struct AcceptedCommand<T> {
+    value: T,
+    fallback: T,
+    valid_until: Millis,
 }
 
 /// The gates of one copy, by duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Gates<T> {
-    floors: BTreeMap<LeaseName, Floor>,
-    orders: BTreeMap<LeaseName, Standing<T>>,
+pub struct FencingChecks<T> {
+    minimums: BTreeMap<LeaseName, MinimumToken>,
+    accepted: BTreeMap<LeaseName, AcceptedCommand<T>>,
 }
 
-impl<T> Default for Gates<T> {
+impl<T> Default for FencingChecks<T> {
     /// All closed.
-    fn default() -> Gates<T> {
-        Gates { floors: BTreeMap::new(), orders: BTreeMap::new() }
+    fn default() -> FencingChecks<T> {
+        FencingChecks { minimums: BTreeMap::new(), accepted: BTreeMap::new() }
     }
 }
 
-impl<T: Clone> Gates<T> {
+impl<T: Clone> FencingChecks<T> {
     /// A true read of the keepers, or this copy's own disk, has told a floor: the gate is open from then on.
-    pub fn told(&mut self, duty: &LeaseName, floor: Floor) {
-        let known = self.floors.entry(duty.clone()).or_default();
-        if (floor.token, floor.number) > (known.token, known.number) {
+    pub fn raise_minimum(&mut self, duty: &LeaseName, floor: MinimumToken) {
+        let known = self.minimums.entry(duty.clone()).or_default();
+        if (floor.token, floor.sequence) > (known.token, known.sequence) {
             *known = floor;
         }
     }
 
     /// Whether the order may be carried out, without taking it: gives the floor that has to be stored first, where the
     /// copy has a disk. [`Gates::take`] takes it then.
-    pub fn check(&self, order: &Order<T>) -> Result<Floor, Refused> {
-        let Some(floor) = self.floors.get(&order.duty) else { return Err(Refused::Closed) };
+    pub fn check(&self, order: &FencedCommand<T>) -> Result<MinimumToken, FencingError> {
+        let Some(floor) = self.minimums.get(&order.lease) else { return Err(FencingError::NoMinimumToken) };
         if order.token < floor.token {
-            return Err(Refused::Old { token: order.token, floor: floor.token });
+            return Err(FencingError::StaleToken { token: order.token, minimum: floor.token });
         }
-        match floor.number.filter(|_| order.token == floor.token) {
-            Some(newest) if order.number <= newest => Err(Refused::Passed { number: order.number, newest }),
-            _ => Ok(Floor { token: order.token, number: Some(order.number) }),
+        match floor.sequence.filter(|_| order.token == floor.token) {
+            Some(newest) if order.sequence <= newest => {
+                Err(FencingError::StaleSequence { sequence: order.sequence, newest })
+            }
+            _ => Ok(MinimumToken { token: order.token, sequence: Some(order.sequence) }),
         }
     }
 
     /// Takes an order: from now on it holds, and nothing older does.
-    pub fn take(&mut self, now: Millis, order: Order<T>) -> Result<(), Refused> {
+    pub fn accept(&mut self, now: Millis, order: FencedCommand<T>) -> Result<(), FencingError> {
         let floor = self.check(&order)?;
-        let Order { duty, holds_for, what, after, .. } = order;
-        self.floors.insert(duty.clone(), floor);
-        self.orders.insert(duty, Standing { what, after, until: now.saturating_add(holds_for) });
+        let FencedCommand { lease: duty, valid_for: holds_for, value: what, fallback: after, .. } = order;
+        self.minimums.insert(duty.clone(), floor);
+        self.accepted.insert(
+            duty,
+            AcceptedCommand { value: what, fallback: after, valid_until: now.saturating_add(holds_for) },
+        );
         Ok(())
     }
 
     /// What holds for a duty at `now`; `None` if nothing was ever ordered.
-    pub fn holds(&self, duty: &LeaseName, now: Millis) -> Option<&T> {
-        let order = self.orders.get(duty)?;
-        Some(if now < order.until { &order.what } else { &order.after })
+    pub fn effective_value(&self, duty: &LeaseName, now: Millis) -> Option<&T> {
+        let order = self.accepted.get(duty)?;
+        Some(if now < order.valid_until { &order.value } else { &order.fallback })
     }
 
     /// What is known of a duty; `None` while its gate is closed.
-    pub fn floor(&self, duty: &LeaseName) -> Option<Floor> {
-        self.floors.get(duty).copied()
+    pub fn minimum(&self, duty: &LeaseName) -> Option<MinimumToken> {
+        self.minimums.get(duty).copied()
     }
 }
--- a/crates/lease/src/session.rs
+++ b/crates/lease/src/session.rs
@@ -3,48 +3,48 @@
 //! To be given a duty is not to hold it: the keepers' wait begins when they give it, and this copy may hear of that much
 //! later. It first renews the grant, and acts from the answer on; that answer cannot be older than its own question.
 
-use crate::table::{Command, Grant};
-use crate::timing::Terms;
+use crate::table::{Grant, LeaseCommand};
+use crate::timing::LeaseTiming;
 use crate::{FencingToken, Instance, LeaseName, Millis};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Held {
+struct ConfirmedGrant {
     token: FencingToken,
     until: Millis,
 }
 
 /// See the module's text.
 #[derive(Clone, Debug)]
-pub struct Hold {
-    duty: LeaseName,
-    copy: Instance,
+pub struct LeaseSession {
+    lease: LeaseName,
+    instance: Instance,
     rank: u8,
-    terms: Terms,
-    held: Option<Held>,
+    timing: LeaseTiming,
+    held: Option<ConfirmedGrant>,
     /// Given to this copy, and not renewed yet.
-    found: Option<FencingToken>,
+    unconfirmed: Option<FencingToken>,
     /// The renewals of its grant that it has heard of.
     renewals: u64,
     /// Grants up to this one are over, whatever a late answer says.
-    over: FencingToken,
-    ask_at: Millis,
-    leaving: bool,
+    ended_up_to: FencingToken,
+    next_request_at: Millis,
+    releasing: bool,
 }
 
-impl Hold {
+impl LeaseSession {
     /// A copy that stands for a duty from `now` on. `rank`: lower ones come first.
-    pub fn new(duty: LeaseName, copy: Instance, rank: u8, terms: Terms, now: Millis) -> Hold {
-        Hold {
-            duty,
-            copy,
+    pub fn new(duty: LeaseName, copy: Instance, rank: u8, terms: LeaseTiming, now: Millis) -> LeaseSession {
+        LeaseSession {
+            lease: duty,
+            instance: copy,
             rank,
-            terms,
+            timing: terms,
             held: None,
-            found: None,
+            unconfirmed: None,
             renewals: 0,
-            over: FencingToken::default(),
-            ask_at: now,
-            leaving: false,
+            ended_up_to: FencingToken::default(),
+            next_request_at: now,
+            releasing: false,
         }
     }
 
@@ -55,39 +55,48 @@
 
     /// What to propose to the keepers, if it is time, and when it was asked for: the answer is to be given back with
     /// that. `random` is from 0 to 1; it spreads the copies that stand, so that they do not all ask at once.
-    pub fn ask(&mut self, now: Millis, random: f64) -> Option<Command> {
+    pub fn acquire(&mut self, now: Millis, random: f64) -> Option<LeaseCommand> {
         self.expire(now);
-        if now < self.ask_at {
+        if now < self.next_request_at {
             return None;
         }
-        let wait = self.terms.renew_after();
+        let wait = self.timing.renew_interval();
         let spread = (wait as f64 * 0.2 * random.clamp(0.0, 1.0)) as Millis;
-        self.ask_at = now.saturating_add(wait - spread);
-        let (duty, copy) = (self.duty.clone(), self.copy);
+        self.next_request_at = now.saturating_add(wait - spread);
+        let (duty, copy) = (self.lease.clone(), self.instance);
         Some(match self.held {
-            _ if self.leaving => Command::Leave { duty, copy },
-            Some(held) => Command::Renew { duty, copy, token: held.token, heard: self.renewals },
-            None => match self.found {
-                Some(token) => Command::Renew { duty, copy, token, heard: self.renewals },
-                None => Command::Stand { duty, copy, rank: self.rank },
+            _ if self.releasing => LeaseCommand::Release { lease: duty, instance: copy },
+            Some(held) => LeaseCommand::Renew {
+                lease: duty,
+                instance: copy,
+                token: held.token,
+                known_renewals: self.renewals,
+            },
+            None => match self.unconfirmed {
+                Some(token) => {
+                    LeaseCommand::Renew { lease: duty, instance: copy, token, known_renewals: self.renewals }
+                }
+                None => LeaseCommand::Acquire { lease: duty, instance: copy, rank: self.rank },
             },
         })
     }
 
     /// The duty's grant as the keepers have it, by an answer or by what they tell all copies.
-    pub fn heard(&mut self, now: Millis, grant: Option<Grant>) {
+    pub fn on_update(&mut self, now: Millis, grant: Option<Grant>) {
         self.expire(now);
         match grant {
-            Some(grant) if grant.holder == self.copy && grant.token > self.over && !self.leaving => {
-                let known = self.held.map(|held| held.token).max(self.found);
+            Some(grant)
+                if grant.holder == self.instance && grant.token > self.ended_up_to && !self.releasing =>
+            {
+                let known = self.held.map(|held| held.token).max(self.unconfirmed);
                 if known.is_none_or(|known| known < grant.token) {
                     self.renewals = grant.renewals;
                 } else if known == Some(grant.token) {
                     self.renewals = self.renewals.max(grant.renewals);
                 }
-                if self.held.is_none() && self.found.is_none_or(|found| found < grant.token) {
-                    self.found = Some(grant.token);
-                    self.ask_at = now;
+                if self.held.is_none() && self.unconfirmed.is_none_or(|found| found < grant.token) {
+                    self.unconfirmed = Some(grant.token);
+                    self.next_request_at = now;
                 }
             }
             // Somebody else has it: what this copy was given before is over. News of older grants says nothing.
@@ -95,48 +104,48 @@
                 if self.held.is_some_and(|held| grant.token > held.token) {
                     self.give_up();
                 }
-                self.found = self.found.filter(|found| *found > grant.token);
+                self.unconfirmed = self.unconfirmed.filter(|found| *found > grant.token);
             }
             None => {}
         }
     }
 
     /// The keepers have renewed the grant of this token, as was asked at `asked_at`.
-    pub fn renewed(&mut self, now: Millis, asked_at: Millis, token: FencingToken) {
+    pub fn on_renewed(&mut self, now: Millis, asked_at: Millis, token: FencingToken) {
         self.expire(now);
-        if token <= self.over || self.leaving {
+        if token <= self.ended_up_to || self.releasing {
             return;
         }
-        let until = asked_at.saturating_add(self.terms.held_for());
+        let until = asked_at.saturating_add(self.timing.hold_duration());
         match &mut self.held {
             // An older answer that comes late must not shorten what a newer one gave.
             Some(held) if held.token == token => held.until = held.until.max(until),
             Some(held) if held.token > token => {}
-            held => *held = Some(Held { token, until }),
+            held => *held = Some(ConfirmedGrant { token, until }),
         }
-        self.found = None;
+        self.unconfirmed = None;
         self.expire(now);
     }
 
     /// The keepers say that the grant is over.
-    pub fn refused(&mut self, newest: FencingToken) {
+    pub fn on_rejected(&mut self, newest: FencingToken) {
         if self.held.is_some_and(|held| newest >= held.token) {
             self.give_up();
         }
-        self.found = self.found.filter(|found| *found > newest);
+        self.unconfirmed = self.unconfirmed.filter(|found| *found > newest);
     }
 
     /// This copy ends: it acts no more from now on, and tells the keepers, who give the duty to the next in line.
-    pub fn leave(&mut self, now: Millis) {
-        self.leaving = true;
+    pub fn release(&mut self, now: Millis) {
+        self.releasing = true;
         self.give_up();
-        self.found = None;
-        self.ask_at = now;
+        self.unconfirmed = None;
+        self.next_request_at = now;
     }
 
     fn give_up(&mut self) {
         if let Some(held) = self.held.take() {
-            self.over = self.over.max(held.token);
+            self.ended_up_to = self.ended_up_to.max(held.token);
         }
     }
 
@@ -144,7 +153,7 @@
     fn expire(&mut self, now: Millis) {
         if let Some(held) = self.held.filter(|held| now >= held.until) {
             self.held = None;
-            self.found = Some(held.token);
+            self.unconfirmed = Some(held.token);
         }
     }
 }
--- a/crates/lease/src/timers.rs
+++ b/crates/lease/src/timers.rs
@@ -6,27 +6,27 @@
 
 /// Waits by key; each goes by a version of its thing.
 #[derive(Clone, Debug)]
-pub struct Timers<K: Ord> {
+pub struct DeadlineTimers<K: Ord> {
     since: BTreeMap<K, (u64, Millis)>,
 }
 
-impl<K: Ord> Default for Timers<K> {
+impl<K: Ord> Default for DeadlineTimers<K> {
     /// None yet.
-    fn default() -> Timers<K> {
-        Timers { since: BTreeMap::new() }
+    fn default() -> DeadlineTimers<K> {
+        DeadlineTimers { since: BTreeMap::new() }
     }
 }
 
-impl<K: Ord + Clone> Timers<K> {
+impl<K: Ord + Clone> DeadlineTimers<K> {
     /// A thing was seen at `at` with this version: its wait begins there, if a version as high was not seen before.
-    pub fn saw(&mut self, at: Millis, key: K, version: u64) {
+    pub fn observe(&mut self, at: Millis, key: K, version: u64) {
         if self.since.get(&key).is_none_or(|(known, _)| *known < version) {
             self.since.insert(key, (version, at));
         }
     }
 
     /// Looks at all that may run out: key, version and how long. Gives those whose time is over, each time it is asked.
-    pub fn look(&mut self, now: Millis, all: impl Iterator<Item = (K, u64, Millis)>) -> Vec<(K, u64)> {
+    pub fn poll(&mut self, now: Millis, all: impl Iterator<Item = (K, u64, Millis)>) -> Vec<(K, u64)> {
         let mut seen = BTreeMap::new();
         let mut over = Vec::new();
         for (key, version, after) in all {
--- a/crates/lease/src/timing.rs
+++ b/crates/lease/src/timing.rs
@@ -4,15 +4,15 @@
 
 /// The figures that all copies of a fleet share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct LeaseTiming {
     term: Millis,
     drift_ppm: u32,
-    pause: Millis,
+    safety_margin: Millis,
 }
 
 /// Terms under which nobody could hold anything safely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadTerms {
+pub enum InvalidTiming {
     /// The term is outside of what can be renewed over a network and waited for by people.
     #[error("a term lasts 200 ms to 10 minutes, not {0} ms")]
     Term(Millis),
@@ -29,19 +29,19 @@
     },
 }
 
-impl Terms {
+impl LeaseTiming {
     /// A term in milliseconds; by how much two copies' clocks may run apart, in millionths (of rates, not of readings:
     /// readings are never compared); and how long before its end a holder begins nothing new.
-    pub fn new(term: Millis, drift_ppm: u32, pause: Millis) -> Result<Terms, BadTerms> {
+    pub fn new(term: Millis, drift_ppm: u32, pause: Millis) -> Result<LeaseTiming, InvalidTiming> {
         if !(200..=600_000).contains(&term) {
-            return Err(BadTerms::Term(term));
+            return Err(InvalidTiming::Term(term));
         }
         if drift_ppm >= 200_000 {
-            return Err(BadTerms::Drift(drift_ppm));
+            return Err(InvalidTiming::Drift(drift_ppm));
         }
-        let terms = Terms { term, drift_ppm, pause };
-        if pause.saturating_mul(2) > terms.span() {
-            return Err(BadTerms::Pause { pause, term });
+        let terms = LeaseTiming { term, drift_ppm, safety_margin: pause };
+        if pause.saturating_mul(2) > terms.holder_term() {
+            return Err(InvalidTiming::Pause { pause, term });
         }
         Ok(terms)
     }
@@ -51,7 +51,7 @@
         self.term
     }
 
-    fn span(&self) -> Millis {
+    fn holder_term(&self) -> Millis {
         // In 128 bits: no product of these overflows there, and rounding is down, towards giving up sooner.
         let part = u128::from(self.term) * 1_000_000 / (1_000_000 + u128::from(self.drift_ppm));
         part as Millis
@@ -59,19 +59,19 @@
 
     /// How long a holder may act on a grant, by its own clock, from when it *asked*: the keepers count from when they
     /// answered, which is later.
-    pub fn held_for(&self) -> Millis {
-        self.span() - self.pause
+    pub fn hold_duration(&self) -> Millis {
+        self.holder_term() - self.safety_margin
     }
 
     /// How long after asking a holder asks again: two more tries fit before it has to give up.
-    pub fn renew_after(&self) -> Millis {
-        self.held_for() / 3
+    pub fn renew_interval(&self) -> Millis {
+        self.hold_duration() / 3
     }
 }
 
-impl Default for Terms {
+impl Default for LeaseTiming {
     /// Two seconds, clocks apart by 5%, and nothing new in the last tenth of a second.
-    fn default() -> Terms {
-        Terms { term: 2_000, drift_ppm: 50_000, pause: 100 }
+    fn default() -> LeaseTiming {
+        LeaseTiming { term: 2_000, drift_ppm: 50_000, safety_margin: 100 }
     }
 }
--- a/crates/lease/tests/fleet.rs
+++ b/crates/lease/tests/fleet.rs
@@ -1,11 +1,11 @@
 //! A small fleet in simulated time: keepers that change, copies that stop and start anew, clocks of different rates, and
 //! messages that come late, twice or never. A seed fixes everything; the invariants are looked at after each event.
 
-use hillstall_lease::expiry::Watch;
-use hillstall_lease::fencing::{Floor, Gates, Order};
-use hillstall_lease::session::Hold;
-use hillstall_lease::table::{Book, Command, Grant};
-use hillstall_lease::timing::Terms;
+use hillstall_lease::expiry::ExpiryMonitor;
+use hillstall_lease::fencing::{FencedCommand, FencingChecks, MinimumToken};
+use hillstall_lease::session::LeaseSession;
+use hillstall_lease::table::{Grant, LeaseCommand, LeaseTable};
+use hillstall_lease::timing::LeaseTiming;
 use hillstall_lease::{FencingToken, Instance, LeaseName, Millis};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -34,9 +34,9 @@
     Tick(usize),
     Keeper,
     Trouble,
-    Ask(Command, Instance, Millis),
+    Ask(LeaseCommand, Instance, Millis),
     Answer(Instance, Millis, Option<FencingToken>, Result<Option<Grant>, FencingToken>),
-    Order(usize, Order<u64>),
+    Order(usize, FencedCommand<u64>),
     Read(Instance),
     Told(Instance, FencingToken),
 }
@@ -55,8 +55,8 @@
 struct One {
     copy: Instance,
     clock: Clock,
-    hold: Hold,
-    gates: Gates<u64>,
+    hold: LeaseSession,
+    gates: FencingChecks<u64>,
     stopped_until: Millis,
     /// An order that was decided on before the stop, and is sent after it.
     at_hand: Option<FencingToken>,
@@ -70,8 +70,8 @@
     count: u64,
     queue: BinaryHeap<Reverse<(Millis, u64)>>,
     what: BTreeMap<u64, Happens>,
-    book: Book,
-    watch: Watch,
+    book: LeaseTable,
+    watch: ExpiryMonitor,
     keeper: Clock,
     keeper_down_until: Millis,
     copies: Vec<One>,
@@ -87,8 +87,8 @@
     LeaseName::new("shift/north").expect("a name")
 }
 
-fn terms() -> Terms {
-    Terms::new(2_000, 50_000, 100).expect("terms")
+fn terms() -> LeaseTiming {
+    LeaseTiming::new(2_000, 50_000, 100).expect("terms")
 }
 
 impl Sim {
@@ -101,8 +101,8 @@
         let keeper = clock();
         let copies = (0..COPIES).map(|rank| {
             let (copy, clock) = (Instance { rank: rank as u32, life: 1 }, clock());
-            let hold = Hold::new(duty(), copy, rank as u8 % 2, terms(), clock.read(0));
-            let gates = Gates::default();
+            let hold = LeaseSession::new(duty(), copy, rank as u8 % 2, terms(), clock.read(0));
+            let gates = FencingChecks::default();
             One { copy, clock, hold, gates, stopped_until: 0, at_hand: None, orders: 0 }
         });
         let copies = copies.collect();
@@ -113,8 +113,8 @@
             count: 0,
             queue: BinaryHeap::new(),
             what: BTreeMap::new(),
-            book: Book::default(),
-            watch: Watch::new(terms()),
+            book: LeaseTable::default(),
+            watch: ExpiryMonitor::new(terms()),
             keeper,
             keeper_down_until: 0,
             copies,
@@ -157,9 +157,9 @@
 
     fn start(&mut self, i: usize) {
         let one = &mut self.copies[i];
-        one.gates = Gates::default();
+        one.gates = FencingChecks::default();
         if self.fault == Fault::OpenAtStart {
-            one.gates.told(&duty(), Floor::default());
+            one.gates.raise_minimum(&duty(), MinimumToken::default());
         }
         let tick = self.below(TICK);
         self.at(self.now + tick, Happens::Tick(i));
@@ -192,7 +192,7 @@
             Happens::Tick(i) => self.tick(i),
             Happens::Keeper => {
                 if self.keeper_down_until <= now {
-                    for command in self.watch.look(self.keeper.read(now), &self.book) {
+                    for command in self.watch.poll(self.keeper.read(now), &self.book) {
                         // It may have changed with the one before.
                         let _ = self.book.apply(&command);
                     }
@@ -204,16 +204,16 @@
                     return;
                 }
                 let renews = match command {
-                    Command::Renew { token, .. } => Some(token),
+                    LeaseCommand::Renew { token, .. } => Some(token),
                     _ => None,
                 };
                 let applied = self.book.apply(&command);
                 // One whose last answer was lost is told the grant as it is, and renews from there.
-                let unheard = applied == Err(hillstall_lease::table::Refused::Unheard);
+                let unheard = applied == Err(hillstall_lease::table::LeaseError::UnobservedRenewal);
                 let renews = renews.filter(|_| !unheard);
                 let answer = match unheard {
                     true => Ok(self.book.grant(&duty())),
-                    false => applied.map_err(|_| self.book.floor(&duty())),
+                    false => applied.map_err(|_| self.book.highest_token(&duty())),
                 };
                 self.send(move || Happens::Answer(copy, asked_at, renews, answer));
             }
@@ -227,24 +227,24 @@
                 let local = one.clock.read(now);
                 let asked_at = if self.fault == Fault::FromAnswer { local } else { asked_at };
                 match (answer, renews) {
-                    (Err(newest), _) => one.hold.refused(newest),
+                    (Err(newest), _) => one.hold.on_rejected(newest),
                     (Ok(grant), Some(token)) => {
-                        one.hold.renewed(local, asked_at, token);
-                        one.hold.heard(local, grant);
+                        one.hold.on_renewed(local, asked_at, token);
+                        one.hold.on_update(local, grant);
                     }
-                    (Ok(grant), None) => one.hold.heard(local, grant),
+                    (Ok(grant), None) => one.hold.on_update(local, grant),
                 }
             }
             Happens::Order(i, order) => self.carry_out(i, order),
             Happens::Read(copy) => {
                 if self.keeper_down_until <= now {
-                    let floor = self.book.floor(&duty());
+                    let floor = self.book.highest_token(&duty());
                     self.send(move || Happens::Told(copy, floor));
                 }
             }
             Happens::Told(copy, token) => {
                 if let Some(i) = self.alive(copy) {
-                    self.copies[i].gates.told(&duty(), Floor { token, number: None });
+                    self.copies[i].gates.raise_minimum(&duty(), MinimumToken { token, sequence: None });
                 }
             }
             Happens::Trouble => self.trouble(),
@@ -256,10 +256,10 @@
         let random = self.below(1_000) as f64 / 1_000.0;
         let one = &mut self.copies[i];
         let (copy, local) = (one.copy, one.clock.read(now));
-        let asks = one.hold.ask(local, random);
+        let asks = one.hold.acquire(local, random);
         // What was decided before a stop is done now, whatever has happened; only then is the lease asked again.
         let acts = one.at_hand.take().or(one.hold.token(local));
-        let closed = one.gates.floor(&duty()).is_none();
+        let closed = one.gates.minimum(&duty()).is_none();
         if let Some(command) = asks {
             self.send(move || Happens::Ask(command.clone(), copy, local));
         }
@@ -269,7 +269,14 @@
         if let Some(token) = acts {
             self.copies[i].orders += 1;
             let number = self.copies[i].orders;
-            let order = Order { duty: duty(), token, number, holds_for: 500, what: token.0, after: 0 };
+            let order = FencedCommand {
+                lease: duty(),
+                token,
+                sequence: number,
+                valid_for: 500,
+                value: token.0,
+                fallback: 0,
+            };
             for to in 0..COPIES {
                 let order = order.clone();
                 self.send(move || Happens::Order(to, order.clone()));
@@ -278,10 +285,10 @@
         self.at(now + TICK, Happens::Tick(i));
     }
 
-    fn carry_out(&mut self, i: usize, order: Order<u64>) {
+    fn carry_out(&mut self, i: usize, order: FencedCommand<u64>) {
         let (now, token) = (self.now, order.token);
         let one = &mut self.copies[i];
-        let taken = one.gates.take(one.clock.read(now), order);
+        let taken = one.gates.accept(one.clock.read(now), order);
         if taken.is_err() && self.fault != Fault::NoCheck {
             return;
         }
@@ -313,7 +320,7 @@
                 one.at_hand = None;
                 one.stopped_until = 0;
                 one.orders = 0;
-                one.hold = Hold::new(duty(), one.copy, i as u8 % 2, terms(), one.clock.read(now));
+                one.hold = LeaseSession::new(duty(), one.copy, i as u8 % 2, terms(), one.clock.read(now));
                 let ticks: Vec<u64> = self
                     .what
                     .iter()
@@ -331,14 +338,14 @@
                 self.keeper_down_until = now + self.below(3_000);
                 let ppm = 1_000_000 - RATE_PPM + self.below(2 * RATE_PPM);
                 self.keeper = Clock { from: self.below(1_000_000_000), ppm };
-                self.watch = Watch::new(terms());
+                self.watch = ExpiryMonitor::new(terms());
             }
             // The holder goes in order.
             _ => {
                 let one = &mut self.copies[i];
                 let local = one.clock.read(now);
                 if one.hold.token(local).is_some() {
-                    one.hold.leave(local);
+                    one.hold.release(local);
                 }
             }
         }
@@ -355,7 +362,7 @@
         if !holders.is_empty() {
             self.held_at = self.now;
         }
-        let newest = self.book.floor(&duty()).0;
+        let newest = self.book.highest_token(&duty()).0;
         if newest < self.grants {
             self.wrong.push(format!("{}: tokens fell from {} to {newest}", self.now, self.grants));
         }
@@ -381,7 +388,7 @@
         grants += sim.grants;
         done += sim.done;
         // All that stood may have left in order; then nobody is to hold it.
-        let stands = sim.book.duties().any(|(_, grant, standing)| grant.is_some() || !standing.is_empty());
+        let stands = sim.book.leases().any(|(_, grant, standing)| grant.is_some() || !standing.is_empty());
         if stands && sim.held_at + 5_000 < END {
             unheld.push(seed);
         }
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -1,8 +1,8 @@
 //! All that can happen, in every order, to a few owners, one place that carries out, and messages that come late, twice or
 //! never: a model check of grants and gates, complete for the bounds stated below. Each planted fault must be found.
 
-use hillstall_lease::fencing::{Floor, Gates, Order};
-use hillstall_lease::table::{Book, Command};
+use hillstall_lease::fencing::{FencedCommand, FencingChecks, MinimumToken};
+use hillstall_lease::table::{LeaseCommand, LeaseTable};
 use hillstall_lease::{FencingToken, Instance, LeaseName};
 use stateright::{Checker, Model, Property};
 
@@ -26,14 +26,14 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    book: Book,
+    book: LeaseTable,
     /// The book as a keeper had it that was left behind.
-    behind: Book,
+    behind: LeaseTable,
     /// What each owner last heard that it holds: it may be long over, as owners are stopped and go on.
     believes: Vec<Option<FencingToken>>,
     /// Orders under way; they stay, so that each may come late, twice, or never.
-    sent: Vec<Order<u64>>,
-    gates: Gates<u64>,
+    sent: Vec<FencedCommand<u64>>,
+    gates: FencingChecks<u64>,
     starts: u8,
     /// The highest token that was ever carried out here, over all starts, and whether one below it was later.
     highest: FencingToken,
@@ -65,11 +65,11 @@
 
     fn init_states(&self) -> Vec<State> {
         vec![State {
-            book: Book::default(),
-            behind: Book::default(),
+            book: LeaseTable::default(),
+            behind: LeaseTable::default(),
             believes: vec![None; OWNERS as usize],
             sent: Vec::new(),
-            gates: Gates::default(),
+            gates: FencingChecks::default(),
             starts: 1,
             highest: FencingToken(0),
             fell: false,
@@ -77,7 +77,7 @@
     }
 
     fn actions(&self, state: &State, acts: &mut Vec<Act>) {
-        let newest = state.book.floor(&duty());
+        let newest = state.book.highest_token(&duty());
         for rank in 0..OWNERS {
             if newest.0 < GRANTS {
                 acts.push(Act::Stand(rank));
@@ -100,18 +100,22 @@
         let grant = state.book.grant(&duty());
         match act {
             Act::Stand(rank) => {
-                let signs = state.book.duties().flat_map(|(_, _, standing)| standing);
-                if signs.into_iter().any(|one| one.copy == owner(rank)) {
+                let signs = state.book.leases().flat_map(|(_, _, standing)| standing);
+                if signs.into_iter().any(|one| one.instance == owner(rank)) {
                     return None;
                 }
                 state.behind = state.book.clone();
-                state.book.apply(&Command::Stand { duty: duty(), copy: owner(rank), rank: 0 }).ok()?;
+                state
+                    .book
+                    .apply(&LeaseCommand::Acquire { lease: duty(), instance: owner(rank), rank: 0 })
+                    .ok()?;
             }
             // At any time, also while the holder is well: that stands for clocks that run apart without bound.
             Act::Lapse => {
                 let grant = grant?;
                 state.behind = state.book.clone();
-                let lapse = Command::Lapse { duty: duty(), token: grant.token, renewals: grant.renewals };
+                let lapse =
+                    LeaseCommand::Expire { lease: duty(), token: grant.token, renewals: grant.renewals };
                 state.book.apply(&lapse).ok()?;
             }
             Act::Hear(rank) => {
@@ -120,7 +124,14 @@
             }
             Act::Send(rank) => {
                 let token = state.believes[rank as usize]?;
-                let order = Order { duty: duty(), token, number: 0, holds_for: 1, what: token.0, after: 0 };
+                let order = FencedCommand {
+                    lease: duty(),
+                    token,
+                    sequence: 0,
+                    valid_for: 1,
+                    value: token.0,
+                    fallback: 0,
+                };
                 if state.sent.contains(&order) {
                     return None;
                 }
@@ -131,21 +142,24 @@
                 let order = state.sent[i].clone();
                 let token = order.token;
                 if self.0 != Fault::NoCheck {
-                    state.gates.take(0, order).ok()?;
+                    state.gates.accept(0, order).ok()?;
                 }
                 state.fell |= token < state.highest;
                 state.highest = state.highest.max(token);
             }
             Act::Restart => {
                 state.starts += 1;
-                state.gates = Gates::default();
+                state.gates = FencingChecks::default();
                 if self.0 == Fault::OpenAtStart {
-                    state.gates.told(&duty(), Floor::default());
+                    state.gates.raise_minimum(&duty(), MinimumToken::default());
                 }
             }
             Act::Read => {
                 let from = if self.0 == Fault::StaleFloor { &state.behind } else { &state.book };
-                state.gates.told(&duty(), Floor { token: from.floor(&duty()), number: None });
+                state.gates.raise_minimum(
+                    &duty(),
+                    MinimumToken { token: from.highest_token(&duty()), sequence: None },
+                );
             }
         }
         Some(state).filter(|state| state != last)
--- a/crates/maintenance/src/calendar.rs
+++ b/crates/maintenance/src/calendar.rs
@@ -1,7 +1,7 @@
 //! When windows occur. A start is a reading of the clock on the wall of a time zone, and stays that reading over changes
 //! to and from summer time.
 
-use crate::machine::{Overrun, Plan};
+use crate::windows::{Overrun, Plan};
 use crate::Millis;
 use jiff::civil::DateTime;
 use jiff::tz::{AmbiguousOffset, TimeZone};
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -7,15 +7,15 @@
 //!   and then back by itself.
 
 pub mod calendar;
-pub mod machine;
-pub mod part;
-pub mod steps;
+pub mod shift;
+pub mod traffic;
+pub mod windows;
 
 /// Unix time, or a length of time, in milliseconds.
 pub type Millis = u64;
 
 /// A part of a site's usual load, in thousandths.
-pub type Part = u16;
+pub type TrafficFraction = u16;
 
 /// All of it.
-pub const WHOLE: Part = 1_000;
+pub const FULL_TRAFFIC: TrafficFraction = 1_000;
--- a/crates/maintenance/src/steps.rs
+++ b/crates/maintenance/src/shift.rs
@@ -1,9 +1,9 @@
 //! What the owner of a site's shift proposes next. Each step waits for what the last one did, and is no larger than the
 //! other sites can bear above their reserve.
 
-use crate::machine::{Command, Overrun, Plan, Stage, Window};
-use crate::{Millis, Part, WHOLE};
-use hillstall_change_freeze::register::Number;
+use crate::windows::{Command, Overrun, Plan, Stage, Window};
+use crate::{Millis, TrafficFraction, FULL_TRAFFIC};
+use hillstall_change_freeze::state::Number;
 use std::collections::BTreeMap;
 
 /// What the copies report of one site, added up, over the last seconds.
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pace {
     /// The most that one step takes, in thousandths.
-    pub step: Part,
+    pub step: TrafficFraction,
     /// The least time between two steps, for their effect to be seen.
     pub wait: Millis,
     /// The part of the usual load under which a site counts as empty.
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Steps {
     /// The window and the part that were seen last, and since when.
-    seen: Option<(Number, Stage, Part, Millis)>,
+    seen: Option<(Number, Stage, TrafficFraction, Millis)>,
 }
 
 /// Why a window is not admitted now.
@@ -159,9 +159,11 @@
                     Overrun::Hold => (over && !window.overrun).then_some(Command::Overran { window: number }),
                 }
             }
-            Stage::Returning if window.part == WHOLE => waited.then_some(Command::Finish { window: number }),
+            Stage::Returning if window.part == FULL_TRAFFIC => {
+                waited.then_some(Command::Finish { window: number })
+            }
             Stage::Returning => waited.then(|| {
-                let part = window.part.saturating_add(pace.step).min(WHOLE);
+                let part = window.part.saturating_add(pace.step).min(FULL_TRAFFIC);
                 Command::Return { window: number, part, why: None }
             }),
             Stage::Admitted | Stage::Done | Stage::Postponed | Stage::Cancelled => None,
@@ -171,7 +173,7 @@
     /// Whether the last step is carried out by the copies, and the others bear it. What the site is still sent says little
     /// while it is being emptied: it moves with every front that is lost or comes back. It has to be next to nothing at the end.
     fn took(&self, window: &Window, figures: &Figures, pace: &Pace) -> bool {
-        let part = f64::from(window.part) / f64::from(WHOLE);
+        let part = f64::from(window.part) / f64::from(FULL_TRAFFIC);
         let given = figures.sites.get(&window.plan.site).map_or(1.0, |load| load.part);
         let bears = |load: &Load| load.sent == 0.0 || load.served >= pace.served;
         let mut others = figures.sites.iter().filter(|(site, _)| **site != window.plan.site);
@@ -183,8 +185,8 @@
         let others = figures.sites.iter().filter(|(site, _)| **site != window.plan.site);
         let bear = others.map(|(_, load)| room(load, window.plan.reserve)).sum::<Option<f64>>();
         let most = match bear {
-            Some(bear) if usual > 0.0 => (bear / usual * f64::from(WHOLE)) as Part,
-            _ => WHOLE,
+            Some(bear) if usual > 0.0 => (bear / usual * f64::from(FULL_TRAFFIC)) as TrafficFraction,
+            _ => FULL_TRAFFIC,
         };
         let step = pace.step.min(most);
         (step > 0).then(|| Command::Step { window: number, part: window.part.saturating_sub(step) })
--- a/crates/maintenance/src/part.rs
+++ b/crates/maintenance/src/traffic.rs
@@ -1,7 +1,7 @@
 //! The part of its usual load that a site gets at one copy. Down at once, as the order says; up by a stated pace, so that a
 //! site is not met by all copies in one instant, also where the order has run out and nobody is left to give another.
 
-use crate::{Millis, Part, WHOLE};
+use crate::{Millis, TrafficFraction, FULL_TRAFFIC};
 
 /// What one copy was last told of a site.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -28,8 +28,8 @@
     }
 
     /// What holds from now on.
-    pub fn set(&mut self, now: Millis, part: Part) {
-        let to = f64::from(part.min(WHOLE)) / f64::from(WHOLE);
+    pub fn set(&mut self, now: Millis, part: TrafficFraction) {
+        let to = f64::from(part.min(FULL_TRAFFIC)) / f64::from(FULL_TRAFFIC);
         if to == self.to {
             return;
         }
--- a/crates/maintenance/src/machine.rs
+++ b/crates/maintenance/src/windows.rs
@@ -1,10 +1,10 @@
 //! The states of a window. A window's permit is asked for in the same command that admits it, so no incident can open
 //! between the two; and no command makes two sites be away at once.
 
-use crate::{Millis, Part, WHOLE};
-use hillstall_change_freeze::register::{self as freeze, Answer, Number, Register, Stand, Wish};
+use crate::{Millis, TrafficFraction, FULL_TRAFFIC};
 use hillstall_change_freeze::rules::{Kind, Reaction};
 use hillstall_change_freeze::scope::Scope;
+use hillstall_change_freeze::state::{self as freeze, Answer, Number, Register, Stand, Wish};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -99,7 +99,7 @@
     /// Where it stands.
     pub stage: Stage,
     /// The part of its usual load that the site is to get.
-    pub part: Part,
+    pub part: TrafficFraction,
     /// The site's calls in a thousand seconds, before anything was shifted.
     pub usual: u64,
     /// Its permit.
@@ -144,7 +144,7 @@
         /// Which.
         window: Number,
         /// Which part.
-        part: Part,
+        part: TrafficFraction,
     },
     /// The owner: nothing comes there any more.
     Emptied {
@@ -166,7 +166,7 @@
         /// Which.
         window: Number,
         /// Which part.
-        part: Part,
+        part: TrafficFraction,
         /// Why before its time, if so.
         why: Option<String>,
     },
@@ -216,9 +216,9 @@
     #[error("a site that gets {from} in a thousand can't go to {to} this way")]
     Part {
         /// Before.
-        from: Part,
+        from: TrafficFraction,
         /// Asked for.
-        to: Part,
+        to: TrafficFraction,
     },
     /// It has no permit, or has to react to an incident.
     #[error("no permit: {0}")]
@@ -283,7 +283,7 @@
                 Command::Return { part, why, .. },
                 Stage::Shifting | Stage::Empty | Stage::Running | Stage::Returning,
             ) => {
-                if *part < window.part || *part > WHOLE {
+                if *part < window.part || *part > FULL_TRAFFIC {
                     return Err(Refused::Part { from: window.part, to: *part });
                 }
                 (window.stage, window.part) = (Stage::Returning, *part);
@@ -291,7 +291,7 @@
                     window.why = why.chars().take(200).collect();
                 }
             }
-            (Command::Finish { .. }, Stage::Returning) if window.part == WHOLE => {
+            (Command::Finish { .. }, Stage::Returning) if window.part == FULL_TRAFFIC => {
                 let why = window.why.clone();
                 window.end(Stage::Done, &why, register);
             }
@@ -301,7 +301,7 @@
     }
 
     fn plan(&mut self, plan: &Plan) -> Result<(), Refused> {
-        if !hillstall_change_freeze::is_name(&plan.site) {
+        if !hillstall_change_freeze::is_valid_name(&plan.site) {
             return Err(Refused::Plan(
                 "a site's name has 1 to 64 letters, digits, '-', '.', '_', '/' or '@'",
             ));
@@ -323,7 +323,7 @@
         self.count += 1;
         let plan = plan.clone();
         let (stage, why) = (Stage::Planned, String::new());
-        let new = Window { plan, stage, part: WHOLE, usual: 0, change: None, overrun: false, why };
+        let new = Window { plan, stage, part: FULL_TRAFFIC, usual: 0, change: None, overrun: false, why };
         self.all.insert(self.count, new);
         Ok(())
     }
--- a/crates/maintenance/tests/windows.rs
+++ b/crates/maintenance/tests/windows.rs
@@ -1,13 +1,13 @@
 //! The calendar, the states of a window, and the steps of its owner.
 
-use hillstall_change_freeze::register::{By, Command as Freeze, Register};
 use hillstall_change_freeze::rules::Severity;
 use hillstall_change_freeze::scope::Scope;
+use hillstall_change_freeze::state::{By, Command as Freeze, Register};
 use hillstall_maintenance::calendar::{check, Rule, Shown};
-use hillstall_maintenance::machine::{Command, Overrun, Plan, Refused, Stage, Windows};
-use hillstall_maintenance::part::SitePart;
-use hillstall_maintenance::steps::{not_admitted, Figures, Load, Pace, Steps};
-use hillstall_maintenance::{Millis, WHOLE};
+use hillstall_maintenance::shift::{not_admitted, Figures, Load, Pace, Steps};
+use hillstall_maintenance::traffic::SitePart;
+use hillstall_maintenance::windows::{Command, Overrun, Plan, Refused, Stage, Windows};
+use hillstall_maintenance::{Millis, FULL_TRAFFIC};
 use jiff::tz::TimeZone;
 use proptest::prelude::*;
 
@@ -147,7 +147,7 @@
     });
     let on = take(&mut windows, Command::Step { window: 1, part: 400 }, &mut register);
     assert!(matches!(on, Err(Refused::NoPermit(_))), "{on:?}");
-    let back = Command::Return { window: 1, part: WHOLE, why: Some("south is lost".into()) };
+    let back = Command::Return { window: 1, part: FULL_TRAFFIC, why: Some("south is lost".into()) };
     take(&mut windows, back, &mut register).expect("back");
     take(&mut windows, Command::Finish { window: 1 }, &mut register).expect("over");
     let barred = take(&mut windows, Command::Admit { window: 2, usual: 1 }, &mut register);
@@ -162,14 +162,14 @@
     assert_eq!(part.read(1_000), 0.5);
     part.set(2_000, 0);
     assert_eq!(part.read(2_000), 0.0);
-    part.set(3_000, WHOLE);
+    part.set(3_000, FULL_TRAFFIC);
     assert_eq!((part.read(3_000), part.read(8_000), part.read(13_000)), (0.0, 0.5, 1.0));
     assert!(part.moves(12_000) && !part.moves(13_000));
 }
 
 fn any_command() -> impl Strategy<Value = Command> {
     let window = 1..4u64;
-    let part = prop::sample::select(vec![0, 200, 500, 900, WHOLE]);
+    let part = prop::sample::select(vec![0, 200, 500, 900, FULL_TRAFFIC]);
     prop_oneof![
         prop::sample::select(vec!["a", "b", "c"]).prop_map(|site| Command::Plan(plan(site))),
         window.clone().prop_map(|window| Command::Admit { window, usual: 10 }),
@@ -193,7 +193,7 @@
             prop_assert_eq!(register.wrong(), None);
             for window in windows.all().values() {
                 prop_assert!(window.stage != Stage::Running || window.part == 0, "{:?}", refused);
-                prop_assert_eq!(window.part < WHOLE && !window.stage.is_away(), false);
+                prop_assert_eq!(window.part < FULL_TRAFFIC && !window.stage.is_away(), false);
             }
         }
     }
