--- a/crates/change-freeze/src/rules.rs
+++ b/crates/change-freeze/src/rules.rs
@@ -19,7 +19,7 @@
 
 /// What alters the fleet on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum ChangeKind {
     /// A new operator file.
     OperatorFile,
     /// A new version of the program.
@@ -29,7 +29,7 @@
     /// The maintenance of a site.
     Window,
     /// A keeper that is replaced.
-    Keeper,
+    Replica,
     /// A roll-out of settings.
     Settings,
 }
@@ -54,11 +54,11 @@
         }
 
         impl FromStr for $of {
-            type Err = BadWord;
+            type Err = ParseWordError;
 
-            fn from_str(text: &str) -> Result<$of, BadWord> {
+            fn from_str(text: &str) -> Result<$of, ParseWordError> {
                 let found = $of::ALL.iter().find(|value| value.word() == text).copied();
-                found.ok_or_else(|| BadWord {
+                found.ok_or_else(|| ParseWordError {
                     what: $what,
                     word: text.chars().take(crate::MAX_NAME_BYTES).collect(),
                     words: $of::ALL.iter().map(|value| value.word()).collect::<Vec<_>>().join(", "),
@@ -71,7 +71,7 @@
 /// A word that is not known.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{word:?} is no {what}: {words}")]
-pub struct BadWord {
+pub struct ParseWordError {
     what: &'static str,
     word: String,
     words: String,
@@ -79,13 +79,13 @@
 
 words!(Severity, "severity", Minor = "minor", Major = "major", Critical = "critical");
 words!(
-    Kind,
+    ChangeKind,
     "kind of change",
     OperatorFile = "operator-file",
     Upgrade = "upgrade",
     Drain = "drain",
     Window = "window",
-    Keeper = "keeper",
+    Replica = "keeper",
     Settings = "settings"
 );
 
@@ -102,10 +102,10 @@
 
 words!(Reaction, "reaction", Finish = "finish", Pause = "pause", Undo = "undo");
 
-impl Kind {
+impl ChangeKind {
     /// Whether the fleet can bear less while it lasts.
     pub fn takes_capacity(self) -> bool {
-        matches!(self, Kind::Upgrade | Kind::Drain | Kind::Window | Kind::Keeper)
+        matches!(self, ChangeKind::Upgrade | ChangeKind::Drain | ChangeKind::Window | ChangeKind::Replica)
     }
 }
 
@@ -113,7 +113,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Rule {
     /// Scopes that meet are never changed by two at once.
-    Apart,
+    ExclusiveScope,
     /// What an incident names as its remedy passes it.
     Remedy,
     /// What two people have asked for as an emergency passes incidents.
@@ -125,12 +125,12 @@
     /// A minor incident bars what takes capacity from its scope.
     Minor,
     /// An older or worthier change that waits goes first.
-    Turn,
+    QueueOrder,
 }
 
 /// The rules in the order in which they are asked.
 pub const PRECEDENCE: &[(Rule, &str, &str)] = &[
-    (Rule::Apart, "apart", "waits while a change whose scope meets is in flight, incident or none"),
+    (Rule::ExclusiveScope, "apart", "waits while a change whose scope meets is in flight, incident or none"),
     (Rule::Remedy, "remedy", "passes an incident that names it"),
     (Rule::Emergency, "emergency", "passes all incidents, once two people have asked for it within a minute"),
     (Rule::Critical, "critical", "refused while a critical incident is active anywhere"),
@@ -140,15 +140,15 @@
         "minor",
         "refused if it takes capacity, while a minor incident is active whose scope meets",
     ),
-    (Rule::Turn, "turn", "waits for an earlier or worthier change in line whose scope meets"),
+    (Rule::QueueOrder, "turn", "waits for an earlier or worthier change in line whose scope meets"),
 ];
 
 /// The rule by which an incident bars a change, remedies and emergencies aside.
-pub fn bars(severity: Severity, incident: &Scope, kind: Kind, change: &Scope) -> Option<Rule> {
+pub fn blocking_rule(severity: Severity, incident: &Scope, kind: ChangeKind, change: &Scope) -> Option<Rule> {
     match severity {
         Severity::Critical => Some(Rule::Critical),
-        Severity::Major => Some(Rule::Major).filter(|_| incident.meets(change)),
-        Severity::Minor => Some(Rule::Minor).filter(|_| incident.meets(change) && kind.takes_capacity()),
+        Severity::Major => Some(Rule::Major).filter(|_| incident.overlaps(change)),
+        Severity::Minor => Some(Rule::Minor).filter(|_| incident.overlaps(change) && kind.takes_capacity()),
     }
 }
 
--- a/crates/change-freeze/src/state.rs
+++ b/crates/change-freeze/src/state.rs
@@ -1,7 +1,7 @@
 //! Incidents, changes and permits, as the keepers agree on them. Each command may come twice and late; a permit's number
 //! is its token and rises for ever.
 
-use crate::rules::{bars, Kind, Reaction, Rule, Severity};
+use crate::rules::{blocking_rule, ChangeKind, Reaction, Rule, Severity};
 use crate::scope::Scope;
 use crate::{is_valid_name, Millis};
 use serde::{Deserialize, Serialize};
@@ -9,42 +9,42 @@
 use std::fmt;
 
 /// Most incidents, changes and lines of the record that are kept: what a snapshot carries is bounded.
-pub const INCIDENTS_MOST: usize = 256;
+pub const MAX_INCIDENTS: usize = 256;
 /// See [`INCIDENTS_MOST`].
-pub const CHANGES_MOST: usize = 256;
+pub const MAX_CHANGES: usize = 256;
 /// See [`INCIDENTS_MOST`]; the oldest go first.
-pub const RECORD_MOST: usize = 512;
+pub const MAX_AUDIT_RECORDS: usize = 512;
 /// Longest time that a change may ask for: a day.
-pub const RUNS_MOST: Millis = 86_400_000;
+pub const MAX_CHANGE_DURATION_MS: Millis = 86_400_000;
 /// How long a change that was barred in flight has to finish, pause or undo before it counts as stuck.
-pub const REACTS_FOR: Millis = 60_000;
+pub const REACTION_TIMEOUT_MS: Millis = 60_000;
 /// How long an incident that was resolved still bars: what comes back at once is the same incident.
-pub const COOLS_FOR: Millis = 30_000;
+pub const INCIDENT_COOLDOWN_MS: Millis = 30_000;
 /// How long an emergency waits for its second person.
-pub const SECOND_WITHIN: Millis = 60_000;
+pub const SECOND_APPROVAL_TIMEOUT_MS: Millis = 60_000;
 /// When a refused change is told to ask again.
-pub const ASK_AGAIN: Millis = 5_000;
+pub const BLOCKED_RETRY_AFTER_MS: Millis = 5_000;
 /// How much worth a waiting change gains each time that another goes before it.
-const PASSED_WORTH: u32 = 16;
+const PRIORITY_PER_OVERTAKE: u32 = 16;
 
 /// Number of an incident or a change; they share one count, which rises for ever.
 pub type Number = u64;
 
 /// Who did something.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum By {
+pub enum Requester {
     /// A person, by the one name that all of theirs lead to.
     Person(String),
     /// The coordinator, by this token. Whether it is the newest is checked before it comes here.
     Rule(u64),
 }
 
-impl fmt::Display for By {
+impl fmt::Display for Requester {
     /// The form that stands in audit records. These are replicated, so every version has to write the same bytes.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            By::Person(name) => write!(f, "Person({name:?})"),
-            By::Rule(token) => write!(f, "Rule({token})"),
+            Requester::Person(name) => write!(f, "Person({name:?})"),
+            Requester::Rule(token) => write!(f, "Rule({token})"),
         }
     }
 }
@@ -59,11 +59,11 @@
     /// What was seen.
     pub evidence: String,
     /// Who opened it.
-    pub by: By,
+    pub opened_by: Requester,
     /// Who has taken it on.
-    pub taken: Option<String>,
+    pub assignee: Option<String>,
     /// Resolved, and not forgotten yet.
-    pub cooling: bool,
+    pub cooling_down: bool,
     /// The changes that remedy it.
     pub remedies: BTreeSet<Number>,
     /// Rises with each news of it, so that a wait that began before one ends nothing.
@@ -72,39 +72,39 @@
 
 /// Where a change stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Stand {
+pub enum ChangeStatus {
     /// Barred by an incident, or in line.
-    Waits,
+    Queued,
     /// An emergency that one person has asked for.
-    Half,
+    AwaitingSecondApproval,
     /// It may be carried out.
     InFlight,
     /// An incident has opened: it does what it declared.
-    Reacts,
+    Reacting,
     /// It has not said in time that it did.
-    Stuck,
+    Overdue,
 }
 
-impl Stand {
+impl ChangeStatus {
     /// Whether it may be altering the fleet.
     pub fn is_in_flight(self) -> bool {
-        matches!(self, Stand::InFlight | Stand::Reacts | Stand::Stuck)
+        matches!(self, ChangeStatus::InFlight | ChangeStatus::Reacting | ChangeStatus::Overdue)
     }
 }
 
 /// What a change asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Wish {
+pub struct ChangeRequest {
     /// What it is.
-    pub kind: Kind,
+    pub kind: ChangeKind,
     /// What it touches.
     pub scope: Scope,
     /// Who asks.
-    pub who: String,
+    pub requested_by: String,
     /// How much it matters, 0 to 255.
-    pub worth: u8,
+    pub priority: u8,
     /// How long it runs at most, in milliseconds, from when it asked.
-    pub runs_for: Millis,
+    pub max_duration: Millis,
     /// What it does if an incident opens.
     pub reaction: Reaction,
 }
@@ -113,22 +113,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
     /// What it asked for.
-    pub wish: Wish,
+    pub request: ChangeRequest,
     /// Where it stands.
-    pub stand: Stand,
+    pub status: ChangeStatus,
     /// Two people have asked for it.
     pub emergency: bool,
     /// How often another went before it while it waited.
-    pub passed: u32,
+    pub overtaken: u32,
     /// See [`Incident::version`].
     pub version: u64,
 }
 
 /// What is proposed to the keepers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Command {
+pub enum FreezeCommand {
     /// Opens an incident, or adds to the one that is open for the same scope by the same kind of opener.
-    Open {
+    OpenIncident {
         /// How bad.
         severity: Severity,
         /// What it touches.
@@ -136,31 +136,31 @@
         /// What was seen.
         evidence: String,
         /// Who opens it.
-        by: By,
+        opened_by: Requester,
     },
     /// A person takes it on.
-    Take {
+    AssignIncident {
         /// Which.
         incident: Number,
         /// Who.
         person: String,
     },
     /// It is over; it cools down before it is forgotten.
-    Resolve {
+    ResolveIncident {
         /// Which.
         incident: Number,
         /// Who says so. A rule closes only what a rule has opened and nobody has taken.
-        by: By,
+        resolved_by: Requester,
     },
     /// It has cooled down.
-    Cooled {
+    CooldownElapsed {
         /// Which.
         incident: Number,
         /// What was waited for.
         version: u64,
     },
     /// A change remedies an incident.
-    Name {
+    LinkRemedy {
         /// The incident.
         incident: Number,
         /// The change.
@@ -169,73 +169,73 @@
         person: String,
     },
     /// Asks for a permit.
-    Ask(Wish),
+    RequestChange(ChangeRequest),
     /// Asks for one in spite of incidents; the second of two different people gets it.
-    Emergency(Wish),
+    RequestEmergencyChange(ChangeRequest),
     /// The change is over, was undone, or waits no more.
-    Done {
+    FinishChange {
         /// Which.
         change: Number,
     },
     /// A keeper has waited for as long as the change's stand lasts at most.
-    Lapse {
+    ExpireChange {
         /// Which.
         change: Number,
         /// What was waited for.
         version: u64,
     },
     /// A person has looked at a stuck change, and it is over.
-    Clear {
+    ClearOverdueChange {
         /// Which.
         change: Number,
         /// Who.
         person: String,
     },
     /// A signal of the platform: nothing bars it, it is only written down.
-    Signal {
+    RecordSignal {
         /// What came to which copy.
-        what: String,
+        description: String,
     },
 }
 
 /// What became of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Answer {
+pub enum Response {
     /// It is done; the number is the incident's or the change's.
-    Done(Number),
+    Accepted(Number),
     /// The change may be carried out under this number.
-    Permit(Number),
+    Permitted(Number),
     /// It waits in line.
-    Waits {
+    Queued {
         /// Its number.
         change: Number,
         /// Behind which.
         behind: Number,
     },
     /// It waits for the second of two people.
-    Half(Number),
+    AwaitingSecondApproval(Number),
     /// An incident bars it.
-    Barred {
+    Blocked {
         /// Its number: it can be named as a remedy.
         change: Number,
         /// By which incident.
         incident: Number,
         /// When to ask again, in milliseconds.
-        ask_again: Millis,
+        retry_after: Millis,
     },
     /// Nothing came of it.
-    Refused(Refused),
+    Rejected(RejectReason),
 }
 
 /// Why nothing came of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
-pub enum Refused {
+pub enum RejectReason {
     /// There is none of that number.
     #[error("there is none of that number")]
-    Unknown,
+    NotFound,
     /// What it goes by is over.
     #[error("it has changed since")]
-    Over,
+    Superseded,
     /// A rule closes only what a rule has opened.
     #[error("a person has opened it or taken it on, so only a person closes it")]
     NotByRule,
@@ -244,29 +244,29 @@
     SamePerson,
     /// A text is empty, too long or holds what can't be printed.
     #[error("{}", crate::NAME_RULE)]
-    Name,
+    InvalidName,
     /// It would run for too long or not at all.
     #[error("a change runs for 1 ms to a day")]
-    Runs,
+    InvalidDuration,
     /// The register is full.
     #[error("there are as many incidents or changes as may be open")]
-    Full,
+    CapacityReached,
 }
 
 /// A line of the record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Line {
+pub struct AuditRecord {
     /// Its number, without gaps.
-    pub number: u64,
+    pub sequence: u64,
     /// What it is about.
-    pub about: Number,
+    pub subject: Number,
     /// What happened.
-    pub what: String,
+    pub description: String,
 }
 
 /// Something that runs out by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Wait {
+pub enum TimerKey {
     /// An incident that cools down.
     Incident(Number),
     /// A change: its permit, its reaction, or its second person.
@@ -275,212 +275,246 @@
 
 /// See the module's text.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Register {
-    count: Number,
+pub struct FreezeState {
+    last_number: Number,
     incidents: BTreeMap<Number, Incident>,
     changes: BTreeMap<Number, Change>,
-    lines: u64,
-    record: VecDeque<Line>,
+    audit_sequence: u64,
+    audit_log: VecDeque<AuditRecord>,
 }
 
-impl Register {
+impl FreezeState {
     /// Applies what the keepers have agreed on.
-    pub fn apply(&mut self, command: &Command) -> Answer {
-        let answer = self.take(command).unwrap_or_else(Answer::Refused);
-        self.move_up();
+    pub fn apply(&mut self, command: &FreezeCommand) -> Response {
+        let answer = self.execute(command).unwrap_or_else(Response::Rejected);
+        self.grant_unblocked_changes();
         answer
     }
 
-    fn take(&mut self, command: &Command) -> Result<Answer, Refused> {
+    fn execute(&mut self, command: &FreezeCommand) -> Result<Response, RejectReason> {
         match command {
-            Command::Open { severity, scope, evidence, by } => self.open(*severity, scope, evidence, by),
-            Command::Take { incident, person } => {
-                name(person)?;
-                let of = self.incidents.get_mut(incident).ok_or(Refused::Unknown)?;
-                of.taken = Some(person.clone());
+            FreezeCommand::OpenIncident { severity, scope, evidence, opened_by: by } => {
+                self.open_incident(*severity, scope, evidence, by)
+            }
+            FreezeCommand::AssignIncident { incident, person } => {
+                check_name(person)?;
+                let of = self.incidents.get_mut(incident).ok_or(RejectReason::NotFound)?;
+                of.assignee = Some(person.clone());
                 of.version += 1;
-                Ok(self.noted(*incident, format!("taken by {person}")))
+                Ok(self.append_audit(*incident, format!("taken by {person}")))
+            }
+            FreezeCommand::ResolveIncident { incident, resolved_by: by } => {
+                self.resolve_incident(*incident, by)
             }
-            Command::Resolve { incident, by } => self.resolve(*incident, by),
-            Command::Cooled { incident, version } => {
-                let of = self.incidents.get(incident).ok_or(Refused::Unknown)?;
-                if !of.cooling || of.version != *version {
-                    return Err(Refused::Over);
+            FreezeCommand::CooldownElapsed { incident, version } => {
+                let of = self.incidents.get(incident).ok_or(RejectReason::NotFound)?;
+                if !of.cooling_down || of.version != *version {
+                    return Err(RejectReason::Superseded);
                 }
                 self.incidents.remove(incident);
-                Ok(self.noted(*incident, "over".into()))
+                Ok(self.append_audit(*incident, "over".into()))
             }
-            Command::Name { incident, change, person } => {
-                name(person)?;
+            FreezeCommand::LinkRemedy { incident, change, person } => {
+                check_name(person)?;
                 if !self.changes.contains_key(change) {
-                    return Err(Refused::Unknown);
+                    return Err(RejectReason::NotFound);
                 }
-                let of = self.incidents.get_mut(incident).ok_or(Refused::Unknown)?;
+                let of = self.incidents.get_mut(incident).ok_or(RejectReason::NotFound)?;
                 of.remedies.insert(*change);
-                Ok(self.noted(*incident, format!("{person} names change {change} as its remedy")))
+                Ok(self.append_audit(*incident, format!("{person} names change {change} as its remedy")))
             }
-            Command::Ask(wish) => self.ask(wish),
-            Command::Emergency(wish) => self.emergency(wish),
-            Command::Done { change } => self.end(*change, "done".into()),
-            Command::Lapse { change, version } => self.lapse(*change, *version),
-            Command::Clear { change, person } => {
-                name(person)?;
-                self.end(*change, format!("cleared by {person}"))
+            FreezeCommand::RequestChange(wish) => self.request_change(wish),
+            FreezeCommand::RequestEmergencyChange(wish) => self.request_emergency_change(wish),
+            FreezeCommand::FinishChange { change } => self.remove_change(*change, "done".into()),
+            FreezeCommand::ExpireChange { change, version } => self.expire_change(*change, *version),
+            FreezeCommand::ClearOverdueChange { change, person } => {
+                check_name(person)?;
+                self.remove_change(*change, format!("cleared by {person}"))
             }
-            Command::Signal { what } => {
+            FreezeCommand::RecordSignal { description: what } => {
                 let what: String =
                     what.chars().filter(|c| !c.is_control()).take(crate::MAX_NAME_BYTES).collect();
-                Ok(self.noted(0, format!("without a permit: {what}")))
+                Ok(self.append_audit(0, format!("without a permit: {what}")))
             }
         }
     }
 
-    fn noted(&mut self, about: Number, what: String) -> Answer {
-        self.lines += 1;
-        self.record.push_back(Line { number: self.lines, about, what });
-        if self.record.len() > RECORD_MOST {
-            self.record.pop_front();
+    fn append_audit(&mut self, about: Number, what: String) -> Response {
+        self.audit_sequence += 1;
+        self.audit_log.push_back(AuditRecord {
+            sequence: self.audit_sequence,
+            subject: about,
+            description: what,
+        });
+        if self.audit_log.len() > MAX_AUDIT_RECORDS {
+            self.audit_log.pop_front();
         }
-        Answer::Done(about)
+        Response::Accepted(about)
     }
 
-    fn next(&mut self) -> Number {
-        self.count += 1;
-        self.count
+    fn next_number(&mut self) -> Number {
+        self.last_number += 1;
+        self.last_number
     }
 
     // ---- incidents ----
 
-    fn open(
+    fn open_incident(
         &mut self,
         severity: Severity,
         scope: &Scope,
         evidence: &str,
-        by: &By,
-    ) -> Result<Answer, Refused> {
-        if let By::Person(person) = by {
-            name(person)?;
+        by: &Requester,
+    ) -> Result<Response, RejectReason> {
+        if let Requester::Person(person) = by {
+            check_name(person)?;
         }
         let evidence: String = evidence.chars().filter(|c| !c.is_control()).take(200).collect();
-        let by_rule = |by: &By| matches!(by, By::Rule(_));
+        let by_rule = |by: &Requester| matches!(by, Requester::Rule(_));
         // What flaps is one incident: it is open again, or worse than it was.
-        let known =
-            self.incidents.iter_mut().find(|(_, i)| i.scope == *scope && by_rule(&i.by) == by_rule(by));
+        let known = self
+            .incidents
+            .iter_mut()
+            .find(|(_, i)| i.scope == *scope && by_rule(&i.opened_by) == by_rule(by));
         let number = if let Some((number, known)) = known {
             known.severity = known.severity.max(severity);
             known.evidence = evidence;
-            known.cooling = false;
+            known.cooling_down = false;
             known.version += 1;
             *number
-        } else if self.incidents.len() >= INCIDENTS_MOST {
-            return Err(Refused::Full);
+        } else if self.incidents.len() >= MAX_INCIDENTS {
+            return Err(RejectReason::CapacityReached);
         } else {
-            let number = self.next();
+            let number = self.next_number();
             let (taken, remedies) = (None, BTreeSet::new());
             let (scope, by) = (scope.clone(), by.clone());
-            let new = Incident { severity, scope, evidence, by, taken, cooling: false, remedies, version: 0 };
+            let new = Incident {
+                severity,
+                scope,
+                evidence,
+                opened_by: by,
+                assignee: taken,
+                cooling_down: false,
+                remedies,
+                version: 0,
+            };
             self.incidents.insert(number, new);
             number
         };
-        let answer = self.noted(number, format!("{severity} incident at {scope} by {by}"));
-        self.judge_in_flight(number);
+        let answer = self.append_audit(number, format!("{severity} incident at {scope} by {by}"));
+        self.notify_blocked_changes(number);
         Ok(answer)
     }
 
     /// What is in flight and barred now does what it declared, with a deadline.
-    fn judge_in_flight(&mut self, incident: Number) {
+    fn notify_blocked_changes(&mut self, incident: Number) {
         let Some(of) = self.incidents.get(&incident) else { return };
         let barred = |(number, change): &(&Number, &mut Change)| {
-            change.stand == Stand::InFlight
+            change.status == ChangeStatus::InFlight
                 && !change.emergency
                 && !of.remedies.contains(number)
-                && bars(of.severity, &of.scope, change.wish.kind, &change.wish.scope).is_some()
+                && blocking_rule(of.severity, &of.scope, change.request.kind, &change.request.scope).is_some()
         };
         let mut notes = Vec::new();
         for (number, change) in self.changes.iter_mut().filter(barred) {
             // What declared that it finishes keeps the time it was given.
-            if change.wish.reaction != Reaction::Finish {
-                change.stand = Stand::Reacts;
+            if change.request.reaction != Reaction::Finish {
+                change.status = ChangeStatus::Reacting;
                 change.version += 1;
-                notes.push((*number, format!("has to {} for incident {incident}", change.wish.reaction)));
+                notes.push((*number, format!("has to {} for incident {incident}", change.request.reaction)));
             }
         }
         for (number, note) in notes {
-            self.noted(number, note);
+            self.append_audit(number, note);
         }
     }
 
-    fn resolve(&mut self, incident: Number, by: &By) -> Result<Answer, Refused> {
-        let of = self.incidents.get_mut(&incident).ok_or(Refused::Unknown)?;
+    fn resolve_incident(&mut self, incident: Number, by: &Requester) -> Result<Response, RejectReason> {
+        let of = self.incidents.get_mut(&incident).ok_or(RejectReason::NotFound)?;
         match by {
-            By::Person(person) => name(person)?,
-            By::Rule(_) if !matches!(of.by, By::Rule(_)) || of.taken.is_some() => {
-                return Err(Refused::NotByRule)
+            Requester::Person(person) => check_name(person)?,
+            Requester::Rule(_) if !matches!(of.opened_by, Requester::Rule(_)) || of.assignee.is_some() => {
+                return Err(RejectReason::NotByRule)
             }
-            By::Rule(_) => {}
+            Requester::Rule(_) => {}
         }
-        if of.cooling {
-            return Err(Refused::Over);
+        if of.cooling_down {
+            return Err(RejectReason::Superseded);
         }
-        of.cooling = true;
+        of.cooling_down = true;
         of.version += 1;
-        Ok(self.noted(incident, format!("resolved by {by}")))
+        Ok(self.append_audit(incident, format!("resolved by {by}")))
     }
 
     // ---- changes ----
 
-    fn admit(&mut self, wish: &Wish, stand: Stand, emergency: bool) -> Result<Number, Refused> {
-        name(&wish.who)?;
-        if !(1..=RUNS_MOST).contains(&wish.runs_for) {
-            return Err(Refused::Runs);
+    fn enqueue(
+        &mut self,
+        wish: &ChangeRequest,
+        stand: ChangeStatus,
+        emergency: bool,
+    ) -> Result<Number, RejectReason> {
+        check_name(&wish.requested_by)?;
+        if !(1..=MAX_CHANGE_DURATION_MS).contains(&wish.max_duration) {
+            return Err(RejectReason::InvalidDuration);
         }
-        if self.changes.len() >= CHANGES_MOST {
-            return Err(Refused::Full);
+        if self.changes.len() >= MAX_CHANGES {
+            return Err(RejectReason::CapacityReached);
         }
-        let number = self.next();
+        let number = self.next_number();
         let wish = wish.clone();
-        self.changes.insert(number, Change { wish, stand, emergency, passed: 0, version: 0 });
+        self.changes
+            .insert(number, Change { request: wish, status: stand, emergency, overtaken: 0, version: 0 });
         Ok(number)
     }
 
-    fn ask(&mut self, wish: &Wish) -> Result<Answer, Refused> {
-        let number = self.admit(wish, Stand::Waits, false)?;
-        self.noted(number, format!("{} at {} asked for by {}", wish.kind, wish.scope, wish.who));
-        Ok(self.judge(number))
+    fn request_change(&mut self, wish: &ChangeRequest) -> Result<Response, RejectReason> {
+        let number = self.enqueue(wish, ChangeStatus::Queued, false)?;
+        self.append_audit(
+            number,
+            format!("{} at {} asked for by {}", wish.kind, wish.scope, wish.requested_by),
+        );
+        Ok(self.decide(number))
     }
 
-    fn emergency(&mut self, wish: &Wish) -> Result<Answer, Refused> {
-        name(&wish.who)?;
-        let same =
-            |c: &Change| c.stand == Stand::Half && c.wish.kind == wish.kind && c.wish.scope == wish.scope;
+    fn request_emergency_change(&mut self, wish: &ChangeRequest) -> Result<Response, RejectReason> {
+        check_name(&wish.requested_by)?;
+        let same = |c: &Change| {
+            c.status == ChangeStatus::AwaitingSecondApproval
+                && c.request.kind == wish.kind
+                && c.request.scope == wish.scope
+        };
         let Some((number, half)) = self.changes.iter_mut().find(|(_, c)| same(c)) else {
-            let number = self.admit(wish, Stand::Half, false)?;
-            self.noted(number, format!("emergency {} at {} by {}", wish.kind, wish.scope, wish.who));
-            return Ok(Answer::Half(number));
+            let number = self.enqueue(wish, ChangeStatus::AwaitingSecondApproval, false)?;
+            self.append_audit(
+                number,
+                format!("emergency {} at {} by {}", wish.kind, wish.scope, wish.requested_by),
+            );
+            return Ok(Response::AwaitingSecondApproval(number));
         };
-        if half.wish.who == wish.who {
-            return Err(Refused::SamePerson);
+        if half.request.requested_by == wish.requested_by {
+            return Err(RejectReason::SamePerson);
         }
         let number = *number;
         half.emergency = true;
-        half.stand = Stand::Waits;
+        half.status = ChangeStatus::Queued;
         half.version += 1;
-        self.noted(number, format!("emergency seconded by {}", wish.who));
-        Ok(self.judge(number))
+        self.append_audit(number, format!("emergency seconded by {}", wish.requested_by));
+        Ok(self.decide(number))
     }
 
     /// What keeps a waiting change from its permit, by the rules in their order.
-    fn against(&self, number: Number) -> Option<(Rule, Number)> {
+    fn blocking_reason(&self, number: Number) -> Option<(Rule, Number)> {
         let change = self.changes.get(&number)?;
-        let wish = &change.wish;
-        let meets = |other: &Change| other.wish.scope.meets(&wish.scope);
+        let wish = &change.request;
+        let meets = |other: &Change| other.request.scope.overlaps(&wish.scope);
         let others = || self.changes.iter().filter(|(n, _)| **n != number);
-        if let Some((other, _)) = others().find(|(_, c)| c.stand.is_in_flight() && meets(c)) {
-            return Some((Rule::Apart, *other));
+        if let Some((other, _)) = others().find(|(_, c)| c.status.is_in_flight() && meets(c)) {
+            return Some((Rule::ExclusiveScope, *other));
         }
         if !change.emergency {
             let barred = self.incidents.iter().find_map(|(n, i)| {
-                let rule = bars(i.severity, &i.scope, wish.kind, &wish.scope)?;
+                let rule = blocking_rule(i.severity, &i.scope, wish.kind, &wish.scope)?;
                 (!i.remedies.contains(&number)).then_some((rule, *n))
             });
             if barred.is_some() {
@@ -489,107 +523,122 @@
         }
         // One that waits for something else than an incident keeps its place before later ones, or a wide scope would
         // never find all its parts free.
-        let first = |n: Number, c: &Change| (c.emergency, c.score(), std::cmp::Reverse(n));
+        let first = |n: Number, c: &Change| (c.emergency, c.effective_priority(), std::cmp::Reverse(n));
         let own = first(number, change);
         let ahead = others().find(|(n, c)| {
-            c.stand == Stand::Waits && meets(c) && first(**n, c) > own && !self.is_barred(**n, c)
+            c.status == ChangeStatus::Queued
+                && meets(c)
+                && first(**n, c) > own
+                && !self.is_blocked_by_incident(**n, c)
         });
-        ahead.map(|(n, _)| (Rule::Turn, *n))
+        ahead.map(|(n, _)| (Rule::QueueOrder, *n))
     }
 
-    fn is_barred(&self, number: Number, change: &Change) -> bool {
-        let wish = &change.wish;
+    fn is_blocked_by_incident(&self, number: Number, change: &Change) -> bool {
+        let wish = &change.request;
         !change.emergency
             && self.incidents.values().any(|i| {
-                bars(i.severity, &i.scope, wish.kind, &wish.scope).is_some() && !i.remedies.contains(&number)
+                blocking_rule(i.severity, &i.scope, wish.kind, &wish.scope).is_some()
+                    && !i.remedies.contains(&number)
             })
     }
 
-    fn judge(&mut self, number: Number) -> Answer {
-        match self.against(number) {
+    fn decide(&mut self, number: Number) -> Response {
+        match self.blocking_reason(number) {
             None => {
-                self.grant(number);
-                Answer::Permit(number)
+                self.grant_permit(number);
+                Response::Permitted(number)
+            }
+            Some((Rule::ExclusiveScope | Rule::QueueOrder, behind)) => {
+                Response::Queued { change: number, behind }
+            }
+            Some((_, incident)) => {
+                Response::Blocked { change: number, incident, retry_after: BLOCKED_RETRY_AFTER_MS }
             }
-            Some((Rule::Apart | Rule::Turn, behind)) => Answer::Waits { change: number, behind },
-            Some((_, incident)) => Answer::Barred { change: number, incident, ask_again: ASK_AGAIN },
         }
     }
 
-    fn grant(&mut self, number: Number) {
+    fn grant_permit(&mut self, number: Number) {
         let Some(change) = self.changes.get_mut(&number) else { return };
-        change.stand = Stand::InFlight;
+        change.status = ChangeStatus::InFlight;
         change.version += 1;
-        let scope = change.wish.scope.clone();
+        let scope = change.request.scope.clone();
         for (other, waits) in &mut self.changes {
-            if *other < number && waits.stand == Stand::Waits && waits.wish.scope.meets(&scope) {
-                waits.passed += 1;
+            if *other < number && waits.status == ChangeStatus::Queued && waits.request.scope.overlaps(&scope)
+            {
+                waits.overtaken += 1;
             }
         }
-        self.noted(number, "permit given".into());
+        self.append_audit(number, "permit given".into());
     }
 
     /// Gives permits to those in line that nothing keeps from theirs any more.
-    fn move_up(&mut self) {
+    fn grant_unblocked_changes(&mut self) {
         loop {
-            let waiting = self.changes.iter().filter(|(_, c)| c.stand == Stand::Waits);
+            let waiting = self.changes.iter().filter(|(_, c)| c.status == ChangeStatus::Queued);
             let mut waiting: Vec<Number> = waiting.map(|(n, _)| *n).collect();
-            waiting.sort_by_key(|n| std::cmp::Reverse(self.changes[n].score()));
-            match waiting.into_iter().find(|n| self.against(*n).is_none()) {
-                Some(free) => self.grant(free),
+            waiting.sort_by_key(|n| std::cmp::Reverse(self.changes[n].effective_priority()));
+            match waiting.into_iter().find(|n| self.blocking_reason(*n).is_none()) {
+                Some(free) => self.grant_permit(free),
                 None => return,
             }
         }
     }
 
-    fn end(&mut self, change: Number, what: String) -> Result<Answer, Refused> {
-        self.changes.remove(&change).ok_or(Refused::Unknown)?;
+    fn remove_change(&mut self, change: Number, what: String) -> Result<Response, RejectReason> {
+        self.changes.remove(&change).ok_or(RejectReason::NotFound)?;
         for incident in self.incidents.values_mut() {
             incident.remedies.remove(&change);
         }
-        Ok(self.noted(change, what))
+        Ok(self.append_audit(change, what))
     }
 
-    fn lapse(&mut self, number: Number, version: u64) -> Result<Answer, Refused> {
-        let change = self.changes.get_mut(&number).ok_or(Refused::Unknown)?;
+    fn expire_change(&mut self, number: Number, version: u64) -> Result<Response, RejectReason> {
+        let change = self.changes.get_mut(&number).ok_or(RejectReason::NotFound)?;
         if change.version != version {
-            return Err(Refused::Over);
+            return Err(RejectReason::Superseded);
         }
-        match change.stand {
+        match change.status {
             // It may still be half done, and nobody knows: it goes on to keep others away.
-            Stand::Reacts => {
-                change.stand = Stand::Stuck;
+            ChangeStatus::Reacting => {
+                change.status = ChangeStatus::Overdue;
                 change.version += 1;
-                Ok(self.noted(number, "stuck".into()))
+                Ok(self.append_audit(number, "stuck".into()))
+            }
+            ChangeStatus::Overdue => Err(RejectReason::Superseded),
+            ChangeStatus::InFlight => self.remove_change(number, "its time ran out".into()),
+            ChangeStatus::Queued | ChangeStatus::AwaitingSecondApproval => {
+                self.remove_change(number, "nobody waits for it any more".into())
             }
-            Stand::Stuck => Err(Refused::Over),
-            Stand::InFlight => self.end(number, "its time ran out".into()),
-            Stand::Waits | Stand::Half => self.end(number, "nobody waits for it any more".into()),
         }
     }
 
     // ---- what is read ----
 
     /// What runs out by itself, what is counted of it, and after how long.
-    pub fn waits(&self) -> impl Iterator<Item = (Wait, u64, Millis)> + '_ {
-        let cooling = self.incidents.iter().filter(|(_, i)| i.cooling);
-        let changes = self.changes.iter().filter(|(_, c)| c.stand != Stand::Stuck);
-        cooling.map(|(n, i)| (Wait::Incident(*n), i.version, COOLS_FOR)).chain(changes.map(|(n, c)| {
-            let after = match c.stand {
-                Stand::Half => SECOND_WITHIN,
-                Stand::Reacts => REACTS_FOR,
-                // A wait in line is as long as the change itself may be.
-                Stand::Waits | Stand::InFlight | Stand::Stuck => c.wish.runs_for,
-            };
-            (Wait::Change(*n), c.version, after)
-        }))
+    pub fn timers(&self) -> impl Iterator<Item = (TimerKey, u64, Millis)> + '_ {
+        let cooling = self.incidents.iter().filter(|(_, i)| i.cooling_down);
+        let changes = self.changes.iter().filter(|(_, c)| c.status != ChangeStatus::Overdue);
+        cooling.map(|(n, i)| (TimerKey::Incident(*n), i.version, INCIDENT_COOLDOWN_MS)).chain(changes.map(
+            |(n, c)| {
+                let after = match c.status {
+                    ChangeStatus::AwaitingSecondApproval => SECOND_APPROVAL_TIMEOUT_MS,
+                    ChangeStatus::Reacting => REACTION_TIMEOUT_MS,
+                    // A wait in line is as long as the change itself may be.
+                    ChangeStatus::Queued | ChangeStatus::InFlight | ChangeStatus::Overdue => {
+                        c.request.max_duration
+                    }
+                };
+                (TimerKey::Change(*n), c.version, after)
+            },
+        ))
     }
 
     /// The command by which a wait that is over ends.
-    pub fn ends(wait: Wait, version: u64) -> Command {
+    pub fn expiry_command(wait: TimerKey, version: u64) -> FreezeCommand {
         match wait {
-            Wait::Incident(incident) => Command::Cooled { incident, version },
-            Wait::Change(change) => Command::Lapse { change, version },
+            TimerKey::Incident(incident) => FreezeCommand::CooldownElapsed { incident, version },
+            TimerKey::Change(change) => FreezeCommand::ExpireChange { change, version },
         }
     }
 
@@ -604,38 +653,42 @@
     }
 
     /// What happened, in order; the oldest lines are gone.
-    pub fn record(&self) -> &VecDeque<Line> {
-        &self.record
+    pub fn audit_log(&self) -> &VecDeque<AuditRecord> {
+        &self.audit_log
     }
 
     /// The incident that would bar such a change now, if any.
-    pub fn bars(&self, kind: Kind, scope: &Scope) -> Option<Number> {
-        let barring = self.incidents.iter().find(|(_, i)| bars(i.severity, &i.scope, kind, scope).is_some());
+    pub fn blocking_incident(&self, kind: ChangeKind, scope: &Scope) -> Option<Number> {
+        let barring =
+            self.incidents.iter().find(|(_, i)| blocking_rule(i.severity, &i.scope, kind, scope).is_some());
         barring.map(|(number, _)| *number)
     }
 
     /// What must never be: two in flight that meet. Asked by tests and by the referee, after each command.
-    pub fn wrong(&self) -> Option<String> {
-        let in_flight: Vec<_> = self.changes.iter().filter(|(_, c)| c.stand.is_in_flight()).collect();
+    pub fn check_invariants(&self) -> Option<String> {
+        let in_flight: Vec<_> = self.changes.iter().filter(|(_, c)| c.status.is_in_flight()).collect();
         for (i, (a, one)) in in_flight.iter().enumerate() {
-            if let Some((b, _)) = in_flight[i + 1..].iter().find(|(_, c)| c.wish.scope.meets(&one.wish.scope))
+            if let Some((b, _)) =
+                in_flight[i + 1..].iter().find(|(_, c)| c.request.scope.overlaps(&one.request.scope))
             {
                 return Some(format!("changes {a} and {b} are in flight at once"));
             }
         }
         let loose = self.changes.iter().find(|(number, c)| {
-            c.stand == Stand::InFlight && c.wish.reaction != Reaction::Finish && self.is_barred(**number, c)
+            c.status == ChangeStatus::InFlight
+                && c.request.reaction != Reaction::Finish
+                && self.is_blocked_by_incident(**number, c)
         });
         loose.map(|(number, _)| format!("change {number} goes on though an incident bars it"))
     }
 }
 
 impl Change {
-    fn score(&self) -> u32 {
-        u32::from(self.wish.worth) + self.passed.saturating_mul(PASSED_WORTH)
+    fn effective_priority(&self) -> u32 {
+        u32::from(self.request.priority) + self.overtaken.saturating_mul(PRIORITY_PER_OVERTAKE)
     }
 }
 
-fn name(text: &str) -> Result<(), Refused> {
-    is_valid_name(text).then_some(()).ok_or(Refused::Name)
+fn check_name(text: &str) -> Result<(), RejectReason> {
+    is_valid_name(text).then_some(()).ok_or(RejectReason::InvalidName)
 }
--- a/crates/consensus/src/load_reports.rs
+++ b/crates/consensus/src/load_reports.rs
@@ -1,6 +1,6 @@
 //! What copies count and tell, with its age, and what is made of it for all.
 
-use hillstall_change_freeze::detection::{Fact, Sign};
+use hillstall_change_freeze::detection::{Observation, Symptom};
 use hillstall_change_freeze::scope::Scope;
 use hillstall_lease::{Instance, Millis};
 use hillstall_maintenance::shift::{Figures, Load};
@@ -137,7 +137,7 @@
     }
 
     /// What a coordinator goes by.
-    pub fn facts(&self, now: Millis) -> Vec<Fact> {
+    pub fn facts(&self, now: Millis) -> Vec<Observation> {
         let (mut asked, mut refused) = (0, 0);
         let mut sites: BTreeMap<&String, (u64, u64)> = BTreeMap::new();
         for report in self.young(now) {
@@ -152,11 +152,11 @@
         let mut facts = Vec::new();
         if asked >= ASKED_LEAST {
             let level = refused as f64 / asked as f64;
-            facts.push(Fact { scope: Scope::Fleet, sign: Sign::Refused, level });
+            facts.push(Observation { scope: Scope::Fleet, symptom: Symptom::Rejected, level });
         }
         for (site, (silent, ended)) in sites.into_iter().filter(|(_, (_, ended))| *ended >= CALLS_LEAST) {
             let level = silent as f64 / ended as f64;
-            facts.push(Fact { scope: Scope::Site(site.clone()), sign: Sign::Lost, level });
+            facts.push(Observation { scope: Scope::Site(site.clone()), symptom: Symptom::Unanswered, level });
         }
         facts
     }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -8,9 +8,9 @@
 use crate::replica::{Keeper, News};
 use crate::state::{Command, Id, Outcome, Proposal, State, COORDINATOR};
 use crate::storage::Disk;
-use hillstall_change_freeze::detection::{Detector, Fact, Limits, Sign};
+use hillstall_change_freeze::detection::{Detector, Observation, Symptom, Thresholds};
 use hillstall_change_freeze::scope::Scope;
-use hillstall_change_freeze::state::{Register, Stand, Wait};
+use hillstall_change_freeze::state::{ChangeStatus, FreezeState, TimerKey};
 use hillstall_lease::expiry::ExpiryMonitor;
 use hillstall_lease::fencing::FencedCommand;
 use hillstall_lease::table;
@@ -59,7 +59,7 @@
     /// How a shift goes.
     pub pace: Pace,
     /// When reports make an incident.
-    pub limits: Limits,
+    pub limits: Thresholds,
     /// How long an order holds that is not heard again.
     pub holds_for: Millis,
     /// How long a site takes from nothing to all of its load where nobody leads it back.
@@ -151,7 +151,7 @@
     opens_at: Option<u64>,
     read_at: Option<Millis>,
     leases: ExpiryMonitor,
-    timers: DeadlineTimers<Wait>,
+    timers: DeadlineTimers<TimerKey>,
     reports: Reports,
     detector: Detector,
     steps: BTreeMap<LeaseName, Steps>,
@@ -511,10 +511,12 @@
         let Some(keeper) = &self.keeper else { return };
         let leads = keeper.leads();
         let lapsed = self.leases.poll(now, keeper.state().book());
-        let over = self.timers.poll(now, keeper.state().register().waits());
+        let over = self.timers.poll(now, keeper.state().register().timers());
         if leads {
             let lapsed = lapsed.into_iter().map(Command::Lease);
-            let over = over.into_iter().map(|(wait, version)| Command::Freeze(Register::ends(wait, version)));
+            let over = over
+                .into_iter()
+                .map(|(wait, version)| Command::Freeze(FreezeState::expiry_command(wait, version)));
             for command in lapsed.chain(over).collect::<Vec<_>>() {
                 // It is due again at each look until the state has changed; one at a time is enough.
                 if !self.pending.values().any(|p| p.proposal.command == command) {
@@ -698,10 +700,10 @@
         if let Some(heard) = self.keeper.as_ref().and_then(|keeper| keeper.heard()) {
             let margin = heard <= self.setup.keepers / 2 + 1 && self.setup.keepers > 1;
             let level = if margin { 1.0 } else { 0.0 };
-            facts.push(Fact { scope: Scope::Keepers, sign: Sign::Margin, level });
+            facts.push(Observation { scope: Scope::Replicas, symptom: Symptom::QuorumMargin, level });
         }
         let register = known(&self.keeper, &self.replica).register();
-        let commands = self.detector.look(now, &facts, register, token.0);
+        let commands = self.detector.poll(now, &facts, register, token.0);
         for command in commands.into_iter().map(Command::Freeze) {
             if !self.pending.values().any(|p| p.proposal.command == command) {
                 self.propose(now, command, Why::Own, OWN_FOR);
@@ -755,18 +757,18 @@
 
 /// What keeps a window from going on: its permit has to be given back, or another site is in trouble.
 fn trouble(
-    register: &Register,
+    register: &FreezeState,
     window: &hillstall_maintenance::windows::Window,
     site: &str,
 ) -> Option<String> {
     let own = Scope::Site(site.to_owned());
-    let stand = window.change.and_then(|change| register.changes().get(&change)).map(|c| c.stand);
-    if window.change.is_some() && stand != Some(Stand::InFlight) {
+    let stand = window.change.and_then(|change| register.changes().get(&change)).map(|c| c.status);
+    if window.change.is_some() && stand != Some(ChangeStatus::InFlight) {
         return Some("its permit is over".into());
     }
     let bad = register.incidents().iter().find(|(_, i)| {
         // What happens at the site itself, while people work there, is what the window is for.
-        !i.cooling && i.scope != own && i.severity >= hillstall_change_freeze::rules::Severity::Major
+        !i.cooling_down && i.scope != own && i.severity >= hillstall_change_freeze::rules::Severity::Major
     });
     bad.map(|(number, i)| format!("incident {number} at {}: {}", i.scope, i.evidence))
 }
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -1,7 +1,7 @@
 //! The one state that the keepers agree on: duties, windows, incidents and permits. Commands come in the same order to
 //! each keeper; one that comes twice acts once.
 
-use hillstall_change_freeze::state::{self as freeze, By, Register};
+use hillstall_change_freeze::state::{self as freeze, FreezeState, Requester};
 use hillstall_lease::table::{self, Grant, LeaseTable};
 use hillstall_lease::{FencingToken, Instance, LeaseName};
 use hillstall_maintenance::windows::{self as window, Windows};
@@ -36,7 +36,7 @@
     /// About who holds a duty.
     Lease(table::LeaseCommand),
     /// About incidents and changes.
-    Freeze(freeze::Command),
+    Freeze(freeze::FreezeCommand),
     /// About a site's window, by whoever holds the duty of its shift, or by a person.
     Window {
         /// The token it goes by; none for what people may do.
@@ -66,7 +66,7 @@
         newest: FencingToken,
     },
     /// See there.
-    Freeze(freeze::Answer),
+    Freeze(freeze::Response),
     /// The window is where the command leads.
     Window,
     /// Nothing came of it.
@@ -88,7 +88,7 @@
 pub struct State {
     index: u64,
     book: LeaseTable,
-    register: Register,
+    register: FreezeState,
     windows: Windows,
     known: BTreeMap<Instance, Known>,
 }
@@ -139,10 +139,11 @@
             Command::Freeze(command) => {
                 // A coordinator that was followed by another says nothing any more.
                 let by = match command {
-                    freeze::Command::Open { by, .. } | freeze::Command::Resolve { by, .. } => Some(by),
+                    freeze::FreezeCommand::OpenIncident { opened_by: by, .. }
+                    | freeze::FreezeCommand::ResolveIncident { resolved_by: by, .. } => Some(by),
                     _ => None,
                 };
-                if let Some(By::Rule(token)) = by {
+                if let Some(Requester::Rule(token)) = by {
                     let checked =
                         LeaseName::new(COORDINATOR).map(|duty| self.holds(&duty, FencingToken(*token)));
                     if let Ok(Err(over)) = checked {
@@ -188,7 +189,7 @@
     }
 
     /// Incidents and changes.
-    pub fn register(&self) -> &Register {
+    pub fn register(&self) -> &FreezeState {
         &self.register
     }
 
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -2,9 +2,9 @@
 //! never stands beside an incident that bars it, two that meet are never in flight, and what a coordinator that was
 //! followed by another says has no effect.
 
-use hillstall_change_freeze::rules::{Kind, Reaction, Severity};
+use hillstall_change_freeze::rules::{ChangeKind, Reaction, Severity};
 use hillstall_change_freeze::scope::Scope;
-use hillstall_change_freeze::state::{By, Command as Freeze, Wish};
+use hillstall_change_freeze::state::{ChangeRequest, FreezeCommand as Freeze, Requester};
 use hillstall_consensus::state::{Command, Id, Outcome, Proposal, State, COORDINATOR};
 use hillstall_lease::table::LeaseCommand as Lease;
 use hillstall_lease::{FencingToken, Instance, LeaseName};
@@ -111,17 +111,17 @@
                 let newest = before.state.book().highest_token(&duty());
                 let own = Permits::token(&before.state, by);
                 let token = if self.0 == Fault::AnyToken { newest } else { own };
-                let by_rule = By::Rule(token.0);
+                let by_rule = Requester::Rule(token.0);
                 let command = match act {
-                    Act::Opens(_) => Freeze::Open {
+                    Act::Opens(_) => Freeze::OpenIncident {
                         severity: Severity::Major,
                         scope: Permits::site(0),
                         evidence: "lost".into(),
-                        by: by_rule,
+                        opened_by: by_rule,
                     },
-                    _ => Freeze::Resolve {
+                    _ => Freeze::ResolveIncident {
                         incident: *before.state.register().incidents().keys().next()?,
-                        by: by_rule,
+                        resolved_by: by_rule,
                     },
                 };
                 let outcome = apply(&mut now, 0, Command::Freeze(command));
@@ -140,43 +140,48 @@
                 if self.0 == Fault::Forgets {
                     let incidents: Vec<u64> = now.state.register().incidents().keys().copied().collect();
                     for incident in incidents {
-                        let by = By::Person("nobody".into());
-                        apply(&mut now, 1, Command::Freeze(Freeze::Resolve { incident, by }));
+                        let by = Requester::Person("nobody".into());
+                        apply(
+                            &mut now,
+                            1,
+                            Command::Freeze(Freeze::ResolveIncident { incident, resolved_by: by }),
+                        );
                         let version = now.state.register().incidents()[&incident].version;
-                        apply(&mut now, 2, Command::Freeze(Freeze::Cooled { incident, version }));
+                        apply(&mut now, 2, Command::Freeze(Freeze::CooldownElapsed { incident, version }));
                     }
                 }
             }
             Act::Asks(n) => {
-                let wish = Wish {
-                    kind: Kind::Drain,
+                let wish = ChangeRequest {
+                    kind: ChangeKind::Drain,
                     scope: Permits::site(n),
-                    who: "tom".into(),
-                    worth: 1,
-                    runs_for: 1_000,
+                    requested_by: "tom".into(),
+                    priority: 1,
+                    max_duration: 1_000,
                     reaction: Reaction::Undo,
                 };
-                let bars = before.state.register().bars(Kind::Drain, &wish.scope).is_some();
+                let bars =
+                    before.state.register().blocking_incident(ChangeKind::Drain, &wish.scope).is_some();
                 let command = match self.0 == Fault::NoIncidents && bars {
                     // As if nobody looked: two people are made up, and it passes.
                     true => {
-                        apply(&mut now, 1, Command::Freeze(Freeze::Emergency(wish.clone())));
-                        Freeze::Emergency(Wish { who: "ann".into(), ..wish })
+                        apply(&mut now, 1, Command::Freeze(Freeze::RequestEmergencyChange(wish.clone())));
+                        Freeze::RequestEmergencyChange(ChangeRequest { requested_by: "ann".into(), ..wish })
                     }
-                    false => Freeze::Ask(wish),
+                    false => Freeze::RequestChange(wish),
                 };
                 apply(&mut now, 0, Command::Freeze(command));
             }
             Act::Ends(change) => {
-                apply(&mut now, 0, Command::Freeze(Freeze::Done { change }));
+                apply(&mut now, 0, Command::Freeze(Freeze::FinishChange { change }));
             }
             Act::RunsOut(change) => {
                 let version = before.state.register().changes()[&change].version;
-                apply(&mut now, 0, Command::Freeze(Freeze::Lapse { change, version }));
+                apply(&mut now, 0, Command::Freeze(Freeze::ExpireChange { change, version }));
             }
             Act::Cools(incident) => {
                 let version = before.state.register().incidents()[&incident].version;
-                apply(&mut now, 0, Command::Freeze(Freeze::Cooled { incident, version }));
+                apply(&mut now, 0, Command::Freeze(Freeze::CooldownElapsed { incident, version }));
             }
         }
         Some(now)
@@ -187,18 +192,19 @@
             Property::always("no two that meet, none that an incident bars", |_, now: &Now| {
                 let register = now.state.register();
                 let barred = register.changes().values().any(|c| {
-                    c.stand == hillstall_change_freeze::state::Stand::InFlight
-                        && register.bars(c.wish.kind, &c.wish.scope).is_some()
+                    c.status == hillstall_change_freeze::state::ChangeStatus::InFlight
+                        && register.blocking_incident(c.request.kind, &c.request.scope).is_some()
                 });
-                register.wrong().is_none() && !barred
+                register.check_invariants().is_none() && !barred
             }),
             Property::always("an old coordinator has no effect", |_, now: &Now| !now.wrong),
             Property::always(
                 "an incident goes only once it was resolved and has cooled down",
                 |_, now: &Now| {
-                    let lines = || now.state.register().record().iter();
-                    let over = lines().filter(|line| line.what == "over").count();
-                    let resolved = lines().filter(|line| line.what.starts_with("resolved by Rule")).count();
+                    let lines = || now.state.register().audit_log().iter();
+                    let over = lines().filter(|line| line.description == "over").count();
+                    let resolved =
+                        lines().filter(|line| line.description.starts_with("resolved by Rule")).count();
                     !now.opened || over <= resolved
                 },
             ),
--- a/crates/consensus/tests/sim/mod.rs
+++ b/crates/consensus/tests/sim/mod.rs
@@ -1,9 +1,9 @@
 //! The simulated fleet.
 
-use hillstall_change_freeze::detection::Limits;
-use hillstall_change_freeze::rules::{Kind, Reaction, Severity};
+use hillstall_change_freeze::detection::Thresholds;
+use hillstall_change_freeze::rules::{ChangeKind, Reaction, Severity};
 use hillstall_change_freeze::scope::Scope;
-use hillstall_change_freeze::state::{Answer, By, Command as Freeze, Wish};
+use hillstall_change_freeze::state::{ChangeRequest, FreezeCommand as Freeze, Requester, Response};
 use hillstall_consensus::frame::Frame;
 use hillstall_consensus::load_reports::{Counts, Report};
 use hillstall_consensus::node::{Did, Member, Out, Setup, To};
@@ -288,7 +288,7 @@
             sites: (0..3).map(name).collect(),
             terms: LeaseTiming::new(2_000, 50_000, 100).expect("terms"),
             pace: Pace { wait: 300, ..Pace::default() },
-            limits: Limits::default(),
+            limits: Thresholds::default(),
             holds_for: 4_000,
             whole_way: 6_000,
             seed,
@@ -462,7 +462,9 @@
                     self.at(self.now + 2, Happens::Connected(i, life, keeper));
                 }
                 Out::Did(did) => self.did(i, did),
-                Out::Done(_, Some(Outcome::Freeze(Answer::Done(number)))) => self.acknowledged.push(number),
+                Out::Done(_, Some(Outcome::Freeze(Response::Accepted(number)))) => {
+                    self.acknowledged.push(number)
+                }
                 Out::Done(..) | Out::Part(..) | Out::Log(_) => {}
             }
         }
@@ -528,18 +530,18 @@
                 };
                 Command::Window { token: None, command: Window::Plan(plan) }
             }
-            2 if self.now > 20_000 => Command::Freeze(Freeze::Open {
+            2 if self.now > 20_000 => Command::Freeze(Freeze::OpenIncident {
                 severity: Severity::Minor,
                 scope: Scope::Tenant(format!("t{}", self.now)),
                 evidence: "seen".into(),
-                by: By::Person("ann".into()),
+                opened_by: Requester::Person("ann".into()),
             }),
-            _ => Command::Freeze(Freeze::Ask(Wish {
-                kind: Kind::Settings,
+            _ => Command::Freeze(Freeze::RequestChange(ChangeRequest {
+                kind: ChangeKind::Settings,
                 scope: Scope::Class(format!("c{}", self.now % 3)),
-                who: "tom".into(),
-                worth: 1,
-                runs_for: 3_000,
+                requested_by: "tom".into(),
+                priority: 1,
+                max_duration: 3_000,
                 reaction: Reaction::Finish,
             })),
         };
@@ -696,7 +698,7 @@
             if *self.states.entry(index).or_insert(hash) != hash {
                 self.wrong.push(format!("{now}: keeper {i} knows another state of index {index}"));
             }
-            let wrong = state.register().wrong().or(state.windows().wrong());
+            let wrong = state.register().check_invariants().or(state.windows().wrong());
             self.wrong.extend(wrong.map(|why| format!("{now}: {why}")));
         }
     }
@@ -710,7 +712,7 @@
             let state = member.state();
             let lost = self.acknowledged.iter().find(|n| {
                 let known = state.register().incidents().contains_key(n);
-                !known && !state.register().record().iter().any(|line| line.about == **n)
+                !known && !state.register().audit_log().iter().any(|line| line.subject == **n)
             });
             if let Some(lost) = lost {
                 self.wrong.push(format!("copy {i} has forgotten what was acknowledged as {lost}"));
--- a/crates/coordination/src/admin_commands.rs
+++ b/crates/coordination/src/admin_commands.rs
@@ -1,8 +1,10 @@
 //! What people say and ask on the second address: one line a call.
 
 use crate::calendar;
-use hillstall_change_freeze::rules::{Kind, Reaction};
-use hillstall_change_freeze::state::{Answer, By, Command as Freeze, Register, Stand, Wish};
+use hillstall_change_freeze::rules::{ChangeKind, Reaction};
+use hillstall_change_freeze::state::{
+    ChangeRequest, ChangeStatus, FreezeCommand as Freeze, FreezeState, Requester, Response,
+};
 use hillstall_consensus::state::{Command, Outcome};
 use hillstall_lease::LeaseName;
 use hillstall_maintenance::windows::{Command as Window, Overrun, Plan, Windows};
@@ -174,21 +176,22 @@
             // What was seen is whatever stands behind the name, as it stands there.
             let evidence: Vec<&str> = line.split_ascii_whitespace().skip(5).collect();
             words.named.clear();
-            Ok(Freeze::Open {
+            Ok(Freeze::OpenIncident {
                 severity: words.read(2, "the severity")?,
                 scope: words.read(3, "the scope")?,
-                by: By::Person(people.one(words.word(4, "the person")?)?),
+                opened_by: Requester::Person(people.one(words.word(4, "the person")?)?),
                 evidence: evidence.join(" "),
             })
         }
-        "TAKE" => {
-            Ok(Freeze::Take { incident: number(words)?, person: people.one(words.word(3, "the person")?)? })
-        }
-        "RESOLVE" => Ok(Freeze::Resolve {
+        "TAKE" => Ok(Freeze::AssignIncident {
             incident: number(words)?,
-            by: By::Person(people.one(words.word(3, "the person")?)?),
+            person: people.one(words.word(3, "the person")?)?,
         }),
-        "REMEDY" => Ok(Freeze::Name {
+        "RESOLVE" => Ok(Freeze::ResolveIncident {
+            incident: number(words)?,
+            resolved_by: Requester::Person(people.one(words.word(3, "the person")?)?),
+        }),
+        "REMEDY" => Ok(Freeze::LinkRemedy {
             incident: number(words)?,
             change: words.read(3, "the change's number")?,
             person: people.one(words.word(4, "the person")?)?,
@@ -200,19 +203,19 @@
 fn change(verb: &str, words: &mut Words<'_>, people: &People<'_>) -> Result<Freeze, BadLine> {
     match verb {
         "ASK" | "EMERGENCY" => {
-            let kind: Kind = words.read(2, "the kind")?;
-            let wish = Wish {
+            let kind: ChangeKind = words.read(2, "the kind")?;
+            let wish = ChangeRequest {
                 kind,
                 scope: words.read(3, "the scope")?,
-                who: people.one(words.word(4, "the person")?)?,
-                worth: words.named("worth", 100)?,
-                runs_for: words.time("for", Some(Duration::from_secs(600)))?,
+                requested_by: people.one(words.word(4, "the person")?)?,
+                priority: words.named("worth", 100)?,
+                max_duration: words.time("for", Some(Duration::from_secs(600)))?,
                 reaction: words.named("reaction", Reaction::Pause)?,
             };
-            Ok(if verb == "ASK" { Freeze::Ask(wish) } else { Freeze::Emergency(wish) })
+            Ok(if verb == "ASK" { Freeze::RequestChange(wish) } else { Freeze::RequestEmergencyChange(wish) })
         }
-        "DONE" => Ok(Freeze::Done { change: words.read(2, "the change's number")? }),
-        "CLEAR" => Ok(Freeze::Clear {
+        "DONE" => Ok(Freeze::FinishChange { change: words.read(2, "the change's number")? }),
+        "CLEAR" => Ok(Freeze::ClearOverdueChange {
             change: words.read(2, "the change's number")?,
             person: people.one(words.word(3, "the person")?)?,
         }),
@@ -230,14 +233,14 @@
         Some(Outcome::Window) => "200 agreed\n".into(),
         Some(Outcome::Grant(_)) => "200 agreed\n".into(),
         Some(Outcome::Freeze(answer)) => match answer {
-            Answer::Done(number) => format!("200 {number}\n"),
-            Answer::Permit(number) => format!("200 {number} permit\n"),
-            Answer::Waits { change, behind } => format!("202 {change} waits behind change {behind}\n"),
-            Answer::Half(number) => format!("202 {number} waits for a second person\n"),
-            Answer::Barred { change, incident, ask_again } => {
+            Response::Accepted(number) => format!("200 {number}\n"),
+            Response::Permitted(number) => format!("200 {number} permit\n"),
+            Response::Queued { change, behind } => format!("202 {change} waits behind change {behind}\n"),
+            Response::AwaitingSecondApproval(number) => format!("202 {number} waits for a second person\n"),
+            Response::Blocked { change, incident, retry_after: ask_again } => {
                 format!("409 {change} barred by incident {incident}; ask again in {ask_again} ms\n")
             }
-            Answer::Refused(why) => format!("400 {why}\n"),
+            Response::Rejected(why) => format!("400 {why}\n"),
         },
         Some(Outcome::Over { newest }) => {
             format!("409 the grant is over; the newest token is {}\n", newest.0)
@@ -271,15 +274,15 @@
 }
 
 /// All incidents, one a line.
-pub fn incidents(register: &Register) -> String {
+pub fn incidents(register: &FreezeState) -> String {
     let mut text = String::new();
     for (number, incident) in register.incidents() {
-        let cooling = if incident.cooling { "cooling" } else { "active" };
-        let by = match &incident.by {
-            By::Person(name) => name.clone(),
-            By::Rule(token) => format!("rule/{token}"),
+        let cooling = if incident.cooling_down { "cooling" } else { "active" };
+        let by = match &incident.opened_by {
+            Requester::Person(name) => name.clone(),
+            Requester::Rule(token) => format!("rule/{token}"),
         };
-        let taken = incident.taken.as_deref().unwrap_or("-");
+        let taken = incident.assignee.as_deref().unwrap_or("-");
         let (severity, scope) = (incident.severity, &incident.scope);
         let _ = writeln!(
             text,
@@ -291,27 +294,33 @@
 }
 
 /// All changes, one a line.
-pub fn changes(register: &Register) -> String {
+pub fn changes(register: &FreezeState) -> String {
     let mut text = String::new();
     for (number, change) in register.changes() {
-        let stand = match change.stand {
-            Stand::Waits => "waits",
-            Stand::Half => "half",
-            Stand::InFlight => "in-flight",
-            Stand::Reacts => "reacts",
-            Stand::Stuck => "stuck",
+        let stand = match change.status {
+            ChangeStatus::Queued => "waits",
+            ChangeStatus::AwaitingSecondApproval => "half",
+            ChangeStatus::InFlight => "in-flight",
+            ChangeStatus::Reacting => "reacts",
+            ChangeStatus::Overdue => "stuck",
         };
-        let wish = &change.wish;
+        let wish = &change.request;
         let emergency = if change.emergency { " emergency" } else { "" };
-        let _ = writeln!(text, "{number} {} {} {stand} by={}{emergency}", wish.kind, wish.scope, wish.who);
+        let _ = writeln!(
+            text,
+            "{number} {} {} {stand} by={}{emergency}",
+            wish.kind, wish.scope, wish.requested_by
+        );
     }
     text + "EOF\n"
 }
 
 /// What happened, one a line.
-pub fn record(register: &Register) -> String {
-    let lines =
-        register.record().iter().map(|line| format!("{} {} {}\n", line.number, line.about, line.what));
+pub fn record(register: &FreezeState) -> String {
+    let lines = register
+        .audit_log()
+        .iter()
+        .map(|line| format!("{} {} {}\n", line.sequence, line.subject, line.description));
     lines.collect::<String>() + "EOF\n"
 }
 
@@ -327,8 +336,14 @@
         let of = |line: &str| read(line, &People(&people)).expect("it is for the fleet");
         assert_eq!(of("FLEET"), Ok(Line::Fleet));
         let asked = of("CHANGE EMERGENCY drain site:north mk for=30s").expect("it is read");
-        let Line::Agree(Command::Freeze(Freeze::Emergency(wish))) = asked else { panic!("{asked:?}") };
-        assert_eq!((wish.who.as_str(), wish.runs_for), ("mira", 30_000), "one person under two names");
+        let Line::Agree(Command::Freeze(Freeze::RequestEmergencyChange(wish))) = asked else {
+            panic!("{asked:?}")
+        };
+        assert_eq!(
+            (wish.requested_by.as_str(), wish.max_duration),
+            ("mira", 30_000),
+            "one person under two names"
+        );
         let planned = of("WINDOW PLAN north begin=2026-05-03T02:00[Europe/Berlin] length=1h lead=10m");
         assert!(planned.is_ok(), "{planned:?}");
         for (line, what) in [
--- a/crates/coordination/src/runtime.rs
+++ b/crates/coordination/src/runtime.rs
@@ -312,7 +312,12 @@
 
     fn write_down(&mut self, now: u64, signal: &str) {
         let what = format!("{signal} at copy {}", self.own.copy.rank);
-        self.member.tell(now, Command::Freeze(hillstall_change_freeze::state::Command::Signal { what }));
+        self.member.tell(
+            now,
+            Command::Freeze(hillstall_change_freeze::state::FreezeCommand::RecordSignal {
+                description: what,
+            }),
+        );
     }
 
     /// The answer, or `None` if the keepers have to agree first.
--- a/crates/maintenance/src/windows.rs
+++ b/crates/maintenance/src/windows.rs
@@ -2,9 +2,11 @@
 //! between the two; and no command makes two sites be away at once.
 
 use crate::{Millis, TrafficFraction, FULL_TRAFFIC};
-use hillstall_change_freeze::rules::{Kind, Reaction};
+use hillstall_change_freeze::rules::{ChangeKind, Reaction};
 use hillstall_change_freeze::scope::Scope;
-use hillstall_change_freeze::state::{self as freeze, Answer, Number, Register, Stand, Wish};
+use hillstall_change_freeze::state::{
+    self as freeze, ChangeRequest, ChangeStatus, FreezeState, Number, Response,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -240,7 +242,7 @@
 
 impl Windows {
     /// Applies what the keepers have agreed on.
-    pub fn apply(&mut self, command: &Command, register: &mut Register) -> Result<(), Refused> {
+    pub fn apply(&mut self, command: &Command, register: &mut FreezeState) -> Result<(), Refused> {
         if let Command::Plan(plan) = command {
             return self.plan(plan);
         }
@@ -306,7 +308,10 @@
                 "a site's name has 1 to 64 letters, digits, '-', '.', '_', '/' or '@'",
             ));
         }
-        if plan.length == 0 || plan.length > freeze::RUNS_MOST / 2 || plan.lead > freeze::RUNS_MOST / 4 {
+        if plan.length == 0
+            || plan.length > freeze::MAX_CHANGE_DURATION_MS / 2
+            || plan.lead > freeze::MAX_CHANGE_DURATION_MS / 4
+        {
             return Err(Refused::Plan("a window lasts up to 12 hours, and its lead up to 6"));
         }
         if plan.reserve > 90 {
@@ -346,18 +351,18 @@
 }
 
 impl Window {
-    fn end(&mut self, stage: Stage, why: &str, register: &mut Register) {
+    fn end(&mut self, stage: Stage, why: &str, register: &mut FreezeState) {
         (self.stage, self.why) = (stage, why.chars().take(200).collect());
         if let Some(change) = self.change.take() {
-            register.apply(&freeze::Command::Done { change });
+            register.apply(&freeze::FreezeCommand::FinishChange { change });
         }
     }
 
     /// Whether its permit still lets it take more away.
-    fn may_go_on(&self, register: &Register) -> Result<(), Refused> {
-        let stand = self.change.and_then(|change| register.changes().get(&change)).map(|c| c.stand);
+    fn may_go_on(&self, register: &FreezeState) -> Result<(), Refused> {
+        let stand = self.change.and_then(|change| register.changes().get(&change)).map(|c| c.status);
         match stand {
-            Some(Stand::InFlight) => Ok(()),
+            Some(ChangeStatus::InFlight) => Ok(()),
             Some(stand) => Err(Refused::NoPermit(format!("it {}", stored_status(stand)))),
             None => Err(Refused::NoPermit("it has run out".into())),
         }
@@ -365,52 +370,52 @@
 }
 
 /// Asks for a permit that is given now or not at all: a window that waits in line would keep others from theirs.
-fn permit(plan: &Plan, register: &mut Register) -> Result<Number, Refused> {
+fn permit(plan: &Plan, register: &mut FreezeState) -> Result<Number, Refused> {
     let whole = plan.lead + plan.latest + plan.length.saturating_mul(2);
-    let wish = Wish {
-        kind: Kind::Window,
+    let wish = ChangeRequest {
+        kind: ChangeKind::Window,
         scope: Scope::Site(plan.site.clone()),
-        who: "calendar".into(),
-        worth: 100,
-        runs_for: whole.clamp(1, freeze::RUNS_MOST),
+        requested_by: "calendar".into(),
+        priority: 100,
+        max_duration: whole.clamp(1, freeze::MAX_CHANGE_DURATION_MS),
         reaction: Reaction::Undo,
     };
-    match register.apply(&freeze::Command::Ask(wish)) {
-        Answer::Permit(number) => Ok(number),
-        Answer::Waits { change, behind } => {
-            register.apply(&freeze::Command::Done { change });
+    match register.apply(&freeze::FreezeCommand::RequestChange(wish)) {
+        Response::Permitted(number) => Ok(number),
+        Response::Queued { change, behind } => {
+            register.apply(&freeze::FreezeCommand::FinishChange { change });
             Err(Refused::NoPermit(format!("change {behind} goes first")))
         }
-        Answer::Barred { change, incident, .. } => {
-            register.apply(&freeze::Command::Done { change });
+        Response::Blocked { change, incident, .. } => {
+            register.apply(&freeze::FreezeCommand::FinishChange { change });
             Err(Refused::NoPermit(format!("incident {incident} is active")))
         }
-        Answer::Done(number) => Err(Refused::NoPermit(format!("Done({number})"))),
-        Answer::Half(number) => Err(Refused::NoPermit(format!("Half({number})"))),
-        Answer::Refused(reason) => Err(Refused::NoPermit(format!("Refused({})", stored_reason(reason)))),
+        Response::Accepted(number) => Err(Refused::NoPermit(format!("Done({number})"))),
+        Response::AwaitingSecondApproval(number) => Err(Refused::NoPermit(format!("Half({number})"))),
+        Response::Rejected(reason) => Err(Refused::NoPermit(format!("Refused({})", stored_reason(reason)))),
     }
 }
 
 /// The word for a status in a replicated outcome: every version has to write the same bytes.
-fn stored_status(status: Stand) -> &'static str {
+fn stored_status(status: ChangeStatus) -> &'static str {
     match status {
-        Stand::Waits => "Waits",
-        Stand::Half => "Half",
-        Stand::InFlight => "InFlight",
-        Stand::Reacts => "Reacts",
-        Stand::Stuck => "Stuck",
+        ChangeStatus::Queued => "Waits",
+        ChangeStatus::AwaitingSecondApproval => "Half",
+        ChangeStatus::InFlight => "InFlight",
+        ChangeStatus::Reacting => "Reacts",
+        ChangeStatus::Overdue => "Stuck",
     }
 }
 
 /// The word for a reason in a replicated outcome: every version has to write the same bytes.
-fn stored_reason(reason: freeze::Refused) -> &'static str {
+fn stored_reason(reason: freeze::RejectReason) -> &'static str {
     match reason {
-        freeze::Refused::Unknown => "Unknown",
-        freeze::Refused::Over => "Over",
-        freeze::Refused::NotByRule => "NotByRule",
-        freeze::Refused::SamePerson => "SamePerson",
-        freeze::Refused::Name => "Name",
-        freeze::Refused::Runs => "Runs",
-        freeze::Refused::Full => "Full",
+        freeze::RejectReason::NotFound => "Unknown",
+        freeze::RejectReason::Superseded => "Over",
+        freeze::RejectReason::NotByRule => "NotByRule",
+        freeze::RejectReason::SamePerson => "SamePerson",
+        freeze::RejectReason::InvalidName => "Name",
+        freeze::RejectReason::InvalidDuration => "Runs",
+        freeze::RejectReason::CapacityReached => "Full",
     }
 }
--- a/crates/maintenance/tests/windows.rs
+++ b/crates/maintenance/tests/windows.rs
@@ -2,7 +2,7 @@
 
 use hillstall_change_freeze::rules::Severity;
 use hillstall_change_freeze::scope::Scope;
-use hillstall_change_freeze::state::{By, Command as Freeze, Register};
+use hillstall_change_freeze::state::{FreezeCommand as Freeze, FreezeState, Requester};
 use hillstall_maintenance::calendar::{check, Rule, Shown};
 use hillstall_maintenance::shift::{not_admitted, Figures, Load, Pace, Steps};
 use hillstall_maintenance::traffic::SitePart;
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_window_goes_from_its_plan_to_its_end_by_steps_that_the_others_bear() {
-    let (mut windows, mut register) = (Windows::default(), Register::default());
+    let (mut windows, mut register) = (Windows::default(), FreezeState::default());
     windows.apply(&Command::Plan(plan("north")), &mut register).expect("planned");
     windows.apply(&Command::Plan(plan("north")), &mut register).expect("the same once more");
     assert_eq!(windows.all().len(), 1);
@@ -129,9 +129,10 @@
 
 #[test]
 fn an_incident_stops_a_window_before_and_turns_it_back_after_it_began() {
-    let (mut windows, mut register) = (Windows::default(), Register::default());
-    let take =
-        |windows: &mut Windows, command: Command, register: &mut Register| windows.apply(&command, register);
+    let (mut windows, mut register) = (Windows::default(), FreezeState::default());
+    let take = |windows: &mut Windows, command: Command, register: &mut FreezeState| {
+        windows.apply(&command, register)
+    };
     for site in ["north", "south"] {
         take(&mut windows, Command::Plan(plan(site)), &mut register).expect("planned");
     }
@@ -139,11 +140,11 @@
     let other = take(&mut windows, Command::Admit { window: 2, usual: 1 }, &mut register);
     assert_eq!(other, Err(Refused::OtherAway(1)), "one site at a time");
     take(&mut windows, Command::Step { window: 1, part: 500 }, &mut register).expect("a step");
-    register.apply(&Freeze::Open {
+    register.apply(&Freeze::OpenIncident {
         severity: Severity::Critical,
         scope: Scope::Site("south".into()),
         evidence: "lost".into(),
-        by: By::Rule(1),
+        opened_by: Requester::Rule(1),
     });
     let on = take(&mut windows, Command::Step { window: 1, part: 400 }, &mut register);
     assert!(matches!(on, Err(Refused::NoPermit(_))), "{on:?}");
@@ -186,11 +187,11 @@
 proptest! {
     #[test]
     fn whatever_comes_at_most_one_site_is_away(commands in prop::collection::vec(any_command(), 1..120)) {
-        let (mut windows, mut register) = (Windows::default(), Register::default());
+        let (mut windows, mut register) = (Windows::default(), FreezeState::default());
         for command in commands {
             let refused = windows.apply(&command, &mut register).is_err();
             prop_assert_eq!(windows.wrong(), None, "after {:?}", command);
-            prop_assert_eq!(register.wrong(), None);
+            prop_assert_eq!(register.check_invariants(), None);
             for window in windows.all().values() {
                 prop_assert!(window.stage != Stage::Running || window.part == 0, "{:?}", refused);
                 prop_assert_eq!(window.part < FULL_TRAFFIC && !window.stage.is_away(), false);
