--- a/crates/consensus/src/follower_streams.rs
+++ b/crates/consensus/src/follower_streams.rs
@@ -1,7 +1,7 @@
 //! How followers learn the state: a keeper sends each of those that are attached to it the whole state once, and then what
 //! is applied, as long as they keep up.
 
-use crate::frame::{Frame, Piece};
+use crate::frame::{Frame, StreamItem};
 use crate::state::{Command, Proposal, State};
 use hillstall_lease::table::LeaseRecord;
 use hillstall_lease::{Instance, LeaseName, Millis};
@@ -26,16 +26,16 @@
 
 /// The followers that are attached to a keeper.
 #[derive(Default)]
-pub struct Streams {
+pub struct FollowerStreams {
     followers: BTreeMap<Instance, Follower>,
     /// Each with the index of the one before it.
-    kept: VecDeque<(u64, u64, Piece)>,
+    kept: VecDeque<(u64, u64, StreamItem)>,
     last: u64,
     /// Each duty as it was told last.
     duties: BTreeMap<LeaseName, LeaseRecord>,
 }
 
-impl Streams {
+impl FollowerStreams {
     /// A copy has connected, perhaps once more.
     pub fn attach(&mut self, now: Millis, copy: Instance) {
         self.followers.insert(copy, Follower { next: None, acked: 0, heard_at: now, told_at: now });
@@ -67,9 +67,9 @@
                     return;
                 }
                 self.duties.insert(duty.clone(), entry.clone());
-                Piece::Duty(duty.clone(), entry)
+                StreamItem::Lease(duty.clone(), entry)
             }
-            _ => Piece::Command(proposal.clone()),
+            _ => StreamItem::Command(proposal.clone()),
         };
         self.kept.push_back((self.last, index, piece));
         self.last = index;
@@ -124,14 +124,14 @@
                 let room = OUT_MOST.saturating_sub(from.saturating_sub(acked));
                 for (after, at, piece) in self.kept.range(from..).take(room) {
                     let (after, index, piece) = (*after, *at, piece.clone());
-                    out.push((*copy, Frame::Applied { after, index, piece }));
+                    out.push((*copy, Frame::Applied { after, index, item: piece }));
                     follower.next = Some(at + 1);
                 }
             }
             if out.len() == before && now.saturating_sub(follower.told_at) >= BEAT_EACH {
                 // What was lost on the way shows here, though nothing else may follow for long.
                 let told = if follower.next.is_some_and(|next| next > self.last) { self.last } else { 0 };
-                out.push((*copy, Frame::Beat(told)));
+                out.push((*copy, Frame::Heartbeat(told)));
             }
             if out.len() > before {
                 follower.told_at = now;
--- a/crates/consensus/src/frame.rs
+++ b/crates/consensus/src/frame.rs
@@ -1,8 +1,8 @@
 //! What copies send each other: one frame after another, each with the version of the code that wrote it.
 
-use crate::load_reports::Report;
-use crate::replica::Word;
-use crate::state::{Id, Outcome, Proposal};
+use crate::load_reports::LoadReport;
+use crate::replica::ReplicaMessage;
+use crate::state::{Outcome, Proposal, ProposalId};
 use hillstall_lease::fencing::FencedCommand;
 use hillstall_lease::table::LeaseRecord;
 use hillstall_lease::{Instance, LeaseName};
@@ -12,15 +12,15 @@
 /// The version of these frames. A copy that hears another one passes it over.
 pub const VERSION: u8 = 1;
 /// Most bytes of a frame: the largest state there can be has room.
-pub const FRAME_MOST: usize = 4 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
 /// What a follower is told of something that was applied.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Piece {
+pub enum StreamItem {
     /// The command itself, which acts there as it did here.
     Command(Proposal),
     /// Who holds a duty and stands for it now: of most commands about duties only signs of life are left.
-    Duty(LeaseName, LeaseRecord),
+    Lease(LeaseName, LeaseRecord),
 }
 
 /// A frame.
@@ -31,18 +31,18 @@
         /// Which fleet: copies of two fleets never talk.
         fleet: String,
         /// Who.
-        copy: Instance,
+        instance: Instance,
         /// Its slot, if it is a keeper.
-        keeper: Option<usize>,
+        replica: Option<usize>,
     },
     /// Between keepers.
-    Word(Word),
+    Replica(ReplicaMessage),
     /// A copy wants something applied.
     Propose(Proposal),
     /// It was.
     Answer {
         /// What was proposed.
-        id: Id,
+        id: ProposalId,
         /// What became of it.
         outcome: Outcome,
     },
@@ -52,7 +52,7 @@
         number: u64,
     },
     /// The state was as new as that when it was asked.
-    Told {
+    ReadIndex {
         /// The read's number.
         number: u64,
         /// The index to wait for.
@@ -67,28 +67,28 @@
         /// Its index.
         index: u64,
         /// What.
-        piece: Piece,
+        item: StreamItem,
     },
     /// A follower has got that far.
     Ack(u64),
     /// Nothing happens; that is the last that the follower was told of, or 0 if it is not told all yet.
-    Beat(u64),
+    Heartbeat(u64),
     /// An order, on its way to all copies.
-    Order(FencedCommand<TrafficFraction>),
+    FencedCommand(FencedCommand<TrafficFraction>),
     /// What a copy has counted.
-    Report(Report),
+    Report(LoadReport),
     /// What a keeper has heard of its copies lately, and its clock.
     Reports {
         /// Unix time in milliseconds, as it reads it.
         unix: u64,
         /// The reports.
-        heard: Vec<Report>,
+        reports: Vec<LoadReport>,
     },
 }
 
 /// A frame that can't be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unreadable {
+pub enum DecodeError {
     /// It is of another version.
     #[error("a frame of version {0}, not {VERSION}")]
     Version(u8),
@@ -105,13 +105,13 @@
     }
 
     /// The frame of some bytes.
-    pub fn decode(bytes: &[u8]) -> Result<Frame, Unreadable> {
+    pub fn decode(bytes: &[u8]) -> Result<Frame, DecodeError> {
         match bytes.split_first() {
             Some((&VERSION, rest)) => {
-                postcard::from_bytes(rest).map_err(|why| Unreadable::Garbled(why.to_string()))
+                postcard::from_bytes(rest).map_err(|why| DecodeError::Garbled(why.to_string()))
             }
-            Some((version, _)) => Err(Unreadable::Version(*version)),
-            None => Err(Unreadable::Garbled("it is empty".into())),
+            Some((version, _)) => Err(DecodeError::Version(*version)),
+            None => Err(DecodeError::Garbled("it is empty".into())),
         }
     }
 }
--- a/crates/consensus/src/lease_manager.rs
+++ b/crates/consensus/src/lease_manager.rs
@@ -1,13 +1,13 @@
 //! The duties of one copy: those it stands for or holds, the orders it gives by them, and the gates through which orders
 //! come to be carried out.
 
-use crate::node::{Did, Setup};
-use crate::state::{shift_duty, Outcome, COORDINATOR};
+use crate::node::{AuditEvent, NodeConfig};
+use crate::state::{shift_lease, Outcome, COORDINATOR_LEASE};
 use hillstall_lease::fencing::{FencedCommand, FencingChecks, MinimumToken};
 use hillstall_lease::session::LeaseSession;
 use hillstall_lease::table::{LeaseCommand, LeaseTable};
 use hillstall_lease::{FencingToken, Instance, LeaseName, Millis};
-use hillstall_maintenance::traffic::SitePart;
+use hillstall_maintenance::traffic::TrafficRamp;
 use hillstall_maintenance::{TrafficFraction, FULL_TRAFFIC};
 use std::collections::BTreeMap;
 
@@ -15,9 +15,9 @@
 const STANDS_BACK: Millis = 5_000;
 
 /// A duty that this copy may act by.
-pub struct Owned {
+pub struct HeldLease {
     /// Which.
-    pub duty: LeaseName,
+    pub lease: LeaseName,
     /// By which token.
     pub token: FencingToken,
     /// The site, if it is the shift of one.
@@ -37,7 +37,7 @@
 }
 
 /// See the module's text.
-pub struct Duties {
+pub struct LeaseManager {
     copy: Instance,
     terms: hillstall_lease::timing::LeaseTiming,
     mine: BTreeMap<LeaseName, Mine>,
@@ -45,35 +45,35 @@
     gates: FencingChecks<TrafficFraction>,
     open: bool,
     leaving: bool,
-    parts: BTreeMap<String, (SitePart, f64)>,
+    parts: BTreeMap<String, (TrafficRamp, f64)>,
     /// What was carried out last, and by which token.
     done: BTreeMap<LeaseName, (FencingToken, TrafficFraction)>,
-    did: Vec<Did>,
+    did: Vec<AuditEvent>,
 }
 
-impl Duties {
+impl LeaseManager {
     /// Keepers stand for all duties of the fleet; a site's shift is held by a copy elsewhere if there is one.
-    pub fn new(setup: &Setup, now: Millis) -> Duties {
+    pub fn new(setup: &NodeConfig, now: Millis) -> LeaseManager {
         let sites: BTreeMap<LeaseName, String> =
-            setup.sites.iter().filter_map(|site| Some((shift_duty(site)?, site.clone()))).collect();
+            setup.sites.iter().filter_map(|site| Some((shift_lease(site)?, site.clone()))).collect();
         let mut mine = BTreeMap::new();
-        if setup.keeper.is_some() {
-            let coordinator = LeaseName::new(COORDINATOR).ok().map(|duty| (duty, None));
+        if setup.slot.is_some() {
+            let coordinator = LeaseName::new(COORDINATOR_LEASE).ok().map(|duty| (duty, None));
             let shifts = sites.iter().map(|(duty, site)| (duty.clone(), Some(site.clone())));
             for (duty, site) in shifts.chain(coordinator) {
                 // One that goes down with its site could not bring the traffic back.
                 let rank = u8::from(site.as_deref() == Some(&setup.site));
-                let hold = LeaseSession::new(duty.clone(), setup.copy, rank, setup.terms, now);
+                let hold = LeaseSession::new(duty.clone(), setup.instance, rank, setup.lease_timing, now);
                 mine.insert(
                     duty,
                     Mine { hold, site, rank, told: None, orders: 0, stands_from: 0, gone: false },
                 );
             }
         }
-        let whole = |site: &String| (site.clone(), (SitePart::whole(now, setup.whole_way), 1.0));
-        Duties {
-            copy: setup.copy,
-            terms: setup.terms,
+        let whole = |site: &String| (site.clone(), (TrafficRamp::full(now, setup.ramp_duration), 1.0));
+        LeaseManager {
+            copy: setup.instance,
+            terms: setup.lease_timing,
             mine,
             parts: setup.sites.iter().map(whole).collect(),
             sites,
@@ -118,12 +118,12 @@
             return;
         }
         match (outcome, renewed) {
-            (Outcome::Over { newest }, _) => mine.hold.on_rejected(*newest),
-            (Outcome::Grant(grant), Some(token)) => {
+            (Outcome::GrantEnded { newest }, _) => mine.hold.on_rejected(*newest),
+            (Outcome::Lease(grant), Some(token)) => {
                 mine.hold.on_renewed(now, asked_at, token);
                 mine.hold.on_update(now, *grant);
             }
-            (Outcome::Grant(grant), None) if mine.stands_from <= now => mine.hold.on_update(now, *grant),
+            (Outcome::Lease(grant), None) if mine.stands_from <= now => mine.hold.on_update(now, *grant),
             _ => {}
         }
     }
@@ -154,14 +154,14 @@
 
     /// The duties that may be acted by now.
     pub fn held(&self, now: Millis) -> Vec<(LeaseName, FencingToken)> {
-        self.owned(now).into_iter().map(|owned| (owned.duty, owned.token)).collect()
+        self.owned(now).into_iter().map(|owned| (owned.lease, owned.token)).collect()
     }
 
     /// The same, with what they are about.
-    pub fn owned(&self, now: Millis) -> Vec<Owned> {
+    pub fn owned(&self, now: Millis) -> Vec<HeldLease> {
         let owned = self.mine.iter().filter_map(|(duty, mine)| {
             let token = mine.hold.token(now)?;
-            Some(Owned { duty: duty.clone(), token, site: mine.site.clone() })
+            Some(HeldLease { lease: duty.clone(), token, site: mine.site.clone() })
         });
         owned.collect()
     }
@@ -172,13 +172,13 @@
         duty: &LeaseName,
         token: FencingToken,
         part: TrafficFraction,
-        setup: &Setup,
+        setup: &NodeConfig,
     ) -> FencedCommand<TrafficFraction> {
         let number = self.mine.get_mut(duty).map_or(0, |mine| {
             mine.orders += 1;
             mine.orders
         });
-        let (duty, holds_for) = (duty.clone(), setup.holds_for);
+        let (duty, holds_for) = (duty.clone(), setup.command_ttl);
         FencedCommand {
             lease: duty,
             token,
@@ -205,7 +205,7 @@
     }
 
     /// Carries out an order, if the gate lets it through. Gives what is worth writing down.
-    pub fn carry_out(&mut self, now: Millis, order: FencedCommand<TrafficFraction>) -> Option<Did> {
+    pub fn carry_out(&mut self, now: Millis, order: FencedCommand<TrafficFraction>) -> Option<AuditEvent> {
         let site = self.sites.get(&order.lease)?;
         let before = self.gates.effective_value(&order.lease, now).copied();
         match self.gates.accept(now, order.clone()) {
@@ -216,10 +216,10 @@
                 // The same once more, by the same owner, is no news.
                 let known = self.done.insert(order.lease.clone(), (order.token, order.value));
                 let news = before != Some(order.value) || known != Some((order.token, order.value));
-                news.then_some(Did::CarriedOut(order))
+                news.then_some(AuditEvent::CommandApplied(order))
             }
             Err(hillstall_lease::fencing::FencingError::StaleSequence { .. }) => None,
-            Err(why) => Some(Did::Refused(order, why.to_string())),
+            Err(why) => Some(AuditEvent::CommandRejected(order, why.to_string())),
         }
     }
 
@@ -231,7 +231,7 @@
             if let Some(holds) = self.gates.effective_value(duty, now) {
                 part.set(now, *holds);
             }
-            let read = part.read(now);
+            let read = part.fraction(now);
             if (read - *told).abs() >= 0.005 || (read != *told && (read == 0.0 || read == 1.0)) {
                 *told = read;
                 changed.push((site.clone(), read));
@@ -242,16 +242,16 @@
 
     /// The part that a site gets here.
     pub fn part(&self, site: &str, now: Millis) -> f64 {
-        self.parts.get(site).map_or(1.0, |(part, _)| part.read(now))
+        self.parts.get(site).map_or(1.0, |(part, _)| part.fraction(now))
     }
 
     /// What is worth writing down since this was last asked.
-    pub fn did(&mut self, now: Millis) -> Vec<Did> {
+    pub fn did(&mut self, now: Millis) -> Vec<AuditEvent> {
         for (duty, mine) in &mut self.mine {
             let token = mine.hold.token(now);
             if token != mine.told {
-                self.did.extend(mine.told.map(|token| Did::Lost(duty.clone(), token)));
-                self.did.extend(token.map(|token| Did::Holds(duty.clone(), token)));
+                self.did.extend(mine.told.map(|token| AuditEvent::LeaseLost(duty.clone(), token)));
+                self.did.extend(token.map(|token| AuditEvent::LeaseAcquired(duty.clone(), token)));
                 mine.told = token;
             }
         }
--- a/crates/consensus/src/load_reports.rs
+++ b/crates/consensus/src/load_reports.rs
@@ -3,7 +3,7 @@
 use hillstall_change_freeze::detection::{Observation, Symptom};
 use hillstall_change_freeze::scope::Scope;
 use hillstall_lease::{Instance, Millis};
-use hillstall_maintenance::shift::{Figures, Load};
+use hillstall_maintenance::shift::{FleetLoad, SiteLoad};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -21,82 +21,83 @@
 
 /// What a copy has counted of one site.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct SiteCounts {
     /// Attempts sent there.
     pub sent: u32,
     /// Attempts that were served.
     pub served: u32,
     /// Attempts that ended without any answer: no connection, a broken one, or silence.
-    pub silent: u32,
+    pub unanswered: u32,
     /// The part of its servers' capacity in use, in hundredths; over 100 if they don't tell.
-    pub busy: u8,
+    pub utilization_percent: u8,
     /// The part of its usual load that this copy gives it, in thousandths.
-    pub part: u16,
+    pub fraction: u16,
 }
 
 /// What a copy has counted over some time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct LoadReport {
     /// Whose.
-    pub copy: Option<Instance>,
+    pub instance: Option<Instance>,
     /// How old it is when it is sent on, in milliseconds.
-    pub age: u32,
+    pub age_ms: u32,
     /// Over how long it counts, in milliseconds.
-    pub over: u32,
+    pub period_ms: u32,
     /// Calls of clients that came.
-    pub asked: u32,
+    pub requests: u32,
     /// Calls of clients that were refused.
-    pub refused: u32,
+    pub rejected: u32,
     /// By site.
-    pub sites: BTreeMap<String, Counts>,
+    pub sites: BTreeMap<String, SiteCounts>,
 }
 
 /// All that was heard of lately.
 #[derive(Clone, Debug, Default)]
-pub struct Reports {
+pub struct LoadReports {
     /// By rank: two processes of one name are one copy here.
-    heard: BTreeMap<u32, (Report, Millis)>,
+    heard: BTreeMap<u32, (LoadReport, Millis)>,
     /// What was sent to each site a second, newest last, sampled at the pace of the reports.
     samples: BTreeMap<String, VecDeque<f64>>,
     sampled_at: Millis,
 }
 
-impl Reports {
+impl LoadReports {
     /// Takes a report at `now`; what it tells may be older.
-    pub fn take(&mut self, now: Millis, report: Report) {
-        let Some(copy) = report.copy else { return };
-        let from = now.saturating_sub(u64::from(report.age));
+    pub fn take(&mut self, now: Millis, report: LoadReport) {
+        let Some(copy) = report.instance else { return };
+        let from = now.saturating_sub(u64::from(report.age_ms));
         if self.heard.get(&copy.rank).is_none_or(|(_, at)| *at < from) {
             self.heard.insert(copy.rank, (report, from));
         }
     }
 
     /// What is worth telling another keeper of some copies, with its age.
-    pub fn share(&self, now: Millis, whose: impl Fn(Instance) -> bool) -> Vec<Report> {
+    pub fn share(&self, now: Millis, whose: impl Fn(Instance) -> bool) -> Vec<LoadReport> {
         let young = self.heard.values().filter(|(_, at)| now.saturating_sub(*at) < YOUNG);
-        let own = young.filter(|(report, _)| report.copy.is_some_and(&whose));
-        own.map(|(report, at)| Report { age: now.saturating_sub(*at) as u32, ..report.clone() }).collect()
+        let own = young.filter(|(report, _)| report.instance.is_some_and(&whose));
+        own.map(|(report, at)| LoadReport { age_ms: now.saturating_sub(*at) as u32, ..report.clone() })
+            .collect()
     }
 
     /// What the steps of a shift go by. `trouble` is left to whoever knows of incidents.
-    pub fn figures(&mut self, now: Millis) -> Figures {
+    pub fn figures(&mut self, now: Millis) -> FleetLoad {
         self.heard.retain(|_, (_, at)| now.saturating_sub(*at) < KNOWN_FOR);
-        let young: Vec<&Report> = self.young(now).collect();
+        let young: Vec<&LoadReport> = self.young(now).collect();
         let heard = young.len() as f64 / self.heard.len().max(1) as f64;
-        let mut sites: BTreeMap<String, Load> = BTreeMap::new();
+        let mut sites: BTreeMap<String, SiteLoad> = BTreeMap::new();
         let mut ended: BTreeMap<String, (f64, f64, f64, f64)> = BTreeMap::new();
         let mut parts: BTreeMap<String, Vec<u16>> = BTreeMap::new();
         for report in young {
-            let per_s = 1_000.0 / f64::from(report.over.max(1));
+            let per_s = 1_000.0 / f64::from(report.period_ms.max(1));
             for (site, counts) in &report.sites {
-                parts.entry(site.clone()).or_default().push(counts.part);
+                parts.entry(site.clone()).or_default().push(counts.fraction);
                 let load = sites.entry(site.clone()).or_default();
                 load.sent += f64::from(counts.sent) * per_s;
                 let (served, all, busy, told) = ended.entry(site.clone()).or_default();
                 *served += f64::from(counts.served);
-                *all += f64::from(counts.served + counts.silent);
-                if counts.busy <= 100 {
-                    *busy += f64::from(counts.busy) / 100.0;
+                *all += f64::from(counts.served + counts.unanswered);
+                if counts.utilization_percent <= 100 {
+                    *busy += f64::from(counts.utilization_percent) / 100.0;
                     *told += 1.0;
                 }
             }
@@ -105,7 +106,7 @@
             parts.sort_unstable();
             let three_in_four = (parts.len() * 3).div_ceil(4).max(1) - 1;
             if let (Some(load), Some(part)) = (sites.get_mut(site), parts.get(three_in_four)) {
-                load.part = f64::from(*part) / 1_000.0;
+                load.fraction = f64::from(*part) / 1_000.0;
             }
         }
         let sampled = now.saturating_sub(self.sampled_at) >= SAMPLE_EACH;
@@ -122,16 +123,16 @@
             }
             let mean =
                 |last: usize| samples.iter().rev().take(last).sum::<f64>() / samples.len().min(last) as f64;
-            load.usual = mean(SAMPLES).max(mean(SAMPLES / 2));
+            load.baseline = mean(SAMPLES).max(mean(SAMPLES / 2));
             load.sent = mean(2);
             let (served, all, busy, told) = ended[site];
-            load.served = if all > 0.0 { served / all } else { 1.0 };
-            load.busy = (told > 0.0).then(|| busy / told);
+            load.success_ratio = if all > 0.0 { served / all } else { 1.0 };
+            load.utilization = (told > 0.0).then(|| busy / told);
         }
-        Figures { sites, heard, trouble: None }
+        FleetLoad { sites, reporting_ratio: heard, blocker: None }
     }
 
-    fn young(&self, now: Millis) -> impl Iterator<Item = &Report> {
+    fn young(&self, now: Millis) -> impl Iterator<Item = &LoadReport> {
         let young = move |at: Millis| now.saturating_sub(at) < YOUNG;
         self.heard.values().filter(move |(_, at)| young(*at)).map(|(report, _)| report)
     }
@@ -141,12 +142,12 @@
         let (mut asked, mut refused) = (0, 0);
         let mut sites: BTreeMap<&String, (u64, u64)> = BTreeMap::new();
         for report in self.young(now) {
-            asked += u64::from(report.asked);
-            refused += u64::from(report.refused);
+            asked += u64::from(report.requests);
+            refused += u64::from(report.rejected);
             for (site, counts) in &report.sites {
                 let (silent, ended) = sites.entry(site).or_default();
-                *silent += u64::from(counts.silent);
-                *ended += u64::from(counts.silent + counts.served);
+                *silent += u64::from(counts.unanswered);
+                *ended += u64::from(counts.unanswered + counts.served);
             }
         }
         let mut facts = Vec::new();
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,6 +1,6 @@
 //! A keeper's log as the consensus crate reads it: in memory, written to the disk before anything is told to others.
 
-use crate::storage::{Change, Kept};
+use crate::storage::{PersistentState, WriteBatch};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
@@ -11,30 +11,30 @@
 
 /// What a keeper knows of the log.
 #[derive(Clone, Debug, Default)]
-pub struct Log {
+pub struct RaftLog {
     hard: HardState,
     conf: ConfState,
     snapshot: Snapshot,
     /// Follow the snapshot without a gap, or reach back before it.
     entries: Vec<Entry>,
     /// What has to be on the disk before the next message goes out.
-    unsaved: Change,
+    unsaved: WriteBatch,
 }
 
 /// What is on the disk can't be a log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the disk holds no whole log: {0}")]
-pub struct Torn(pub String);
+pub struct CorruptLog(pub String);
 
 /// Only a writer that is full fails, and this one grows.
 fn bytes(of: &impl protobuf::Message) -> Vec<u8> {
     of.write_to_bytes().unwrap_or_default()
 }
 
-impl Log {
+impl RaftLog {
     /// The log of a keeper that founds a fleet with these members.
-    pub fn founded(members: &[u64], state: Vec<u8>) -> Log {
-        let mut log = Log::default();
+    pub fn founded(members: &[u64], state: Vec<u8>) -> RaftLog {
+        let mut log = RaftLog::default();
         log.conf.voters = members.to_vec();
         let mut snapshot = Snapshot { data: state.into(), ..Snapshot::default() };
         let meta = snapshot.mut_metadata();
@@ -47,45 +47,45 @@
     }
 
     /// The log of a keeper that knows nothing yet and waits to be made a member.
-    pub fn empty() -> Log {
-        let mut log = Log::default();
+    pub fn empty() -> RaftLog {
+        let mut log = RaftLog::default();
         log.note_all();
         log
     }
 
     /// The log as the disk has it.
-    pub fn read(kept: &Kept) -> Result<Log, Torn> {
+    pub fn read(kept: &PersistentState) -> Result<RaftLog, CorruptLog> {
         let torn = |what: &str| {
             let what = what.to_owned();
-            move |e: protobuf::ProtobufError| Torn(format!("{what}: {e}"))
+            move |e: protobuf::ProtobufError| CorruptLog(format!("{what}: {e}"))
         };
-        let hard = HardState::parse_from_bytes(&kept.hard).map_err(torn("the vote"))?;
+        let hard = HardState::parse_from_bytes(&kept.hard_state).map_err(torn("the vote"))?;
         let snapshot = Snapshot::parse_from_bytes(&kept.snapshot).map_err(torn("the snapshot"))?;
         // Who the members are goes with what was applied: what came after the snapshot is applied anew.
         let conf = snapshot.get_metadata().get_conf_state().clone();
         let entries = kept.entries.values().map(|bytes| Entry::parse_from_bytes(bytes));
         let entries = entries.collect::<Result<Vec<_>, _>>().map_err(torn("an entry"))?;
-        let log = Log { hard, conf, snapshot, entries, unsaved: Change::default() };
+        let log = RaftLog { hard, conf, snapshot, entries, unsaved: WriteBatch::default() };
         for (place, (key, entry)) in kept.entries.keys().zip(&log.entries).enumerate() {
             if *key != entry.index || entry.index != log.entries[0].index + place as u64 {
-                return Err(Torn(format!("entry {key} is out of its place")));
+                return Err(CorruptLog(format!("entry {key} is out of its place")));
             }
         }
         let (first, last, at) = (log.first(), log.last(), log.snapshot.get_metadata().index);
         if first > at + 1 || last < at || log.hard.commit > last || log.hard.commit < at {
             let commit = log.hard.commit;
-            return Err(Torn(format!("entries {first} to {last}, snapshot {at}, committed {commit}")));
+            return Err(CorruptLog(format!("entries {first} to {last}, snapshot {at}, committed {commit}")));
         }
         Ok(log)
     }
 
     fn note_all(&mut self) {
-        self.unsaved.hard = Some(bytes(&self.hard));
+        self.unsaved.hard_state = Some(bytes(&self.hard));
         self.unsaved.snapshot = Some(bytes(&self.snapshot));
     }
 
     /// What has to be saved now.
-    pub fn unsaved(&mut self) -> Change {
+    pub fn unsaved(&mut self) -> WriteBatch {
         std::mem::take(&mut self.unsaved)
     }
 
@@ -111,7 +111,7 @@
     /// Takes a term, a vote and what is committed.
     pub fn set_hard(&mut self, hard: &HardState) {
         self.hard = hard.clone();
-        self.unsaved.hard = Some(bytes(&self.hard));
+        self.unsaved.hard_state = Some(bytes(&self.hard));
     }
 
     /// Takes how far the log is committed. It may be lost: it is learned anew.
@@ -129,7 +129,7 @@
         let Some(from) = entries.first().map(|entry| entry.index) else { return };
         self.entries.retain(|entry| entry.index < from);
         self.entries.extend_from_slice(entries);
-        self.unsaved.cut_from = Some(self.unsaved.cut_from.map_or(from, |cut| cut.min(from)));
+        self.unsaved.truncate_from = Some(self.unsaved.truncate_from.map_or(from, |cut| cut.min(from)));
         self.unsaved.entries.retain(|index, _| *index < from);
         self.unsaved.entries.extend(entries.iter().map(|entry| (entry.index, bytes(entry))));
     }
@@ -143,7 +143,7 @@
         self.entries.clear();
         self.snapshot = snapshot.clone();
         self.note_all();
-        (self.unsaved.cut_from, self.unsaved.entries) = (Some(0), Default::default());
+        (self.unsaved.truncate_from, self.unsaved.entries) = (Some(0), Default::default());
     }
 
     /// Makes a snapshot of what was applied up to `index`, and lets entries go but for the last `keep`: a keeper that is
@@ -158,12 +158,12 @@
         let from = index.saturating_sub(keep);
         self.entries.retain(|entry| entry.index > from);
         self.unsaved.snapshot = Some(bytes(&self.snapshot));
-        self.unsaved.cut_to = Some(from);
+        self.unsaved.compact_to = Some(from);
         self.unsaved.entries.retain(|at, _| *at > from);
     }
 }
 
-impl Storage for Log {
+impl Storage for RaftLog {
     fn initial_state(&self) -> raft::Result<RaftState> {
         Ok(RaftState { hard_state: self.hard.clone(), conf_state: self.conf.clone() })
     }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,13 +1,13 @@
 //! What every copy does for the fleet: it stands for duties, carries out orders, reports, and learns the state. Keepers
 //! hold a [`Keeper`]; all others follow one of them.
 
-use crate::follower_streams::Streams;
-use crate::frame::{Frame, Piece};
-use crate::lease_manager::{Duties, Owned};
-use crate::load_reports::{Report, Reports};
-use crate::replica::{Keeper, News};
-use crate::state::{Command, Id, Outcome, Proposal, State, COORDINATOR};
-use crate::storage::Disk;
+use crate::follower_streams::FollowerStreams;
+use crate::frame::{Frame, StreamItem};
+use crate::lease_manager::{HeldLease, LeaseManager};
+use crate::load_reports::{LoadReport, LoadReports};
+use crate::replica::{Replica, ReplicaEvent};
+use crate::state::{Command, Outcome, Proposal, ProposalId, State, COORDINATOR_LEASE};
+use crate::storage::ReplicaStorage;
 use hillstall_change_freeze::detection::{Detector, Observation, Symptom, Thresholds};
 use hillstall_change_freeze::scope::Scope;
 use hillstall_change_freeze::state::{ChangeStatus, FreezeState, TimerKey};
@@ -17,8 +17,8 @@
 use hillstall_lease::timers::DeadlineTimers;
 use hillstall_lease::timing::LeaseTiming;
 use hillstall_lease::{FencingToken, Instance, LeaseName, Millis};
-use hillstall_maintenance::shift::{Figures, Pace, Steps};
-use hillstall_maintenance::windows::Command as Window;
+use hillstall_maintenance::shift::{FleetLoad, ShiftController, ShiftPacing};
+use hillstall_maintenance::windows::WindowCommand as Window;
 use hillstall_maintenance::TrafficFraction;
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -43,71 +43,71 @@
 
 /// How a copy takes part.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct NodeConfig {
     /// Who it is.
-    pub copy: Instance,
+    pub instance: Instance,
     /// Its slot, if it is a keeper.
-    pub keeper: Option<usize>,
+    pub slot: Option<usize>,
     /// How many keepers there are.
-    pub keepers: usize,
+    pub replicas: usize,
     /// Its site.
     pub site: String,
     /// The fleet's sites.
     pub sites: Vec<String>,
     /// How leases last.
-    pub terms: LeaseTiming,
+    pub lease_timing: LeaseTiming,
     /// How a shift goes.
-    pub pace: Pace,
+    pub pacing: ShiftPacing,
     /// When reports make an incident.
-    pub limits: Thresholds,
+    pub thresholds: Thresholds,
     /// How long an order holds that is not heard again.
-    pub holds_for: Millis,
+    pub command_ttl: Millis,
     /// How long a site takes from nothing to all of its load where nobody leads it back.
-    pub whole_way: Millis,
+    pub ramp_duration: Millis,
     /// For random numbers.
     pub seed: u64,
 }
 
 /// Whom a frame goes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum To {
+pub enum Destination {
     /// A keeper, over the connection that this copy opened to it.
-    Keeper(usize),
+    Replica(usize),
     /// A copy that is attached here, over the connection that it opened.
-    Copy(Instance),
+    Instance(Instance),
 }
 
 /// What is to be done by whoever has sockets.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Output {
     /// Send a frame, or lose it.
-    Send(To, Frame),
+    Send(Destination, Frame),
     /// Connect to this keeper and leave others: it is the one to follow.
     Follow(usize),
     /// From now on a site gets this part of its usual load, from 0 to 1.
-    Part(String, f64),
+    SiteFraction(String, f64),
     /// What became of a line, by its ticket; `None` if the keepers did not answer.
-    Done(u64, Option<Outcome>),
+    Answered(u64, Option<Outcome>),
     /// Something for the log.
     Log(String),
     /// Something for the record by which a fleet is judged afterwards.
-    Did(Did),
+    Audit(AuditEvent),
 }
 
 /// An act that has to follow the rules on owners.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Did {
+pub enum AuditEvent {
     /// This copy may act by a token from now on.
-    Holds(LeaseName, FencingToken),
+    LeaseAcquired(LeaseName, FencingToken),
     /// It may not any more.
-    Lost(LeaseName, FencingToken),
+    LeaseLost(LeaseName, FencingToken),
     /// An order was carried out here.
-    CarriedOut(FencedCommand<TrafficFraction>),
+    CommandApplied(FencedCommand<TrafficFraction>),
     /// One was refused, and why.
-    Refused(FencedCommand<TrafficFraction>, String),
+    CommandRejected(FencedCommand<TrafficFraction>, String),
 }
 
-enum Why {
+enum ProposalOrigin {
     /// A lease is asked for, stood for or renewed; with the token if it is renewed.
     Lease(Option<FencingToken>),
     /// Somebody waits, by this ticket.
@@ -121,7 +121,7 @@
     asked_at: Millis,
     sent_at: Millis,
     until: Millis,
-    why: Why,
+    why: ProposalOrigin,
 }
 
 #[derive(Clone, Copy)]
@@ -131,19 +131,19 @@
 }
 
 /// See the module's text.
-pub struct Member<D> {
-    setup: Setup,
+pub struct Node<D> {
+    config: NodeConfig,
     random: Xoshiro256PlusPlus,
-    keeper: Option<Keeper<D>>,
+    replica_state_machine: Option<Replica<D>>,
     /// What a follower knows.
-    replica: State,
-    replica_at: Option<Millis>,
+    followed_state: State,
+    followed_state_at: Option<Millis>,
     following: usize,
     connected: bool,
     heard_at: Millis,
     patience: Millis,
-    streams: Streams,
-    duties: Duties,
+    streams: FollowerStreams,
+    duties: LeaseManager,
     pending: BTreeMap<u64, Pending>,
     count: u64,
     reads: BTreeMap<u64, Reader>,
@@ -152,119 +152,119 @@
     read_at: Option<Millis>,
     leases: ExpiryMonitor,
     timers: DeadlineTimers<TimerKey>,
-    reports: Reports,
+    reports: LoadReports,
     detector: Detector,
-    steps: BTreeMap<LeaseName, Steps>,
+    steps: BTreeMap<LeaseName, ShiftController>,
     clocks: BTreeMap<usize, (i64, Millis)>,
     shared_at: Millis,
     looked_at: Millis,
     leaving: bool,
-    out: Vec<Out>,
+    outputs: Vec<Output>,
 }
 
-impl<D: Disk> Member<D> {
+impl<D: ReplicaStorage> Node<D> {
     /// A copy that begins. A keeper's disk must be given where there is a slot, and only there.
-    pub fn start(setup: Setup, disk: Option<D>, now: Millis) -> Member<D> {
+    pub fn start(setup: NodeConfig, disk: Option<D>, now: Millis) -> Node<D> {
         let mut random = Xoshiro256PlusPlus::seed_from_u64(setup.seed);
-        let keeper = setup.keeper.zip(disk);
+        let keeper = setup.slot.zip(disk);
         let seed = random.next_u64();
-        let keeper = keeper.map(|(slot, disk)| Keeper::start(slot, setup.keepers, disk, seed, now));
-        let following = (random.next_u64() % setup.keepers.max(1) as u64) as usize;
-        let mut member = Member {
-            duties: Duties::new(&setup, now),
-            leases: ExpiryMonitor::new(setup.terms),
-            detector: Detector::new(setup.limits),
-            setup,
+        let keeper = keeper.map(|(slot, disk)| Replica::start(slot, setup.replicas, disk, seed, now));
+        let following = (random.next_u64() % setup.replicas.max(1) as u64) as usize;
+        let mut member = Node {
+            duties: LeaseManager::new(&setup, now),
+            leases: ExpiryMonitor::new(setup.lease_timing),
+            detector: Detector::new(setup.thresholds),
+            config: setup,
             random,
-            keeper,
-            replica: State::default(),
-            replica_at: None,
+            replica_state_machine: keeper,
+            followed_state: State::default(),
+            followed_state_at: None,
             following,
             connected: false,
             heard_at: now,
             patience: SILENCE,
-            streams: Streams::default(),
+            streams: FollowerStreams::default(),
             pending: BTreeMap::new(),
             count: 0,
             reads: BTreeMap::new(),
             opens_at: None,
             read_at: None,
             timers: DeadlineTimers::default(),
-            reports: Reports::default(),
+            reports: LoadReports::default(),
             steps: BTreeMap::new(),
             clocks: BTreeMap::new(),
             shared_at: now,
             looked_at: now,
             leaving: false,
-            out: Vec::new(),
+            outputs: Vec::new(),
         };
-        if member.keeper.is_none() {
-            member.out.push(Out::Follow(following));
+        if member.replica_state_machine.is_none() {
+            member.outputs.push(Output::Follow(following));
         }
         member
     }
 
     /// What is to be done since this was last asked.
-    pub fn out(&mut self) -> Vec<Out> {
-        std::mem::take(&mut self.out)
+    pub fn take_outputs(&mut self) -> Vec<Output> {
+        std::mem::take(&mut self.outputs)
     }
 
     /// The state as this copy knows it.
     pub fn state(&self) -> &State {
-        known(&self.keeper, &self.replica)
+        known(&self.replica_state_machine, &self.followed_state)
     }
 
     /// How old that may be, in milliseconds; `None` if nothing was heard yet. A keeper's is as old as its last word with
     /// the leader, which it does not know; so 0 there says only that nothing newer has come.
     pub fn age(&self, now: Millis) -> Option<Millis> {
-        match &self.keeper {
+        match &self.replica_state_machine {
             Some(_) => Some(0),
-            None => self.replica_at.map(|at| now.saturating_sub(at)),
+            None => self.followed_state_at.map(|at| now.saturating_sub(at)),
         }
     }
 
     /// The keeper in this copy.
-    pub fn keeper(&self) -> Option<&Keeper<D>> {
-        self.keeper.as_ref()
+    pub fn replica(&self) -> Option<&Replica<D>> {
+        self.replica_state_machine.as_ref()
     }
 
     /// The duties that this copy may act by now.
-    pub fn holds(&self, now: Millis) -> Vec<(LeaseName, FencingToken)> {
+    pub fn held_leases(&self, now: Millis) -> Vec<(LeaseName, FencingToken)> {
         self.duties.held(now)
     }
 
     /// Which keeper a follower follows, and whether it is connected.
     pub fn following(&self) -> Option<(usize, bool)> {
-        self.keeper.is_none().then_some((self.following, self.connected))
+        self.replica_state_machine.is_none().then_some((self.following, self.connected))
     }
 
     /// Whether orders about a site can be carried out yet.
-    pub fn is_open(&self) -> bool {
+    pub fn accepts_commands(&self) -> bool {
         self.duties.is_open()
     }
 
     /// The part that a site gets here.
-    pub fn part(&self, site: &str, now: Millis) -> f64 {
+    pub fn site_fraction(&self, site: &str, now: Millis) -> f64 {
         self.duties.part(site, now)
     }
 
     // ---- what comes from outside ----
 
     /// A copy has connected here.
-    pub fn attached(&mut self, now: Millis, copy: Instance) {
-        if self.keeper.is_some() {
+    pub fn on_attached(&mut self, now: Millis, copy: Instance) {
+        if self.replica_state_machine.is_some() {
             self.streams.attach(now, copy);
         }
     }
 
     /// Its connection is gone.
-    pub fn detached(&mut self, copy: Instance) {
+    pub fn on_detached(&mut self, copy: Instance) {
         self.streams.detach(copy);
     }
 
     /// The connection to a keeper is up, or is gone.
-    pub fn connected(&mut self, keeper: usize, up: bool) {
-        if self.keeper.is_some() || keeper != self.following {
+    pub fn on_connection(&mut self, keeper: usize, up: bool) {
+        if self.replica_state_machine.is_some() || keeper != self.following {
             return;
         }
         self.connected = up;
@@ -276,68 +276,68 @@
     }
 
     /// A keeper sent this: one that is followed, or, to a keeper, another over a connection that it opened.
-    pub fn hear_keeper(&mut self, now: Millis, slot: usize, frame: Frame) {
+    pub fn on_replica_frame(&mut self, now: Millis, slot: usize, frame: Frame) {
         match frame {
-            Frame::Word(word) => {
-                if let Some(keeper) = &mut self.keeper {
-                    keeper.hear(now, slot, &word);
+            Frame::Replica(word) => {
+                if let Some(keeper) = &mut self.replica_state_machine {
+                    keeper.on_message(now, slot, &word);
                     self.keeper_news(now);
                 }
             }
-            Frame::Reports { unix, heard } => {
+            Frame::Reports { unix, reports: heard } => {
                 self.clocks.insert(slot, (unix as i64 - now as i64, now));
                 heard.into_iter().for_each(|report| self.reports.take(now, report));
             }
-            Frame::Order(order) => {
+            Frame::FencedCommand(order) => {
                 self.relay(&order);
                 self.carry_out(now, order);
             }
-            _ if self.keeper.is_some() || slot != self.following => {}
-            frame => self.hear_followed(now, frame),
+            _ if self.replica_state_machine.is_some() || slot != self.following => {}
+            frame => self.on_followed_frame(now, frame),
         }
     }
 
-    fn hear_followed(&mut self, now: Millis, frame: Frame) {
+    fn on_followed_frame(&mut self, now: Millis, frame: Frame) {
         self.heard_at = now;
         self.connected = true;
         let told = match frame {
             Frame::State(bytes) => match State::from_bytes(&bytes) {
                 Ok(state) => {
-                    self.replica = state;
-                    self.replica_at = Some(now);
-                    Some(self.replica.index())
+                    self.followed_state = state;
+                    self.followed_state_at = Some(now);
+                    Some(self.followed_state.index())
                 }
                 Err(why) => {
-                    self.out.push(Out::Log(format!("a state of another version: {why}")));
+                    self.outputs.push(Output::Log(format!("a state of another version: {why}")));
                     None
                 }
             },
-            Frame::Applied { after, index, piece } => {
-                let known = self.replica.index();
+            Frame::Applied { after, index, item: piece } => {
+                let known = self.followed_state.index();
                 if after <= known && index > known {
                     match piece {
-                        Piece::Command(proposal) => {
-                            self.replica.apply(index, &proposal);
+                        StreamItem::Command(proposal) => {
+                            self.followed_state.apply(index, &proposal);
                         }
-                        Piece::Duty(duty, entry) => self.replica.set_duty(index, &duty, entry),
+                        StreamItem::Lease(duty, entry) => self.followed_state.set_lease(index, &duty, entry),
                     }
-                    self.replica_at = Some(now);
+                    self.followed_state_at = Some(now);
                 }
                 // With a gap nothing later can be applied: the whole state is asked for.
                 Some(if after > known { 0 } else { index })
             }
-            Frame::Beat(told) => {
-                let missed = told > self.replica.index();
-                if !missed && self.replica_at.is_some() {
-                    self.replica_at = Some(now);
+            Frame::Heartbeat(told) => {
+                let missed = told > self.followed_state.index();
+                if !missed && self.followed_state_at.is_some() {
+                    self.followed_state_at = Some(now);
                 }
-                Some(if missed { 0 } else { self.replica.index() })
+                Some(if missed { 0 } else { self.followed_state.index() })
             }
-            Frame::Answer { id, outcome } if id.copy == self.setup.copy => {
+            Frame::Answer { id, outcome } if id.instance == self.config.instance => {
                 self.settle(now, id.number, outcome);
                 None
             }
-            Frame::Told { number, index } => {
+            Frame::ReadIndex { number, index } => {
                 if self.reads.remove(&number).is_some() {
                     self.opens_at = Some(index);
                 }
@@ -346,56 +346,56 @@
             _ => None,
         };
         if let Some(index) = told {
-            self.out.push(Out::Send(To::Keeper(self.following), Frame::Ack(index)));
+            self.outputs.push(Output::Send(Destination::Replica(self.following), Frame::Ack(index)));
             self.state_changed(now);
         }
     }
 
     /// A copy that is attached here sent this.
-    pub fn hear_copy(&mut self, now: Millis, copy: Instance, frame: Frame) {
-        let Some(keeper) = &mut self.keeper else { return };
+    pub fn on_instance_frame(&mut self, now: Millis, copy: Instance, frame: Frame) {
+        let Some(keeper) = &mut self.replica_state_machine else { return };
         match frame {
-            Frame::Propose(proposal) if proposal.id.copy == copy => {
+            Frame::Propose(proposal) if proposal.id.instance == copy => {
                 keeper.propose(&proposal);
                 self.keeper_news(now);
             }
             Frame::Read { number } => {
                 self.count += 1;
                 self.reads.insert(self.count, Reader::Copy(copy, number));
-                keeper.read(self.count);
+                keeper.read_index(self.count);
                 self.keeper_news(now);
             }
             Frame::Ack(index) => self.streams.ack(now, copy, index),
-            Frame::Report(report) if report.copy == Some(copy) => self.reports.take(now, report),
+            Frame::Report(report) if report.instance == Some(copy) => self.reports.take(now, report),
             _ => {}
         }
     }
 
     /// What this copy has counted itself.
-    pub fn report(&mut self, now: Millis, mut report: Report) {
-        report.copy = Some(self.setup.copy);
+    pub fn on_report(&mut self, now: Millis, mut report: LoadReport) {
+        report.instance = Some(self.config.instance);
         for (site, counts) in &mut report.sites {
-            counts.part = (self.duties.part(site, now) * 1_000.0).round() as u16;
+            counts.fraction = (self.duties.part(site, now) * 1_000.0).round() as u16;
         }
-        if self.keeper.is_some() {
+        if self.replica_state_machine.is_some() {
             self.reports.take(now, report);
         } else if self.connected {
-            self.out.push(Out::Send(To::Keeper(self.following), Frame::Report(report)));
+            self.outputs.push(Output::Send(Destination::Replica(self.following), Frame::Report(report)));
         }
     }
 
     /// A person, or the shell, wants something; [`Out::Done`] tells what became of it.
-    pub fn ask(&mut self, now: Millis, ticket: u64, command: Command) {
-        self.propose(now, command, Why::Line(ticket), LINE_FOR);
+    pub fn request(&mut self, now: Millis, ticket: u64, command: Command) {
+        self.propose(now, command, ProposalOrigin::Line(ticket), LINE_FOR);
     }
 
     /// Something that nobody waits for.
-    pub fn tell(&mut self, now: Millis, command: Command) {
-        self.propose(now, command, Why::Own, OWN_FOR);
+    pub fn submit(&mut self, now: Millis, command: Command) {
+        self.propose(now, command, ProposalOrigin::Own, OWN_FOR);
     }
 
     /// This copy ends: others have its duties before it goes.
-    pub fn leave(&mut self, now: Millis) {
+    pub fn release_leases(&mut self, now: Millis) {
         if !self.leaving {
             self.leaving = true;
             self.duties.leave(now);
@@ -411,7 +411,7 @@
     }
 
     /// Whether all that it left has been answered.
-    pub fn has_left(&self) -> bool {
+    pub fn has_released_leases(&self) -> bool {
         self.duties.has_left()
     }
 
@@ -419,7 +419,7 @@
 
     /// Lets time pass. `unix` is the system's clock, which may step; it is held against the other keepers' clocks.
     pub fn tick(&mut self, now: Millis, unix: Millis) {
-        if let Some(keeper) = &mut self.keeper {
+        if let Some(keeper) = &mut self.replica_state_machine {
             keeper.tick(now);
             self.keeper_news(now);
             self.run_out(now);
@@ -434,34 +434,38 @@
             self.looked_at = now;
             self.work(now, unix);
             let parts = self.duties.run_out(now);
-            self.out.extend(parts.into_iter().map(|(site, part)| Out::Part(site, part)));
+            self.outputs.extend(parts.into_iter().map(|(site, part)| Output::SiteFraction(site, part)));
         }
-        let state = self.keeper.as_ref().map(|keeper| (keeper.applied(), keeper.state()));
+        let state = self.replica_state_machine.as_ref().map(|keeper| (keeper.applied(), keeper.state()));
         if let Some((applied, state)) = state {
             let fed = self.streams.feed(now, applied, state);
-            self.out.extend(fed.into_iter().map(|(copy, frame)| Out::Send(To::Copy(copy), frame)));
+            self.outputs.extend(
+                fed.into_iter().map(|(copy, frame)| Output::Send(Destination::Instance(copy), frame)),
+            );
         }
-        self.out.extend(self.duties.did(now).into_iter().map(Out::Did));
+        self.outputs.extend(self.duties.did(now).into_iter().map(Output::Audit));
     }
 
     /// Follows another keeper than the one that says nothing.
     fn turn(&mut self, now: Millis) {
-        let others = self.setup.keepers.max(2) as u64 - 1;
+        let others = self.config.replicas.max(2) as u64 - 1;
         let step = 1 + (self.random.next_u64() % others) as usize;
-        self.following = (self.following + step) % self.setup.keepers.max(1);
+        self.following = (self.following + step) % self.config.replicas.max(1);
         (self.connected, self.heard_at) = (false, now);
         // Spread, so that those who lost one keeper together don't come to the next together for ever.
         self.patience = SILENCE + self.random.next_u64() % SILENCE;
-        self.out.push(Out::Follow(self.following));
+        self.outputs.push(Output::Follow(self.following));
     }
 
     fn keeper_news(&mut self, now: Millis) {
-        let Some(keeper) = &mut self.keeper else { return };
-        for news in keeper.news() {
+        let Some(keeper) = &mut self.replica_state_machine else { return };
+        for news in keeper.take_events() {
             match news {
-                News::Send(slot, word) => self.out.push(Out::Send(To::Keeper(slot), Frame::Word(word))),
-                News::Applied(index, proposal, outcome, duty, came_at) => {
-                    if let (Command::Lease(command), Outcome::Grant(Some(grant))) =
+                ReplicaEvent::Send(slot, word) => {
+                    self.outputs.push(Output::Send(Destination::Replica(slot), Frame::Replica(word)))
+                }
+                ReplicaEvent::Applied(index, proposal, outcome, duty, came_at) => {
+                    if let (Command::Lease(command), Outcome::Lease(Some(grant))) =
                         (&proposal.command, &outcome)
                     {
                         self.leases.observe(came_at, command.lease(), *grant);
@@ -471,47 +475,54 @@
                         self.streams.applied(index, &proposal, duty);
                     }
                     let id = proposal.id;
-                    if id.copy == self.setup.copy {
+                    if id.instance == self.config.instance {
                         self.settle(now, id.number, outcome);
-                    } else if self.streams.has(id.copy) {
-                        self.out.push(Out::Send(To::Copy(id.copy), Frame::Answer { id, outcome }));
+                    } else if self.streams.has(id.instance) {
+                        self.outputs.push(Output::Send(
+                            Destination::Instance(id.instance),
+                            Frame::Answer { id, outcome },
+                        ));
                     }
                 }
-                News::Restored => {
-                    let index = self.keeper.as_ref().map_or(0, |keeper| keeper.state().index());
+                ReplicaEvent::Restored => {
+                    let index =
+                        self.replica_state_machine.as_ref().map_or(0, |keeper| keeper.state().index());
                     self.streams.restored(index);
                 }
-                News::Read(number) => {
+                ReplicaEvent::Read(number) => {
                     let index = self.streams.last();
                     match self.reads.remove(&number) {
                         Some(Reader::Own) => self.opens_at = Some(index),
                         Some(Reader::Copy(copy, number)) => {
-                            self.out.push(Out::Send(To::Copy(copy), Frame::Told { number, index }));
+                            self.outputs.push(Output::Send(
+                                Destination::Instance(copy),
+                                Frame::ReadIndex { number, index },
+                            ));
                         }
                         None => {}
                     }
                 }
-                News::Log(line) => self.out.push(Out::Log(line)),
+                ReplicaEvent::Log(line) => self.outputs.push(Output::Log(line)),
             }
         }
         self.state_changed(now);
     }
 
     fn state_changed(&mut self, now: Millis) {
-        let state = known(&self.keeper, &self.replica);
-        self.duties.heard(now, state.book());
-        if self.opens_at.is_some_and(|index| state.index() >= index || self.keeper.is_some()) {
+        let state = known(&self.replica_state_machine, &self.followed_state);
+        self.duties.heard(now, state.leases());
+        if self.opens_at.is_some_and(|index| state.index() >= index || self.replica_state_machine.is_some()) {
             self.opens_at = None;
-            self.duties.open(state.book());
+            self.duties.open(state.leases());
         }
     }
 
     /// What has run out is proposed by the keeper that leads; all of them wait.
     fn run_out(&mut self, now: Millis) {
-        let Some(keeper) = &self.keeper else { return };
-        let leads = keeper.leads();
-        let lapsed = self.leases.poll(now, keeper.state().book());
-        let over = self.timers.poll(now, keeper.state().register().timers());
+        let Some(keeper) = &self.replica_state_machine else { return };
+        let leads = keeper.is_leader();
+        let lapsed = self.leases.poll(now, keeper.state().leases());
+        let over = self.timers.poll(now, keeper.state().freeze().timers());
         if leads {
             let lapsed = lapsed.into_iter().map(Command::Lease);
             let over = over
@@ -520,7 +531,7 @@
             for command in lapsed.chain(over).collect::<Vec<_>>() {
                 // It is due again at each look until the state has changed; one at a time is enough.
                 if !self.pending.values().any(|p| p.proposal.command == command) {
-                    self.propose(now, command, Why::Own, AGAIN);
+                    self.propose(now, command, ProposalOrigin::Own, AGAIN);
                 }
             }
         }
@@ -531,19 +542,20 @@
             return;
         }
         self.shared_at = now;
-        let (streams, own) = (&self.streams, self.setup.copy);
+        let (streams, own) = (&self.streams, self.config.instance);
         let heard = self.reports.share(now, |copy| copy == own || streams.has(copy));
-        for slot in (0..self.setup.keepers).filter(|slot| Some(*slot) != self.setup.keeper) {
-            let frame = Frame::Reports { unix, heard: heard.clone() };
-            self.out.push(Out::Send(To::Keeper(slot), frame));
+        for slot in (0..self.config.replicas).filter(|slot| Some(*slot) != self.config.slot) {
+            let frame = Frame::Reports { unix, reports: heard.clone() };
+            self.outputs.push(Output::Send(Destination::Replica(slot), frame));
         }
     }
 
     // ---- proposals ----
 
-    fn propose(&mut self, now: Millis, command: Command, why: Why, for_: Millis) {
+    fn propose(&mut self, now: Millis, command: Command, why: ProposalOrigin, for_: Millis) {
         self.count += 1;
-        let proposal = Proposal { id: Id { copy: self.setup.copy, number: self.count }, command };
+        let proposal =
+            Proposal { id: ProposalId { instance: self.config.instance, number: self.count }, command };
         self.send_proposal(&proposal);
         let until = now.saturating_add(for_);
         self.pending.insert(self.count, Pending { proposal, asked_at: now, sent_at: now, until, why });
@@ -551,11 +563,11 @@
     }
 
     fn send_proposal(&mut self, proposal: &Proposal) {
-        match &mut self.keeper {
+        match &mut self.replica_state_machine {
             Some(keeper) => keeper.propose(proposal),
             None if self.connected => {
                 let frame = Frame::Propose(proposal.clone());
-                self.out.push(Out::Send(To::Keeper(self.following), frame));
+                self.outputs.push(Output::Send(Destination::Replica(self.following), frame));
             }
             None => {}
         }
@@ -564,8 +576,8 @@
     fn propose_again(&mut self, now: Millis) {
         let over: Vec<u64> = self.pending.iter().filter(|(_, p)| now >= p.until).map(|(n, _)| *n).collect();
         for number in over {
-            if let Some(Pending { why: Why::Line(ticket), .. }) = self.pending.remove(&number) {
-                self.out.push(Out::Done(ticket, None));
+            if let Some(Pending { why: ProposalOrigin::Line(ticket), .. }) = self.pending.remove(&number) {
+                self.outputs.push(Output::Answered(ticket, None));
             }
         }
         let mut again = Vec::new();
@@ -585,9 +597,9 @@
     fn settle(&mut self, now: Millis, number: u64, outcome: Outcome) {
         let Some(Pending { proposal, asked_at, why, .. }) = self.pending.remove(&number) else { return };
         match why {
-            Why::Line(ticket) => self.out.push(Out::Done(ticket, Some(outcome))),
-            Why::Own => {}
-            Why::Lease(renewed) => {
+            ProposalOrigin::Line(ticket) => self.outputs.push(Output::Answered(ticket, Some(outcome))),
+            ProposalOrigin::Own => {}
+            ProposalOrigin::Lease(renewed) => {
                 if let Command::Lease(command) = &proposal.command {
                     self.duties.answered(now, asked_at, command, renewed, &outcome);
                 }
@@ -606,10 +618,10 @@
             let duty = command.lease().clone();
             let same = |p: &Pending| {
                 matches!(&p.proposal.command, Command::Lease(c) if *c.lease() == duty)
-                    && matches!(p.why, Why::Lease(_))
+                    && matches!(p.why, ProposalOrigin::Lease(_))
             };
             self.pending.retain(|_, p| !same(p));
-            self.propose(now, Command::Lease(command), Why::Lease(renewed), OWN_FOR);
+            self.propose(now, Command::Lease(command), ProposalOrigin::Lease(renewed), OWN_FOR);
         }
     }
 
@@ -622,15 +634,15 @@
         self.read_at = Some(now);
         self.count += 1;
         let number = self.count;
-        match &mut self.keeper {
+        match &mut self.replica_state_machine {
             Some(keeper) => {
                 self.reads.insert(number, Reader::Own);
-                keeper.read(number);
+                keeper.read_index(number);
                 self.keeper_news(now);
             }
             None if self.connected => {
                 self.reads.insert(number, Reader::Own);
-                self.out.push(Out::Send(To::Keeper(self.following), Frame::Read { number }));
+                self.outputs.push(Output::Send(Destination::Replica(self.following), Frame::Read { number }));
             }
             None => {}
         }
@@ -645,21 +657,21 @@
     /// An order of another keeper goes on to the copies that are attached here.
     fn relay(&mut self, order: &FencedCommand<TrafficFraction>) {
         for copy in self.streams.copies().collect::<Vec<_>>() {
-            self.out.push(Out::Send(To::Copy(copy), Frame::Order(order.clone())));
+            self.outputs.push(Output::Send(Destination::Instance(copy), Frame::FencedCommand(order.clone())));
         }
     }
 
     fn carry_out(&mut self, now: Millis, order: FencedCommand<TrafficFraction>) {
         let did = self.duties.carry_out(now, order);
         let parts = self.duties.run_out(now);
-        self.out.extend(parts.into_iter().map(|(site, part)| Out::Part(site, part)));
-        self.out.extend(did.map(Out::Did));
+        self.outputs.extend(parts.into_iter().map(|(site, part)| Output::SiteFraction(site, part)));
+        self.outputs.extend(did.map(Output::Audit));
     }
 
     /// Gives an order to all copies; only its gates decide whether it is carried out.
     fn give(&mut self, now: Millis, order: FencedCommand<TrafficFraction>) {
-        for slot in (0..self.setup.keepers).filter(|slot| Some(*slot) != self.setup.keeper) {
-            self.out.push(Out::Send(To::Keeper(slot), Frame::Order(order.clone())));
+        for slot in (0..self.config.replicas).filter(|slot| Some(*slot) != self.config.slot) {
+            self.outputs.push(Output::Send(Destination::Replica(slot), Frame::FencedCommand(order.clone())));
         }
         self.relay(&order);
         self.carry_out(now, order);
@@ -668,7 +680,7 @@
     // ---- what owners do ----
 
     /// The time of the day, by most of the keepers' clocks.
-    pub fn time(&self, now: Millis, unix: Millis) -> Millis {
+    pub fn consensus_time(&self, now: Millis, unix: Millis) -> Millis {
         let young = self.clocks.values().filter(|(_, at)| now.saturating_sub(*at) < CLOCK_FOR);
         let mut offsets: Vec<i64> = young.map(|(offset, _)| *offset).collect();
         offsets.push(unix as i64 - now as i64);
@@ -681,15 +693,15 @@
         if held.is_empty() {
             return;
         }
-        let time = self.time(now, unix);
+        let time = self.consensus_time(now, unix);
         let mut figures = self.reports.figures(now);
-        for Owned { duty, token, site } in held {
+        for HeldLease { lease: duty, token, site } in held {
             match site {
                 Some(site) => {
                     let orders = self.shift(now, time, &duty, token, &site, &mut figures);
                     orders.into_iter().for_each(|order| self.give(now, order));
                 }
-                None if duty.to_string() == COORDINATOR => self.coordinate(now, token),
+                None if duty.to_string() == COORDINATOR_LEASE => self.coordinate(now, token),
                 None => {}
             }
         }
@@ -697,16 +709,16 @@
 
     fn coordinate(&mut self, now: Millis, token: FencingToken) {
         let mut facts = self.reports.facts(now);
-        if let Some(heard) = self.keeper.as_ref().and_then(|keeper| keeper.heard()) {
-            let margin = heard <= self.setup.keepers / 2 + 1 && self.setup.keepers > 1;
+        if let Some(heard) = self.replica_state_machine.as_ref().and_then(|keeper| keeper.active_voters()) {
+            let margin = heard <= self.config.replicas / 2 + 1 && self.config.replicas > 1;
             let level = if margin { 1.0 } else { 0.0 };
             facts.push(Observation { scope: Scope::Replicas, symptom: Symptom::QuorumMargin, level });
         }
-        let register = known(&self.keeper, &self.replica).register();
+        let register = known(&self.replica_state_machine, &self.followed_state).freeze();
         let commands = self.detector.poll(now, &facts, register, token.0);
         for command in commands.into_iter().map(Command::Freeze) {
             if !self.pending.values().any(|p| p.proposal.command == command) {
-                self.propose(now, command, Why::Own, OWN_FOR);
+                self.propose(now, command, ProposalOrigin::Own, OWN_FOR);
             }
         }
     }
@@ -719,27 +731,30 @@
         duty: &LeaseName,
         token: FencingToken,
         site: &str,
-        figures: &mut Figures,
+        figures: &mut FleetLoad,
     ) -> Vec<FencedCommand<TrafficFraction>> {
-        let state = known(&self.keeper, &self.replica);
-        let windows = state.windows().all().iter().filter(|(_, w)| w.plan.site == site && !w.stage.is_over());
+        let state = known(&self.replica_state_machine, &self.followed_state);
+        let windows =
+            state.windows().all().iter().filter(|(_, w)| w.plan.site == site && !w.stage.is_final());
         // One that has begun goes first, then the earliest.
-        let Some((number, window)) = windows.min_by_key(|(_, w)| (!w.stage.is_away(), w.plan.begin)) else {
+        let Some((number, window)) =
+            windows.min_by_key(|(_, w)| (!w.stage.takes_traffic_away(), w.plan.starts_at))
+        else {
             return Vec::new();
         };
         let (number, window) = (*number, window.clone());
-        figures.trouble = trouble(state.register(), &window, site);
+        figures.blocker = trouble(state.freeze(), &window, site);
         let steps = self.steps.entry(duty.clone()).or_default();
-        let next = steps.next((time, now), (number, &window), figures, &self.setup.pace);
-        let orders = match window.stage.is_away() {
-            true => vec![self.duties.order(duty, token, window.part, &self.setup)],
+        let next = steps.next_command((time, now), (number, &window), figures, &self.config.pacing);
+        let orders = match window.stage.takes_traffic_away() {
+            true => vec![self.duties.order(duty, token, window.fraction, &self.config)],
             false => Vec::new(),
         };
         if let Some(command) = next {
             let command = Command::Window { token: Some(token), command };
             let busy = self.pending.values().any(|p| is_shift(&p.proposal.command, token));
             if !busy {
-                self.propose(now, command, Why::Own, OWN_FOR);
+                self.propose(now, command, ProposalOrigin::Own, OWN_FOR);
             }
         }
         orders
@@ -747,7 +762,7 @@
 }
 
 /// The state as a copy knows it, beside whatever else of it is in use.
-fn known<'a, D: Disk>(keeper: &'a Option<Keeper<D>>, replica: &'a State) -> &'a State {
+fn known<'a, D: ReplicaStorage>(keeper: &'a Option<Replica<D>>, replica: &'a State) -> &'a State {
     keeper.as_ref().map_or(replica, |keeper| keeper.state())
 }
 
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -2,9 +2,9 @@
 //! the disk, a disk that is new, torn or older than its word does not vote as the old one did, and a keeper whose disk
 //! fails falls silent.
 
-use crate::log::Log;
+use crate::log::RaftLog;
 use crate::state::{Command, Outcome, Proposal, State};
-use crate::storage::{Change, Disk, Kept};
+use crate::storage::{PersistentState, ReplicaStorage, WriteBatch};
 use hillstall_lease::table::LeaseRecord as DutyEntry;
 use hillstall_lease::Millis;
 use protobuf::Message as _;
@@ -37,27 +37,27 @@
 
 /// What keepers tell each other outside of the consensus.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Meeting {
+pub enum MembershipMessage {
     /// Who one is, and what one's disk holds.
-    Here {
+    Announce {
         /// See [`Kept::id`].
         id: u64,
         /// See [`Kept::boot`].
         boot: u64,
         /// Drawn at each start: a disk that was put back may count the same start again.
-        life: u64,
+        incarnation: u64,
         /// See [`Kept::founders`].
         founders: Vec<u64>,
     },
     /// That start is the newest known, and is known from now on.
-    Welcome {
+    Acknowledge {
         /// See above.
-        life: u64,
+        incarnation: u64,
     },
     /// A newer start from that disk is known: the disk is older than its word.
-    Older {
+    Outdated {
         /// See above.
-        life: u64,
+        incarnation: u64,
     },
     /// Asks to be made a member.
     Join {
@@ -68,18 +68,18 @@
 
 /// What a keeper sends to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum ReplicaMessage {
     /// Outside of the consensus.
-    Meeting(Meeting),
+    Membership(MembershipMessage),
     /// Of the consensus, as its crate encodes it.
     Raft(Vec<u8>),
 }
 
 /// What became of what a keeper was asked.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum ReplicaEvent {
     /// Send this to a keeper, by its slot.
-    Send(usize, Word),
+    Send(usize, ReplicaMessage),
     /// An entry was applied; with the duty as it was right after, if it was about one: what others are told of it must not
     /// be ahead of what follows. And when it came to this keeper.
     Applied(u64, Proposal, Outcome, Option<DutyEntry>, Millis),
@@ -102,26 +102,26 @@
     ((slot as u64) << 32) | (random & 0xFFFF_FFFF).max(1)
 }
 
-struct Met {
+struct KnownPeer {
     id: u64,
-    life: u64,
+    incarnation: u64,
     boot: u64,
     founders: Vec<u64>,
     at: Millis,
 }
 
 /// See the module's text.
-pub struct Keeper<D> {
+pub struct Replica<D> {
     slot: usize,
     slots: usize,
-    disk: D,
-    kept: Kept,
-    life: u64,
+    storage: D,
+    persistent: PersistentState,
+    incarnation: u64,
     random: Xoshiro256PlusPlus,
-    node: Option<RawNode<Log>>,
+    node: Option<RawNode<RaftLog>>,
     /// Others that know of this start; it takes part once there are enough.
     welcomed: Vec<usize>,
-    met: BTreeMap<usize, Met>,
+    known_peers: BTreeMap<usize, KnownPeer>,
     state: State,
     applied: u64,
     halted: Option<String>,
@@ -141,33 +141,33 @@
     now: Millis,
     /// True reads, by the index that has to be applied for them.
     reads: Vec<(u64, u64)>,
-    news: Vec<News>,
+    events: Vec<ReplicaEvent>,
 }
 
-impl<D: Disk> Keeper<D> {
+impl<D: ReplicaStorage> Replica<D> {
     /// Starts from what the disk holds. `seed` must differ from start to start.
-    pub fn start(slot: usize, slots: usize, mut disk: D, seed: u64, now: Millis) -> Keeper<D> {
+    pub fn start(slot: usize, slots: usize, mut disk: D, seed: u64, now: Millis) -> Replica<D> {
         let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
         let life = random.next_u64();
         let mut news = Vec::new();
         let mut loaded = disk.load();
         if let Ok(kept) = &loaded {
-            let whole = kept.takes_part.then(|| Log::read(kept)).transpose();
+            let whole = kept.participates.then(|| RaftLog::read(kept)).transpose();
             if let Err(torn) = whole {
-                news.push(News::Log(format!("{torn}; it comes back as a new member")));
-                loaded = disk.renew();
+                news.push(ReplicaEvent::Log(format!("{torn}; it comes back as a new member")));
+                loaded = disk.reset();
             }
         }
-        let mut keeper = Keeper {
+        let mut keeper = Replica {
             slot,
             slots,
-            disk,
-            kept: Kept::default(),
-            life,
+            storage: disk,
+            persistent: PersistentState::default(),
+            incarnation: life,
             random,
             node: None,
             welcomed: Vec::new(),
-            met: BTreeMap::new(),
+            known_peers: BTreeMap::new(),
             state: State::default(),
             applied: 0,
             halted: None,
@@ -181,15 +181,15 @@
             came_at: BTreeMap::new(),
             now,
             reads: Vec::new(),
-            news,
+            events: news,
         };
         match loaded {
             Ok(kept) => {
-                keeper.kept = kept;
-                let boot = keeper.kept.boot + 1;
-                keeper.save(Change { boot: Some(boot), ..Change::default() });
-                if keeper.kept.takes_part {
-                    if let Ok(log) = Log::read(&keeper.kept) {
+                keeper.persistent = kept;
+                let boot = keeper.persistent.boot + 1;
+                keeper.save(WriteBatch { boot: Some(boot), ..WriteBatch::default() });
+                if keeper.persistent.participates {
+                    if let Ok(log) = RaftLog::read(&keeper.persistent) {
                         keeper.open(log);
                     }
                 }
@@ -200,21 +200,21 @@
     }
 
     /// Writes to the disk first; gives whether that went well.
-    fn save(&mut self, change: Change) -> bool {
+    fn save(&mut self, change: WriteBatch) -> bool {
         if change.is_empty() {
             return true;
         }
         // The log itself is kept once, in memory, by the node.
-        let bare = Change {
+        let bare = WriteBatch {
             boot: change.boot,
             founders: change.founders.clone(),
-            takes_part: change.takes_part,
-            seen: change.seen.clone(),
-            ..Change::default()
+            participates: change.participates,
+            known_boots: change.known_boots.clone(),
+            ..WriteBatch::default()
         };
-        match self.disk.save(change) {
+        match self.storage.save(change) {
             Ok(()) => {
-                bare.apply(&mut self.kept);
+                bare.apply(&mut self.persistent);
                 true
             }
             Err(why) => {
@@ -225,12 +225,12 @@
     }
 
     fn halt(&mut self, why: String) {
-        self.news.push(News::Log(format!("{why}; it says nothing more until it is started again")));
+        self.events.push(ReplicaEvent::Log(format!("{why}; it says nothing more until it is started again")));
         self.node = None;
         self.halted = Some(why);
     }
 
-    fn open(&mut self, log: Log) {
+    fn open(&mut self, log: RaftLog) {
         let (index, state) = log.state();
         let state = if state.is_empty() { Ok(State::default()) } else { State::from_bytes(state) };
         let state = match state {
@@ -239,7 +239,7 @@
         };
         (self.applied, self.state) = (index, state);
         let config = Config {
-            id: self.kept.id,
+            id: self.persistent.id,
             election_tick: ELECTION_TICKS,
             heartbeat_tick: SIGN_TICKS,
             applied: index,
@@ -255,8 +255,8 @@
         match RawNode::new(&config, log, &quiet) {
             Ok(node) => {
                 self.node = Some(node);
-                self.kept.entries.clear();
-                self.news.push(News::Restored);
+                self.persistent.entries.clear();
+                self.events.push(ReplicaEvent::Restored);
                 self.draw();
             }
             Err(why) => self.halt(format!("the log can't be used: {why}")),
@@ -288,8 +288,8 @@
         (0..self.slots).filter(move |slot| *slot != own)
     }
 
-    fn tell(&mut self, slot: usize, meeting: Meeting) {
-        self.news.push(News::Send(slot, Word::Meeting(meeting)));
+    fn tell(&mut self, slot: usize, meeting: MembershipMessage) {
+        self.events.push(ReplicaEvent::Send(slot, ReplicaMessage::Membership(meeting)));
     }
 
     /// Lets time pass. Of a long stop only one tick counts: nothing could be heard meanwhile.
@@ -343,72 +343,82 @@
             let here = self.here();
             self.tell(slot, here);
             if joins {
-                self.tell(slot, Meeting::Join { id: self.kept.id });
+                self.tell(slot, MembershipMessage::Join { id: self.persistent.id });
             }
         }
     }
 
-    fn here(&self) -> Meeting {
-        let Kept { id, boot, founders, .. } = &self.kept;
-        Meeting::Here { id: *id, boot: *boot, life: self.life, founders: founders.clone() }
+    fn here(&self) -> MembershipMessage {
+        let PersistentState { id, boot, founders, .. } = &self.persistent;
+        MembershipMessage::Announce {
+            id: *id,
+            boot: *boot,
+            incarnation: self.incarnation,
+            founders: founders.clone(),
+        }
     }
 
     fn is_member(&self) -> bool {
-        self.node.as_ref().is_some_and(|node| node.store().members().voters.contains(&self.kept.id))
+        self.node.as_ref().is_some_and(|node| node.store().members().voters.contains(&self.persistent.id))
     }
 
     /// Takes a word of another keeper.
-    pub fn hear(&mut self, now: Millis, slot: usize, word: &Word) {
+    pub fn on_message(&mut self, now: Millis, slot: usize, word: &ReplicaMessage) {
         self.now = now;
         if self.halted.is_some() {
             return;
         }
         match word {
-            Word::Meeting(meeting) => self.meet(now, slot, meeting),
-            Word::Raft(bytes) => self.step(bytes),
+            ReplicaMessage::Membership(meeting) => self.meet(now, slot, meeting),
+            ReplicaMessage::Raft(bytes) => self.step(bytes),
         }
         self.draw();
         self.pump();
     }
 
-    fn meet(&mut self, now: Millis, slot: usize, meeting: &Meeting) {
+    fn meet(&mut self, now: Millis, slot: usize, meeting: &MembershipMessage) {
         match meeting {
-            Meeting::Here { id, boot, life, founders } => {
+            MembershipMessage::Announce { id, boot, incarnation: life, founders } => {
                 if slot_of(*id) != slot {
                     return;
                 }
-                let known = self.kept.seen.get(id).copied().unwrap_or(0);
-                let same = self.met.get(&slot).is_some_and(|met| met.id == *id && met.life == *life);
+                let known = self.persistent.known_boots.get(id).copied().unwrap_or(0);
+                let same =
+                    self.known_peers.get(&slot).is_some_and(|met| met.id == *id && met.incarnation == *life);
                 let newer = *boot > known;
                 if !newer && !same {
                     // After a start of our own, the one known may be just this one: then its life was not kept.
-                    let unsure = *boot == known && !self.met.contains_key(&slot);
+                    let unsure = *boot == known && !self.known_peers.contains_key(&slot);
                     if !unsure {
-                        return self.tell(slot, Meeting::Older { life: *life });
+                        return self.tell(slot, MembershipMessage::Outdated { incarnation: *life });
                     }
                 }
-                if newer && !self.save(Change { seen: [(*id, *boot)].into(), ..Change::default() }) {
+                if newer
+                    && !self.save(WriteBatch { known_boots: [(*id, *boot)].into(), ..WriteBatch::default() })
+                {
                     return;
                 }
                 // One that is new has to know what became of the fleet; two that are new both say who they are anyway.
-                let is_new = founders.is_empty() && !self.kept.founders.is_empty();
+                let is_new = founders.is_empty() && !self.persistent.founders.is_empty();
                 let (id, boot, life, founders) = (*id, *boot, *life, founders.clone());
-                self.met.insert(slot, Met { id, boot, life, founders, at: now });
-                self.tell(slot, Meeting::Welcome { life });
+                self.known_peers.insert(slot, KnownPeer { id, boot, incarnation: life, founders, at: now });
+                self.tell(slot, MembershipMessage::Acknowledge { incarnation: life });
                 if is_new {
                     let here = self.here();
                     self.tell(slot, here);
                 }
                 self.begin(now);
             }
-            Meeting::Welcome { life } if *life == self.life => {
+            MembershipMessage::Acknowledge { incarnation: life } if *life == self.incarnation => {
                 if !self.welcomed.contains(&slot) {
                     self.welcomed.push(slot);
                 }
                 self.begin(now);
             }
-            Meeting::Older { life } if *life == self.life => self.come_back_new(),
-            Meeting::Join { id } if slot_of(*id) == slot => {
+            MembershipMessage::Outdated { incarnation: life } if *life == self.incarnation => {
+                self.come_back_new()
+            }
+            MembershipMessage::Join { id } if slot_of(*id) == slot => {
                 self.joins.insert(*id, now);
             }
             _ => {}
@@ -417,15 +427,16 @@
 
     /// Whatever this disk has said before is not all it has said: it is given up.
     fn come_back_new(&mut self) {
-        self.news.push(News::Log("the disk is older than its word; it comes back as a new member".into()));
+        self.events
+            .push(ReplicaEvent::Log("the disk is older than its word; it comes back as a new member".into()));
         self.node = None;
         self.welcomed.clear();
-        match self.disk.renew() {
+        match self.storage.reset() {
             Ok(kept) => {
-                self.kept = kept;
+                self.persistent = kept;
                 self.said_at = None;
-                self.life = self.random.next_u64();
-                self.save(Change { boot: Some(1), ..Change::default() });
+                self.incarnation = self.random.next_u64();
+                self.save(WriteBatch { boot: Some(1), ..WriteBatch::default() });
             }
             Err(why) => self.halt(why.to_string()),
         }
@@ -433,27 +444,28 @@
 
     /// A keeper whose disk is new: founds the fleet with the others if all of them are new, or joins it.
     fn begin(&mut self, now: Millis) {
-        if self.node.is_some() || self.kept.takes_part || !self.may_speak() {
+        if self.node.is_some() || self.persistent.participates || !self.may_speak() {
             return;
         }
-        let founded = self.met.values().find(|met| !met.founders.is_empty()).map(|met| met.founders.clone());
-        let young = |met: &&Met| now.saturating_sub(met.at) < MET_FOR && met.boot > 0;
+        let founded =
+            self.known_peers.values().find(|met| !met.founders.is_empty()).map(|met| met.founders.clone());
+        let young = |met: &&KnownPeer| now.saturating_sub(met.at) < MET_FOR && met.boot > 0;
         let log = match founded {
             // It was met when the fleet was founded, and has taken no part yet.
-            Some(founders) if founders.contains(&self.kept.id) => {
-                (Log::founded(&founders, founding()), founders)
+            Some(founders) if founders.contains(&self.persistent.id) => {
+                (RaftLog::founded(&founders, initial_state()), founders)
             }
-            Some(founders) => (Log::empty(), founders),
-            None if self.met.values().filter(young).count() + 1 == self.slots => {
-                let mut ids: Vec<u64> = self.met.values().map(|met| met.id).collect();
-                ids.push(self.kept.id);
+            Some(founders) => (RaftLog::empty(), founders),
+            None if self.known_peers.values().filter(young).count() + 1 == self.slots => {
+                let mut ids: Vec<u64> = self.known_peers.values().map(|met| met.id).collect();
+                ids.push(self.persistent.id);
                 ids.sort_unstable();
-                (Log::founded(&ids, founding()), ids)
+                (RaftLog::founded(&ids, initial_state()), ids)
             }
             None => return,
         };
         let (mut log, founders) = log;
-        let change = Change { takes_part: Some(true), founders: Some(founders), ..log.unsaved() };
+        let change = WriteBatch { participates: Some(true), founders: Some(founders), ..log.unsaved() };
         if self.save(change) {
             self.open(log);
             self.say_here();
@@ -466,10 +478,10 @@
         }
         let Some(node) = &mut self.node else { return };
         let Ok(message) = Message::parse_from_bytes(bytes) else {
-            return self.news.push(News::Log("a keeper's word can't be read".into()));
+            return self.events.push(ReplicaEvent::Log("a keeper's word can't be read".into()));
         };
         // Meant for the disk that was here before, or from a keeper that is no keeper.
-        if message.to != self.kept.id || slot_of(message.from) >= self.slots {
+        if message.to != self.persistent.id || slot_of(message.from) >= self.slots {
             return;
         }
         // The leader only tells a follower of what that follower has said that it holds.
@@ -539,12 +551,12 @@
     }
 
     /// Asks for a true read under a number; [`News::Read`] tells when the state is new enough.
-    pub fn read(&mut self, number: u64) {
+    pub fn read_index(&mut self, number: u64) {
         if !self.may_speak() {
             return;
         }
         if let Some(node) = &mut self.node {
-            let mut context = self.kept.id.to_be_bytes().to_vec();
+            let mut context = self.persistent.id.to_be_bytes().to_vec();
             context.extend(number.to_be_bytes());
             node.read_index(context);
             self.pump();
@@ -555,7 +567,10 @@
         for message in messages {
             let slot = slot_of(message.to);
             if slot < self.slots && slot != self.slot {
-                self.news.push(News::Send(slot, Word::Raft(message.write_to_bytes().unwrap_or_default())));
+                self.events.push(ReplicaEvent::Send(
+                    slot,
+                    ReplicaMessage::Raft(message.write_to_bytes().unwrap_or_default()),
+                ));
             }
         }
     }
@@ -591,7 +606,7 @@
                     Err(why) => return self.halt(format!("a snapshot of another version: {why}")),
                 }
                 self.applied = snapshot.get_metadata().index;
-                self.news.push(News::Restored);
+                self.events.push(ReplicaEvent::Restored);
             }
             for read in ready.take_read_states() {
                 let number = read.request_ctx.get(8..16).and_then(|b| b.try_into().ok());
@@ -612,11 +627,11 @@
             self.compact();
             self.draw();
             // A read is answered once all is applied that was committed when it was asked.
-            let (applied, news) = (self.applied, &mut self.news);
+            let (applied, news) = (self.applied, &mut self.events);
             self.reads.retain(|(index, number)| {
                 let done = *index <= applied;
                 if done {
-                    news.push(News::Read(*number));
+                    news.push(ReplicaEvent::Read(*number));
                 }
                 !done
             });
@@ -640,11 +655,17 @@
                     if let Ok(proposal) = postcard::from_bytes::<Proposal>(&entry.data) {
                         let outcome = self.state.apply(entry.index, &proposal);
                         let duty = match &proposal.command {
-                            Command::Lease(command) => self.state.book().record(command.lease()).cloned(),
+                            Command::Lease(command) => self.state.leases().record(command.lease()).cloned(),
                             _ => None,
                         };
                         let came_at = self.came_at.get(&entry.index).copied().unwrap_or(self.now);
-                        self.news.push(News::Applied(entry.index, proposal, outcome, duty, came_at));
+                        self.events.push(ReplicaEvent::Applied(
+                            entry.index,
+                            proposal,
+                            outcome,
+                            duty,
+                            came_at,
+                        ));
                     }
                     None
                 }
@@ -653,7 +674,7 @@
                 let told = format!("keepers are {:?}, and {:?} listen", members.voters, members.learners);
                 node.mut_store().set_members(members);
                 self.members_changed = true;
-                self.news.push(News::Log(told));
+                self.events.push(ReplicaEvent::Log(told));
             }
         }
     }
@@ -672,8 +693,8 @@
     }
 
     /// What happened since this was last asked.
-    pub fn news(&mut self) -> Vec<News> {
-        std::mem::take(&mut self.news)
+    pub fn take_events(&mut self) -> Vec<ReplicaEvent> {
+        std::mem::take(&mut self.events)
     }
 
     /// The state, as this keeper has applied it.
@@ -687,7 +708,7 @@
     }
 
     /// Whether this keeper leads, as it believes.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.node.as_ref().is_some_and(|node| node.raft.state == StateRole::Leader)
     }
 
@@ -699,7 +720,7 @@
 
     /// Who this keeper is, by its disk.
     pub fn id(&self) -> u64 {
-        self.kept.id
+        self.persistent.id
     }
 
     /// The ids of the members that vote.
@@ -716,9 +737,9 @@
     }
 
     /// How many members the leader has heard of lately, itself included; `None` on others.
-    pub fn heard(&self) -> Option<usize> {
+    pub fn active_voters(&self) -> Option<usize> {
         let node = self.node.as_ref().filter(|node| node.raft.state == StateRole::Leader)?;
-        let own = self.kept.id;
+        let own = self.persistent.id;
         let active = |id: &&u64| **id == own || node.raft.prs().get(**id).is_some_and(|p| p.recent_active);
         Some(node.store().members().voters.iter().filter(active).count())
     }
@@ -730,6 +751,6 @@
 }
 
 /// The state that a fleet begins with.
-fn founding() -> Vec<u8> {
+fn initial_state() -> Vec<u8> {
     State::default().to_bytes()
 }
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -9,23 +9,23 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// How many of a copy's latest commands are known again when they come once more.
-const KNOWN_EACH: usize = 32;
+const MAX_OUTCOMES_PER_INSTANCE: usize = 32;
 /// Of how many copies that is remembered; the ones not heard of for longest go first.
-const COPIES_MOST: usize = 1_024;
+const MAX_REMEMBERED_INSTANCES: usize = 1_024;
 
 /// The duty of the one who opens and closes incidents by rule.
-pub const COORDINATOR: &str = "freeze/coordinator";
+pub const COORDINATOR_LEASE: &str = "freeze/coordinator";
 
 /// The duty of shifting a site's traffic.
-pub fn shift_duty(site: &str) -> Option<LeaseName> {
+pub fn shift_lease(site: &str) -> Option<LeaseName> {
     LeaseName::new(&format!("shift/{}", site.to_lowercase())).ok()
 }
 
 /// Names one command for ever.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Id {
+pub struct ProposalId {
     /// Who proposes it.
-    pub copy: Instance,
+    pub instance: Instance,
     /// Its number there.
     pub number: u64,
 }
@@ -42,7 +42,7 @@
         /// The token it goes by; none for what people may do.
         token: Option<FencingToken>,
         /// What.
-        command: window::Command,
+        command: window::WindowCommand,
     },
 }
 
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Proposal {
     /// Its name.
-    pub id: Id,
+    pub id: ProposalId,
     /// What.
     pub command: Command,
 }
@@ -59,9 +59,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
     /// The duty's grant as it is then.
-    Grant(Option<Grant>),
+    Lease(Option<Grant>),
     /// It went by a grant that is over.
-    Over {
+    GrantEnded {
         /// The duty's newest token.
         newest: FencingToken,
     },
@@ -70,13 +70,13 @@
     /// The window is where the command leads.
     Window,
     /// Nothing came of it.
-    Refused(String),
+    Rejected(String),
     /// It came so late that it is not known any more whether it came before: it does nothing.
     TooLate,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Known {
+struct AnsweredProposals {
     /// Numbers below this one are too old.
     from: u64,
     outcomes: VecDeque<(u64, Outcome)>,
@@ -87,18 +87,18 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct State {
     index: u64,
-    book: LeaseTable,
-    register: FreezeState,
+    leases: LeaseTable,
+    freeze: FreezeState,
     windows: Windows,
-    known: BTreeMap<Instance, Known>,
+    answered: BTreeMap<Instance, AnsweredProposals>,
 }
 
 impl State {
     /// Applies the log's entry at `index`. What was applied before is passed over.
     pub fn apply(&mut self, index: u64, proposal: &Proposal) -> Outcome {
-        let Id { copy, number } = proposal.id;
+        let ProposalId { instance: copy, number } = proposal.id;
         self.index = self.index.max(index);
-        let known = self.known.entry(copy).or_default();
+        let known = self.answered.entry(copy).or_default();
         known.at = index;
         if let Some((_, outcome)) = known.outcomes.iter().find(|(n, _)| *n == number) {
             return outcome.clone();
@@ -106,35 +106,35 @@
         if number < known.from {
             return Outcome::TooLate;
         }
-        let outcome = self.carry_out(&proposal.command);
-        let known = self.known.entry(copy).or_default();
+        let outcome = self.execute(&proposal.command);
+        let known = self.answered.entry(copy).or_default();
         known.outcomes.push_back((number, outcome.clone()));
-        if known.outcomes.len() > KNOWN_EACH {
+        if known.outcomes.len() > MAX_OUTCOMES_PER_INSTANCE {
             // Whatever has a lower number than the one that is forgotten may have come as well.
             let gone = known.outcomes.pop_front().map_or(0, |(n, _)| n + 1);
             known.from = known.from.max(gone);
         }
-        if self.known.len() > COPIES_MOST {
-            let oldest = self.known.iter().min_by_key(|(_, known)| known.at).map(|(copy, _)| *copy);
-            oldest.map(|copy| self.known.remove(&copy));
+        if self.answered.len() > MAX_REMEMBERED_INSTANCES {
+            let oldest = self.answered.iter().min_by_key(|(_, known)| known.at).map(|(copy, _)| *copy);
+            oldest.map(|copy| self.answered.remove(&copy));
         }
         outcome
     }
 
     /// Whether a token is the newest of a duty that is held.
-    fn holds(&self, duty: &LeaseName, token: FencingToken) -> Result<(), Outcome> {
-        match self.book.grant(duty) {
+    fn check_token(&self, duty: &LeaseName, token: FencingToken) -> Result<(), Outcome> {
+        match self.leases.grant(duty) {
             Some(grant) if grant.token == token => Ok(()),
-            _ => Err(Outcome::Over { newest: self.book.highest_token(duty) }),
+            _ => Err(Outcome::GrantEnded { newest: self.leases.highest_token(duty) }),
         }
     }
 
-    fn carry_out(&mut self, command: &Command) -> Outcome {
+    fn execute(&mut self, command: &Command) -> Outcome {
         match command {
-            Command::Lease(command) => match self.book.apply(command) {
-                Ok(grant) => Outcome::Grant(grant),
-                Err(table::LeaseError::GrantEnded { newest }) => Outcome::Over { newest },
-                Err(why) => Outcome::Refused(why.to_string()),
+            Command::Lease(command) => match self.leases.apply(command) {
+                Ok(grant) => Outcome::Lease(grant),
+                Err(table::LeaseError::GrantEnded { newest }) => Outcome::GrantEnded { newest },
+                Err(why) => Outcome::Rejected(why.to_string()),
             },
             Command::Freeze(command) => {
                 // A coordinator that was followed by another says nothing any more.
@@ -144,38 +144,38 @@
                     _ => None,
                 };
                 if let Some(Requester::Rule(token)) = by {
-                    let checked =
-                        LeaseName::new(COORDINATOR).map(|duty| self.holds(&duty, FencingToken(*token)));
+                    let checked = LeaseName::new(COORDINATOR_LEASE)
+                        .map(|duty| self.check_token(&duty, FencingToken(*token)));
                     if let Ok(Err(over)) = checked {
                         return over;
                     }
                 }
-                Outcome::Freeze(self.register.apply(command))
+                Outcome::Freeze(self.freeze.apply(command))
             }
             Command::Window { token, command } => self.window(*token, command),
         }
     }
 
-    fn window(&mut self, token: Option<FencingToken>, command: &window::Command) -> Outcome {
-        if command.is_owners() {
-            let duty = self.windows.site_of(command).and_then(shift_duty);
+    fn window(&mut self, token: Option<FencingToken>, command: &window::WindowCommand) -> Outcome {
+        if command.requires_lease() {
+            let duty = self.windows.site_of(command).and_then(shift_lease);
             let Some((duty, token)) = duty.zip(token) else {
-                return Outcome::Refused("no such window, or no token".into());
+                return Outcome::Rejected("no such window, or no token".into());
             };
-            if let Err(over) = self.holds(&duty, token) {
+            if let Err(over) = self.check_token(&duty, token) {
                 return over;
             }
         }
-        match self.windows.apply(command, &mut self.register) {
+        match self.windows.apply(command, &mut self.freeze) {
             Ok(()) => Outcome::Window,
-            Err(why) => Outcome::Refused(why.to_string()),
+            Err(why) => Outcome::Rejected(why.to_string()),
         }
     }
 
     /// Takes over what a keeper has of a duty at `index`: followers are told the outcome, not each renewal.
-    pub fn set_duty(&mut self, index: u64, duty: &LeaseName, entry: table::LeaseRecord) {
+    pub fn set_lease(&mut self, index: u64, duty: &LeaseName, entry: table::LeaseRecord) {
         self.index = self.index.max(index);
-        self.book.set_record(duty, entry);
+        self.leases.set_record(duty, entry);
     }
 
     /// The index of the last entry that was applied.
@@ -184,13 +184,13 @@
     }
 
     /// Who holds what.
-    pub fn book(&self) -> &LeaseTable {
-        &self.book
+    pub fn leases(&self) -> &LeaseTable {
+        &self.leases
     }
 
     /// Incidents and changes.
-    pub fn register(&self) -> &FreezeState {
-        &self.register
+    pub fn freeze(&self) -> &FreezeState {
+        &self.freeze
     }
 
     /// Windows.
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -4,7 +4,7 @@
 
 /// What the disk holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
+pub struct PersistentState {
     /// Who this keeper is: drawn when the disk was new.
     pub id: u64,
     /// How often it was started from this disk.
@@ -12,11 +12,11 @@
     /// Who founded the fleet; empty before that.
     pub founders: Vec<u64>,
     /// Whether it takes part: it is a founder, or waits to be made a member.
-    pub takes_part: bool,
+    pub participates: bool,
     /// Term, vote and commit.
-    pub hard: Vec<u8>,
+    pub hard_state: Vec<u8>,
     /// The highest start that each keeper was seen with, by its id.
-    pub seen: BTreeMap<u64, u64>,
+    pub known_boots: BTreeMap<u64, u64>,
     /// The newest snapshot.
     pub snapshot: Vec<u8>,
     /// The log.
@@ -25,49 +25,49 @@
 
 /// What changes at once, or not at all.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Change {
+pub struct WriteBatch {
     /// See [`Kept::boot`].
     pub boot: Option<u64>,
     /// See [`Kept::founders`].
     pub founders: Option<Vec<u64>>,
     /// See [`Kept::takes_part`].
-    pub takes_part: Option<bool>,
+    pub participates: Option<bool>,
     /// See [`Kept::hard`].
-    pub hard: Option<Vec<u8>>,
+    pub hard_state: Option<Vec<u8>>,
     /// Adds to [`Kept::seen`].
-    pub seen: BTreeMap<u64, u64>,
+    pub known_boots: BTreeMap<u64, u64>,
     /// See [`Kept::snapshot`].
     pub snapshot: Option<Vec<u8>>,
     /// Entries from this index on go first,
-    pub cut_from: Option<u64>,
+    pub truncate_from: Option<u64>,
     /// and those up to this one.
-    pub cut_to: Option<u64>,
+    pub compact_to: Option<u64>,
     /// Then these come.
     pub entries: BTreeMap<u64, Vec<u8>>,
 }
 
-impl Change {
+impl WriteBatch {
     /// Whether nothing changes.
     pub fn is_empty(&self) -> bool {
-        *self == Change::default()
+        *self == WriteBatch::default()
     }
 
     /// What the disk holds after it.
-    pub fn apply(self, kept: &mut Kept) {
+    pub fn apply(self, kept: &mut PersistentState) {
         kept.boot = self.boot.unwrap_or(kept.boot);
-        kept.takes_part = self.takes_part.unwrap_or(kept.takes_part);
+        kept.participates = self.participates.unwrap_or(kept.participates);
         let set = |to: &mut Vec<u8>, from: Option<Vec<u8>>| {
             if let Some(from) = from {
                 *to = from;
             }
         };
-        set(&mut kept.hard, self.hard);
-        kept.seen.extend(self.seen);
+        set(&mut kept.hard_state, self.hard_state);
+        kept.known_boots.extend(self.known_boots);
         set(&mut kept.snapshot, self.snapshot);
         if let Some(founders) = self.founders {
             kept.founders = founders;
         }
-        let (from, to) = (self.cut_from.unwrap_or(u64::MAX), self.cut_to.unwrap_or(0));
+        let (from, to) = (self.truncate_from.unwrap_or(u64::MAX), self.compact_to.unwrap_or(0));
         kept.entries.retain(|index, _| *index < from && *index > to);
         kept.entries.extend(self.entries);
     }
@@ -76,16 +76,16 @@
 /// The disk failed: full, torn, or gone.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the keeper's disk: {0}")]
-pub struct DiskFailed(pub String);
+pub struct StorageFailed(pub String);
 
 /// A lasting disk.
-pub trait Disk {
+pub trait ReplicaStorage {
     /// What it holds; on a new one, with an id that is drawn then.
-    fn load(&mut self) -> Result<Kept, DiskFailed>;
+    fn load(&mut self) -> Result<PersistentState, StorageFailed>;
 
     /// Changes what it holds. Once this returns, the change lasts over a loss of power.
-    fn save(&mut self, change: Change) -> Result<(), DiskFailed>;
+    fn save(&mut self, change: WriteBatch) -> Result<(), StorageFailed>;
 
     /// Forgets all it holds and begins anew, under another id: so a keeper whose disk is older than its word comes back.
-    fn renew(&mut self) -> Result<Kept, DiskFailed>;
+    fn reset(&mut self) -> Result<PersistentState, StorageFailed>;
 }
--- a/crates/consensus/tests/frames.rs
+++ b/crates/consensus/tests/frames.rs
@@ -1,17 +1,18 @@
 //! Frames and snapshots from outside: whatever comes is read or refused, and nothing panics.
 
-use hillstall_consensus::frame::{Frame, Unreadable, VERSION};
+use hillstall_consensus::frame::{DecodeError, Frame, VERSION};
 use hillstall_consensus::state::State;
 use hillstall_lease::Instance;
 use proptest::prelude::*;
 
 #[test]
 fn frames_come_back_as_they_went_and_other_versions_are_refused() {
-    let frame = Frame::Hello { fleet: "shop".into(), copy: Instance { rank: 3, life: 9 }, keeper: Some(1) };
+    let frame =
+        Frame::Hello { fleet: "shop".into(), instance: Instance { rank: 3, life: 9 }, replica: Some(1) };
     let mut bytes = frame.encode();
     assert_eq!(Frame::decode(&bytes), Ok(frame));
     bytes[0] = VERSION + 1;
-    assert_eq!(Frame::decode(&bytes), Err(Unreadable::Version(VERSION + 1)));
+    assert_eq!(Frame::decode(&bytes), Err(DecodeError::Version(VERSION + 1)));
     assert!(Frame::decode(&[]).is_err());
 }
 
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -5,7 +5,7 @@
 use hillstall_change_freeze::rules::{ChangeKind, Reaction, Severity};
 use hillstall_change_freeze::scope::Scope;
 use hillstall_change_freeze::state::{ChangeRequest, FreezeCommand as Freeze, Requester};
-use hillstall_consensus::state::{Command, Id, Outcome, Proposal, State, COORDINATOR};
+use hillstall_consensus::state::{Command, Outcome, Proposal, ProposalId, State, COORDINATOR_LEASE};
 use hillstall_lease::table::LeaseCommand as Lease;
 use hillstall_lease::{FencingToken, Instance, LeaseName};
 use stateright::{Checker, Model, Property};
@@ -49,7 +49,7 @@
 }
 
 fn duty() -> LeaseName {
-    LeaseName::new(COORDINATOR).expect("a name")
+    LeaseName::new(COORDINATOR_LEASE).expect("a name")
 }
 
 fn copy(rank: u8) -> Instance {
@@ -59,7 +59,7 @@
 /// `nth` command of a step: each has a name of its own, as one that comes twice acts once.
 fn apply(now: &mut Now, nth: u64, command: Command) -> Outcome {
     let number = 100 * u64::from(now.steps) + nth;
-    let id = Id { copy: copy(9), number };
+    let id = ProposalId { instance: copy(9), number };
     now.state.apply(number, &Proposal { id, command })
 }
 
@@ -70,8 +70,8 @@
 
     /// The token that a coordinator believes in: its own, newest or not.
     fn token(state: &State, by: u8) -> FencingToken {
-        let newest = state.book().highest_token(&duty());
-        match state.book().grant(&duty()) {
+        let newest = state.leases().highest_token(&duty());
+        match state.leases().grant(&duty()) {
             Some(grant) if grant.holder == copy(by) => grant.token,
             _ => FencingToken(newest.0.saturating_sub(1)),
         }
@@ -85,7 +85,7 @@
     fn init_states(&self) -> Vec<Now> {
         let mut now = Now { state: State::default(), steps: 0, wrong: false, opened: false };
         for rank in 0..2 {
-            let id = Id { copy: copy(rank), number: 1 };
+            let id = ProposalId { instance: copy(rank), number: 1 };
             let command = Command::Lease(Lease::Acquire { lease: duty(), instance: copy(rank), rank: 0 });
             now.state.apply(u64::from(rank) + 1, &Proposal { id, command });
         }
@@ -98,17 +98,17 @@
         }
         actions.extend([Act::Opens(0), Act::Opens(1), Act::Resolves(0), Act::Resolves(1), Act::Lapses]);
         actions.extend([Act::Asks(0), Act::Asks(1)]);
-        actions.extend(now.state.register().changes().keys().flat_map(|n| [Act::Ends(*n), Act::RunsOut(*n)]));
-        actions.extend(now.state.register().incidents().keys().map(|n| Act::Cools(*n)));
+        actions.extend(now.state.freeze().changes().keys().flat_map(|n| [Act::Ends(*n), Act::RunsOut(*n)]));
+        actions.extend(now.state.freeze().incidents().keys().map(|n| Act::Cools(*n)));
     }
 
     fn next_state(&self, before: &Now, act: Act) -> Option<Now> {
         let mut now = before.clone();
         now.steps += 1;
-        let owner = before.state.book().grant(&duty()).map(|grant| grant.holder);
+        let owner = before.state.leases().grant(&duty()).map(|grant| grant.holder);
         match act {
             Act::Opens(by) | Act::Resolves(by) => {
-                let newest = before.state.book().highest_token(&duty());
+                let newest = before.state.leases().highest_token(&duty());
                 let own = Permits::token(&before.state, by);
                 let token = if self.0 == Fault::AnyToken { newest } else { own };
                 let by_rule = Requester::Rule(token.0);
@@ -120,25 +120,25 @@
                         opened_by: by_rule,
                     },
                     _ => Freeze::ResolveIncident {
-                        incident: *before.state.register().incidents().keys().next()?,
+                        incident: *before.state.freeze().incidents().keys().next()?,
                         resolved_by: by_rule,
                     },
                 };
                 let outcome = apply(&mut now, 0, Command::Freeze(command));
                 let old = owner != Some(copy(by));
-                let took = now.state.register() != before.state.register();
-                now.wrong |= old && took && !matches!(outcome, Outcome::Over { .. });
+                let took = now.state.freeze() != before.state.freeze();
+                now.wrong |= old && took && !matches!(outcome, Outcome::GrantEnded { .. });
                 now.opened |= matches!(act, Act::Opens(_)) && took;
             }
             Act::Lapses => {
-                let grant = before.state.book().grant(&duty())?;
+                let grant = before.state.leases().grant(&duty())?;
                 let (token, renewals) = (grant.token, grant.renewals);
                 apply(&mut now, 0, Command::Lease(Lease::Expire { lease: duty(), token, renewals }));
                 let stand = Lease::Acquire { lease: duty(), instance: grant.holder, rank: 0 };
-                let id = Id { copy: grant.holder, number: u64::from(now.steps) + 1_000 };
+                let id = ProposalId { instance: grant.holder, number: u64::from(now.steps) + 1_000 };
                 now.state.apply(1, &Proposal { id, command: Command::Lease(stand) });
                 if self.0 == Fault::Forgets {
-                    let incidents: Vec<u64> = now.state.register().incidents().keys().copied().collect();
+                    let incidents: Vec<u64> = now.state.freeze().incidents().keys().copied().collect();
                     for incident in incidents {
                         let by = Requester::Person("nobody".into());
                         apply(
@@ -146,7 +146,7 @@
                             1,
                             Command::Freeze(Freeze::ResolveIncident { incident, resolved_by: by }),
                         );
-                        let version = now.state.register().incidents()[&incident].version;
+                        let version = now.state.freeze().incidents()[&incident].version;
                         apply(&mut now, 2, Command::Freeze(Freeze::CooldownElapsed { incident, version }));
                     }
                 }
@@ -160,8 +160,7 @@
                     max_duration: 1_000,
                     reaction: Reaction::Undo,
                 };
-                let bars =
-                    before.state.register().blocking_incident(ChangeKind::Drain, &wish.scope).is_some();
+                let bars = before.state.freeze().blocking_incident(ChangeKind::Drain, &wish.scope).is_some();
                 let command = match self.0 == Fault::NoIncidents && bars {
                     // As if nobody looked: two people are made up, and it passes.
                     true => {
@@ -176,11 +175,11 @@
                 apply(&mut now, 0, Command::Freeze(Freeze::FinishChange { change }));
             }
             Act::RunsOut(change) => {
-                let version = before.state.register().changes()[&change].version;
+                let version = before.state.freeze().changes()[&change].version;
                 apply(&mut now, 0, Command::Freeze(Freeze::ExpireChange { change, version }));
             }
             Act::Cools(incident) => {
-                let version = before.state.register().incidents()[&incident].version;
+                let version = before.state.freeze().incidents()[&incident].version;
                 apply(&mut now, 0, Command::Freeze(Freeze::CooldownElapsed { incident, version }));
             }
         }
@@ -190,7 +189,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("no two that meet, none that an incident bars", |_, now: &Now| {
-                let register = now.state.register();
+                let register = now.state.freeze();
                 let barred = register.changes().values().any(|c| {
                     c.status == hillstall_change_freeze::state::ChangeStatus::InFlight
                         && register.blocking_incident(c.request.kind, &c.request.scope).is_some()
@@ -201,7 +200,7 @@
             Property::always(
                 "an incident goes only once it was resolved and has cooled down",
                 |_, now: &Now| {
-                    let lines = || now.state.register().audit_log().iter();
+                    let lines = || now.state.freeze().audit_log().iter();
                     let over = lines().filter(|line| line.description == "over").count();
                     let resolved =
                         lines().filter(|line| line.description.starts_with("resolved by Rule")).count();
--- a/crates/consensus/tests/sim/mod.rs
+++ b/crates/consensus/tests/sim/mod.rs
@@ -5,15 +5,15 @@
 use hillstall_change_freeze::scope::Scope;
 use hillstall_change_freeze::state::{ChangeRequest, FreezeCommand as Freeze, Requester, Response};
 use hillstall_consensus::frame::Frame;
-use hillstall_consensus::load_reports::{Counts, Report};
-use hillstall_consensus::node::{Did, Member, Out, Setup, To};
+use hillstall_consensus::load_reports::{LoadReport, SiteCounts};
+use hillstall_consensus::node::{AuditEvent, Destination, Node, NodeConfig, Output};
 use hillstall_consensus::replica::new_id;
 use hillstall_consensus::state::{Command, Outcome};
-use hillstall_consensus::storage::{Change, Disk, DiskFailed, Kept};
+use hillstall_consensus::storage::{PersistentState, ReplicaStorage, StorageFailed, WriteBatch};
 use hillstall_lease::timing::LeaseTiming;
 use hillstall_lease::{FencingToken, Instance, LeaseName, Millis};
-use hillstall_maintenance::shift::Pace;
-use hillstall_maintenance::windows::{Command as Window, Overrun, Plan, Stage};
+use hillstall_maintenance::shift::ShiftPacing;
+use hillstall_maintenance::windows::{OverrunPolicy, Stage, WindowCommand as Window, WindowPlan};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cell::{Cell, RefCell};
@@ -52,17 +52,17 @@
 /// A disk that outlives its process.
 struct MemDisk {
     slot: usize,
-    kept: Rc<RefCell<Kept>>,
+    kept: Rc<RefCell<PersistentState>>,
     /// As it was some writes ago, and how many there were.
-    before: Rc<RefCell<Kept>>,
+    before: Rc<RefCell<PersistentState>>,
     saves: u64,
     /// Nothing more can be written.
     full: Rc<Cell<bool>>,
     random: u64,
 }
 
-impl Disk for MemDisk {
-    fn load(&mut self) -> Result<Kept, DiskFailed> {
+impl ReplicaStorage for MemDisk {
+    fn load(&mut self) -> Result<PersistentState, StorageFailed> {
         let mut kept = self.kept.borrow_mut();
         if kept.id == 0 {
             kept.id = new_id(self.slot, self.random);
@@ -70,9 +70,9 @@
         Ok(kept.clone())
     }
 
-    fn save(&mut self, change: Change) -> Result<(), DiskFailed> {
+    fn save(&mut self, change: WriteBatch) -> Result<(), StorageFailed> {
         if self.full.get() {
-            return Err(DiskFailed("it is full".into()));
+            return Err(StorageFailed("it is full".into()));
         }
         let mut kept = self.kept.borrow_mut();
         self.saves += 1;
@@ -83,10 +83,10 @@
         Ok(())
     }
 
-    fn renew(&mut self) -> Result<Kept, DiskFailed> {
+    fn reset(&mut self) -> Result<PersistentState, StorageFailed> {
         self.random = self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
         let id = new_id(self.slot, self.random >> 16);
-        *self.kept.borrow_mut() = Kept { id, ..Kept::default() };
+        *self.kept.borrow_mut() = PersistentState { id, ..PersistentState::default() };
         Ok(self.kept.borrow().clone())
     }
 }
@@ -106,11 +106,11 @@
 
 struct One {
     life: u64,
-    member: Option<Member<MemDisk>>,
+    member: Option<Node<MemDisk>>,
     clock: Clock,
-    kept: Rc<RefCell<Kept>>,
-    before: Rc<RefCell<Kept>>,
-    old: Option<Kept>,
+    kept: Rc<RefCell<PersistentState>>,
+    before: Rc<RefCell<PersistentState>>,
+    old: Option<PersistentState>,
     full: Rc<Cell<bool>>,
     stopped_until: Millis,
     highest: BTreeMap<LeaseName, FencingToken>,
@@ -280,20 +280,20 @@
             full: one.full.clone(),
             random: seed >> 8,
         });
-        let setup = Setup {
-            copy: Instance { rank: i as u32, life: one.life },
-            keeper: slot,
-            keepers: KEEPERS,
+        let setup = NodeConfig {
+            instance: Instance { rank: i as u32, life: one.life },
+            slot: slot,
+            replicas: KEEPERS,
             site: name(i),
             sites: (0..3).map(name).collect(),
-            terms: LeaseTiming::new(2_000, 50_000, 100).expect("terms"),
-            pace: Pace { wait: 300, ..Pace::default() },
-            limits: Thresholds::default(),
-            holds_for: 4_000,
-            whole_way: 6_000,
+            lease_timing: LeaseTiming::new(2_000, 50_000, 100).expect("terms"),
+            pacing: ShiftPacing { step_interval: 300, ..ShiftPacing::default() },
+            thresholds: Thresholds::default(),
+            command_ttl: 4_000,
+            ramp_duration: 6_000,
             seed,
         };
-        one.member = Some(Member::start(setup, disk, one.clock.read(self.now)));
+        one.member = Some(Node::start(setup, disk, one.clock.read(self.now)));
         (one.highest, one.follows) = (BTreeMap::new(), None);
         let life = one.life;
         self.at(self.now, Happens::Tick(i, life));
@@ -327,19 +327,24 @@
                 let one = &mut self.ones[i];
                 let local = one.clock.read(now);
                 if let Some(member) = one.member.as_mut().filter(|_| one.stopped_until <= now) {
-                    let away = 1.0 - member.part("north", local);
-                    let counts = |sent: f64| Counts {
+                    let away = 1.0 - member.site_fraction("north", local);
+                    let counts = |sent: f64| SiteCounts {
                         sent: sent as u32,
                         served: sent as u32,
-                        silent: 0,
-                        busy: (sent * 0.5) as u8,
-                        part: 0,
+                        unanswered: 0,
+                        utilization_percent: (sent * 0.5) as u8,
+                        fraction: 0,
                     };
                     let more = 100.0 + 50.0 * away;
                     let sites = [("north", 100.0 - 100.0 * away), ("south", more), ("west", more)];
                     let sites = sites.map(|(site, sent)| (site.to_owned(), counts(sent)));
-                    let report = Report { over: 500, asked: 200, sites: sites.into(), ..Report::default() };
-                    member.report(local, report);
+                    let report = LoadReport {
+                        period_ms: 500,
+                        requests: 200,
+                        sites: sites.into(),
+                        ..LoadReport::default()
+                    };
+                    member.on_report(local, report);
                 }
                 self.drain(i);
                 self.at(now + 500, Happens::Report(i));
@@ -355,10 +360,10 @@
                 let copy = Instance { rank: i as u32, life };
                 let local = self.ones[keeper].clock.read(now);
                 if let Some(member) = &mut self.ones[keeper].member {
-                    member.attached(local, copy);
+                    member.on_attached(local, copy);
                 }
                 if let Some(member) = &mut self.ones[i].member {
-                    member.connected(keeper, true);
+                    member.on_connection(keeper, true);
                 }
             }
             Happens::Frame(to, life, from, frame) => {
@@ -382,10 +387,12 @@
                 let at = Instant::now();
                 if let Some(member) = &mut self.ones[to].member {
                     match from < KEEPERS {
-                        true => member.hear_keeper(local, from, frame),
-                        false => {
-                            member.hear_copy(local, Instance { rank: from as u32, life: from_life }, frame)
-                        }
+                        true => member.on_replica_frame(local, from, frame),
+                        false => member.on_instance_frame(
+                            local,
+                            Instance { rank: from as u32, life: from_life },
+                            frame,
+                        ),
                     }
                 }
                 self.busy(to, at);
@@ -439,44 +446,44 @@
     /// Carries out what a member wants.
     fn drain(&mut self, i: usize) {
         let Some(member) = &mut self.ones[i].member else { return };
-        let out = member.out();
+        let out = member.take_outputs();
         let life = self.ones[i].life;
         for out in out {
-            if self.traced && !matches!(out, Out::Send(..) | Out::Part(..)) {
+            if self.traced && !matches!(out, Output::Send(..) | Output::SiteFraction(..)) {
                 eprintln!("{} {i}/{life} {out:?}", self.now);
             }
             match out {
-                Out::Send(To::Keeper(k), frame) => self.send(i, k, frame),
-                Out::Send(To::Copy(copy), frame) => {
+                Output::Send(Destination::Replica(k), frame) => self.send(i, k, frame),
+                Output::Send(Destination::Instance(copy), frame) => {
                     let to = copy.rank as usize;
                     if self.ones[to].life == copy.life && self.ones[to].follows == Some(i) {
                         self.send(i, to, frame);
                     }
                 }
-                Out::Follow(keeper) => {
+                Output::Follow(keeper) => {
                     if let Some(old) = self.ones[i].follows.replace(keeper) {
                         if let Some(member) = &mut self.ones[old].member {
-                            member.detached(Instance { rank: i as u32, life });
+                            member.on_detached(Instance { rank: i as u32, life });
                         }
                     }
                     self.at(self.now + 2, Happens::Connected(i, life, keeper));
                 }
-                Out::Did(did) => self.did(i, did),
-                Out::Done(_, Some(Outcome::Freeze(Response::Accepted(number)))) => {
+                Output::Audit(did) => self.did(i, did),
+                Output::Answered(_, Some(Outcome::Freeze(Response::Accepted(number)))) => {
                     self.acknowledged.push(number)
                 }
-                Out::Done(..) | Out::Part(..) | Out::Log(_) => {}
+                Output::Answered(..) | Output::SiteFraction(..) | Output::Log(_) => {}
             }
         }
     }
 
-    fn did(&mut self, i: usize, did: Did) {
+    fn did(&mut self, i: usize, did: AuditEvent) {
         let mut hasher = DefaultHasher::new();
         (self.digest, self.now, i, format!("{did:?}")).hash(&mut hasher);
         self.digest = hasher.finish();
         let order = match did {
-            Did::CarriedOut(order) => order,
-            Did::Refused(order, _) if self.fault == Fault::NoCheck => order,
+            AuditEvent::CommandApplied(order) => order,
+            AuditEvent::CommandRejected(order, _) if self.fault == Fault::NoCheck => order,
             _ => return,
         };
         self.carried_out += 1;
@@ -495,7 +502,7 @@
             return;
         }
         // A stream's frames come in order, as they do over one connection; others may be late, double or reordered.
-        let loose = matches!(frame, Frame::Order(_) | Frame::Word(_) | Frame::Propose(_));
+        let loose = matches!(frame, Frame::FencedCommand(_) | Frame::Replica(_) | Frame::Propose(_));
         let wait = 1 + self.below(8);
         let when = self.now + wait;
         let life = self.ones[to].life;
@@ -519,14 +526,14 @@
             0 | 1 => {
                 let site = self.below(2) as usize;
                 let begin = UNIX + self.now + 6_000 + self.below(4_000);
-                let plan = Plan {
+                let plan = WindowPlan {
                     site: name(site),
-                    begin,
-                    length: 3_000,
-                    lead: 12_000,
-                    latest: 6_000,
-                    reserve: 10,
-                    overrun: Overrun::Return,
+                    starts_at: begin,
+                    duration: 3_000,
+                    lead_time: 12_000,
+                    max_delay: 6_000,
+                    reserve_percent: 10,
+                    overrun_policy: OverrunPolicy::Return,
                 };
                 Command::Window { token: None, command: Window::Plan(plan) }
             }
@@ -550,7 +557,7 @@
         let one = &mut self.ones[i];
         let local = one.clock.read(now);
         if let Some(member) = one.member.as_mut().filter(|_| one.stopped_until <= now) {
-            member.ask(local, ticket, command);
+            member.request(local, ticket, command);
         }
         self.drain(i);
         let next = now + 300 + self.below(1_500);
@@ -569,7 +576,7 @@
             (KEEPERS..self.copies).filter(|c| self.ones[*c].follows == Some(i)).collect();
         for copy in copies {
             if let Some(member) = &mut self.ones[copy].member {
-                member.connected(i, false);
+                member.on_connection(i, false);
             }
             let life = self.ones[copy].life;
             self.at(self.now + 200, Happens::Connected(copy, life, i));
@@ -638,7 +645,12 @@
                 let old = one.old.take().filter(|_| self.fault == Fault::None);
                 let id = if self.fault == Fault::OldName { one.kept.borrow().id } else { 0 };
                 let founders = if id == 0 { Vec::new() } else { one.kept.borrow().founders.clone() };
-                let blank = Kept { id, boot: if id == 0 { 0 } else { 50 }, founders, ..Kept::default() };
+                let blank = PersistentState {
+                    id,
+                    boot: if id == 0 { 0 } else { 50 },
+                    founders,
+                    ..PersistentState::default()
+                };
                 *one.kept.borrow_mut() = old.unwrap_or(blank);
                 self.at(now + 200, Happens::Start(i));
             }
@@ -653,7 +665,7 @@
                 let step = self.below(7_200_000) as i64 - 3_600_000;
                 let one = &mut self.ones[i];
                 one.clock.steps = step;
-                one.old = Some(one.kept.borrow().clone()).filter(|kept| kept.takes_part);
+                one.old = Some(one.kept.borrow().clone()).filter(|kept| kept.participates);
             }
         }
         let next = now + 200 + self.below(2_500);
@@ -662,7 +674,7 @@
 
     /// Whether all keepers run, are members, and know the same: then one of them may lose all that it knows.
     fn is_whole(&self) -> bool {
-        let keepers = || self.ones[..KEEPERS].iter().map(|one| one.member.as_ref().and_then(|m| m.keeper()));
+        let keepers = || self.ones[..KEEPERS].iter().map(|one| one.member.as_ref().and_then(|m| m.replica()));
         let ids: Vec<u64> = keepers().flatten().map(|k| k.id()).collect();
         let applied = keepers().flatten().map(|k| k.applied());
         ids.len() == KEEPERS
@@ -679,7 +691,7 @@
         let mut held: BTreeMap<LeaseName, usize> = BTreeMap::new();
         for one in &self.ones {
             let Some(member) = &one.member else { continue };
-            for (duty, _) in member.holds(one.clock.read(now)) {
+            for (duty, _) in member.held_leases(one.clock.read(now)) {
                 *held.entry(duty).or_default() += 1;
             }
         }
@@ -687,7 +699,7 @@
             self.wrong.push(format!("{now}: {many} copies hold {duty}"));
         }
         for i in 0..KEEPERS {
-            let Some(keeper) = self.ones[i].member.as_ref().and_then(|m| m.keeper()) else { continue };
+            let Some(keeper) = self.ones[i].member.as_ref().and_then(|m| m.replica()) else { continue };
             let (state, index) = (keeper.state(), keeper.state().index());
             if self.states.contains_key(&index) && !self.events.is_multiple_of(16) {
                 continue;
@@ -698,7 +710,7 @@
             if *self.states.entry(index).or_insert(hash) != hash {
                 self.wrong.push(format!("{now}: keeper {i} knows another state of index {index}"));
             }
-            let wrong = state.register().check_invariants().or(state.windows().wrong());
+            let wrong = state.freeze().check_invariants().or(state.windows().check_invariants());
             self.wrong.extend(wrong.map(|why| format!("{now}: {why}")));
         }
     }
@@ -711,20 +723,21 @@
             };
             let state = member.state();
             let lost = self.acknowledged.iter().find(|n| {
-                let known = state.register().incidents().contains_key(n);
-                !known && !state.register().audit_log().iter().any(|line| line.subject == **n)
+                let known = state.freeze().incidents().contains_key(n);
+                !known && !state.freeze().audit_log().iter().any(|line| line.subject == **n)
             });
             if let Some(lost) = lost {
                 self.wrong.push(format!("copy {i} has forgotten what was acknowledged as {lost}"));
             }
-            if !member.is_open() {
+            if !member.accepts_commands() {
                 self.wrong.push(format!("the gates of copy {i} are closed"));
             }
         }
-        let coordinator = LeaseName::new(hillstall_consensus::state::COORDINATOR).expect("a name");
+        let coordinator = LeaseName::new(hillstall_consensus::state::COORDINATOR_LEASE).expect("a name");
         let held = self.ones.iter().filter_map(|one| Some((one.member.as_ref()?, one.clock.read(self.now))));
-        let held: usize =
-            held.map(|(m, now)| m.holds(now).iter().filter(|(duty, _)| *duty == coordinator).count()).sum();
+        let held: usize = held
+            .map(|(m, now)| m.held_leases(now).iter().filter(|(duty, _)| *duty == coordinator).count())
+            .sum();
         if held != 1 {
             self.wrong.push(format!("{held} coordinators 20 s after the last fault"));
         }
@@ -734,10 +747,10 @@
             self.wrong.push(format!("some keepers know much less than others: {low} and {high}"));
         }
         // Followers are told what matters of duties, so they know who holds them and not each sign of life.
-        let held = |m: &Member<MemDisk>| {
-            let duties = m.state().book().leases();
+        let held = |m: &Node<MemDisk>| {
+            let duties = m.state().leases().leases();
             let duties = duties.map(|(d, grant, _)| (d.clone(), grant.map(|g| g.token))).collect::<Vec<_>>();
-            (duties, m.state().register().incidents().clone())
+            (duties, m.state().freeze().incidents().clone())
         };
         let known: Vec<_> = self.ones.iter().filter_map(|o| Some(held(o.member.as_ref()?))).collect();
         if known.windows(2).any(|pair| pair[0] != pair[1]) {
@@ -752,7 +765,7 @@
     pub fn windows_begun(&self) -> usize {
         let state = self.ones[0].member.as_ref().map(|m| m.state());
         let begun = |w: &&hillstall_maintenance::windows::Window| {
-            w.part < 1_000 || (w.stage == Stage::Done && w.why.is_empty())
+            w.fraction < 1_000 || (w.stage == Stage::Done && w.reason.is_empty())
         };
         state.map_or(0, |s| s.windows().all().values().filter(begun).count())
     }
--- a/crates/coordination/src/admin_commands.rs
+++ b/crates/coordination/src/admin_commands.rs
@@ -7,7 +7,7 @@
 };
 use hillstall_consensus::state::{Command, Outcome};
 use hillstall_lease::LeaseName;
-use hillstall_maintenance::windows::{Command as Window, Overrun, Plan, Windows};
+use hillstall_maintenance::windows::{OverrunPolicy, WindowCommand as Window, WindowPlan, Windows};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::str::FromStr;
@@ -15,7 +15,7 @@
 
 /// What a line wants.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Line {
+pub enum AdminCommand {
     /// How the fleet is.
     Fleet,
     /// All windows.
@@ -35,10 +35,10 @@
 /// A line that can't be carried out.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
-pub struct BadLine(String);
+pub struct ParseCommandError(String);
 
-fn bad(why: impl std::fmt::Display) -> BadLine {
-    BadLine(why.to_string())
+fn bad(why: impl std::fmt::Display) -> ParseCommandError {
+    ParseCommandError(why.to_string())
 }
 
 const USAGE: &str = "there are FLEET [HANDOVER DUTY], WINDOW [PLAN|CANCEL|END], \
@@ -64,18 +64,18 @@
         Words { plain, named }
     }
 
-    fn word(&self, place: usize, what: &str) -> Result<&'a str, BadLine> {
+    fn word(&self, place: usize, what: &str) -> Result<&'a str, ParseCommandError> {
         self.plain.get(place).copied().ok_or_else(|| bad(format!("{what} is missing")))
     }
 
-    fn read<T: FromStr>(&self, place: usize, what: &str) -> Result<T, BadLine>
+    fn read<T: FromStr>(&self, place: usize, what: &str) -> Result<T, ParseCommandError>
     where
         T::Err: std::fmt::Display,
     {
         self.word(place, what)?.parse().map_err(|why| bad(format!("{what}: {why}")))
     }
 
-    fn named<T: FromStr>(&mut self, name: &str, usual: T) -> Result<T, BadLine>
+    fn named<T: FromStr>(&mut self, name: &str, usual: T) -> Result<T, ParseCommandError>
     where
         T::Err: std::fmt::Display,
     {
@@ -83,7 +83,7 @@
         text.map_or(Ok(usual), |text| text.parse().map_err(|why| bad(format!("{name}: {why}"))))
     }
 
-    fn time(&mut self, name: &str, usual: Option<Duration>) -> Result<u64, BadLine> {
+    fn time(&mut self, name: &str, usual: Option<Duration>) -> Result<u64, ParseCommandError> {
         let time = match (self.named.remove(name), usual) {
             (Some(text), _) => {
                 humantime::parse_duration(text).map_err(|why| bad(format!("{name}: {why}")))?
@@ -95,16 +95,16 @@
     }
 
     /// Whatever was not asked for is a mistake, and must not be passed over.
-    fn done(&self) -> Result<(), BadLine> {
+    fn done(&self) -> Result<(), ParseCommandError> {
         self.named.keys().next().map_or(Ok(()), |name| Err(bad(format!("{name}= has no meaning here"))))
     }
 }
 
 /// People by all of their names; where none are named, each name is a person.
-pub struct People<'a>(pub &'a BTreeMap<String, String>);
+pub struct PersonDirectory<'a>(pub &'a BTreeMap<String, String>);
 
-impl People<'_> {
-    fn one(&self, name: &str) -> Result<String, BadLine> {
+impl PersonDirectory<'_> {
+    fn one(&self, name: &str) -> Result<String, ParseCommandError> {
         if self.0.is_empty() {
             return Ok(name.to_owned());
         }
@@ -113,22 +113,21 @@
 }
 
 /// Reads a line; `None` if it is about something else.
-pub fn read(line: &str, people: &People<'_>) -> Option<Result<Line, BadLine>> {
+pub fn read(line: &str, people: &PersonDirectory<'_>) -> Option<Result<AdminCommand, ParseCommandError>> {
     let mut words = Words::of(line);
     let first = *words.plain.first()?;
     let second = words.plain.get(1).copied().unwrap_or("");
     let read = match (first, second) {
-        ("FLEET", "") => Ok(Line::Fleet),
-        ("FLEET", "HANDOVER") => {
-            words.word(2, "the duty").and_then(|duty| LeaseName::new(duty).map(Line::HandOver).map_err(bad))
-        }
-        ("WINDOW", "") => Ok(Line::Windows),
-        ("INCIDENT", "") => Ok(Line::Incidents),
-        ("CHANGE", "") => Ok(Line::Changes),
-        ("RECORD", "") => Ok(Line::Record),
-        ("WINDOW", _) => {
-            window(second, &mut words).map(|command| Line::Agree(Command::Window { token: None, command }))
-        }
+        ("FLEET", "") => Ok(AdminCommand::Fleet),
+        ("FLEET", "HANDOVER") => words
+            .word(2, "the duty")
+            .and_then(|duty| LeaseName::new(duty).map(AdminCommand::HandOver).map_err(bad)),
+        ("WINDOW", "") => Ok(AdminCommand::Windows),
+        ("INCIDENT", "") => Ok(AdminCommand::Incidents),
+        ("CHANGE", "") => Ok(AdminCommand::Changes),
+        ("RECORD", "") => Ok(AdminCommand::Record),
+        ("WINDOW", _) => window(second, &mut words)
+            .map(|command| AdminCommand::Agree(Command::Window { token: None, command })),
         ("INCIDENT", _) => incident(second, &mut words, people, line).map(agree),
         ("CHANGE", _) => change(second, &mut words, people).map(agree),
         ("FLEET" | "RECORD", _) => Err(bad(USAGE)),
@@ -137,11 +136,11 @@
     Some(read.and_then(|line| words.done().map(|()| line)))
 }
 
-fn agree(command: Freeze) -> Line {
-    Line::Agree(Command::Freeze(command))
+fn agree(command: Freeze) -> AdminCommand {
+    AdminCommand::Agree(Command::Freeze(command))
 }
 
-fn window(verb: &str, words: &mut Words<'_>) -> Result<Window, BadLine> {
+fn window(verb: &str, words: &mut Words<'_>) -> Result<Window, ParseCommandError> {
     match verb {
         "PLAN" => {
             let begin = words.named.remove("begin").ok_or_else(|| bad("begin= is missing"))?;
@@ -149,18 +148,18 @@
                 bad(format!("begin: {begin:?} is no moment, like 2026-05-03T02:00[Europe/Berlin]"))
             })?;
             let overrun = match words.named.remove("overrun") {
-                None | Some("return") => Overrun::Return,
-                Some("hold") => Overrun::Hold,
+                None | Some("return") => OverrunPolicy::Return,
+                Some("hold") => OverrunPolicy::Hold,
                 Some(other) => return Err(bad(format!("overrun: {other:?} is none of return, hold"))),
             };
-            Ok(Window::Plan(Plan {
+            Ok(Window::Plan(WindowPlan {
                 site: words.word(2, "the site")?.to_owned(),
-                begin,
-                length: words.time("length", None)?,
-                lead: words.time("lead", None)?,
-                latest: words.time("latest", Some(Duration::from_secs(600)))?,
-                reserve: words.named("reserve", 20)?,
-                overrun,
+                starts_at: begin,
+                duration: words.time("length", None)?,
+                lead_time: words.time("lead", None)?,
+                max_delay: words.time("latest", Some(Duration::from_secs(600)))?,
+                reserve_percent: words.named("reserve", 20)?,
+                overrun_policy: overrun,
             }))
         }
         "CANCEL" => Ok(Window::Cancel { window: words.read(2, "the window's number")? }),
@@ -169,7 +168,12 @@
     }
 }
 
-fn incident(verb: &str, words: &mut Words<'_>, people: &People<'_>, line: &str) -> Result<Freeze, BadLine> {
+fn incident(
+    verb: &str,
+    words: &mut Words<'_>,
+    people: &PersonDirectory<'_>,
+    line: &str,
+) -> Result<Freeze, ParseCommandError> {
     let number = |words: &Words<'_>| words.read(2, "the incident's number");
     match verb {
         "OPEN" => {
@@ -200,7 +204,11 @@
     }
 }
 
-fn change(verb: &str, words: &mut Words<'_>, people: &People<'_>) -> Result<Freeze, BadLine> {
+fn change(
+    verb: &str,
+    words: &mut Words<'_>,
+    people: &PersonDirectory<'_>,
+) -> Result<Freeze, ParseCommandError> {
     match verb {
         "ASK" | "EMERGENCY" => {
             let kind: ChangeKind = words.read(2, "the kind")?;
@@ -231,7 +239,7 @@
                 .into()
         }
         Some(Outcome::Window) => "200 agreed\n".into(),
-        Some(Outcome::Grant(_)) => "200 agreed\n".into(),
+        Some(Outcome::Lease(_)) => "200 agreed\n".into(),
         Some(Outcome::Freeze(answer)) => match answer {
             Response::Accepted(number) => format!("200 {number}\n"),
             Response::Permitted(number) => format!("200 {number} permit\n"),
@@ -242,10 +250,10 @@
             }
             Response::Rejected(why) => format!("400 {why}\n"),
         },
-        Some(Outcome::Over { newest }) => {
+        Some(Outcome::GrantEnded { newest }) => {
             format!("409 the grant is over; the newest token is {}\n", newest.0)
         }
-        Some(Outcome::Refused(why)) => format!("409 {why}\n"),
+        Some(Outcome::Rejected(why)) => format!("409 {why}\n"),
         Some(Outcome::TooLate) => "409 it came too late\n".into(),
     }
 }
@@ -254,19 +262,19 @@
 pub fn windows(windows: &Windows) -> String {
     let mut text = String::new();
     for (number, window) in windows.all() {
-        let (plan, part) = (&window.plan, f64::from(window.part) / 10.0);
+        let (plan, part) = (&window.plan, f64::from(window.fraction) / 10.0);
         let _ = write!(
             text,
             "{number} {} {} begin={} part={part}%",
             plan.site,
             window.stage,
-            calendar::shown(plan.begin)
+            calendar::shown(plan.starts_at)
         );
         if window.overrun {
             text.push_str(" overrun");
         }
-        if !window.why.is_empty() {
-            let _ = write!(text, " why={}", window.why);
+        if !window.reason.is_empty() {
+            let _ = write!(text, " why={}", window.reason);
         }
         text.push('\n');
     }
@@ -333,10 +341,10 @@
     fn lines_are_read_and_faults_are_told() {
         let people = [("mira", "mira"), ("mk", "mira"), ("tom", "tom")];
         let people = people.map(|(a, b)| (a.to_owned(), b.to_owned())).into();
-        let of = |line: &str| read(line, &People(&people)).expect("it is for the fleet");
-        assert_eq!(of("FLEET"), Ok(Line::Fleet));
+        let of = |line: &str| read(line, &PersonDirectory(&people)).expect("it is for the fleet");
+        assert_eq!(of("FLEET"), Ok(AdminCommand::Fleet));
         let asked = of("CHANGE EMERGENCY drain site:north mk for=30s").expect("it is read");
-        let Line::Agree(Command::Freeze(Freeze::RequestEmergencyChange(wish))) = asked else {
+        let AdminCommand::Agree(Command::Freeze(Freeze::RequestEmergencyChange(wish))) = asked else {
             panic!("{asked:?}")
         };
         assert_eq!(
@@ -361,13 +369,13 @@
             let told = of(line).expect_err(line).to_string();
             assert!(told.contains(what), "{line}: {told}");
         }
-        assert!(read("PING", &People(&people)).is_none());
+        assert!(read("PING", &PersonDirectory(&people)).is_none());
     }
 
     proptest! {
         #[test]
         fn no_line_makes_it_panic(line in "(FLEET|WINDOW|INCIDENT|CHANGE)?[ -~]{0,120}") {
-            let _ = read(&line, &People(&BTreeMap::new()));
+            let _ = read(&line, &PersonDirectory(&BTreeMap::new()));
         }
     }
 }
--- a/crates/coordination/src/connections.rs
+++ b/crates/coordination/src/connections.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use futures_util::SinkExt;
-use hillstall_consensus::frame::{Frame, FRAME_MOST};
+use hillstall_consensus::frame::{Frame, MAX_FRAME_BYTES};
 use hillstall_lease::Instance;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -26,7 +26,7 @@
 const OPEN_MOST: usize = 2_048;
 
 /// What happens on connections.
-pub enum Heard {
+pub enum ConnectionEvent {
     /// A keeper sent a frame: over a connection opened here, or over one that it opened.
     Keeper(usize, Frame),
     /// Another copy did, over the connection of this number.
@@ -43,7 +43,7 @@
 
 /// Who opens a connection.
 #[derive(Clone)]
-pub struct Own {
+pub struct LocalIdentity {
     /// Its fleet.
     pub fleet: String,
     /// Itself.
@@ -55,20 +55,25 @@
 fn framed(stream: TcpStream) -> Framed<TcpStream, LengthDelimitedCodec> {
     // Fails only on a stream that is dead, which the first read tells.
     let _ = stream.set_nodelay(true);
-    Framed::new(stream, LengthDelimitedCodec::builder().max_frame_length(FRAME_MOST).new_codec())
+    Framed::new(stream, LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec())
 }
 
 /// A connection that is opened here, and opened again whenever it breaks. Dropping it closes it.
-pub struct Dialed {
+pub struct OutboundConnection {
     queue: Sender<Bytes>,
     task: JoinHandle<()>,
 }
 
-impl Dialed {
+impl OutboundConnection {
     /// Opens one to a keeper.
-    pub fn open(slot: usize, address: SocketAddr, own: Own, tell: UnboundedSender<Heard>) -> Dialed {
+    pub fn open(
+        slot: usize,
+        address: SocketAddr,
+        own: LocalIdentity,
+        tell: UnboundedSender<ConnectionEvent>,
+    ) -> OutboundConnection {
         let (queue, waiting) = channel(QUEUE);
-        Dialed { queue, task: spawn_local(keep_open(slot, address, own, tell, waiting)) }
+        OutboundConnection { queue, task: spawn_local(keep_open(slot, address, own, tell, waiting)) }
     }
 
     /// Sends a frame, or loses it.
@@ -77,7 +82,7 @@
     }
 }
 
-impl Drop for Dialed {
+impl Drop for OutboundConnection {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -86,22 +91,22 @@
 async fn keep_open(
     slot: usize,
     address: SocketAddr,
-    own: Own,
-    tell: UnboundedSender<Heard>,
+    own: LocalIdentity,
+    tell: UnboundedSender<ConnectionEvent>,
     mut waiting: Receiver<Bytes>,
 ) {
     loop {
         if let Ok(Ok(stream)) = timeout(OPEN_WITHIN, TcpStream::connect(address)).await {
             // What was meant for the connection before is of no use to this one.
             while waiting.try_recv().is_ok() {}
-            let Own { fleet, copy, keeper } = own.clone();
+            let LocalIdentity { fleet, copy, keeper } = own.clone();
             let mut wire = framed(stream);
-            let hello = Frame::Hello { fleet, copy, keeper }.encode();
+            let hello = Frame::Hello { fleet, instance: copy, replica: keeper }.encode();
             if matches!(timeout(OPEN_WITHIN, wire.send(Bytes::from(hello))).await, Ok(Ok(()))) {
                 // The loop has ended once nobody hears.
-                let _ = tell.send(Heard::Up(slot, true));
-                carry(&mut wire, &mut waiting, |frame| Heard::Keeper(slot, frame), &tell).await;
-                let _ = tell.send(Heard::Up(slot, false));
+                let _ = tell.send(ConnectionEvent::Up(slot, true));
+                carry(&mut wire, &mut waiting, |frame| ConnectionEvent::Keeper(slot, frame), &tell).await;
+                let _ = tell.send(ConnectionEvent::Up(slot, false));
             }
         }
         sleep(AGAIN).await;
@@ -112,8 +117,8 @@
 async fn carry(
     wire: &mut Framed<TcpStream, LengthDelimitedCodec>,
     waiting: &mut Receiver<Bytes>,
-    heard: impl Fn(Frame) -> Heard,
-    tell: &UnboundedSender<Heard>,
+    heard: impl Fn(Frame) -> ConnectionEvent,
+    tell: &UnboundedSender<ConnectionEvent>,
 ) {
     loop {
         tokio::select! {
@@ -121,14 +126,14 @@
                 Some(Ok(bytes)) => {
                     let told = match Frame::decode(&bytes) {
                         Ok(frame) => heard(frame),
-                        Err(why) => Heard::Unreadable(why.to_string()),
+                        Err(why) => ConnectionEvent::Unreadable(why.to_string()),
                     };
                     if tell.send(told).is_err() {
                         return;
                     }
                 }
                 Some(Err(why)) => {
-                    let _ = tell.send(Heard::Unreadable(why.to_string()));
+                    let _ = tell.send(ConnectionEvent::Unreadable(why.to_string()));
                     return;
                 }
                 None => return,
@@ -152,9 +157,9 @@
 /// Takes connections for ever, from those that may open one.
 pub async fn accept(
     listener: TcpListener,
-    own: Own,
+    own: LocalIdentity,
     may: impl Fn(IpAddr) -> bool + 'static,
-    tell: UnboundedSender<Heard>,
+    tell: UnboundedSender<ConnectionEvent>,
 ) {
     let mut number = 0;
     let (closed, mut closings) = unbounded_channel::<()>();
@@ -172,7 +177,8 @@
             open -= 1;
         }
         if !may(from.ip()) || open >= OPEN_MOST {
-            let _ = tell.send(Heard::Unreadable(format!("a connection from {} is not taken", from.ip())));
+            let _ = tell
+                .send(ConnectionEvent::Unreadable(format!("a connection from {} is not taken", from.ip())));
             continue;
         }
         open += 1;
@@ -185,26 +191,28 @@
     }
 }
 
-async fn answer(stream: TcpStream, own: Own, number: u64, tell: &UnboundedSender<Heard>) {
+async fn answer(stream: TcpStream, own: LocalIdentity, number: u64, tell: &UnboundedSender<ConnectionEvent>) {
     let mut wire = framed(stream);
     let first = timeout(OPEN_WITHIN, next(&mut wire)).await;
     let Ok(Some(Ok(bytes))) = first else { return };
     let (copy, keeper) = match Frame::decode(&bytes) {
-        Ok(Frame::Hello { fleet, copy, keeper }) if fleet == own.fleet => (copy, keeper),
+        Ok(Frame::Hello { fleet, instance: copy, replica: keeper }) if fleet == own.fleet => (copy, keeper),
         // Of another fleet, or no greeting.
         Ok(_) => return,
         Err(why) => {
-            let _ = tell.send(Heard::Unreadable(why.to_string()));
+            let _ = tell.send(ConnectionEvent::Unreadable(why.to_string()));
             return;
         }
     };
     let (queue, mut waiting) = channel(QUEUE);
     match keeper {
-        Some(slot) => carry(&mut wire, &mut waiting, |frame| Heard::Keeper(slot, frame), tell).await,
+        Some(slot) => {
+            carry(&mut wire, &mut waiting, |frame| ConnectionEvent::Keeper(slot, frame), tell).await
+        }
         None => {
-            let _ = tell.send(Heard::Attached(copy, number, queue.clone()));
-            carry(&mut wire, &mut waiting, |frame| Heard::Copy(copy, number, frame), tell).await;
-            let _ = tell.send(Heard::Detached(copy, number));
+            let _ = tell.send(ConnectionEvent::Attached(copy, number, queue.clone()));
+            carry(&mut wire, &mut waiting, |frame| ConnectionEvent::Copy(copy, number, frame), tell).await;
+            let _ = tell.send(ConnectionEvent::Detached(copy, number));
         }
     }
     drop(queue);
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -10,8 +10,8 @@
 mod runtime;
 pub mod settings;
 
-pub use hillstall_consensus::load_reports::{Counts, Report};
-pub use runtime::{start, Handle, Hint, NotStarted, Place};
+pub use hillstall_consensus::load_reports::{LoadReport, SiteCounts};
+pub use runtime::{start, Advisory, CoordinationHandle, InstanceLocation, StartError};
 
 /// A length of time in milliseconds.
 fn millis(time: std::time::Duration) -> u64 {
--- a/crates/coordination/src/redb_storage.rs
+++ b/crates/coordination/src/redb_storage.rs
@@ -1,7 +1,7 @@
 //! A keeper's lasting disk: an embedded store, synced before anything is told to others.
 
 use hillstall_consensus::replica::new_id;
-use hillstall_consensus::storage::{Change, Disk, DiskFailed, Kept};
+use hillstall_consensus::storage::{PersistentState, ReplicaStorage, StorageFailed, WriteBatch};
 use redb::{Database, Durability, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
 }
 
 /// See the module's text.
-pub struct RedbDisk {
+pub struct RedbStorage {
     slot: usize,
     path: PathBuf,
     base: Option<Database>,
@@ -34,61 +34,61 @@
 
 /// Why a disk can't be used now.
 #[derive(Debug, thiserror::Error)]
-pub enum NoDisk {
+pub enum StorageError {
     /// Another process has it, as the older one during an upgrade.
     #[error("another process has the keeper's disk")]
-    Taken,
+    InUse,
     /// It fails.
     #[error("the keeper's disk: {0}")]
     Failed(String),
 }
 
-fn failed(why: impl std::fmt::Display) -> DiskFailed {
-    DiskFailed(why.to_string())
+fn failed(why: impl std::fmt::Display) -> StorageFailed {
+    StorageFailed(why.to_string())
 }
 
-impl RedbDisk {
+impl RedbStorage {
     /// Opens a keeper's file in a folder, which must be there: one that is not mounted must not be taken for a new one.
-    pub fn open(folder: &Path, slot: usize) -> Result<RedbDisk, NoDisk> {
+    pub fn open(folder: &Path, slot: usize) -> Result<RedbStorage, StorageError> {
         if !folder.is_dir() {
-            return Err(NoDisk::Failed(format!("{}: there is no such folder", folder.display())));
+            return Err(StorageError::Failed(format!("{}: there is no such folder", folder.display())));
         }
         let path = folder.join(format!("keeper-{slot}.redb"));
         match Database::create(&path) {
-            Ok(base) => Ok(RedbDisk { slot, path, base: Some(base), head: Head::default() }),
-            Err(redb::DatabaseError::DatabaseAlreadyOpen) => Err(NoDisk::Taken),
+            Ok(base) => Ok(RedbStorage { slot, path, base: Some(base), head: Head::default() }),
+            Err(redb::DatabaseError::DatabaseAlreadyOpen) => Err(StorageError::InUse),
             // Whatever is there can't be read: it is put aside, for people to look at, and the keeper is a new one.
             Err(redb::DatabaseError::Storage(redb::StorageError::Corrupted(why))) => {
                 tracing::warn!("keeper's disk: {why}; it is put aside");
                 std::fs::rename(&path, path.with_extension("torn"))
-                    .map_err(|e| NoDisk::Failed(e.to_string()))?;
-                RedbDisk::open(folder, slot)
+                    .map_err(|e| StorageError::Failed(e.to_string()))?;
+                RedbStorage::open(folder, slot)
             }
-            Err(why) => Err(NoDisk::Failed(why.to_string())),
+            Err(why) => Err(StorageError::Failed(why.to_string())),
         }
     }
 
-    fn base(&self) -> Result<&Database, DiskFailed> {
+    fn base(&self) -> Result<&Database, StorageFailed> {
         self.base.as_ref().ok_or_else(|| failed("it is closed"))
     }
 
-    fn write(&self, change: &Change, head: &Head) -> Result<(), redb::Error> {
+    fn write(&self, change: &WriteBatch, head: &Head) -> Result<(), redb::Error> {
         let base = self.base().map_err(|e| redb::Error::Io(std::io::Error::other(e.0)))?;
         let mut writing = base.begin_write()?;
         writing.set_durability(Durability::Immediate)?;
         {
             let mut meta = writing.open_table(META)?;
             meta.insert("head", postcard::to_stdvec(head).unwrap_or_default())?;
-            for (key, value) in [("hard", &change.hard), ("snapshot", &change.snapshot)] {
+            for (key, value) in [("hard", &change.hard_state), ("snapshot", &change.snapshot)] {
                 if let Some(value) = value {
                     meta.insert(key, value.clone())?;
                 }
             }
             let mut log = writing.open_table(LOG)?;
-            if let Some(from) = change.cut_from {
+            if let Some(from) = change.truncate_from {
                 log.retain_in(from.., |_, _| false)?;
             }
-            if let Some(to) = change.cut_to {
+            if let Some(to) = change.compact_to {
                 log.retain_in(..=to, |_, _| false)?;
             }
             for (index, entry) in &change.entries {
@@ -99,7 +99,7 @@
         Ok(())
     }
 
-    fn read(&self) -> Result<Option<Kept>, redb::Error> {
+    fn read(&self) -> Result<Option<PersistentState>, redb::Error> {
         let base = self.base().map_err(|e| redb::Error::Io(std::io::Error::other(e.0)))?;
         let reading = base.begin_read()?;
         let meta = match reading.open_table(META) {
@@ -120,24 +120,33 @@
         }
         let Head { id, boot, founders, takes_part, seen, .. } = head;
         let (hard, snapshot) = (get("hard")?.unwrap_or_default(), get("snapshot")?.unwrap_or_default());
-        Ok(Some(Kept { id, boot, founders, takes_part, hard, snapshot, entries, seen }))
+        Ok(Some(PersistentState {
+            id,
+            boot,
+            founders,
+            participates: takes_part,
+            hard_state: hard,
+            snapshot,
+            entries,
+            known_boots: seen,
+        }))
     }
 
-    fn begin_anew(&mut self) -> Result<Kept, DiskFailed> {
+    fn begin_anew(&mut self) -> Result<PersistentState, StorageFailed> {
         // Hashing nothing with the system's keys gives a number that no other start gets.
         let random = RandomState::new().hash_one(std::process::id());
         self.head = Head { version: VERSION, id: new_id(self.slot, random), ..Head::default() };
-        self.write(&Change::default(), &self.head).map_err(failed)?;
-        Ok(Kept { id: self.head.id, ..Kept::default() })
+        self.write(&WriteBatch::default(), &self.head).map_err(failed)?;
+        Ok(PersistentState { id: self.head.id, ..PersistentState::default() })
     }
 }
 
-impl Disk for RedbDisk {
-    fn load(&mut self) -> Result<Kept, DiskFailed> {
+impl ReplicaStorage for RedbStorage {
+    fn load(&mut self) -> Result<PersistentState, StorageFailed> {
         match self.read().map_err(failed)? {
             Some(kept) => {
                 let (id, boot, founders) = (kept.id, kept.boot, kept.founders.clone());
-                let (takes_part, seen) = (kept.takes_part, kept.seen.clone());
+                let (takes_part, seen) = (kept.participates, kept.known_boots.clone());
                 self.head = Head { version: VERSION, id, boot, founders, takes_part, seen };
                 Ok(kept)
             }
@@ -145,18 +154,18 @@
         }
     }
 
-    fn save(&mut self, change: Change) -> Result<(), DiskFailed> {
+    fn save(&mut self, change: WriteBatch) -> Result<(), StorageFailed> {
         let head = &mut self.head;
         head.boot = change.boot.unwrap_or(head.boot);
-        head.takes_part = change.takes_part.unwrap_or(head.takes_part);
-        head.seen.extend(change.seen.iter());
+        head.takes_part = change.participates.unwrap_or(head.takes_part);
+        head.seen.extend(change.known_boots.iter());
         if let Some(founders) = &change.founders {
             head.founders.clone_from(founders);
         }
         self.write(&change, &self.head).map_err(failed)
     }
 
-    fn renew(&mut self) -> Result<Kept, DiskFailed> {
+    fn reset(&mut self) -> Result<PersistentState, StorageFailed> {
         self.base = None;
         // Kept for people to look at; one such copy is enough.
         std::fs::rename(&self.path, self.path.with_extension("old")).map_err(failed)?;
@@ -172,39 +181,45 @@
     #[test]
     fn what_was_saved_is_there_after_a_start_and_nothing_else() {
         let folder = tempfile::tempdir().expect("a folder");
-        let mut disk = RedbDisk::open(folder.path(), 1).expect("it opens");
+        let mut disk = RedbStorage::open(folder.path(), 1).expect("it opens");
         let new = disk.load().expect("it is read");
-        assert!(new.id >> 32 == 1 && new.boot == 0 && !new.takes_part);
+        assert!(new.id >> 32 == 1 && new.boot == 0 && !new.participates);
         let entries: BTreeMap<u64, Vec<u8>> = (5..9).map(|i| (i, vec![i as u8])).collect();
-        let change = Change { boot: Some(1), hard: Some(vec![1]), entries, ..Change::default() };
+        let change =
+            WriteBatch { boot: Some(1), hard_state: Some(vec![1]), entries, ..WriteBatch::default() };
         disk.save(change).expect("it is written");
-        let cut = Change { cut_from: Some(8), cut_to: Some(5), seen: [(3, 4)].into(), ..Change::default() };
+        let cut = WriteBatch {
+            truncate_from: Some(8),
+            compact_to: Some(5),
+            known_boots: [(3, 4)].into(),
+            ..WriteBatch::default()
+        };
         disk.save(cut).expect("it is written");
         assert!(
-            matches!(RedbDisk::open(folder.path(), 1), Err(NoDisk::Taken)),
+            matches!(RedbStorage::open(folder.path(), 1), Err(StorageError::InUse)),
             "two processes never share it"
         );
         drop(disk);
-        let mut again = RedbDisk::open(folder.path(), 1).expect("it opens");
+        let mut again = RedbStorage::open(folder.path(), 1).expect("it opens");
         let kept = again.load().expect("it is read");
-        assert_eq!((kept.id, kept.boot, kept.hard.as_slice()), (new.id, 1, &[1u8][..]));
+        assert_eq!((kept.id, kept.boot, kept.hard_state.as_slice()), (new.id, 1, &[1u8][..]));
         assert_eq!(kept.entries.keys().copied().collect::<Vec<_>>(), [6, 7]);
-        assert_eq!(kept.seen, [(3, 4)].into());
-        let renewed = again.renew().expect("it is renewed");
+        assert_eq!(kept.known_boots, [(3, 4)].into());
+        let renewed = again.reset().expect("it is renewed");
         assert!(renewed.id != new.id && renewed.entries.is_empty());
-        assert!(RedbDisk::open(&folder.path().join("none"), 0).is_err(), "a folder that is not there");
+        assert!(RedbStorage::open(&folder.path().join("none"), 0).is_err(), "a folder that is not there");
     }
 
     #[test]
     fn a_torn_file_is_put_aside() {
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("keeper-0.redb");
-        let mut first = RedbDisk::open(folder.path(), 0).expect("it opens");
+        let mut first = RedbStorage::open(folder.path(), 0).expect("it opens");
         let id = first.load().expect("it is read").id;
         drop(first);
         let bytes = std::fs::read(&path).expect("it is there");
         std::fs::write(&path, &bytes[..bytes.len() / 3]).expect("it is torn");
-        if let Ok(mut disk) = RedbDisk::open(folder.path(), 0) {
+        if let Ok(mut disk) = RedbStorage::open(folder.path(), 0) {
             assert_ne!(disk.load().map(|kept| kept.id).unwrap_or(0), id);
         }
     }
--- a/crates/coordination/src/runtime.rs
+++ b/crates/coordination/src/runtime.rs
@@ -1,16 +1,16 @@
 //! The loop: frames, lines, reports and time go in, and what the member wants is done.
 
-use crate::admin_commands::{self, Line, People};
-use crate::connections::{accept, Dialed, Heard, Own};
+use crate::admin_commands::{self, AdminCommand, PersonDirectory};
+use crate::connections::{accept, ConnectionEvent, LocalIdentity, OutboundConnection};
 use crate::millis;
-use crate::redb_storage::{NoDisk, RedbDisk};
+use crate::redb_storage::{RedbStorage, StorageError};
 use crate::settings::Settings;
 use bytes::Bytes;
-use hillstall_consensus::load_reports::Report;
-use hillstall_consensus::node::{Did, Member, Out, Setup, To};
+use hillstall_consensus::load_reports::LoadReport;
+use hillstall_consensus::node::{AuditEvent, Destination, Node, NodeConfig, Output};
 use hillstall_consensus::state::Command;
 use hillstall_lease::Instance;
-use hillstall_maintenance::windows::Command as Window;
+use hillstall_maintenance::windows::WindowCommand as Window;
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
 use std::net::IpAddr;
@@ -36,7 +36,7 @@
 
 /// Where a copy stands, as the platform tells it.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct InstanceLocation {
     /// Its number among all copies of all tiers.
     pub rank: u32,
     /// Its site.
@@ -47,14 +47,14 @@
 
 /// Something for the calls' loop.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Hint {
+pub enum Advisory {
     /// A site gets this part of its usual load from now on, from 0 to 1.
-    Part(String, f64),
+    SiteFraction(String, f64),
 }
 
 /// Why the fleet's part could not be started.
 #[derive(Debug, thiserror::Error)]
-pub enum NotStarted {
+pub enum StartError {
     /// The system gives no thread.
     #[error("fleet: no thread: {0}")]
     Thread(std::io::Error),
@@ -63,57 +63,60 @@
     Disk(String),
 }
 
-enum Said {
+enum Request {
     Signal(&'static str),
-    Report(Report),
+    Report(LoadReport),
     Line(String, oneshot::Sender<String>),
     Leave(oneshot::Sender<()>),
 }
 
 /// What the calls' loop has of the fleet's part. All of it returns at once.
-pub struct Handle {
-    say: UnboundedSender<Said>,
+pub struct CoordinationHandle {
+    say: UnboundedSender<Request>,
 }
 
-impl Handle {
+impl CoordinationHandle {
     /// What this copy has counted since it was last told.
-    pub fn report(&self, report: Report) {
+    pub fn report(&self, report: LoadReport) {
         // The loop may have failed; calls go on.
-        let _ = self.say.send(Said::Report(report));
+        let _ = self.say.send(Request::Report(report));
     }
 
     /// A line of the second address, if it is one for the fleet. The answer comes within two seconds.
-    pub fn line(&self, line: &str) -> Option<oneshot::Receiver<String>> {
+    pub fn admin_command(&self, line: &str) -> Option<oneshot::Receiver<String>> {
         let first = line.split_ascii_whitespace().next()?;
         if !["FLEET", "WINDOW", "INCIDENT", "CHANGE", "RECORD"].contains(&first) {
             return None;
         }
         let (answer, answered) = oneshot::channel();
-        let _ = self.say.send(Said::Line(line.to_owned(), answer));
+        let _ = self.say.send(Request::Line(line.to_owned(), answer));
         Some(answered)
     }
 
     /// The platform has signalled this copy. It is written down as a change without a permit, and holds nothing up.
-    pub fn signalled(&self, signal: &'static str) {
-        let _ = self.say.send(Said::Signal(signal));
+    pub fn on_signal(&self, signal: &'static str) {
+        let _ = self.say.send(Request::Signal(signal));
     }
 
     /// This copy ends: returns once others have its duties, or after a while.
-    pub async fn leave(&self) {
+    pub async fn release_leases(&self) {
         let (done, left) = oneshot::channel();
-        if self.say.send(Said::Leave(done)).is_ok() {
+        if self.say.send(Request::Leave(done)).is_ok() {
             let _ = timeout(LEAVE_WITHIN, left).await;
         }
     }
 }
 
 /// Starts the fleet's part on a thread of its own. A keeper without its disk does not start.
-pub fn start(settings: Settings, place: Place) -> Result<(Handle, UnboundedReceiver<Hint>), NotStarted> {
+pub fn start(
+    settings: Settings,
+    place: InstanceLocation,
+) -> Result<(CoordinationHandle, UnboundedReceiver<Advisory>), StartError> {
     if let (Some(_), Some(folder)) = (settings.keeper, &settings.disk) {
         if !folder.is_dir() {
             let why =
                 format!("{}: there is no such folder; a keeper needs one that outlives it", folder.display());
-            return Err(NotStarted::Disk(why));
+            return Err(StartError::Disk(why));
         }
     }
     let (say, said) = unbounded_channel();
@@ -121,45 +124,49 @@
     let run = move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let Ok(runtime) = runtime.inspect_err(|why| tracing::error!("fleet: {why}")) else { return };
-        LocalSet::new().block_on(&runtime, Shell::run(settings, place, said, hint));
+        LocalSet::new().block_on(&runtime, Runtime::run(settings, place, said, hint));
     };
     // Whatever goes wrong in there ends this thread alone, and calls go on.
-    std::thread::Builder::new().name("fleet".into()).spawn(run).map_err(NotStarted::Thread)?;
-    Ok((Handle { say }, hints))
+    std::thread::Builder::new().name("fleet".into()).spawn(run).map_err(StartError::Thread)?;
+    Ok((CoordinationHandle { say }, hints))
 }
 
-struct Shell {
+struct Runtime {
     settings: Settings,
-    place: Place,
-    own: Own,
+    place: InstanceLocation,
+    own: LocalIdentity,
     zero: Instant,
-    member: Member<RedbDisk>,
-    tell: UnboundedSender<Heard>,
-    dialed: BTreeMap<usize, Dialed>,
+    member: Node<RedbStorage>,
+    tell: UnboundedSender<ConnectionEvent>,
+    dialed: BTreeMap<usize, OutboundConnection>,
     attached: BTreeMap<Instance, (u64, Sender<Bytes>)>,
     lines: BTreeMap<u64, oneshot::Sender<String>>,
     tickets: u64,
-    hint: UnboundedSender<Hint>,
+    hint: UnboundedSender<Advisory>,
     leaving: Option<oneshot::Sender<()>>,
     looked_at: Instant,
     logged: BTreeMap<&'static str, (Instant, u64)>,
 }
 
-impl Shell {
+impl Runtime {
     async fn run(
         settings: Settings,
-        place: Place,
-        mut said: UnboundedReceiver<Said>,
-        hint: UnboundedSender<Hint>,
+        place: InstanceLocation,
+        mut said: UnboundedReceiver<Request>,
+        hint: UnboundedSender<Advisory>,
     ) {
         let copy = Instance { rank: place.rank, life: RandomState::new().hash_one(std::process::id()) };
-        let own = Own { fleet: settings.name.clone(), copy, keeper: settings.keeper.map(|(slot, _)| slot) };
+        let own = LocalIdentity {
+            fleet: settings.name.clone(),
+            copy,
+            keeper: settings.keeper.map(|(slot, _)| slot),
+        };
         let (tell, mut heard) = unbounded_channel();
         let mut disk = None;
         if let Some((slot, address)) = settings.keeper {
             let folder = settings.disk.clone().unwrap_or_default();
             // The older process of an upgrade has both until it ends.
-            let opened = take(|| RedbDisk::open(&folder, slot), &mut said).await;
+            let opened = take(|| RedbStorage::open(&folder, slot), &mut said).await;
             let listener = take_address(address, &mut said).await;
             let (Some(opened), Some(listener)) = (opened, listener) else { return };
             disk = Some(opened);
@@ -168,21 +175,21 @@
             spawn_local(accept(listener, own.clone(), move |ip| from.contains(&ip), tell.clone()));
         }
         let zero = Instant::now();
-        let setup = Setup {
-            copy,
-            keeper: own.keeper,
-            keepers: settings.keepers.len(),
+        let setup = NodeConfig {
+            instance: copy,
+            slot: own.keeper,
+            replicas: settings.keepers.len(),
             site: place.site.clone(),
             sites: place.sites.clone(),
-            terms: settings.terms,
-            pace: settings.pace,
-            limits: Default::default(),
-            holds_for: millis(settings.holds_for),
-            whole_way: millis(settings.whole_way),
+            lease_timing: settings.terms,
+            pacing: settings.pace,
+            thresholds: Default::default(),
+            command_ttl: millis(settings.holds_for),
+            ramp_duration: millis(settings.whole_way),
             seed: copy.life,
         };
-        let member = Member::start(setup, disk, 0);
-        let mut shell = Shell {
+        let member = Node::start(setup, disk, 0);
+        let mut shell = Runtime {
             member,
             own: own.clone(),
             zero,
@@ -219,7 +226,7 @@
                 },
             }
             shell.carry_out();
-            if shell.member.has_left() {
+            if shell.member.has_released_leases() {
                 if let Some(done) = shell.leaving.take() {
                     let _ = done.send(());
                 }
@@ -233,7 +240,8 @@
 
     fn dial(&mut self, slot: usize) {
         let address = self.settings.keepers[slot];
-        self.dialed.insert(slot, Dialed::open(slot, address, self.own.clone(), self.tell.clone()));
+        self.dialed
+            .insert(slot, OutboundConnection::open(slot, address, self.own.clone(), self.tell.clone()));
     }
 
     fn tick(&mut self) {
@@ -247,60 +255,62 @@
 
     /// The keeper that leads plans what the calendar has.
     fn plan(&mut self, now: u64) {
-        if !self.member.keeper().is_some_and(|keeper| keeper.leads()) {
+        if !self.member.replica().is_some_and(|keeper| keeper.is_leader()) {
             return;
         }
-        let time = self.member.time(now, unix());
+        let time = self.member.consensus_time(now, unix());
         for rule in &self.settings.windows {
-            let Some(next) = rule.next(time).filter(|next| next.begin < time + AHEAD) else { continue };
+            let Some(next) = rule.next(time).filter(|next| next.starts_at < time + AHEAD) else { continue };
             let plan = rule.plan(next);
             let all = self.member.state().windows().all();
-            if !all.values().any(|w| w.plan.site == plan.site && w.plan.begin == plan.begin) {
-                self.member.tell(now, Command::Window { token: None, command: Window::Plan(plan) });
+            if !all.values().any(|w| w.plan.site == plan.site && w.plan.starts_at == plan.starts_at) {
+                self.member.submit(now, Command::Window { token: None, command: Window::Plan(plan) });
             }
         }
     }
 
-    fn heard(&mut self, heard: Heard) {
+    fn heard(&mut self, heard: ConnectionEvent) {
         let now = self.now();
         match heard {
-            Heard::Keeper(slot, frame) if slot < self.settings.keepers.len() => {
-                self.member.hear_keeper(now, slot, frame)
+            ConnectionEvent::Keeper(slot, frame) if slot < self.settings.keepers.len() => {
+                self.member.on_replica_frame(now, slot, frame)
+            }
+            ConnectionEvent::Keeper(slot, _) => {
+                self.log("slot", format!("a keeper says that it is number {slot}"))
             }
-            Heard::Keeper(slot, _) => self.log("slot", format!("a keeper says that it is number {slot}")),
-            Heard::Copy(copy, number, frame) => {
+            ConnectionEvent::Copy(copy, number, frame) => {
                 if self.attached.get(&copy).is_some_and(|(n, _)| *n == number) {
-                    self.member.hear_copy(now, copy, frame);
+                    self.member.on_instance_frame(now, copy, frame);
                 }
             }
-            Heard::Attached(copy, number, queue) => {
+            ConnectionEvent::Attached(copy, number, queue) => {
                 self.attached.insert(copy, (number, queue));
-                self.member.attached(now, copy);
+                self.member.on_attached(now, copy);
             }
-            Heard::Detached(copy, number) => {
+            ConnectionEvent::Detached(copy, number) => {
                 if self.attached.get(&copy).is_some_and(|(n, _)| *n == number) {
                     self.attached.remove(&copy);
-                    self.member.detached(copy);
+                    self.member.on_detached(copy);
                 }
             }
-            Heard::Up(slot, up) => self.member.connected(slot, up),
-            Heard::Unreadable(why) => self.log("unreadable", why),
+            ConnectionEvent::Up(slot, up) => self.member.on_connection(slot, up),
+            ConnectionEvent::Unreadable(why) => self.log("unreadable", why),
         }
     }
 
-    fn said(&mut self, said: Said) {
+    fn said(&mut self, said: Request) {
         let now = self.now();
         match said {
-            Said::Report(report) => self.member.report(now, report),
-            Said::Signal(signal) => self.write_down(now, signal),
-            Said::Leave(done) => {
+            Request::Report(report) => self.member.on_report(now, report),
+            Request::Signal(signal) => self.write_down(now, signal),
+            Request::Leave(done) => {
                 self.leaving = Some(done);
                 self.write_down(now, "SIGTERM");
-                self.member.leave(now);
+                self.member.release_leases(now);
                 // What it has lost is written down before it ends.
                 self.tick();
             }
-            Said::Line(line, answer) => {
+            Request::Line(line, answer) => {
                 if let Some(text) = self.line(now, &line) {
                     let _ = answer.send(text);
                 } else {
@@ -312,7 +322,7 @@
 
     fn write_down(&mut self, now: u64, signal: &str) {
         let what = format!("{signal} at copy {}", self.own.copy.rank);
-        self.member.tell(
+        self.member.submit(
             now,
             Command::Freeze(hillstall_change_freeze::state::FreezeCommand::RecordSignal {
                 description: what,
@@ -323,21 +333,21 @@
     /// The answer, or `None` if the keepers have to agree first.
     fn line(&mut self, now: u64, line: &str) -> Option<String> {
         let state = self.member.state();
-        Some(match admin_commands::read(line, &People(&self.settings.people)) {
+        Some(match admin_commands::read(line, &PersonDirectory(&self.settings.people)) {
             None => "400 not a call for the fleet\n".into(),
             Some(Err(why)) => format!("400 {why}\n"),
-            Some(Ok(Line::Fleet)) => self.fleet(now),
-            Some(Ok(Line::Windows)) => admin_commands::windows(state.windows()),
-            Some(Ok(Line::Incidents)) => admin_commands::incidents(state.register()),
-            Some(Ok(Line::Changes)) => admin_commands::changes(state.register()),
-            Some(Ok(Line::Record)) => admin_commands::record(state.register()),
-            Some(Ok(Line::HandOver(duty))) => match self.member.hand_over(now, &duty) {
+            Some(Ok(AdminCommand::Fleet)) => self.fleet(now),
+            Some(Ok(AdminCommand::Windows)) => admin_commands::windows(state.windows()),
+            Some(Ok(AdminCommand::Incidents)) => admin_commands::incidents(state.freeze()),
+            Some(Ok(AdminCommand::Changes)) => admin_commands::changes(state.freeze()),
+            Some(Ok(AdminCommand::Record)) => admin_commands::record(state.freeze()),
+            Some(Ok(AdminCommand::HandOver(duty))) => match self.member.hand_over(now, &duty) {
                 true => "200 handed over\n".into(),
                 false => format!("400 this copy does not hold {duty}\n"),
             },
-            Some(Ok(Line::Agree(command))) => {
+            Some(Ok(AdminCommand::Agree(command))) => {
                 self.tickets += 1;
-                self.member.ask(now, self.tickets, command);
+                self.member.request(now, self.tickets, command);
                 return None;
             }
         })
@@ -347,9 +357,9 @@
         let mut text = String::new();
         let mut say = |line: String| text.push_str(&(line + "\n"));
         say(format!("copy {} life {:016x} site {}", self.own.copy.rank, self.own.copy.life, self.place.site));
-        match self.member.keeper() {
+        match self.member.replica() {
             Some(keeper) => {
-                let leads = if keeper.leads() { " leads" } else { "" };
+                let leads = if keeper.is_leader() { " leads" } else { "" };
                 let leader = keeper.leader().map_or("-".to_owned(), |slot| slot.to_string());
                 let members: Vec<String> = keeper.members().iter().map(|id| format!("{id:x}")).collect();
                 let changes = if keeper.changes_members() { " changing" } else { "" };
@@ -369,65 +379,67 @@
         say(format!(
             "index {} gates {}",
             state.index(),
-            if self.member.is_open() { "open" } else { "closed" }
+            if self.member.accepts_commands() { "open" } else { "closed" }
         ));
-        for (duty, grant, standing) in state.book().leases() {
+        for (duty, grant, standing) in state.leases().leases() {
             let held = grant.map_or("-".to_owned(), |g| format!("{} token {}", g.holder.rank, g.token.0));
             say(format!("duty {duty} held {held} standing {}", standing.len()));
         }
-        for (duty, token) in self.member.holds(now) {
+        for (duty, token) in self.member.held_leases(now) {
             say(format!("holds {duty} token {}", token.0));
         }
         for site in &self.place.sites {
-            say(format!("part {site} {:.3}", self.member.part(site, now)));
+            say(format!("part {site} {:.3}", self.member.site_fraction(site, now)));
         }
         text + "EOF\n"
     }
 
     fn carry_out(&mut self) {
-        for out in self.member.out() {
+        for out in self.member.take_outputs() {
             match out {
-                Out::Send(To::Keeper(slot), frame) => {
+                Output::Send(Destination::Replica(slot), frame) => {
                     if let Some(dialed) = self.dialed.get(&slot) {
                         dialed.send(frame.encode().into());
                     }
                 }
-                Out::Send(To::Copy(copy), frame) => {
+                Output::Send(Destination::Instance(copy), frame) => {
                     if let Some((_, queue)) = self.attached.get(&copy) {
                         let _ = queue.try_send(frame.encode().into());
                     }
                 }
-                Out::Follow(slot) => {
+                Output::Follow(slot) => {
                     self.dialed.clear();
                     self.dial(slot);
                 }
-                Out::Part(site, part) => {
-                    let _ = self.hint.send(Hint::Part(site, part));
+                Output::SiteFraction(site, part) => {
+                    let _ = self.hint.send(Advisory::SiteFraction(site, part));
                 }
-                Out::Done(ticket, outcome) => {
+                Output::Answered(ticket, outcome) => {
                     if let Some(answer) = self.lines.remove(&ticket) {
                         let _ = answer.send(admin_commands::outcome(outcome.as_ref()));
                     }
                 }
-                Out::Log(line) => tracing::info!("fleet: {line}"),
-                Out::Did(did) => self.record(&did),
+                Output::Log(line) => tracing::info!("fleet: {line}"),
+                Output::Audit(did) => self.record(&did),
             }
         }
     }
 
     /// The record by which owners are judged afterwards.
-    fn record(&mut self, did: &Did) {
+    fn record(&mut self, did: &AuditEvent) {
         let (copy, life, at) = (self.own.copy.rank, self.own.copy.life, unix());
         match did {
-            Did::Holds(duty, token) => {
+            AuditEvent::LeaseAcquired(duty, token) => {
                 tracing::info!(copy, life, at, %duty, token = token.0, "fleet holds");
             }
-            Did::Lost(duty, token) => tracing::info!(copy, life, at, %duty, token = token.0, "fleet lost"),
-            Did::CarriedOut(order) => {
+            AuditEvent::LeaseLost(duty, token) => {
+                tracing::info!(copy, life, at, %duty, token = token.0, "fleet lost")
+            }
+            AuditEvent::CommandApplied(order) => {
                 let (duty, token, number, part) = (&order.lease, order.token.0, order.sequence, order.value);
                 tracing::info!(copy, life, at, %duty, token, number, part, "fleet carried out");
             }
-            Did::Refused(order, why) => {
+            AuditEvent::CommandRejected(order, why) => {
                 let (duty, token) = (order.lease.clone(), order.token.0);
                 if self.is_news("refused") {
                     tracing::warn!(copy, life, at, %duty, token, "fleet refused: {why}");
@@ -458,22 +470,22 @@
 
 /// Tries until something that another process has is free; `None` if this process ends meanwhile, or it can't be had.
 async fn take<T>(
-    mut open: impl FnMut() -> Result<T, NoDisk>,
-    said: &mut UnboundedReceiver<Said>,
+    mut open: impl FnMut() -> Result<T, StorageError>,
+    said: &mut UnboundedReceiver<Request>,
 ) -> Option<T> {
     let mut told = false;
     loop {
         match open() {
             Ok(opened) => return Some(opened),
-            Err(NoDisk::Failed(why)) => {
+            Err(StorageError::Failed(why)) => {
                 tracing::error!("fleet: {why}; this copy is no keeper until it is started again");
                 return None;
             }
-            Err(NoDisk::Taken) if !told => {
+            Err(StorageError::InUse) if !told => {
                 told = true;
                 tracing::info!("fleet: waits for the older process to let the keeper's disk go");
             }
-            Err(NoDisk::Taken) => {}
+            Err(StorageError::InUse) => {}
         }
         wait(said).await?;
     }
@@ -481,7 +493,7 @@
 
 async fn take_address(
     address: std::net::SocketAddr,
-    said: &mut UnboundedReceiver<Said>,
+    said: &mut UnboundedReceiver<Request>,
 ) -> Option<TcpListener> {
     let mut told = false;
     loop {
@@ -498,20 +510,20 @@
 }
 
 /// Waits a little, and answers what is said meanwhile; `None` if the process ends.
-async fn wait(said: &mut UnboundedReceiver<Said>) -> Option<()> {
+async fn wait(said: &mut UnboundedReceiver<Request>) -> Option<()> {
     let pause = sleep(TAKEN);
     tokio::pin!(pause);
     loop {
         tokio::select! {
             () = &mut pause => return Some(()),
             said = said.recv() => match said? {
-                Said::Line(_, answer) => {
+                Request::Line(_, answer) => {
                     let _ = answer.send("400 this copy does not take part yet\n".into());
                 }
-                Said::Leave(done) => {
+                Request::Leave(done) => {
                     let _ = done.send(());
                 }
-                Said::Report(_) | Said::Signal(_) => {}
+                Request::Report(_) | Request::Signal(_) => {}
             },
         }
     }
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -2,9 +2,9 @@
 
 use crate::{calendar, millis as ms};
 use hillstall_lease::timing::LeaseTiming;
-use hillstall_maintenance::calendar::Rule;
-use hillstall_maintenance::shift::Pace;
-use hillstall_maintenance::windows::Overrun;
+use hillstall_maintenance::calendar::Recurrence;
+use hillstall_maintenance::shift::ShiftPacing;
+use hillstall_maintenance::windows::OverrunPolicy;
 use hillstall_maintenance::TrafficFraction;
 use serde::{Deserialize, Deserializer};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,13 +16,13 @@
 
 /// What is wrong, and where in the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong {
+pub struct ConfigError {
     /// Its place in the text, in bytes.
-    pub at: usize,
+    pub offset: usize,
     /// The key.
     pub key: String,
     /// Why.
-    pub why: String,
+    pub reason: String,
 }
 
 /// What an operator may set for a fleet.
@@ -47,11 +47,11 @@
     /// From nothing to all of its load, where nobody leads a site back.
     pub whole_way: Duration,
     /// How a shift goes.
-    pub pace: Pace,
+    pub pace: ShiftPacing,
     /// The name of each person by all of their names.
     pub people: BTreeMap<String, String>,
     /// The windows.
-    pub windows: Vec<Rule>,
+    pub windows: Vec<Recurrence>,
     /// Where each window stands in the text.
     pub windows_at: Vec<usize>,
 }
@@ -108,11 +108,11 @@
     }
 }
 
-struct Faults(Vec<Wrong>);
+struct Faults(Vec<ConfigError>);
 
 impl Faults {
     fn say(&mut self, span: Range<usize>, key: &str, why: impl Into<String>) {
-        self.0.push(Wrong { at: span.start, key: format!("fleet.{key}"), why: why.into() });
+        self.0.push(ConfigError { offset: span.start, key: format!("fleet.{key}"), reason: why.into() });
     }
 
     fn within<T: PartialOrd + Copy>(
@@ -159,14 +159,14 @@
 
 /// Reads the section out of the text of an operator file; `None` if there is none. All faults are told at once, but for
 /// those that the reader of the text finds first.
-pub fn read(text: &str) -> Result<Option<Settings>, Vec<Wrong>> {
+pub fn read(text: &str) -> Result<Option<Settings>, Vec<ConfigError>> {
     #[derive(Deserialize)]
     struct File {
         fleet: Option<Raw>,
     }
     let file: File = toml::from_str(text).map_err(|e| {
         let at = e.span().map_or(0, |span| span.start);
-        vec![Wrong { at, key: key_at(text, at), why: e.message().replace('\n', " ") }]
+        vec![ConfigError { offset: at, key: key_at(text, at), reason: e.message().replace('\n', " ") }]
     })?;
     let Some(raw) = file.fleet else { return Ok(None) };
     let mut faults = Faults(Vec::new());
@@ -248,11 +248,11 @@
     let step = faults.within(&raw.step, "step", 1.0..100.001, 12.5, "from 1 to 100 in a hundred");
     let wait = faults.time(&raw.step_wait, "step_wait", second / 5, 600 * second, second);
     let heard = faults.within(&raw.heard, "heard", 1.0..100.001, 75.0, "from 1 to 100 in a hundred");
-    let pace = Pace {
-        step: (step * 10.0) as TrafficFraction,
-        wait: ms(wait),
-        heard: heard / 100.0,
-        ..Pace::default()
+    let pace = ShiftPacing {
+        max_step: (step * 10.0) as TrafficFraction,
+        step_interval: ms(wait),
+        min_reporting_ratio: heard / 100.0,
+        ..ShiftPacing::default()
     };
     let mut people = BTreeMap::new();
     for names in &raw.people {
@@ -288,7 +288,7 @@
     }
 }
 
-fn settle_window(raw: RawWindow, faults: &mut Faults) -> Option<Rule> {
+fn settle_window(raw: RawWindow, faults: &mut Faults) -> Option<Recurrence> {
     let minute = Duration::from_secs(60);
     let start = raw.start.get_ref().parse().ok();
     if start.is_none() {
@@ -312,37 +312,37 @@
     let latest = faults.time(&raw.latest, "window.latest", Duration::ZERO, 360 * minute, 10 * minute);
     let reserve = faults.within(&raw.reserve, "window.reserve", 0..91, 20, "from 0 to 90 in a hundred");
     let overrun = match raw.overrun.as_ref().map(|o| o.get_ref().as_str()) {
-        None | Some("return") => Overrun::Return,
-        Some("hold") => Overrun::Hold,
+        None | Some("return") => OverrunPolicy::Return,
+        Some("hold") => OverrunPolicy::Hold,
         Some(_) => {
             let span = raw.overrun.as_ref().map_or(0..0, Spanned::span);
             faults.say(span, "window.overrun", "it is none of return, hold");
-            Overrun::Return
+            OverrunPolicy::Return
         }
     };
-    Some(Rule {
+    Some(Recurrence {
         site: raw.site.into_inner(),
-        start: start?,
-        zone: zone?,
-        every: every.and_then(|(_, every)| every),
-        length: ms(length),
-        lead: ms(lead),
-        latest: ms(latest),
-        reserve,
-        overrun,
+        starts: start?,
+        time_zone: zone?,
+        interval: every.and_then(|(_, every)| every),
+        duration: ms(length),
+        lead_time: ms(lead),
+        max_delay: ms(latest),
+        reserve_percent: reserve,
+        overrun_policy: overrun,
     })
 }
 
 impl Settings {
     /// What is wrong between windows, and with them in this fleet. `sites` are those that are known.
-    pub fn contradictions(&self, sites: &[String], now: Duration) -> Vec<Wrong> {
-        let found = hillstall_maintenance::calendar::check(&self.windows, sites, ms(now));
+    pub fn schedule_conflicts(&self, sites: &[String], now: Duration) -> Vec<ConfigError> {
+        let found = hillstall_maintenance::calendar::find_conflicts(&self.windows, sites, ms(now));
         found
             .into_iter()
-            .map(|c| Wrong {
-                at: self.windows_at.get(c.rule).copied().unwrap_or(0),
+            .map(|c| ConfigError {
+                offset: self.windows_at.get(c.recurrence).copied().unwrap_or(0),
                 key: format!("fleet.window.{}", c.key),
-                why: c.why,
+                reason: c.reason,
             })
             .collect()
     }
@@ -393,14 +393,14 @@
         for (more, at, key, why) in cases {
             let text = format!("{GOOD}{more}");
             let wrong = read(&text).expect_err(&more);
-            let found = wrong.iter().find(|w| w.key == key && w.why.contains(why));
+            let found = wrong.iter().find(|w| w.key == key && w.reason.contains(why));
             let found = found.unwrap_or_else(|| panic!("{more}: {wrong:?}"));
-            assert_eq!(line(&text, found.at), at, "{more}: {wrong:?}");
+            assert_eq!(line(&text, found.offset), at, "{more}: {wrong:?}");
         }
         let two = format!("{GOOD}{}{}", window(""), window("").replace("\"a\"", "\"b\""));
         let read = read(&two).expect("it is read").expect("there is one");
-        let told = read.contradictions(&[], Duration::from_secs(1_800_000_000));
-        assert!(told.iter().any(|w| w.key == "fleet.window.start" && line(&two, w.at) == 10), "{told:?}");
+        let told = read.schedule_conflicts(&[], Duration::from_secs(1_800_000_000));
+        assert!(told.iter().any(|w| w.key == "fleet.window.start" && line(&two, w.offset) == 10), "{told:?}");
     }
 
     proptest::proptest! {
--- a/crates/hillstall/src/admin.rs
+++ b/crates/hillstall/src/admin.rs
@@ -32,7 +32,7 @@
     /// Knows whether clients can be served.
     pub server: Rc<Server>,
     /// The fleet's part, where it is on.
-    pub fleet: Option<Rc<hillstall_coordination::Handle>>,
+    pub fleet: Option<Rc<hillstall_coordination::CoordinationHandle>>,
 }
 
 impl Admin {
@@ -82,7 +82,7 @@
             Some(line) => {
                 let line = line.strip_suffix(b"\r").unwrap_or(line);
                 let text = std::str::from_utf8(line).unwrap_or_default();
-                match self.fleet.as_ref().and_then(|fleet| fleet.line(text)) {
+                match self.fleet.as_ref().and_then(|fleet| fleet.admin_command(text)) {
                     // The fleet's part has failed, and calls go on.
                     Some(answer) => {
                         answer.await.unwrap_or_else(|_| "500 the fleet's part has ended\n".into())
--- a/crates/hillstall/src/coordination.rs
+++ b/crates/hillstall/src/coordination.rs
@@ -2,7 +2,7 @@
 //! `[fleet]`, or where the platform bars talk among copies, there is none of it: no socket, no thread, no timer.
 
 use hillstall_coordination::settings::Settings as Section;
-use hillstall_coordination::{Counts, Handle, Hint, Place, Report};
+use hillstall_coordination::{Advisory, CoordinationHandle, InstanceLocation, LoadReport, SiteCounts};
 use hillstall_decision::api::Settings;
 use hillstall_http1::upstream::Upstream;
 use hillstall_proxy_core::driver::{Driver, ToZone};
@@ -26,7 +26,7 @@
 pub fn start(
     section: Option<&Section>,
     settings: &Settings,
-) -> Result<Option<(Handle, UnboundedReceiver<Hint>)>, String> {
+) -> Result<Option<(CoordinationHandle, UnboundedReceiver<Advisory>)>, String> {
     let Some(section) = section else { return Ok(None) };
     if !settings.allowed.peers {
         tracing::warn!("fleet: the platform does not allow copies to talk; this copy goes alone");
@@ -40,7 +40,7 @@
         return Err(format!("fleet.window.site: {:?} is no site of the fleet: {sites}", window.site));
     }
     let rank = settings.stage.saturating_mul(TIER_COPIES).saturating_add(settings.rank);
-    let place = Place { rank, site, sites: settings.zones.clone() };
+    let place = InstanceLocation { rank, site, sites: settings.zones.clone() };
     hillstall_coordination::start(section.clone(), place).map(Some).map_err(|why| why.to_string())
 }
 
@@ -58,7 +58,12 @@
 
 impl Calls {
     /// Reports from now on, and follows hints.
-    pub fn join(self, fleet: Rc<Handle>, hints: UnboundedReceiver<Hint>, settings: &Settings) {
+    pub fn join(
+        self,
+        fleet: Rc<CoordinationHandle>,
+        hints: UnboundedReceiver<Advisory>,
+        settings: &Settings,
+    ) {
         self.driver.count_zones(settings.zones.len());
         let calls = Rc::new(self);
         let front = (settings.stage == 0).then(|| Front::new(settings));
@@ -66,7 +71,7 @@
         spawn_local(calls.follow(hints, settings.zones.clone(), front));
     }
 
-    async fn report(self: Rc<Calls>, fleet: Rc<Handle>, zones: Vec<String>) {
+    async fn report(self: Rc<Calls>, fleet: Rc<CoordinationHandle>, zones: Vec<String>) {
         let mut tick = interval(REPORT);
         let (mut zones_before, mut before) = (self.driver.to_zones(), self.metrics.ended());
         let mut since = Instant::now();
@@ -75,19 +80,26 @@
             tick.tick().await;
             let (zones_now, now) = (self.driver.to_zones(), self.metrics.ended());
             let counted = zones.iter().zip(zones_now.iter().zip(&zones_before));
-            let sites: BTreeMap<String, Counts> =
+            let sites: BTreeMap<String, SiteCounts> =
                 counted.map(|(zone, (now, before))| (zone.clone(), counts(now, before))).collect();
             let over = since.elapsed().as_millis() as u32;
             since = Instant::now();
             let (asked, refused) = ((now.0 - before.0) as u32, (now.1 - before.1) as u32);
-            fleet.report(Report { copy: None, age: 0, over, asked, refused, sites });
+            fleet.report(LoadReport {
+                instance: None,
+                age_ms: 0,
+                period_ms: over,
+                requests: asked,
+                rejected: refused,
+                sites,
+            });
             (zones_before, before) = (zones_now, now);
         }
     }
 
     async fn follow(
         self: Rc<Calls>,
-        mut hints: UnboundedReceiver<Hint>,
+        mut hints: UnboundedReceiver<Advisory>,
         zones: Vec<String>,
         mut front: Option<Front>,
     ) {
@@ -101,7 +113,7 @@
             tokio::select! {
                 hint = hints.recv() => {
                     // The fleet's part has failed: the module's hints wear off by themselves.
-                    let Some(Hint::Part(site, part)) = hint else { return };
+                    let Some(Advisory::SiteFraction(site, part)) = hint else { return };
                     let Some(zone) = zones.iter().position(|zone| *zone == site) else { continue };
                     // Down in the order of the tiers, up at once.
                     let before = newest.insert(zone as u16, part);
@@ -136,16 +148,16 @@
     }
 }
 
-fn counts(now: &ToZone, before: &ToZone) -> Counts {
+fn counts(now: &ToZone, before: &ToZone) -> SiteCounts {
     let (used, told) = (now.busy.0 - before.busy.0, now.busy.1 - before.busy.1);
     let busy = if told > 0 { (100.0 * used / told as f64).clamp(0.0, 100.0) as u8 } else { u8::MAX };
-    Counts {
+    SiteCounts {
         sent: (now.sent - before.sent) as u32,
         served: (now.answered - before.answered) as u32,
-        silent: (now.silent - before.silent) as u32,
-        busy,
+        unanswered: (now.silent - before.silent) as u32,
+        utilization_percent: busy,
         // The fleet's part knows what it has ordered here.
-        part: 0,
+        fraction: 0,
     }
 }
 
