--- a/crates/hillstall/src/main.rs
+++ b/crates/hillstall/src/main.rs
@@ -130,7 +130,7 @@
     // Others have its duties while it still ends what it has taken.
     let leave = async {
         if let Some(fleet) = &fleet {
-            fleet.leave().await;
+            fleet.release_leases().await;
         }
     };
     tokio::join!(server.stop(handover.has_newer()), leave);
@@ -150,14 +150,14 @@
     driver: Rc<Driver<Upstream>>,
     upstream: Rc<Upstream>,
     limits: Rc<Limits>,
-    fleet: Option<Rc<hillstall_coordination::Handle>>,
+    fleet: Option<Rc<hillstall_coordination::CoordinationHandle>>,
 }
 
 impl Reloads {
     /// Reads both files again. Each is taken whole, or not at all: one wrong key leaves the old settings.
     fn reload(&self) {
         if let Some(fleet) = &self.fleet {
-            fleet.signalled("SIGHUP");
+            fleet.on_signal("SIGHUP");
         }
         match config::reload(environment) {
             Ok(discovery) => self.driver.follow(discovery),
--- a/crates/hillstall/src/operator/file.rs
+++ b/crates/hillstall/src/operator/file.rs
@@ -41,18 +41,18 @@
 
 /// The section of the fleet, if the file has one.
 fn fleet(path: &Path, text: &str) -> Result<Option<Section>, Vec<Wrong>> {
-    let told = |wrong: Vec<hillstall_coordination::settings::Wrong>| {
+    let told = |wrong: Vec<hillstall_coordination::settings::ConfigError>| {
         let told = wrong.into_iter().map(|w| Wrong::Value {
-            origin: at(path, line_of(text, w.at)),
+            origin: at(path, line_of(text, w.offset)),
             key: w.key,
-            why: w.why,
+            why: w.reason,
         });
         told.collect::<Vec<_>>()
     };
     let Some(read) = hillstall_coordination::settings::read(text).map_err(told)? else { return Ok(None) };
     // The sites are the platform's to tell, so they are checked where both are known.
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    match read.contradictions(&[], now) {
+    match read.schedule_conflicts(&[], now) {
         wrong if wrong.is_empty() => Ok(Some(read)),
         wrong => Err(told(wrong)),
     }
--- a/crates/maintenance/src/calendar.rs
+++ b/crates/maintenance/src/calendar.rs
@@ -1,7 +1,7 @@
 //! When windows occur. A start is a reading of the clock on the wall of a time zone, and stays that reading over changes
 //! to and from summer time.
 
-use crate::windows::{Overrun, Plan};
+use crate::windows::{OverrunPolicy, WindowPlan};
 use crate::Millis;
 use jiff::civil::DateTime;
 use jiff::tz::{AmbiguousOffset, TimeZone};
@@ -14,79 +14,79 @@
 
 /// A window, or a row of them, as the operator file has it.
 #[derive(Clone, Debug)]
-pub struct Rule {
+pub struct Recurrence {
     /// The site.
     pub site: String,
     /// The first start, as the clock on the wall shows it there.
-    pub start: DateTime,
+    pub starts: DateTime,
     /// Where that clock hangs.
-    pub zone: TimeZone,
+    pub time_zone: TimeZone,
     /// From one start to the next; once if absent.
-    pub every: Option<Span>,
+    pub interval: Option<Span>,
     /// See [`Plan`].
-    pub length: Millis,
+    pub duration: Millis,
     /// See [`Plan`].
-    pub lead: Millis,
+    pub lead_time: Millis,
     /// See [`Plan`].
-    pub latest: Millis,
+    pub max_delay: Millis,
     /// See [`Plan`].
-    pub reserve: u8,
+    pub reserve_percent: u8,
     /// See [`Plan`].
-    pub overrun: Overrun,
+    pub overrun_policy: OverrunPolicy,
 }
 
 /// How the clock on the wall showed a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shown {
+pub enum LocalTimeKind {
     /// Once.
-    Once,
+    Unique,
     /// Never, as the clock was put forward over it: the window starts as much later.
-    Never,
+    Skipped,
     /// Twice, as the clock was put back: the window starts the first time.
-    Twice,
+    Repeated,
 }
 
 /// A start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Occurrence {
     /// In Unix time.
-    pub begin: Millis,
+    pub starts_at: Millis,
     /// See there.
-    pub shown: Shown,
+    pub local_time: LocalTimeKind,
 }
 
 /// What is wrong with some rules together, or with one of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Contradiction {
+pub struct ScheduleConflict {
     /// Which rule.
-    pub rule: usize,
+    pub recurrence: usize,
     /// The key that says so.
     pub key: &'static str,
     /// Why.
-    pub why: String,
+    pub reason: String,
 }
 
-impl Rule {
+impl Recurrence {
     fn nth(&self, n: i64) -> Option<Occurrence> {
-        let start = match &self.every {
+        let start = match &self.interval {
             None if n > 0 => return None,
-            None => self.start,
-            Some(every) => self.start.checked_add(every.checked_mul(n).ok()?).ok()?,
+            None => self.starts,
+            Some(every) => self.starts.checked_add(every.checked_mul(n).ok()?).ok()?,
         };
-        let there = self.zone.to_ambiguous_zoned_datetime(start);
+        let there = self.time_zone.to_ambiguous_zoned_datetime(start);
         let shown = match there.offset() {
-            AmbiguousOffset::Unambiguous { .. } => Shown::Once,
-            AmbiguousOffset::Gap { .. } => Shown::Never,
-            AmbiguousOffset::Fold { .. } => Shown::Twice,
+            AmbiguousOffset::Unambiguous { .. } => LocalTimeKind::Unique,
+            AmbiguousOffset::Gap { .. } => LocalTimeKind::Skipped,
+            AmbiguousOffset::Fold { .. } => LocalTimeKind::Repeated,
         };
         let begin = there.compatible().ok()?.timestamp().as_millisecond();
-        Some(Occurrence { begin: u64::try_from(begin).ok()?, shown })
+        Some(Occurrence { starts_at: u64::try_from(begin).ok()?, local_time: shown })
     }
 
     /// The first start at `from` or after it.
     pub fn next(&self, from: Millis) -> Option<Occurrence> {
         // Starts rise with their number, so the first that is late enough is found by halving.
-        let is_early = |n: i64| self.nth(n).is_some_and(|o| o.begin < from);
+        let is_early = |n: i64| self.nth(n).is_some_and(|o| o.starts_at < from);
         let (mut low, mut high) = (0, OCCURRENCES_MOST);
         while low < high {
             let middle = low + (high - low) / 2;
@@ -95,52 +95,54 @@
                 false => high = middle,
             }
         }
-        self.nth(low).filter(|o| o.begin >= from)
+        self.nth(low).filter(|o| o.starts_at >= from)
     }
 
     /// The plan of a start.
-    pub fn plan(&self, at: Occurrence) -> Plan {
-        Plan {
+    pub fn plan(&self, at: Occurrence) -> WindowPlan {
+        WindowPlan {
             site: self.site.clone(),
-            begin: at.begin,
-            length: self.length,
-            lead: self.lead,
-            latest: self.latest,
-            reserve: self.reserve,
-            overrun: self.overrun,
+            starts_at: at.starts_at,
+            duration: self.duration,
+            lead_time: self.lead_time,
+            max_delay: self.max_delay,
+            reserve_percent: self.reserve_percent,
+            overrun_policy: self.overrun_policy,
         }
     }
 
     /// The longest stretch that a window takes, from the first step to the latest end as it is planned.
     fn stretch(&self, begin: Millis) -> (Millis, Millis) {
-        (begin.saturating_sub(self.lead), begin + self.latest + self.length)
+        (begin.saturating_sub(self.lead_time), begin + self.max_delay + self.duration)
     }
 
     fn ahead(&self, now: Millis) -> Vec<(Millis, Millis)> {
         let mut from = now;
         let mut all = Vec::new();
-        while let Some(next) = self.next(from).filter(|o| o.begin < now + LOOK_AHEAD) {
-            all.push(self.stretch(next.begin));
-            from = next.begin + 1;
+        while let Some(next) = self.next(from).filter(|o| o.starts_at < now + LOOK_AHEAD) {
+            all.push(self.stretch(next.starts_at));
+            from = next.starts_at + 1;
         }
         all
     }
 }
 
 /// All that is wrong with these rules, seen from `now`. `sites` are those that the fleet has; none are known if empty.
-pub fn check(rules: &[Rule], sites: &[String], now: Millis) -> Vec<Contradiction> {
+pub fn find_conflicts(rules: &[Recurrence], sites: &[String], now: Millis) -> Vec<ScheduleConflict> {
     let mut wrong = Vec::new();
-    let mut say = |rule: usize, key: &'static str, why: String| wrong.push(Contradiction { rule, key, why });
+    let mut say = |rule: usize, key: &'static str, why: String| {
+        wrong.push(ScheduleConflict { recurrence: rule, key, reason: why })
+    };
     let ahead: Vec<Vec<(Millis, Millis)>> = rules.iter().map(|rule| rule.ahead(now)).collect();
     for (i, rule) in rules.iter().enumerate() {
         if !sites.is_empty() && !sites.contains(&rule.site) {
             say(i, "site", format!("{:?} is no site of the fleet: {}", rule.site, sites.join(", ")));
         }
-        if rule.every.as_ref().is_some_and(|every| !every.is_positive()) {
+        if rule.interval.as_ref().is_some_and(|every| !every.is_positive()) {
             say(i, "every", "it must be longer than nothing".into());
         } else if ahead[i].is_empty() {
             let what =
-                if rule.every.is_some() { "it never occurs in the next 400 days" } else { "it is past" };
+                if rule.interval.is_some() { "it never occurs in the next 400 days" } else { "it is past" };
             say(i, "start", what.into());
         }
         let meets_itself = ahead[i].windows(2).find(|pair| pair[1].0 < pair[0].1);
--- a/crates/maintenance/src/traffic.rs
+++ b/crates/maintenance/src/traffic.rs
@@ -5,25 +5,25 @@
 
 /// What one copy was last told of a site.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SitePart {
+pub struct TrafficRamp {
     /// The part at `since`.
     from: f64,
     since: Millis,
     /// Where it goes.
     to: f64,
     /// How long the whole way from nothing to all takes.
-    whole_way: Millis,
+    ramp_duration: Millis,
 }
 
-impl SitePart {
+impl TrafficRamp {
     /// A site that gets all of its load.
-    pub fn whole(now: Millis, whole_way: Millis) -> SitePart {
-        SitePart { from: 1.0, since: now, to: 1.0, whole_way: whole_way.max(1) }
+    pub fn full(now: Millis, whole_way: Millis) -> TrafficRamp {
+        TrafficRamp { from: 1.0, since: now, to: 1.0, ramp_duration: whole_way.max(1) }
     }
 
     /// The part at `now`, from 0 to 1.
-    pub fn read(&self, now: Millis) -> f64 {
-        let way = now.saturating_sub(self.since) as f64 / self.whole_way as f64;
+    pub fn fraction(&self, now: Millis) -> f64 {
+        let way = now.saturating_sub(self.since) as f64 / self.ramp_duration as f64;
         (self.from + way).min(self.to).max(0.0)
     }
 
@@ -33,12 +33,12 @@
         if to == self.to {
             return;
         }
-        let at = self.read(now);
-        *self = SitePart { from: at.min(to), since: now, to, whole_way: self.whole_way };
+        let at = self.fraction(now);
+        *self = TrafficRamp { from: at.min(to), since: now, to, ramp_duration: self.ramp_duration };
     }
 
     /// Whether it is still on its way.
     pub fn moves(&self, now: Millis) -> bool {
-        self.read(now) < self.to
+        self.fraction(now) < self.to
     }
 }
--- a/crates/maintenance/src/windows.rs
+++ b/crates/maintenance/src/windows.rs
@@ -12,11 +12,11 @@
 use std::fmt;
 
 /// Most windows that are kept; ended ones go first.
-pub const WINDOWS_MOST: usize = 256;
+pub const MAX_WINDOWS: usize = 256;
 
 /// What happens when the time is over and nobody has said that the work is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Overrun {
+pub enum OverrunPolicy {
     /// The site stays away until people say that it may come back.
     Hold,
     /// It comes back.
@@ -25,21 +25,21 @@
 
 /// A window as it was planned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Plan {
+pub struct WindowPlan {
     /// The site.
     pub site: String,
     /// When people may begin to work, in Unix time.
-    pub begin: Millis,
+    pub starts_at: Millis,
     /// For how long.
-    pub length: Millis,
+    pub duration: Millis,
     /// How long before the beginning the shift may start.
-    pub lead: Millis,
+    pub lead_time: Millis,
     /// How much later than planned it may begin.
-    pub latest: Millis,
+    pub max_delay: Millis,
     /// The part of their capacity that the other sites must keep free, in hundredths.
-    pub reserve: u8,
+    pub reserve_percent: u8,
     /// See there.
-    pub overrun: Overrun,
+    pub overrun_policy: OverrunPolicy,
 }
 
 /// Where a window stands.
@@ -67,12 +67,12 @@
 
 impl Stage {
     /// Whether the site has less than its usual load, or may have from one instant to the next.
-    pub fn is_away(self) -> bool {
+    pub fn takes_traffic_away(self) -> bool {
         (Stage::Admitted..=Stage::Returning).contains(&self)
     }
 
     /// Whether nothing comes after it.
-    pub fn is_over(self) -> bool {
+    pub fn is_final(self) -> bool {
         self >= Stage::Done
     }
 }
@@ -97,26 +97,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Window {
     /// As it was planned.
-    pub plan: Plan,
+    pub plan: WindowPlan,
     /// Where it stands.
     pub stage: Stage,
     /// The part of its usual load that the site is to get.
-    pub part: TrafficFraction,
+    pub fraction: TrafficFraction,
     /// The site's calls in a thousand seconds, before anything was shifted.
-    pub usual: u64,
+    pub baseline_rate: u64,
     /// Its permit.
     pub change: Option<Number>,
     /// Its time is over, and people are still at work.
     pub overrun: bool,
     /// Why it was postponed, cancelled or aborted.
-    pub why: String,
+    pub reason: String,
 }
 
 /// What is proposed to the keepers. A window is named by its number.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Command {
+pub enum WindowCommand {
     /// A person or the calendar plans one. The same one twice is one.
-    Plan(Plan),
+    Plan(WindowPlan),
     /// A person calls it off; one that has begun comes back first.
     Cancel {
         /// Which.
@@ -132,24 +132,24 @@
         /// Which.
         window: Number,
         /// See [`Window::usual`].
-        usual: u64,
+        baseline_rate: u64,
     },
     /// The owner: it can't begin in time, or must not begin.
     Postpone {
         /// Which.
         window: Number,
         /// Why.
-        why: String,
+        reason: String,
     },
     /// The owner: the site is to get this part, less than before.
-    Step {
+    ReduceTraffic {
         /// Which.
         window: Number,
         /// Which part.
-        part: TrafficFraction,
+        fraction: TrafficFraction,
     },
     /// The owner: nothing comes there any more.
-    Emptied {
+    MarkEmpty {
         /// Which.
         window: Number,
     },
@@ -159,18 +159,18 @@
         window: Number,
     },
     /// The owner: its time is over, and it stays away.
-    Overran {
+    MarkOverrun {
         /// Which.
         window: Number,
     },
     /// The owner: the site is to get this part, more than before. Given with a reason where it is an abort.
-    Return {
+    RestoreTraffic {
         /// Which.
         window: Number,
         /// Which part.
-        part: TrafficFraction,
+        fraction: TrafficFraction,
         /// Why before its time, if so.
-        why: Option<String>,
+        reason: Option<String>,
     },
     /// The owner: the site has all of its load again.
     Finish {
@@ -179,32 +179,32 @@
     },
 }
 
-impl Command {
+impl WindowCommand {
     /// Whether only the owner of the site's shift may propose it.
-    pub fn is_owners(&self) -> bool {
-        !matches!(self, Command::Plan(_) | Command::Cancel { .. } | Command::End { .. })
+    pub fn requires_lease(&self) -> bool {
+        !matches!(self, WindowCommand::Plan(_) | WindowCommand::Cancel { .. } | WindowCommand::End { .. })
     }
 
     fn window(&self) -> Option<Number> {
         match self {
-            Command::Plan(_) => None,
-            Command::Cancel { window }
-            | Command::End { window }
-            | Command::Admit { window, .. }
-            | Command::Postpone { window, .. }
-            | Command::Step { window, .. }
-            | Command::Emptied { window }
-            | Command::Begin { window }
-            | Command::Overran { window }
-            | Command::Return { window, .. }
-            | Command::Finish { window } => Some(*window),
+            WindowCommand::Plan(_) => None,
+            WindowCommand::Cancel { window }
+            | WindowCommand::End { window }
+            | WindowCommand::Admit { window, .. }
+            | WindowCommand::Postpone { window, .. }
+            | WindowCommand::ReduceTraffic { window, .. }
+            | WindowCommand::MarkEmpty { window }
+            | WindowCommand::Begin { window }
+            | WindowCommand::MarkOverrun { window }
+            | WindowCommand::RestoreTraffic { window, .. }
+            | WindowCommand::Finish { window } => Some(*window),
         }
     }
 }
 
 /// Why nothing came of a command.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum WindowError {
     /// There is no such window.
     #[error("there is no window of that number")]
     Unknown,
@@ -226,7 +226,7 @@
     #[error("no permit: {0}")]
     NoPermit(String),
     /// There are as many windows as may be.
-    #[error("there are {WINDOWS_MOST} windows")]
+    #[error("there are {MAX_WINDOWS} windows")]
     Full,
     /// A plan that can't be carried out.
     #[error("{0}")]
@@ -236,65 +236,68 @@
 /// All windows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Windows {
-    count: Number,
+    last_number: Number,
     all: BTreeMap<Number, Window>,
 }
 
 impl Windows {
     /// Applies what the keepers have agreed on.
-    pub fn apply(&mut self, command: &Command, register: &mut FreezeState) -> Result<(), Refused> {
-        if let Command::Plan(plan) = command {
+    pub fn apply(&mut self, command: &WindowCommand, register: &mut FreezeState) -> Result<(), WindowError> {
+        if let WindowCommand::Plan(plan) = command {
             return self.plan(plan);
         }
-        let number = command.window().ok_or(Refused::Unknown)?;
-        let away = self.all.iter().find(|(n, w)| **n != number && w.stage.is_away()).map(|(n, _)| *n);
-        let window = self.all.get_mut(&number).ok_or(Refused::Unknown)?;
-        let wrong = Err(Refused::Stage(window.stage));
+        let number = command.window().ok_or(WindowError::Unknown)?;
+        let away =
+            self.all.iter().find(|(n, w)| **n != number && w.stage.takes_traffic_away()).map(|(n, _)| *n);
+        let window = self.all.get_mut(&number).ok_or(WindowError::Unknown)?;
+        let wrong = Err(WindowError::Stage(window.stage));
         match (command, window.stage) {
-            (Command::Cancel { .. }, Stage::Planned | Stage::Admitted) => {
+            (WindowCommand::Cancel { .. }, Stage::Planned | Stage::Admitted) => {
                 window.end(Stage::Cancelled, "called off", register)
             }
-            (Command::Cancel { .. }, Stage::Shifting | Stage::Empty | Stage::Running) => {
-                (window.stage, window.why) = (Stage::Returning, "called off".into());
+            (WindowCommand::Cancel { .. }, Stage::Shifting | Stage::Empty | Stage::Running) => {
+                (window.stage, window.reason) = (Stage::Returning, "called off".into());
             }
-            (Command::End { .. }, Stage::Empty | Stage::Running) => window.stage = Stage::Returning,
-            (Command::Admit { usual, .. }, Stage::Planned) => {
+            (WindowCommand::End { .. }, Stage::Empty | Stage::Running) => window.stage = Stage::Returning,
+            (WindowCommand::Admit { baseline_rate: usual, .. }, Stage::Planned) => {
                 if let Some(other) = away {
-                    return Err(Refused::OtherAway(other));
+                    return Err(WindowError::OtherAway(other));
                 }
-                window.change = Some(permit(&window.plan, register)?);
-                (window.stage, window.usual) = (Stage::Admitted, *usual);
+                window.change = Some(request_permit(&window.plan, register)?);
+                (window.stage, window.baseline_rate) = (Stage::Admitted, *usual);
             }
-            (Command::Postpone { why, .. }, Stage::Planned | Stage::Admitted) => {
+            (WindowCommand::Postpone { reason: why, .. }, Stage::Planned | Stage::Admitted) => {
                 window.end(Stage::Postponed, why, register)
             }
-            (Command::Step { part, .. }, Stage::Admitted | Stage::Shifting) => {
+            (WindowCommand::ReduceTraffic { fraction: part, .. }, Stage::Admitted | Stage::Shifting) => {
                 window.may_go_on(register)?;
-                if *part >= window.part {
-                    return Err(Refused::Part { from: window.part, to: *part });
+                if *part >= window.fraction {
+                    return Err(WindowError::Part { from: window.fraction, to: *part });
                 }
-                (window.stage, window.part) = (Stage::Shifting, *part);
+                (window.stage, window.fraction) = (Stage::Shifting, *part);
             }
-            (Command::Emptied { .. }, Stage::Shifting) if window.part == 0 => window.stage = Stage::Empty,
-            (Command::Begin { .. }, Stage::Empty) => {
+            (WindowCommand::MarkEmpty { .. }, Stage::Shifting) if window.fraction == 0 => {
+                window.stage = Stage::Empty
+            }
+            (WindowCommand::Begin { .. }, Stage::Empty) => {
                 window.may_go_on(register)?;
                 window.stage = Stage::Running;
             }
-            (Command::Overran { .. }, Stage::Running) => window.overrun = true,
+            (WindowCommand::MarkOverrun { .. }, Stage::Running) => window.overrun = true,
             (
-                Command::Return { part, why, .. },
+                WindowCommand::RestoreTraffic { fraction: part, reason: why, .. },
                 Stage::Shifting | Stage::Empty | Stage::Running | Stage::Returning,
             ) => {
-                if *part < window.part || *part > FULL_TRAFFIC {
-                    return Err(Refused::Part { from: window.part, to: *part });
+                if *part < window.fraction || *part > FULL_TRAFFIC {
+                    return Err(WindowError::Part { from: window.fraction, to: *part });
                 }
-                (window.stage, window.part) = (Stage::Returning, *part);
-                if let Some(why) = why.as_ref().filter(|_| window.why.is_empty()) {
-                    window.why = why.chars().take(200).collect();
+                (window.stage, window.fraction) = (Stage::Returning, *part);
+                if let Some(why) = why.as_ref().filter(|_| window.reason.is_empty()) {
+                    window.reason = why.chars().take(200).collect();
                 }
             }
-            (Command::Finish { .. }, Stage::Returning) if window.part == FULL_TRAFFIC => {
-                let why = window.why.clone();
+            (WindowCommand::Finish { .. }, Stage::Returning) if window.fraction == FULL_TRAFFIC => {
+                let why = window.reason.clone();
                 window.end(Stage::Done, &why, register);
             }
             _ => return wrong,
@@ -302,39 +305,47 @@
         Ok(())
     }
 
-    fn plan(&mut self, plan: &Plan) -> Result<(), Refused> {
+    fn plan(&mut self, plan: &WindowPlan) -> Result<(), WindowError> {
         if !hillstall_change_freeze::is_valid_name(&plan.site) {
-            return Err(Refused::Plan(
+            return Err(WindowError::Plan(
                 "a site's name has 1 to 64 letters, digits, '-', '.', '_', '/' or '@'",
             ));
         }
-        if plan.length == 0
-            || plan.length > freeze::MAX_CHANGE_DURATION_MS / 2
-            || plan.lead > freeze::MAX_CHANGE_DURATION_MS / 4
+        if plan.duration == 0
+            || plan.duration > freeze::MAX_CHANGE_DURATION_MS / 2
+            || plan.lead_time > freeze::MAX_CHANGE_DURATION_MS / 4
         {
-            return Err(Refused::Plan("a window lasts up to 12 hours, and its lead up to 6"));
+            return Err(WindowError::Plan("a window lasts up to 12 hours, and its lead up to 6"));
         }
-        if plan.reserve > 90 {
-            return Err(Refused::Plan("a reserve is at most 90 in a hundred"));
+        if plan.reserve_percent > 90 {
+            return Err(WindowError::Plan("a reserve is at most 90 in a hundred"));
         }
         // The calendar of each keeper plans the same one, and again after each start.
-        if self.all.values().any(|w| w.plan.site == plan.site && w.plan.begin == plan.begin) {
+        if self.all.values().any(|w| w.plan.site == plan.site && w.plan.starts_at == plan.starts_at) {
             return Ok(());
         }
-        if self.all.len() >= WINDOWS_MOST {
-            let over = self.all.iter().find(|(_, w)| w.stage.is_over()).map(|(n, _)| *n);
-            self.all.remove(&over.ok_or(Refused::Full)?);
+        if self.all.len() >= MAX_WINDOWS {
+            let over = self.all.iter().find(|(_, w)| w.stage.is_final()).map(|(n, _)| *n);
+            self.all.remove(&over.ok_or(WindowError::Full)?);
         }
-        self.count += 1;
+        self.last_number += 1;
         let plan = plan.clone();
         let (stage, why) = (Stage::Planned, String::new());
-        let new = Window { plan, stage, part: FULL_TRAFFIC, usual: 0, change: None, overrun: false, why };
-        self.all.insert(self.count, new);
+        let new = Window {
+            plan,
+            stage,
+            fraction: FULL_TRAFFIC,
+            baseline_rate: 0,
+            change: None,
+            overrun: false,
+            reason: why,
+        };
+        self.all.insert(self.last_number, new);
         Ok(())
     }
 
     /// The site that a command is about.
-    pub fn site_of(&self, command: &Command) -> Option<&str> {
+    pub fn site_of(&self, command: &WindowCommand) -> Option<&str> {
         Some(self.all.get(&command.window()?)?.plan.site.as_str())
     }
 
@@ -344,34 +355,34 @@
     }
 
     /// What must never be: two sites away.
-    pub fn wrong(&self) -> Option<String> {
-        let away: Vec<_> = self.all.iter().filter(|(_, w)| w.stage.is_away()).collect();
+    pub fn check_invariants(&self) -> Option<String> {
+        let away: Vec<_> = self.all.iter().filter(|(_, w)| w.stage.takes_traffic_away()).collect();
         (away.len() > 1).then(|| format!("windows {} and {} are away at once", away[0].0, away[1].0))
     }
 }
 
 impl Window {
     fn end(&mut self, stage: Stage, why: &str, register: &mut FreezeState) {
-        (self.stage, self.why) = (stage, why.chars().take(200).collect());
+        (self.stage, self.reason) = (stage, why.chars().take(200).collect());
         if let Some(change) = self.change.take() {
             register.apply(&freeze::FreezeCommand::FinishChange { change });
         }
     }
 
     /// Whether its permit still lets it take more away.
-    fn may_go_on(&self, register: &FreezeState) -> Result<(), Refused> {
+    fn may_go_on(&self, register: &FreezeState) -> Result<(), WindowError> {
         let stand = self.change.and_then(|change| register.changes().get(&change)).map(|c| c.status);
         match stand {
             Some(ChangeStatus::InFlight) => Ok(()),
-            Some(stand) => Err(Refused::NoPermit(format!("it {}", stored_status(stand)))),
-            None => Err(Refused::NoPermit("it has run out".into())),
+            Some(stand) => Err(WindowError::NoPermit(format!("it {}", stored_status(stand)))),
+            None => Err(WindowError::NoPermit("it has run out".into())),
         }
     }
 }
 
 /// Asks for a permit that is given now or not at all: a window that waits in line would keep others from theirs.
-fn permit(plan: &Plan, register: &mut FreezeState) -> Result<Number, Refused> {
-    let whole = plan.lead + plan.latest + plan.length.saturating_mul(2);
+fn request_permit(plan: &WindowPlan, register: &mut FreezeState) -> Result<Number, WindowError> {
+    let whole = plan.lead_time + plan.max_delay + plan.duration.saturating_mul(2);
     let wish = ChangeRequest {
         kind: ChangeKind::Window,
         scope: Scope::Site(plan.site.clone()),
@@ -384,15 +395,17 @@
         Response::Permitted(number) => Ok(number),
         Response::Queued { change, behind } => {
             register.apply(&freeze::FreezeCommand::FinishChange { change });
-            Err(Refused::NoPermit(format!("change {behind} goes first")))
+            Err(WindowError::NoPermit(format!("change {behind} goes first")))
         }
         Response::Blocked { change, incident, .. } => {
             register.apply(&freeze::FreezeCommand::FinishChange { change });
-            Err(Refused::NoPermit(format!("incident {incident} is active")))
+            Err(WindowError::NoPermit(format!("incident {incident} is active")))
+        }
+        Response::Accepted(number) => Err(WindowError::NoPermit(format!("Done({number})"))),
+        Response::AwaitingSecondApproval(number) => Err(WindowError::NoPermit(format!("Half({number})"))),
+        Response::Rejected(reason) => {
+            Err(WindowError::NoPermit(format!("Refused({})", stored_reason(reason))))
         }
-        Response::Accepted(number) => Err(Refused::NoPermit(format!("Done({number})"))),
-        Response::AwaitingSecondApproval(number) => Err(Refused::NoPermit(format!("Half({number})"))),
-        Response::Rejected(reason) => Err(Refused::NoPermit(format!("Refused({})", stored_reason(reason)))),
     }
 }
 
