--- a/crates/decision/src/choice.rs
+++ b/crates/decision/src/choice.rs
@@ -1,13 +1,13 @@
-//! Every decision of hillstall. The interface, its types, events and actions, is `src/api.rs`.
+//! Every decision of hillstall. The interface is `src/event.rs`, `src/action.rs`, `src/settings.rs` and `src/types.rs`.
 //!
 //! A call passes a check of counting nodes before each send, as in Sentinel's FlowSlot: the tier's node, the
 //! node of its class and, for traffic over its tenant's share, the node for borrowed room. A call that would
 //! exceed a node's count is refused unsent. The counts are learned. The backend is then drawn at random,
 //! weighted by rating, warmth, feedback and load. Where it departs from this, the comment says when.
 
-use crate::api::*;
-use hillstall_overload::room::Room;
-use hillstall_overload::site::Sites;
+use crate::*;
+use hillstall_overload::capacity::OverloadedCapacity;
+use hillstall_overload::zone_traffic::ZoneFractions;
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rustc_hash::FxHashMap;
@@ -390,9 +390,9 @@
     /// The part of its capacity it has for certain by now.
     fn warmth(&self, now: Millis, rules: &Rules) -> f64 {
         match self.info.started_at {
-            Some(start) if now - start < rules.cold_ms => {
-                let part = ((now - start) / rules.cold_ms).max(0.0);
-                rules.cold_from + (1.0 - rules.cold_from) * part
+            Some(start) if now - start < rules.warmup_ms => {
+                let part = ((now - start) / rules.warmup_ms).max(0.0);
+                rules.warmup_start_fraction + (1.0 - rules.warmup_start_fraction) * part
             }
             _ => 1.0,
         }
@@ -471,9 +471,9 @@
     heat: f64,
     heat_at: Millis,
     /// The part of the tier that still answers: what the counts admit follows it at once.
-    room: Room,
+    room: OverloadedCapacity,
     /// The part of its usual load that each zone gets.
-    sites: Sites,
+    sites: ZoneFractions,
     /// When the first request came.
     asked_from: Option<Millis>,
     asked: Vec<Fading>,
@@ -506,8 +506,8 @@
             demand: (0..tenants).map(|_| Fading::default()).collect(),
             heat: 1.0,
             heat_at: f64::MIN,
-            room: Room::default(),
-            sites: Sites::default(),
+            room: OverloadedCapacity::default(),
+            sites: ZoneFractions::default(),
             asked_from: None,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             part: 1.0,
@@ -545,8 +545,16 @@
         // A clock that stands still or is not a number must not run state backwards.
         self.now = if now > self.now { now } else { self.now };
         match event {
-            Event::BackendsChanged { kind, backends, .. } => self.on_list(kind, backends, actions),
-            Event::Request { id, class, tenant, hint_ms, ttl_ms, repeat, .. } => {
+            Event::EndpointsChanged { kind, backends, .. } => self.on_list(kind, backends, actions),
+            Event::Request {
+                id,
+                class,
+                tenant,
+                expected_work_ms: hint_ms,
+                timeout_ms: ttl_ms,
+                is_retry: repeat,
+                ..
+            } => {
                 let demand = self.demand.get_mut(usize::from(tenant)).filter(|_| !repeat);
                 demand.into_iter().for_each(|demand| demand.add(now, DEMAND_MS, 1.0));
                 self.feel_heat();
@@ -557,7 +565,9 @@
                 self.on_outcome(request, end, ended, actions);
             }
             Event::ClientGone { request } => self.on_client_gone(request, actions),
-            Event::SitePart { zone, part, age_ms } => self.sites.hint(self.now, zone, part, age_ms),
+            Event::ZoneFraction { zone, fraction: part, age_ms } => {
+                self.sites.set_fraction(self.now, zone, part, age_ms)
+            }
             Event::Timer { token: ASK } => actions.push(Action::Subscribe { on: true }),
             _ => {}
         }
@@ -622,7 +632,7 @@
             self.borrow = Node { grain, ..Node::new(START_BORROW * grain) };
             // A window that began empty would let in a whole window of a tenant's traffic at once.
             for (share, tenant) in self.shares.iter_mut().zip(&self.settings.tenants) {
-                let part = tenant.allowance_per_s / f64::from(self.settings.fleet_size);
+                let part = tenant.quota_per_s / f64::from(self.settings.fleet_size);
                 *share = Fading { sum: part * SHARE_MS / 1000.0, at: self.now };
             }
         }
@@ -667,7 +677,7 @@
 
     /// Backs off with jitter, yet asks well inside the time after which it would count as told.
     fn ask_again(&mut self, actions: &mut Vec<Action>) {
-        let most = self.settings.rules.ask_within_ms / 4.0;
+        let most = self.settings.rules.poll_interval_ms / 4.0;
         let wait = (ASK_AGAIN_MS * 2f64.powi(self.asks_failed.min(5))).min(most);
         self.asks_failed += 1;
         let after_ms = wait * (0.5 + self.random());
@@ -688,14 +698,15 @@
     ) {
         self.retries = (self.retries + RETRY_EARNED).min(RETRY_SAVED);
         let Some(rules) = self.settings.classes.get(class) else {
-            let why = Reason::UnknownClass;
-            return actions.push(Action::Refuse { request: id, retry_after_ms: 0.0, why });
+            let why = UnservedReason::UnknownClass;
+            return actions.push(Action::Reject { request: id, retry_after_ms: 0.0, reason: why });
         };
         self.asked[class].add(self.now, ASKED_MS, 1.0);
         // Below the top, without deadlines passed on, the full one is given though the caller has less left:
         // an answer after the aim that earns nothing is one nobody awaits.
-        let guess = !self.settings.passes_deadline && self.settings.stage > 0 && rules.late_worth == 0.0;
-        let ttl = if guess { ttl.min(rules.aim_ms) } else { ttl };
+        let guess =
+            !self.settings.passes_deadline && self.settings.stage > 0 && rules.late_weight_fraction == 0.0;
+        let ttl = if guess { ttl.min(rules.latency_objective_ms) } else { ttl };
         let held = Held {
             class,
             tenant,
@@ -722,7 +733,7 @@
         if self.settings.stage > 0 {
             return false;
         }
-        let part = tenant.allowance_per_s / f64::from(self.settings.fleet_size) * SHARE_SLACK;
+        let part = tenant.quota_per_s / f64::from(self.settings.fleet_size) * SHARE_SLACK;
         let calls = part * SHARE_MS / 1000.0;
         // Few calls come as chance has it: room for one standard deviation, or much of a share is never used.
         // A share without a bound has none.
@@ -746,7 +757,7 @@
         let asked = self.now - *self.asked_from.get_or_insert(self.now);
         let window = DEMAND_MS * (1.0 - (-asked.max(DEMAND_LEAST) / DEMAND_MS).exp());
         let copies = f64::from(self.settings.fleet_size);
-        let even = |tenant: &Tenant| tenant.allowance_per_s / copies * window / 1000.0;
+        let even = |tenant: &Tenant| tenant.quota_per_s / copies * window / 1000.0;
         let (now, tenants) = (self.now, &self.settings.tenants);
         let shared = self.demand.iter().zip(tenants).filter(|(_, tenant)| even(tenant) > 0.0);
         let mut each: Vec<(f64, f64)> =
@@ -778,17 +789,17 @@
         let (now, rules) = (self.now, &self.settings.rules);
         let answers = |b: &&Backend| b.health.read(now) >= ANSWERS || b.answered_at >= b.silent_from;
         let sound = self.backends.iter().filter(answers);
-        self.room.look(now, sound.map(|b| b.rating() * b.warmth(now, rules) * b.stays(now, rules)).sum());
+        self.room.update(now, sound.map(|b| b.rating() * b.warmth(now, rules) * b.stays(now, rules)).sum());
     }
 
     /// The node check, then the pick. Without room or backend the request is refused, or failed where a
     /// refusal could lie.
     fn try_send(&mut self, id: RequestId, mut held: Held, actions: &mut Vec<Action>) {
         let left = held.give_up_at - self.now;
-        let allowed = held.attempts < self.settings.allowed.max_attempts && left > self.settings.tick_ms;
-        let allowed = allowed && (held.attempts > 0 || self.room.is_in_time(left, self.expected(&held)));
-        let shut = if allowed { self.shut_to(&held) } else { Some(Reason::Spent) };
-        let picked = shut.map_or_else(|| self.pick(&held).ok_or(Reason::NoBackend), Err);
+        let allowed = held.attempts < self.settings.permissions.max_attempts && left > self.settings.tick_ms;
+        let allowed = allowed && (held.attempts > 0 || self.room.fits_deadline(left, self.expected(&held)));
+        let shut = if allowed { self.shut_to(&held) } else { Some(UnservedReason::NoTimeLeft) };
+        let picked = shut.map_or_else(|| self.pick(&held).ok_or(UnservedReason::NoBackend), Err);
         let i = match picked {
             Ok(i) => i,
             Err(why) => return self.give_up(id, &held, why, actions),
@@ -818,40 +829,41 @@
     }
 
     /// The gate that is shut to a call, if one is.
-    fn shut_to(&mut self, held: &Held) -> Option<Reason> {
-        let (heat, u) = (self.heat * self.room.scale() * self.room.open_to(held.repeat), self.random());
+    fn shut_to(&mut self, held: &Held) -> Option<UnservedReason> {
+        let (heat, u) =
+            (self.heat * self.room.scale() * self.room.admitted_fraction(held.repeat), self.random());
         let many = (1.0 - HEAT_COPIES / f64::from(self.settings.fleet_size)).max(0.0);
         let room = if self.yielding[held.class] { 1.0 - YIELD_ROOM * many } else { 1.0 };
         if held.borrowed && !self.borrow.admits(heat, u) {
-            Some(Reason::Borrow)
+            Some(UnservedReason::TenantQuota)
         } else if !self.tier.admits(heat * room, u) {
-            Some(Reason::Tier)
+            Some(UnservedReason::TierLimit)
         } else {
-            Some(Reason::Class).filter(|_| !self.classes[held.class].admits(heat, u))
+            Some(UnservedReason::ClassLimit).filter(|_| !self.classes[held.class].admits(heat, u))
         }
     }
 
     /// The final answer for a request with no attempt out.
-    fn give_up(&mut self, id: RequestId, held: &Held, why: Reason, actions: &mut Vec<Action>) {
+    fn give_up(&mut self, id: RequestId, held: &Held, why: UnservedReason, actions: &mut Vec<Action>) {
         self.log(actions, || format!("not sent: {}", why.text()));
         let rules = &self.settings.classes[held.class];
-        let harmless = match (rules.effect, held.may_have_run) {
-            (Effect::Repeatable, _) | (_, None) => true,
-            (Effect::Keyed, Some((_, sent))) => {
-                rules.scope == Scope::All && self.now - sent < rules.window_ms
+        let harmless = match (rules.retry_safety, held.may_have_run) {
+            (RetrySafety::Idempotent, _) | (_, None) => true,
+            (RetrySafety::IdempotencyKey, Some((_, sent))) => {
+                rules.dedup_scope == DedupScope::All && self.now - sent < rules.dedup_window_ms
             }
-            (Effect::Once, Some(_)) => false,
+            (RetrySafety::NonIdempotent, Some(_)) => false,
         };
         actions.push(match harmless {
-            true => Action::Refuse { request: id, retry_after_ms: self.come_back(held.class), why },
-            false => Action::Fail { request: id, why },
+            true => Action::Reject { request: id, retry_after_ms: self.come_back(held.class), reason: why },
+            false => Action::Fail { request: id, reason: why },
         });
     }
 
     /// When a refused client may come back, spread by chance so that those refused together do not return
     /// together. Only at the top: further down nobody waits.
     fn come_back(&mut self, class: usize) -> Millis {
-        let allowed = &self.settings.allowed;
+        let allowed = &self.settings.permissions;
         let most = allowed.max_retry_after_ms;
         if self.settings.stage > 0 || !allowed.retry_after {
             return 0.0;
@@ -864,7 +876,7 @@
     fn attempt_timeout(&self, held: &Held, left: Millis) -> Millis {
         let latency = &self.latencies[held.class];
         let usual = (latency.mean + PATIENCE * latency.dev).max(PATIENCE_LEAST);
-        let once = self.settings.classes[held.class].effect == Effect::Once;
+        let once = self.settings.classes[held.class].retry_safety == RetrySafety::NonIdempotent;
         if once || latency.mean == 0.0 || held.attempts > 0 || left < usual + 2.0 * latency.mean {
             left
         } else {
@@ -875,7 +887,7 @@
     fn on_client_gone(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(held) = self.held.get_mut(&id) else { return };
         held.over = true;
-        if self.settings.allowed.cancel && held.out.is_some() {
+        if self.settings.permissions.cancel && held.out.is_some() {
             actions.push(Action::Cancel { request: id, attempt: (held.attempts - 1) as u8 });
         }
     }
@@ -896,9 +908,9 @@
             return;
         }
         if !self.may_repeat(&held, end.outcome) {
-            self.give_up(id, &held, Reason::NoRepeat, actions);
+            self.give_up(id, &held, UnservedReason::NotRetryable, actions);
         } else if self.retries < 1.0 {
-            self.give_up(id, &held, Reason::Budget, actions);
+            self.give_up(id, &held, UnservedReason::RetryBudget, actions);
         } else {
             self.retries -= 1.0;
             self.try_send(id, held, actions);
@@ -907,18 +919,18 @@
 
     fn may_repeat(&self, held: &Held, outcome: Outcome) -> bool {
         let rules = &self.settings.classes[held.class];
-        let permitted = match (rules.effect, held.may_have_run) {
-            (_, None) | (Effect::Repeatable, _) => true,
-            (Effect::Keyed, Some((_, sent))) => self.now - sent < rules.window_ms,
-            (Effect::Once, Some(_)) => false,
+        let permitted = match (rules.retry_safety, held.may_have_run) {
+            (_, None) | (RetrySafety::Idempotent, _) => true,
+            (RetrySafety::IdempotencyKey, Some((_, sent))) => self.now - sent < rules.dedup_window_ms,
+            (RetrySafety::NonIdempotent, Some(_)) => false,
         };
-        permitted && outcome != Outcome::Moot && outcome != Outcome::Cancelled
+        permitted && outcome != Outcome::NotSent && outcome != Outcome::Cancelled
     }
 
     // ---- learning ----
 
     /// The part of a full rise that the backend's report leaves room for; all of it where none tells.
-    fn spare(&self, report: &Report) -> f64 {
+    fn spare(&self, report: &LoadReport) -> f64 {
         let place = self.settings.report.iter().position(|f| *f == ReportField::Cpu);
         let cpu = place.filter(|i| *i < usize::from(report.len)).map(|i| f64::from(report.values[i]));
         cpu.filter(|cpu| cpu.is_finite()).map_or(1.0, |cpu| ((1.0 - cpu) / SPARE_CPU).clamp(0.0, 1.0))
@@ -926,7 +938,7 @@
 
     fn learn(&mut self, held: &Held, attempt: Attempt, end: End, out: &mut Vec<Action>) {
         let End { outcome, took, spare } = end;
-        let aim = self.settings.classes[held.class].aim_ms;
+        let aim = self.settings.classes[held.class].latency_objective_ms;
         let took = if took.is_finite() { took.max(0.0) } else { self.now - attempt.sent_at };
         let ok = outcome == Outcome::Ok;
         let expected = self.expected(held);
@@ -946,7 +958,7 @@
                 b.leaves_at = None;
                 sound = false;
             }
-            if outcome != Outcome::Cancelled && outcome != Outcome::Moot {
+            if outcome != Outcome::Cancelled && outcome != Outcome::NotSent {
                 b.health.judge(now, ok);
                 b.by_class[held.class].judge(now, ok);
                 if outcome != Outcome::Timeout && outcome != Outcome::ConnectFailed {
@@ -962,7 +974,7 @@
         }
         let (sent_at, heat, rise) = (attempt.sent_at, self.heat * self.room.scale(), self.room.rise());
         let sample = |stress, spare| Sample { sent_at, stress, spare, heat, rise };
-        if outcome == Outcome::Cancelled || outcome == Outcome::Moot {
+        if outcome == Outcome::Cancelled || outcome == Outcome::NotSent {
             // A client that left: late for it by as much of its time as it waited. One that leaves early
             // has left for
             // reasons of its own. More would shut the gate where an idle tier is too slow.
@@ -1028,7 +1040,7 @@
         let now = self.now;
         let asked: Vec<f64> = self.asked.iter().map(|f| f.read(now, ASKED_MS).max(1e-9)).collect();
         let total: f64 = asked.iter().sum();
-        let worth = |c: usize| self.settings.classes[c].worth;
+        let worth = |c: usize| self.settings.classes[c].priority_weight;
         let mean: f64 = asked.iter().enumerate().map(|(c, n)| worth(c) * n / total).sum();
         let got = |c: usize| self.passed[c].read(now, ASKED_MS) / asked[c];
         let seen = (0..asked.len()).filter(|c| asked[*c] > 1.0);
@@ -1071,7 +1083,7 @@
         let picked = self.pick_from(held, false)?;
         let zone = self.backends[picked].info.zone;
         let sites = std::mem::take(&mut self.sites);
-        let diverts = sites.diverts(self.now, zone, || self.random());
+        let diverts = sites.is_diverted(self.now, zone, || self.random());
         self.sites = sites;
         Some(if diverts { self.pick_from(held, true).unwrap_or(picked) } else { picked })
     }
@@ -1091,7 +1103,7 @@
         for n in 0..self.order.len() {
             let i = self.order[n];
             let stays = self.backends[i].stays(now, &self.settings.rules);
-            if whole && self.sites.part(now, self.backends[i].info.zone) < 1.0 {
+            if whole && self.sites.fraction(now, self.backends[i].info.zone) < 1.0 {
                 continue;
             }
             if stays <= 0.0 || !self.may_send(held, &self.backends[i].info) || !self.refill_cold(i, rate) {
@@ -1136,11 +1148,11 @@
     /// Once a keyed request may have run, only the group that drops its repeat.
     fn may_send(&self, held: &Held, to: &BackendInfo) -> bool {
         let rules = &self.settings.classes[held.class];
-        match (rules.effect, held.may_have_run) {
-            (Effect::Keyed, Some((ran, _))) => match rules.scope {
-                Scope::All => true,
-                Scope::Zone => ran.zone == to.zone,
-                Scope::Cell => ran.cell == to.cell,
+        match (rules.retry_safety, held.may_have_run) {
+            (RetrySafety::IdempotencyKey, Some((ran, _))) => match rules.dedup_scope {
+                DedupScope::All => true,
+                DedupScope::Zone => ran.zone == to.zone,
+                DedupScope::Cell => ran.cell == to.cell,
             },
             _ => true,
         }
@@ -1156,11 +1168,11 @@
             return true;
         }
         let least = 2.0 / f64::from(self.settings.fleet_size);
-        let per_s = self.part * COLD_PART * rules.fall_multiple * (warmth * b.rating() * rate).max(least);
-        let passed = (self.now - b.cold_at).clamp(0.0, rules.fall_ms);
+        let per_s = self.part * COLD_PART * rules.overload_multiple * (warmth * b.rating() * rate).max(least);
+        let passed = (self.now - b.cold_at).clamp(0.0, rules.overload_window_ms);
         b.cold_at = self.now;
         // What is saved and what comes in together must stay within the part of any one window.
-        let most = (per_s * rules.fall_ms / 1000.0 * COLD_SAVED).max(1.0);
+        let most = (per_s * rules.overload_window_ms / 1000.0 * COLD_SAVED).max(1.0);
         b.cold_tokens = (b.cold_tokens + per_s * passed / 1000.0).min(most);
         b.cold_tokens >= 1.0
     }
--- a/crates/decision/tests/calm.rs
+++ b/crates/decision/tests/calm.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use hillstall_decision::api::*;
+use hillstall_decision::*;
 
 /// Rounds of four calls, of which one ends as `end` does it and the others are served, all after `took`; then how many
 /// calls are let in at once.
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -1,21 +1,21 @@
 //! A small proxy for tests: feeds events to a balancer, keeps what it sent and answered.
 #![allow(dead_code)] // each test file uses a part
 
-use hillstall_decision::api::*;
 use hillstall_decision::Balancer;
+use hillstall_decision::*;
 
 /// A class of requests with an aim of 1 s and a deadline of 4 s.
-pub fn class(effect: Effect, scope: Scope) -> Class {
+pub fn class(effect: RetrySafety, scope: DedupScope) -> Class {
     Class {
         name: String::new(),
-        aim_ms: 1_000.0,
-        aim_stretch: 0.0,
+        latency_objective_ms: 1_000.0,
+        objective_per_work_ms: 0.0,
         deadline_ms: 4_000.0,
-        worth: 1.0,
-        late_worth: 0.2,
-        effect,
-        scope,
-        window_ms: 2_000.0,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.2,
+        retry_safety: effect,
+        dedup_scope: scope,
+        dedup_window_ms: 2_000.0,
         streaming: false,
     }
 }
@@ -27,7 +27,7 @@
 
 /// A tenant with a share of so many requests a second.
 pub fn tenant(allowance_per_s: f64) -> Tenant {
-    Tenant { name: String::new(), allowance_per_s, fraction: 0.5 }
+    Tenant { name: String::new(), quota_per_s: allowance_per_s, fraction: 0.5 }
 }
 
 /// One copy, one repeatable class, no tenants.
@@ -42,27 +42,27 @@
         machine_kinds: Vec::new(),
         service: "chain".into(),
         passes_deadline: true,
-        warm_keys: false,
+        caches_keys: false,
         marks_retry: false,
         must_subscribe: false,
-        worth_by_work: false,
-        over_share_worth: 0.05,
+        weight_by_work: false,
+        over_quota_weight: 0.05,
         tick_ms: 5.0,
         weights: Weights::Off,
         report: Vec::new(),
         report_via: ReportVia::Off,
-        classes: vec![class(Effect::Repeatable, Scope::All)],
+        classes: vec![class(RetrySafety::Idempotent, DedupScope::All)],
         tenants: Vec::new(),
         rules: Rules {
-            answer_grace_ms: 20.0,
+            response_grace_ms: 20.0,
             drain_grace_ms: 250.0,
-            ask_within_ms: 10_000.0,
-            cold_from: 0.3,
-            cold_ms: 8_000.0,
-            fall_multiple: 3.0,
-            fall_ms: 3_000.0,
+            poll_interval_ms: 10_000.0,
+            warmup_start_fraction: 0.3,
+            warmup_ms: 8_000.0,
+            overload_multiple: 3.0,
+            overload_window_ms: 3_000.0,
         },
-        allowed: Allowed {
+        permissions: Permissions {
             cancel: true,
             probe: false,
             parallel: false,
@@ -70,7 +70,7 @@
             max_retry_after_ms: 2_000.0,
             max_attempts: 5,
             max_open: 1_000,
-            peers: false,
+            peer_messages: false,
             idle_close_ms: 30_000.0,
             connect_timeout_ms: 250.0,
             streams_per_connection: 1,
@@ -112,7 +112,16 @@
 
 /// A request without a key or a hint.
 pub fn request(id: RequestId, class: u8, tenant: u16, ttl_ms: Millis) -> Event<'static> {
-    Event::Request { id, key: None, class, tenant, hint_ms: None, repeat: false, write: false, ttl_ms }
+    Event::Request {
+        id,
+        key: None,
+        class,
+        tenant,
+        expected_work_ms: None,
+        is_retry: false,
+        is_write: false,
+        timeout_ms: ttl_ms,
+    }
 }
 
 /// The end of an attempt, without a load report.
@@ -124,7 +133,7 @@
     took_ms: Millis,
     ended: bool,
 ) -> Event<'static> {
-    Event::Outcome { request, attempt, backend, outcome, took_ms, ended, report: Report::default() }
+    Event::Outcome { request, attempt, backend, outcome, took_ms, ended, report: LoadReport::default() }
 }
 
 /// Feeds one balancer and carries the numbers of its attempts.
@@ -156,7 +165,7 @@
     }
 
     pub fn list(&mut self, kind: ListKind, backends: &[BackendInfo]) {
-        self.event(Event::BackendsChanged { kind, version: 1, backends });
+        self.event(Event::EndpointsChanged { kind, version: 1, backends });
     }
 
     /// The attempt sent by the last event, if any.
@@ -181,7 +190,7 @@
         let id = self.next;
         self.next += 1;
         let mut asked = request(id, class, tenant, ttl_ms);
-        if let Event::Request { repeat, .. } = &mut asked {
+        if let Event::Request { is_retry: repeat, .. } = &mut asked {
             *repeat = marked;
         }
         self.event(asked);
@@ -197,7 +206,7 @@
     }
 
     pub fn refused(&self) -> bool {
-        self.last.iter().any(|a| matches!(a, Action::Refuse { .. }))
+        self.last.iter().any(|a| matches!(a, Action::Reject { .. }))
     }
 
     pub fn failed(&self) -> bool {
--- a/crates/decision/tests/gate.rs
+++ b/crates/decision/tests/gate.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use hillstall_decision::api::*;
+use hillstall_decision::*;
 
 fn many_backends(stage: u32) -> Proxy {
     Proxy::new(Settings { stage, ..settings() }, &backends(40))
@@ -110,7 +110,8 @@
 #[test]
 fn a_class_of_little_worth_yields_and_without_such_a_pair_none_does() {
     let share = |worths: [f64; 2]| {
-        let classes = worths.map(|worth| Class { worth, ..class(Effect::Repeatable, Scope::All) });
+        let classes = worths
+            .map(|worth| Class { priority_weight: worth, ..class(RetrySafety::Idempotent, DedupScope::All) });
         let mut p = Proxy::new(Settings { stage: 0, classes: classes.to_vec(), ..settings() }, &backends(40));
         let mut served = [0.0, 0.0];
         // What calm is has to be known: lateness is judged against it.
@@ -134,7 +135,10 @@
 fn classes_of_like_worth_are_served_alike_whatever_their_aims() {
     // A class with a long aim never looked late by its own calls, so only the other one was cut.
     let aims = [1_000.0, 4_000.0];
-    let classes = aims.map(|aim_ms| Class { aim_ms, ..class(Effect::Repeatable, Scope::All) });
+    let classes = aims.map(|aim_ms| Class {
+        latency_objective_ms: aim_ms,
+        ..class(RetrySafety::Idempotent, DedupScope::All)
+    });
     let objective = objective(0.6, 0.1, 0.3);
     let mut p = Proxy::new(Settings { classes: classes.to_vec(), objective, ..settings() }, &backends(40));
     let mut served = [0.0, 0.0];
@@ -212,7 +216,7 @@
             let out: Vec<Sent> = (0..10_000).filter_map(|_| p.ask(0, 0, 4_000.0)).collect();
             p.now += 200.0;
             for sent in out {
-                let report = Report { len: 2, values: [50.0, cpu, 0.0, 0.0] };
+                let report = LoadReport { len: 2, values: [50.0, cpu, 0.0, 0.0] };
                 let (request, attempt, backend) = (sent.request, sent.attempt, sent.to);
                 let (outcome, took_ms, ended) = (Outcome::Ok, 200.0, true);
                 p.event(Event::Outcome { request, attempt, backend, outcome, took_ms, ended, report });
@@ -288,11 +292,11 @@
     // Clients told nothing came back at once, to a gate that had not moved.
     let told = |stage, retry_after| {
         let base = settings();
-        let allowed = Allowed { retry_after, ..base.allowed.clone() };
-        let mut p = Proxy::new(Settings { stage, allowed, ..base }, &[]);
+        let allowed = Permissions { retry_after, ..base.permissions.clone() };
+        let mut p = Proxy::new(Settings { stage, permissions: allowed, ..base }, &[]);
         p.ask(0, 0, 4_000.0);
         p.last.iter().find_map(|action| match action {
-            Action::Refuse { retry_after_ms, .. } => Some(*retry_after_ms),
+            Action::Reject { retry_after_ms, .. } => Some(*retry_after_ms),
             _ => None,
         })
     };
@@ -338,7 +342,7 @@
 
 #[test]
 fn classes_that_yield_leave_room_at_a_full_gate_to_those_of_more_worth() {
-    let worth = |worth| Class { worth, ..class(Effect::Repeatable, Scope::All) };
+    let worth = |worth| Class { priority_weight: worth, ..class(RetrySafety::Idempotent, DedupScope::All) };
     let classes = vec![worth(2.0), worth(5.0)];
     let mut p = Proxy::new(Settings { classes, fleet_size: 50, ..settings() }, &backends(500));
     // Both come, so that it is known which yields.
--- a/crates/decision/tests/heat.rs
+++ b/crates/decision/tests/heat.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use hillstall_decision::api::*;
+use hillstall_decision::*;
 use std::collections::VecDeque;
 
 /// One of 50 copies before 50 backends, with an even part of 20 calls a second.
--- a/crates/decision/tests/module.rs
+++ b/crates/decision/tests/module.rs
@@ -20,7 +20,7 @@
         assert!(line.chars().count() <= 110, "line {} is too long", n + 1);
     }
     assert!(
-        text.lines().take(3).any(|line| line.contains("src/api.rs")),
+        text.lines().take(3).any(|line| line.contains("src/event.rs")),
         "its interface is named at its top"
     );
 }
@@ -39,7 +39,7 @@
 fn the_on_call_page_quotes_lines_that_the_module_writes() {
     let page =
         fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/ONCALL.md")).expect("the page");
-    let text = module() + &source("api.rs");
+    let text = module() + &source("types.rs");
     let quoted: Vec<&str> = page.lines().filter_map(|l| l.strip_prefix("- `")?.split('`').next()).collect();
     assert!(quoted.len() >= 6);
     for line in quoted {
--- a/crates/decision/tests/pick.rs
+++ b/crates/decision/tests/pick.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use hillstall_decision::api::*;
+use hillstall_decision::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often each backend is sent to, over `n` calls one after another.
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_backend_that_fails_one_class_is_not_healed_by_the_others() {
-    let classes = vec![class(Effect::Once, Scope::All); 2];
+    let classes = vec![class(RetrySafety::NonIdempotent, DedupScope::All); 2];
     let mut p = Proxy::new(Settings { classes, ..settings() }, &backends(4));
     let mut sent_to_failing = [0, 0];
     for n in 0..400 {
--- a/crates/decision/tests/room.rs
+++ b/crates/decision/tests/room.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use hillstall_decision::api::*;
+use hillstall_decision::*;
 
 /// A copy that has learned something, and what it lets in at once.
 fn whole() -> (Proxy, usize) {
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -2,15 +2,15 @@
 
 mod common;
 use common::*;
-use hillstall_decision::api::*;
+use hillstall_decision::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
 
 const MAY_HAVE_RUN: [Outcome; 3] = [Outcome::Error, Outcome::Timeout, Outcome::Reset];
-const NEVER_RAN: [Outcome; 2] = [Outcome::Full, Outcome::ConnectFailed];
+const NEVER_RAN: [Outcome; 2] = [Outcome::Rejected, Outcome::ConnectFailed];
 
-fn proxy(effect: Effect, scope: Scope, list: &[BackendInfo]) -> Proxy {
+fn proxy(effect: RetrySafety, scope: DedupScope, list: &[BackendInfo]) -> Proxy {
     Proxy::new(Settings { classes: vec![class(effect, scope)], ..settings() }, list)
 }
 
@@ -21,7 +21,7 @@
 #[test]
 fn once_is_not_repeated_or_refused_after_it_may_have_run() {
     for outcome in MAY_HAVE_RUN {
-        let mut p = proxy(Effect::Once, Scope::All, &backends(8));
+        let mut p = proxy(RetrySafety::NonIdempotent, DedupScope::All, &backends(8));
         let sent = p.ask(0, 0, 4_000.0).expect("sent");
         p.now += 50.0;
         assert_eq!(p.end(sent, outcome), None, "{outcome:?}");
@@ -32,7 +32,7 @@
 #[test]
 fn once_is_repeated_after_proof_that_it_never_ran() {
     for outcome in NEVER_RAN {
-        let mut p = proxy(Effect::Once, Scope::All, &backends(8));
+        let mut p = proxy(RetrySafety::NonIdempotent, DedupScope::All, &backends(8));
         let sent = p.ask(0, 0, 4_000.0).expect("sent");
         p.now += 50.0;
         assert!(p.end(sent, outcome).is_some(), "{outcome:?}");
@@ -42,17 +42,17 @@
 #[test]
 fn keyed_repeats_stay_in_the_group_that_drops_them() {
     let list: Vec<_> = (1..=24).map(|id| in_zone(id, (id % 3) as u16)).collect();
-    for scope in [Scope::All, Scope::Zone, Scope::Cell] {
+    for scope in [DedupScope::All, DedupScope::Zone, DedupScope::Cell] {
         for _ in 0..40 {
-            let mut p = proxy(Effect::Keyed, scope, &list);
+            let mut p = proxy(RetrySafety::IdempotencyKey, scope, &list);
             let first = p.ask(0, 0, 4_000.0).expect("sent");
             p.now += 50.0;
             let Some(again) = p.end(first, Outcome::Error) else { continue };
             let (a, b) = (list[first.to as usize - 1], list[again.to as usize - 1]);
             match scope {
-                Scope::All => {}
-                Scope::Zone => assert_eq!(a.zone, b.zone),
-                Scope::Cell => assert_eq!(a.cell, b.cell),
+                DedupScope::All => {}
+                DedupScope::Zone => assert_eq!(a.zone, b.zone),
+                DedupScope::Cell => assert_eq!(a.cell, b.cell),
             }
         }
     }
@@ -60,8 +60,8 @@
 
 #[test]
 fn keyed_is_neither_repeated_after_its_window_nor_refused_outside_a_group_of_all() {
-    for scope in [Scope::All, Scope::Zone, Scope::Cell] {
-        let mut p = proxy(Effect::Keyed, scope, &backends(8));
+    for scope in [DedupScope::All, DedupScope::Zone, DedupScope::Cell] {
+        let mut p = proxy(RetrySafety::IdempotencyKey, scope, &backends(8));
         let sent = p.ask(0, 0, 4_000.0).expect("sent");
         p.now += 2_100.0;
         assert_eq!(p.end(sent, Outcome::Error), None);
@@ -71,7 +71,7 @@
 
 #[test]
 fn keyed_without_a_backend_left_in_its_group_fails() {
-    let mut p = proxy(Effect::Keyed, Scope::Zone, &[in_zone(1, 0), in_zone(2, 1)]);
+    let mut p = proxy(RetrySafety::IdempotencyKey, DedupScope::Zone, &[in_zone(1, 0), in_zone(2, 1)]);
     let sent = p.ask(0, 0, 4_000.0).expect("sent");
     let rest: Vec<_> = [in_zone(1, 0), in_zone(2, 1)].into_iter().filter(|b| b.id != sent.to).collect();
     p.list(ListKind::Full, &rest);
@@ -83,7 +83,7 @@
 #[test]
 fn nothing_new_goes_to_a_draining_or_gone_backend() {
     for state in [BackendState::Draining, BackendState::Gone] {
-        let mut p = proxy(Effect::Repeatable, Scope::All, &backends(3));
+        let mut p = proxy(RetrySafety::Idempotent, DedupScope::All, &backends(3));
         p.list(ListKind::Delta, &[BackendInfo { state, ..backend(2) }]);
         for _ in 0..200 {
             let Some(sent) = p.ask(0, 0, 4_000.0) else { break };
@@ -111,7 +111,7 @@
         sent_to[((p.now - from) / grace * 10.0) as usize] += usize::from(sent.to == 2);
         p.now += grace / 1_000.0;
         let away = turns_away && sent.to == 2;
-        if let Some(again) = p.end(sent, if away { Outcome::Full } else { Outcome::Ok }) {
+        if let Some(again) = p.end(sent, if away { Outcome::Rejected } else { Outcome::Ok }) {
             assert_ne!(again.to, 2);
             p.end(again, Outcome::Ok);
         }
@@ -135,7 +135,7 @@
 
 #[test]
 fn what_a_full_list_leaves_out_is_gone() {
-    let mut p = proxy(Effect::Repeatable, Scope::All, &backends(3));
+    let mut p = proxy(RetrySafety::Idempotent, DedupScope::All, &backends(3));
     p.list(ListKind::Full, &[backend(3)]);
     let sent = p.ask(0, 0, 4_000.0).expect("sent");
     assert_eq!(sent.to, 3);
@@ -143,21 +143,21 @@
 
 #[test]
 fn without_a_backend_a_request_is_refused_and_not_lost() {
-    let mut p = proxy(Effect::Once, Scope::All, &[]);
+    let mut p = proxy(RetrySafety::NonIdempotent, DedupScope::All, &[]);
     assert_eq!(p.ask(0, 0, 4_000.0), None);
     assert!(p.refused());
 }
 
 #[test]
 fn an_unknown_class_is_refused() {
-    let mut p = proxy(Effect::Once, Scope::All, &backends(2));
+    let mut p = proxy(RetrySafety::NonIdempotent, DedupScope::All, &backends(2));
     assert_eq!(p.ask(200, 0, 4_000.0), None);
     assert!(p.refused());
 }
 
 #[test]
 fn late_repeated_and_unknown_events_do_nothing() {
-    let mut p = proxy(Effect::Repeatable, Scope::All, &backends(4));
+    let mut p = proxy(RetrySafety::Idempotent, DedupScope::All, &backends(4));
     let sent = p.ask(0, 0, 4_000.0).expect("sent");
     p.now += 20.0;
     p.end(sent, Outcome::Ok);
@@ -174,7 +174,7 @@
 fn a_cold_backend_gets_no_more_than_its_part_right_after_its_start() {
     // A fresh bucket once filled by a whole window at its first use.
     let list = [backend(1), backend(2), backend(3), backend(4)];
-    let mut p = proxy(Effect::Repeatable, Scope::All, &list);
+    let mut p = proxy(RetrySafety::Idempotent, DedupScope::All, &list);
     let tally = |p: &mut Proxy, ms: f64| {
         let (mut cold, mut warm) = (0, 0);
         let end = p.now + ms;
@@ -224,7 +224,7 @@
     let outcome = prop_oneof![
         4 => Just(Outcome::Ok),
         2 => Just(Outcome::Error),
-        1 => Just(Outcome::Full),
+        1 => Just(Outcome::Rejected),
         1 => Just(Outcome::Timeout),
         1 => Just(Outcome::ConnectFailed),
         1 => Just(Outcome::Reset),
@@ -254,11 +254,14 @@
 
 impl World {
     fn new(parallel: bool) -> World {
-        let scopes = [Scope::Zone, Scope::Cell];
-        let mut classes = vec![class(Effect::Repeatable, Scope::All), class(Effect::Once, Scope::All)];
-        classes.extend(scopes.map(|scope| class(Effect::Keyed, scope)));
+        let scopes = [DedupScope::Zone, DedupScope::Cell];
+        let mut classes = vec![
+            class(RetrySafety::Idempotent, DedupScope::All),
+            class(RetrySafety::NonIdempotent, DedupScope::All),
+        ];
+        classes.extend(scopes.map(|scope| class(RetrySafety::IdempotencyKey, scope)));
         let mut settings = Settings { classes: classes.clone(), ..settings() };
-        settings.allowed.parallel = parallel;
+        settings.permissions.parallel = parallel;
         settings.tenants = vec![tenant(5.0); 2];
         let list: Vec<_> = (1..=9).map(|id| in_zone(id, (id % 3) as u16)).collect();
         let p = Proxy::new(settings, &list);
@@ -280,25 +283,31 @@
                     let class = &self.classes[told.class];
                     let risk = told.first_risk;
                     let (a, b) = (risk.map(|r| self.list[&r.0]), self.list[&backend]);
-                    match (class.effect, risk) {
-                        (Effect::Once, Some(_)) => prop_assert!(false, "repeated what may have run"),
-                        (Effect::Keyed, Some((_, at))) => {
-                            prop_assert!(self.p.now - at < class.window_ms);
+                    match (class.retry_safety, risk) {
+                        (RetrySafety::NonIdempotent, Some(_)) => {
+                            prop_assert!(false, "repeated what may have run")
+                        }
+                        (RetrySafety::IdempotencyKey, Some((_, at))) => {
+                            prop_assert!(self.p.now - at < class.dedup_window_ms);
                             let (a, b) = (a.map(|a| (a.zone, a.cell)), (b.zone, b.cell));
-                            prop_assert!(class.scope != Scope::Zone || a.map(|a| a.0) == Some(b.0));
-                            prop_assert!(class.scope != Scope::Cell || a.map(|a| a.1) == Some(b.1));
+                            prop_assert!(
+                                class.dedup_scope != DedupScope::Zone || a.map(|a| a.0) == Some(b.0)
+                            );
+                            prop_assert!(
+                                class.dedup_scope != DedupScope::Cell || a.map(|a| a.1) == Some(b.1)
+                            );
                         }
                         _ => {}
                     }
                     told.out.push((told.attempts, backend));
                     told.attempts += 1;
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let told = self.told.get_mut(&request).expect("given");
                     prop_assert!(!told.answered, "a second answer");
-                    let effect = self.classes[told.class].effect;
+                    let effect = self.classes[told.class].retry_safety;
                     prop_assert!(
-                        effect == Effect::Repeatable || told.first_risk.is_none(),
+                        effect == RetrySafety::Idempotent || told.first_risk.is_none(),
                         "a refusal that lies"
                     );
                     told.answered = true;
@@ -328,7 +337,7 @@
         let (_, backend) = told.out.remove(place);
         if !outcome.never_ran() && told.first_risk.is_none() {
             // Any moment up to now bounds the send from above; the test waits little between them.
-            told.first_risk = Some((backend, self.p.now - self.classes[told.class].window_ms));
+            told.first_risk = Some((backend, self.p.now - self.classes[told.class].dedup_window_ms));
             if outcome != Outcome::Ok {
                 told.first_risk = Some((backend, self.p.now));
             }
@@ -394,7 +403,7 @@
 #[test]
 fn equal_seeds_and_events_give_equal_actions() {
     let play = || {
-        let mut p = proxy(Effect::Repeatable, Scope::All, &backends(12));
+        let mut p = proxy(RetrySafety::Idempotent, DedupScope::All, &backends(12));
         let mut out = Vec::new();
         for n in 0..300 {
             if let Some(sent) = p.ask(0, 0, 4_000.0) {
@@ -411,7 +420,7 @@
 #[test]
 fn once_is_not_repeated_though_its_backend_has_left_the_list_meanwhile() {
     for outcome in MAY_HAVE_RUN {
-        let mut p = proxy(Effect::Once, Scope::All, &backends(8));
+        let mut p = proxy(RetrySafety::NonIdempotent, DedupScope::All, &backends(8));
         let sent = p.ask(0, 0, 4_000.0).expect("sent");
         let rest: Vec<_> = backends(8).into_iter().filter(|b| b.id != sent.to).collect();
         p.list(ListKind::Full, &rest);
@@ -427,7 +436,7 @@
     for stage in 0..3 {
         let mut plain = Settings { stage, ..settings() };
         plain.objective = objective(0.0, 0.0, 0.0);
-        plain.classes[0].worth = 0.0;
+        plain.classes[0].priority_weight = 0.0;
         let mut p = Proxy::new(plain, &backends(1));
         for _ in 0..50 {
             let sent = p.ask(0, 0, 4_000.0).expect("one idle backend: it is sent");
--- a/crates/decision/tests/sparse.rs
+++ b/crates/decision/tests/sparse.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use hillstall_decision::api::*;
+use hillstall_decision::*;
 
 const COPIES: u32 = 300;
 const BACKENDS: u32 = 24;
--- a/crates/fault-injection/src/clients.rs
+++ b/crates/fault-injection/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::http::{Call, Wire};
 use crate::record::{Ended, Try};
 use crate::server::{ask, target, MadeTry};
-use hillstall_decision::api::Effect;
+use hillstall_decision::RetrySafety;
 use hillstall_simulation::chance::part;
 use hillstall_simulation::sim::arrivals::{drawn, Arrival, Arrivals};
 use hillstall_simulation::sim::setup::{chance, Stream};
@@ -163,7 +163,7 @@
         let of = &process.settings.classes[arrival.class];
         let ttl = (over - history.now()).max(1.0);
         let id = format!("c{number}-{no}");
-        let key = (of.effect == Effect::Keyed).then(|| format!("key-{number}"));
+        let key = (of.retry_safety == RetrySafety::IdempotencyKey).then(|| format!("key-{number}"));
         let made = Rc::new(MadeTry::new(
             history.clone(),
             Try {
@@ -180,7 +180,7 @@
             },
         ));
         let (clients, noted) = (self.clone(), made.clone());
-        let (class, safe) = (of.name.clone(), of.effect == Effect::Repeatable);
+        let (class, safe) = (of.name.clone(), of.retry_safety == RetrySafety::Idempotent);
         let target = target(arrival.class, arrival.tenant, arrival.work);
         let tenant = self.fleet.figures.tenants.get(arrival.tenant).map(|t| t.name.clone());
         let mut asked = Box::pin(async move {
--- a/crates/fault-injection/src/faults.rs
+++ b/crates/fault-injection/src/faults.rs
@@ -6,7 +6,7 @@
 use crate::link::Fault;
 use crate::list::{unix_ms, Started};
 use crate::record::Cut as CutSeen;
-use hillstall_decision::api::BackendState;
+use hillstall_decision::BackendState;
 use hillstall_simulation::scenario::{Between, Mode, What};
 use hillstall_simulation::sim::setup::{some_of, FailureOf};
 use std::cell::RefCell;
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -9,7 +9,7 @@
 use crate::referee::{Server as TrueServer, Truth};
 use crate::server::{Below, Figures as ServerFigures, Server, WhoCalls};
 use crate::talk::Talk;
-use hillstall_decision::api::{BackendState, Settings};
+use hillstall_decision::{BackendState, Settings};
 use hillstall_simulation::scenario::Repeats;
 use hillstall_simulation::sim::setup::{chance, Figures, Stream};
 use hillstall_simulation::sim::Tally;
@@ -304,7 +304,7 @@
                 let mut settings = figures.settings(s.tier, s.rank, s.copies, s.zone);
                 // The list here answers only when asked, as the platform's does.
                 settings.must_subscribe = true;
-                settings.allowed.peers = talk.is_some();
+                settings.permissions.peer_messages = talk.is_some();
                 if let Some(lie) = &lie {
                     lie(&mut settings);
                 }
--- a/crates/fault-injection/src/list.rs
+++ b/crates/fault-injection/src/list.rs
@@ -5,7 +5,7 @@
 use crate::link::Callers;
 use crate::record::{History, Told};
 use crate::server::WhoCalls;
-use hillstall_decision::api::BackendState;
+use hillstall_decision::BackendState;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
--- a/crates/fault-injection/src/platform.rs
+++ b/crates/fault-injection/src/platform.rs
@@ -1,43 +1,43 @@
 //! The file that the platform gives a proxy, made from the module's settings.
 
-use hillstall_decision::api::{Effect, Scope, Settings};
+use hillstall_decision::{DedupScope, RetrySafety, Settings};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
 /// The settings as the platform writes them: what is read back from them is what was given.
 pub fn settings(of: &Settings) -> Value {
-    let class = |c: &hillstall_decision::api::Class| {
-        let effect = match c.effect {
-            Effect::Repeatable => "repeatable",
-            Effect::Keyed => "by_key",
-            Effect::Once => "once",
+    let class = |c: &hillstall_decision::Class| {
+        let effect = match c.retry_safety {
+            RetrySafety::Idempotent => "repeatable",
+            RetrySafety::IdempotencyKey => "by_key",
+            RetrySafety::NonIdempotent => "once",
         };
-        let scope = match c.scope {
-            Scope::All => "all",
-            Scope::Zone => "zone",
-            Scope::Cell => "cell",
+        let scope = match c.dedup_scope {
+            DedupScope::All => "all",
+            DedupScope::Zone => "zone",
+            DedupScope::Cell => "cell",
         };
-        json!({"Name": c.name, "Aim": c.aim_ms, "AimStretch": c.aim_stretch, "HardLimit": c.deadline_ms,
-            "Effect": effect, "KeyScope": scope, "Window": c.window_ms, "LateWorth": c.late_worth,
-            "Points": c.worth, "Streaming": c.streaming})
+        json!({"Name": c.name, "Aim": c.latency_objective_ms, "AimStretch": c.objective_per_work_ms, "HardLimit": c.deadline_ms,
+            "Effect": effect, "KeyScope": scope, "Window": c.dedup_window_ms, "LateWorth": c.late_weight_fraction,
+            "Points": c.priority_weight, "Streaming": c.streaming})
     };
-    let tenant = |t: &hillstall_decision::api::Tenant| json!({"Name": t.name, "AllowancePerS": t.allowance_per_s, "Fraction": t.fraction});
-    let (rules, allowed, prices, mix) = (&of.rules, &of.allowed, &of.prices, &of.objective);
+    let tenant = |t: &hillstall_decision::Tenant| json!({"Name": t.name, "AllowancePerS": t.quota_per_s, "Fraction": t.fraction});
+    let (rules, allowed, prices, mix) = (&of.rules, &of.permissions, &of.prices, &of.objective);
     json!({
         "Rank": of.rank, "FleetSize": of.fleet_size, "Az": of.zone, "Zones": of.zones, "Stage": of.stage,
         "Stages": of.stages, "MachineTypes": of.machine_kinds, "KindOfService": of.service,
-        "FamilyInfo": {"PassesDeadline": of.passes_deadline, "WarmKeys": of.warm_keys},
+        "FamilyInfo": {"PassesDeadline": of.passes_deadline, "WarmKeys": of.caches_keys},
         "MembershipMode": if of.must_subscribe { "subscribe" } else { "automatic" },
-        "WorthBy": if of.worth_by_work { "work" } else { "request" },
-        "OverShareWorth": of.over_share_worth, "Tick": of.tick_ms,
+        "WorthBy": if of.weight_by_work { "work" } else { "request" },
+        "OverShareWorth": of.over_quota_weight, "Tick": of.tick_ms,
         "Clients": {"MarksRetry": of.marks_retry},
         "Classes": of.classes.iter().map(class).collect::<Vec<_>>(),
         "Tenants": of.tenants.iter().map(tenant).collect::<Vec<_>>(),
-        "Rules": {"GraceToAnswer": rules.answer_grace_ms, "DrainGrace": rules.drain_grace_ms,
-            "AskWithin": rules.ask_within_ms, "ColdFrom": rules.cold_from, "Cold": rules.cold_ms,
-            "FallMultiple": rules.fall_multiple, "Fall": rules.fall_ms},
+        "Rules": {"GraceToAnswer": rules.response_grace_ms, "DrainGrace": rules.drain_grace_ms,
+            "AskWithin": rules.poll_interval_ms, "ColdFrom": rules.warmup_start_fraction, "Cold": rules.warmup_ms,
+            "FallMultiple": rules.overload_multiple, "Fall": rules.overload_window_ms},
         "Allowed": {"Cancelling": allowed.cancel, "Probing": allowed.probe, "ParallelTries": allowed.parallel,
-            "Peers": allowed.peers, "RetryAfter": allowed.retry_after,
+            "Peers": allowed.peer_messages, "RetryAfter": allowed.retry_after,
             "MaxRetryAfter": allowed.max_retry_after_ms, "MaxAttempts": allowed.max_attempts,
             "OpenCap": allowed.max_open, "IdleClose": allowed.idle_close_ms,
             "ConnectTimeout": allowed.connect_timeout_ms, "StreamsPerConn": allowed.streams_per_connection,
@@ -92,8 +92,8 @@
                 let mut read = hillstall_settings::settings(text.as_bytes()).expect("it is read");
                 for (read, given) in read.tenants.iter_mut().zip(&given.tenants) {
                     // The last digit of a number may change in decimal form.
-                    assert!((read.allowance_per_s / given.allowance_per_s - 1.0).abs() < 1e-12);
-                    read.allowance_per_s = given.allowance_per_s;
+                    assert!((read.quota_per_s / given.quota_per_s - 1.0).abs() < 1e-12);
+                    read.quota_per_s = given.quota_per_s;
                 }
                 assert_eq!(read, given, "{name} {tier}");
             }
--- a/crates/fault-injection/src/record.rs
+++ b/crates/fault-injection/src/record.rs
@@ -1,7 +1,7 @@
 //! What was seen during a drill, in memory: by clients, by servers, by the list, and what was done to processes. Times
 //! are milliseconds since calls began; before that they are negative.
 
-use hillstall_decision::api::BackendState;
+use hillstall_decision::BackendState;
 use std::cell::{Cell, RefCell};
 use std::time::Instant;
 
--- a/crates/fault-injection/src/referee.rs
+++ b/crates/fault-injection/src/referee.rs
@@ -2,7 +2,7 @@
 //! the platform's protocol. It knows the rules and the true figures, and nothing of how a proxy decides.
 
 use crate::record::{Done, Ended, Hop, Lived, Seen, Stood, Try};
-use hillstall_decision::api::{BackendState, Effect, Settings};
+use hillstall_decision::{BackendState, RetrySafety, Settings};
 use hillstall_simulation::model::cold::ColdStart;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -261,16 +261,16 @@
                 found(Rule::Unasked, "a server got a request that nobody made".into());
                 continue;
             };
-            let most = settings.allowed.max_attempts as usize;
+            let most = settings.permissions.max_attempts as usize;
             if hops.len() > most {
                 found(Rule::Attempts, format!("{} attempts of {most}", hops.len()));
             }
             let class = &settings.classes[a_try.class];
             let Some(ran) = hops.iter().find(|h| h.done != Done::TurnedAway) else { continue };
-            let permitted = |at: f64| match class.effect {
-                Effect::Repeatable => true,
-                Effect::Keyed => at - ran.at <= class.window_ms + LENIENCE_MS,
-                Effect::Once => false,
+            let permitted = |at: f64| match class.retry_safety {
+                RetrySafety::Idempotent => true,
+                RetrySafety::IdempotencyKey => at - ran.at <= class.dedup_window_ms + LENIENCE_MS,
+                RetrySafety::NonIdempotent => false,
             };
             let again = hops.iter().find(|h| h.at > ran.at && !permitted(h.at));
             if let Some(again) = again {
--- a/crates/fault-injection/tests/referee.rs
+++ b/crates/fault-injection/tests/referee.rs
@@ -1,6 +1,6 @@
 //! The referee on histories that are made by hand: each rule kept, and broken by as little as can be.
 
-use hillstall_decision::api::BackendState;
+use hillstall_decision::BackendState;
 use hillstall_fault_injection::pulse::waited_ns;
 use hillstall_fault_injection::record::{Cut, Done, Ended, Hop, Life, Lived, Seen, Start, Stood, Told, Try};
 use hillstall_fault_injection::referee::{judge, late, story, Rule, Server, Truth, Verdict};
--- a/crates/hillstall/src/config.rs
+++ b/crates/hillstall/src/config.rs
@@ -1,6 +1,6 @@
 //! What the platform tells a proxy: `NODE_CONFIG` and the environment.
 
-use hillstall_decision::api::Settings;
+use hillstall_decision::Settings;
 use hillstall_proxy_core::directory::List;
 use serde::Deserialize;
 use serde_json::Value;
--- a/crates/hillstall/src/coordination.rs
+++ b/crates/hillstall/src/coordination.rs
@@ -3,7 +3,7 @@
 
 use hillstall_coordination::settings::Settings as Section;
 use hillstall_coordination::{Advisory, CoordinationHandle, InstanceLocation, LoadReport, SiteCounts};
-use hillstall_decision::api::Settings;
+use hillstall_decision::Settings;
 use hillstall_http1::upstream::Upstream;
 use hillstall_proxy_core::driver::{Driver, ToZone};
 use hillstall_proxy_core::lifecycle::{Lifecycle, Phase};
@@ -28,7 +28,7 @@
     settings: &Settings,
 ) -> Result<Option<(CoordinationHandle, UnboundedReceiver<Advisory>)>, String> {
     let Some(section) = section else { return Ok(None) };
-    if !settings.allowed.peers {
+    if !settings.permissions.peer_messages {
         tracing::warn!("fleet: the platform does not allow copies to talk; this copy goes alone");
         return Ok(None);
     }
--- a/crates/hillstall/src/main.rs
+++ b/crates/hillstall/src/main.rs
@@ -60,7 +60,7 @@
     let settings = config.settings.clone();
     let (fleet, hints) = coordination::start(operator.fleet.as_ref(), &settings)?.unzip();
     let fleet = fleet.map(Rc::new);
-    let allowed = &settings.allowed;
+    let allowed = &settings.permissions;
     let limits = Limits::new(config.sockets, config.memory_mb);
     limits.tune(keys::tuning(&operator));
     let (connect_ms, idle_ms) = (allowed.connect_timeout_ms, allowed.idle_close_ms);
--- a/crates/hillstall/tests/fault_injection/harness.rs
+++ b/crates/hillstall/tests/fault_injection/harness.rs
@@ -1,6 +1,6 @@
 //! Plays drills, four at a time at the most, and again, alone, where the rig itself was late.
 
-use hillstall_decision::api::Settings;
+use hillstall_decision::Settings;
 use hillstall_fault_injection::fleet::{Ends, Fleet, Lie};
 use hillstall_fault_injection::link::Passed;
 use hillstall_fault_injection::record::History;
--- a/crates/hillstall/tests/fault_injection/main.rs
+++ b/crates/hillstall/tests/fault_injection/main.rs
@@ -4,7 +4,7 @@
 mod harness;
 
 use harness::{drill, drill_with, lied, look, scripted, service, wait, Looks};
-use hillstall_decision::api::{BackendState, Effect, Settings};
+use hillstall_decision::{BackendState, RetrySafety, Settings};
 use hillstall_fault_injection::fleet::{Ends, Lie};
 use hillstall_fault_injection::record::{Done, Ended, Life, Lived};
 use hillstall_fault_injection::referee::{self, Rule};
@@ -18,10 +18,10 @@
 }
 
 /// A class that must never run twice, told as one of another effect.
-fn once_told_as(effect: Effect) -> impl Fn(&mut Settings) {
+fn once_told_as(effect: RetrySafety) -> impl Fn(&mut Settings) {
     move |told| {
-        for class in told.classes.iter_mut().filter(|c| c.effect == Effect::Once) {
-            class.effect = effect;
+        for class in told.classes.iter_mut().filter(|c| c.retry_safety == RetrySafety::NonIdempotent) {
+            class.retry_safety = effect;
         }
     }
 }
@@ -29,7 +29,7 @@
 /// Told that a minute is in time and that it stands below the top, no front turns a call away for the others' sake.
 fn without_gates(told: &mut Settings) {
     told.stage = 1;
-    told.classes.iter_mut().for_each(|class| class.aim_ms = 60_000.0);
+    told.classes.iter_mut().for_each(|class| class.latency_objective_ms = 60_000.0);
 }
 
 #[test]
@@ -43,7 +43,7 @@
     let looks = looks.borrow();
     assert!(looks[2].forth > looks[1].forth, "calls still reach the boxes: {looks:?}");
     assert_eq!(looks[2].back, looks[1].back, "answers don't come back");
-    let broken = lied("drill-one-way", 1, once_told_as(Effect::Keyed));
+    let broken = lied("drill-one-way", 1, once_told_as(RetrySafety::IdempotencyKey));
     broken.breaks(Rule::BarredRepeat);
 }
 
@@ -60,7 +60,7 @@
     // A list that says that each of them should get thirty times the calls of the others.
     // Proxies that are told of no cold rule, and keep no gates, believe it.
     let lie: Lie = Rc::new(|told| {
-        (told.rules.cold_ms, told.fleet_size, told.rank) = (0.0, 1, 0);
+        (told.rules.warmup_ms, told.fleet_size, told.rank) = (0.0, 1, 0);
         without_gates(told);
     });
     let broken = drill_with("drill-cold", 1, || Options {
@@ -147,7 +147,7 @@
     assert!(told(6_400.0, 11_000.0) > 0, "and is heard again");
     let lost = kept.0.seen.hops.iter().filter(|h| h.done == Done::Lost).count();
     assert!(lost > 0, "calls were lost with their boxes");
-    let broken = lied("drill-list", 1, once_told_as(Effect::Repeatable));
+    let broken = lied("drill-list", 1, once_told_as(RetrySafety::Idempotent));
     broken.breaks(Rule::BarredRepeat);
 }
 
@@ -157,7 +157,7 @@
     kept.keeps_the_rules();
     // Without shares whoever asks most gets most.
     let off = lied("drill-flood", 1, |told| {
-        told.tenants.iter_mut().for_each(|tenant| tenant.allowance_per_s = 1e9);
+        told.tenants.iter_mut().for_each(|tenant| tenant.quota_per_s = 1e9);
     });
     // The calls of the two that keep within their shares, and how many of them were served.
     let others = |p: &harness::Played| {
@@ -185,7 +185,7 @@
     kept.keeps_the_rules();
     let away = kept.0.seen.hops.iter().filter(|h| h.done == Done::TurnedAway).count();
     assert!(away > 10, "ledgers turned {away} calls away");
-    let broken = lied("drill-full", 1, |told| told.allowed.max_attempts = 30);
+    let broken = lied("drill-full", 1, |told| told.permissions.max_attempts = 30);
     broken.breaks(Rule::Attempts);
 }
 
--- a/crates/http1/src/front/head.rs
+++ b/crates/http1/src/front/head.rs
@@ -2,7 +2,7 @@
 
 use super::Server;
 use crate::message::TIMEOUT_HEADER;
-use hillstall_decision::api::Effect;
+use hillstall_decision::RetrySafety;
 use hillstall_proxy_core::directory::hash;
 use hillstall_proxy_core::driver::Asked;
 use hyper::header::HeaderMap;
@@ -43,10 +43,10 @@
         let most = Some(self.classes[class].deadline_ms).filter(|most| *most >= 1.0).unwrap_or(f64::MAX);
         let timeout_ms = timeout_ms.min(most as u32);
         let keys = head.headers.get_all("idempotency-key").iter().count();
-        let (method, needed) = match self.classes[class].effect {
-            Effect::Repeatable => (Method::GET, None),
-            Effect::Keyed => (Method::POST, Some(1)),
-            Effect::Once => (Method::POST, Some(0)),
+        let (method, needed) = match self.classes[class].retry_safety {
+            RetrySafety::Idempotent => (Method::GET, None),
+            RetrySafety::IdempotencyKey => (Method::POST, Some(1)),
+            RetrySafety::NonIdempotent => (Method::POST, Some(0)),
         };
         let asks_head = head.method == Method::HEAD && method == Method::GET;
         if head.method != method && !asks_head {
--- a/crates/http1/src/front/mod.rs
+++ b/crates/http1/src/front/mod.rs
@@ -9,7 +9,7 @@
 use crate::io::{Io, Wire};
 use crate::upstream::Upstream;
 use caller::{Caller, Closing};
-use hillstall_decision::api::{Class, Settings, Tenant};
+use hillstall_decision::{Class, Settings, Tenant};
 use hillstall_proxy_core::driver::Driver;
 use hillstall_proxy_core::lifecycle::Lifecycle;
 use hillstall_proxy_core::limits::{Limits, Taken};
@@ -84,7 +84,7 @@
             classes: settings.classes.clone(),
             tenants: settings.tenants.clone(),
             tier: settings.stages.get(settings.stage as usize).cloned().unwrap_or_default(),
-            retry_after: settings.allowed.retry_after,
+            retry_after: settings.permissions.retry_after,
             callers: RefCell::default(),
             open_ids: Rc::default(),
             limits,
--- a/crates/http1/src/front/record.rs
+++ b/crates/http1/src/front/record.rs
@@ -1,6 +1,7 @@
 //! One record of the log for each call, where the operator asks for it.
 
 use crate::upstream::Upstream;
+use hillstall_decision::Outcome;
 use hillstall_proxy_core::driver::{Course, Final};
 use std::time::{Duration, Instant};
 
@@ -43,7 +44,7 @@
         let last = course.last_sent.unwrap_or(ended);
         let between = |from: Instant, to: Instant| ms(to.saturating_duration_since(from));
         let server = course.server.map(|server| server.to_string()).unwrap_or_default();
-        let outcome = course.last_outcome.map(|outcome| format!("{outcome:?}")).unwrap_or_default();
+        let outcome = course.last_outcome.map(Outcome::name).unwrap_or_default();
         let why = course.why.map(|why| why.name()).unwrap_or_default();
         tracing::info!(
             target: "hillstall::call",
--- a/crates/http1/src/report.rs
+++ b/crates/http1/src/report.rs
@@ -1,6 +1,6 @@
 //! Load reports, where the deployment has them.
 
-use hillstall_decision::api::{Report, ReportField};
+use hillstall_decision::{LoadReport, ReportField};
 use hyper::header::{HeaderMap, HeaderName};
 
 const SERVER_LOAD: HeaderName = HeaderName::from_static("server-load");
@@ -17,21 +17,21 @@
     }
 
     /// The report in the headers of an answer.
-    pub fn of(&self, headers: &HeaderMap) -> Report {
+    pub fn of(&self, headers: &HeaderMap) -> LoadReport {
         let text = headers.get(SERVER_LOAD).and_then(|value| value.to_str().ok());
         self.parse(text.unwrap_or_default())
     }
 
     /// Reads `name=value,name=value` in the order of the settings; none unless all that they name is there and
     /// can be true: a peer's numbers are not to be trusted.
-    pub fn parse(&self, text: &str) -> Report {
-        let mut report = Report::default();
+    pub fn parse(&self, text: &str) -> LoadReport {
+        let mut report = LoadReport::default();
         for field in &self.fields {
             let mut values = text.split(',').filter_map(|part| part.split_once('='));
             let value = values.find(|(name, _)| field_named(name.trim()) == *field);
             let value = value.and_then(|(_, value)| value.trim().parse::<f32>().ok());
             let Some(value) = value.filter(|value| value.is_finite() && *value >= 0.0) else {
-                return Report::default();
+                return LoadReport::default();
             };
             report.values[usize::from(report.len)] = value;
             report.len += 1;
--- a/crates/http1/src/upstream.rs
+++ b/crates/http1/src/upstream.rs
@@ -5,7 +5,7 @@
 use crate::download::Download;
 use crate::message::{Answer, AnswerBody, Inbound, Payload, TIMEOUT_HEADER};
 use crate::report::Reports;
-use hillstall_decision::api::{BackendId, Outcome, ReportField};
+use hillstall_decision::{BackendId, Outcome, ReportField};
 use hillstall_proxy_core::carrier::{Attempt, Carrier, Ended};
 use hillstall_proxy_core::connects::Connects;
 use hillstall_proxy_core::driver::Permit;
@@ -188,7 +188,7 @@
             match self.limits.upstream.take(1) {
                 Some(counted) => break counted,
                 None if self.shed() => {}
-                None => return Err(Outcome::Moot),
+                None => return Err(Outcome::NotSent),
             }
         };
         let until = until.min(Instant::now() + self.connect_timeout);
@@ -196,7 +196,7 @@
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) if out_of_descriptors(&e) => {
                 self.shed();
-                return Err(Outcome::Moot);
+                return Err(Outcome::NotSent);
             }
             _ => return Err(Outcome::ConnectFailed),
         };
@@ -266,7 +266,7 @@
                 Payload::Passing(upload) => upload.timeout().min(most),
             };
             if left.is_zero() {
-                return Ended::now(Outcome::Moot);
+                return Ended::now(Outcome::NotSent);
             }
             // Whole milliseconds are all that the header can tell; less than one is still time to be served.
             let left = (left.as_millis() as u64).max(1);
@@ -343,7 +343,7 @@
     let unseen = headers.get(NOT_STARTED).is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unseen => Outcome::Full,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unseen => Outcome::Rejected,
         // The request's own fault: no word on the backend's health, and no claim that it never ran.
         StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => Outcome::Error,
         status if status.is_client_error() => Outcome::Cancelled,
--- a/crates/overload/src/room.rs
+++ b/crates/overload/src/capacity.rs
@@ -19,7 +19,7 @@
 
 /// The room that answers now, against the most of it that there was of late.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Room {
+pub struct OverloadedCapacity {
     most: f64,
     at: Millis,
     part: f64,
@@ -27,16 +27,16 @@
     scale: f64,
 }
 
-impl Default for Room {
-    fn default() -> Room {
-        Room { most: 0.0, at: 0.0, part: 1.0, scale: 1.0 }
+impl Default for OverloadedCapacity {
+    fn default() -> OverloadedCapacity {
+        OverloadedCapacity { most: 0.0, at: 0.0, part: 1.0, scale: 1.0 }
     }
 }
 
-impl Room {
+impl OverloadedCapacity {
     /// Takes the room of the servers that answer at `now`, in any unit. Where nothing is known, or nothing answers at
     /// all, the tier counts as whole: one that is silent as a whole gains nothing by fewer trials.
-    pub fn look(&mut self, now: Millis, answers: f64) {
+    pub fn update(&mut self, now: Millis, answers: f64) {
         let answers = if answers.is_finite() { answers.max(0.0) } else { 0.0 };
         let passed = (now - self.at).max(0.0);
         self.at = self.at.max(now);
@@ -52,7 +52,7 @@
     }
 
     /// The part of the tier that answers, over 0 and at most 1.
-    pub fn part(&self) -> f64 {
+    pub fn fraction(&self) -> f64 {
         self.part
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// The part of a count that is open to a call.
-    pub fn open_to(&self, repeat: bool) -> f64 {
+    pub fn admitted_fraction(&self, repeat: bool) -> f64 {
         if repeat && self.is_short() {
             FOR_REPEATS
         } else {
@@ -83,7 +83,7 @@
 
     /// Whether a call whose answer is expected after some time may be sent with so much time left: while the tier is
     /// short, one that would hardly end in time takes the place of one that will.
-    pub fn is_in_time(&self, left: Millis, expected: Millis) -> bool {
+    pub fn fits_deadline(&self, left: Millis, expected: Millis) -> bool {
         !self.is_short() || left > expected
     }
 }
--- a/crates/overload/src/site.rs
+++ b/crates/overload/src/zone_traffic.rs
@@ -15,14 +15,14 @@
 
 /// The hints, by zone.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sites {
+pub struct ZoneFractions {
     /// Empty while all sites are whole, as in all but a few hours of a year.
     hints: Vec<Option<Hint>>,
 }
 
-impl Sites {
+impl ZoneFractions {
     /// Takes a hint that is `age` old: a zone gets this part of its usual load, from 0 to 1.
-    pub fn hint(&mut self, now: Millis, zone: u16, part: f64, age: Millis) {
+    pub fn set_fraction(&mut self, now: Millis, zone: u16, part: f64, age: Millis) {
         if !part.is_finite() || !age.is_finite() {
             return;
         }
@@ -42,7 +42,7 @@
     }
 
     /// The part that a zone gets at `now`.
-    pub fn part(&self, now: Millis, zone: u16) -> f64 {
+    pub fn fraction(&self, now: Millis, zone: u16) -> f64 {
         match self.hints.get(usize::from(zone)) {
             Some(Some(hint)) => {
                 let alone = (now - hint.told - HOLDS).max(0.0);
@@ -53,9 +53,9 @@
     }
 
     /// Whether a call that was drawn for a zone as usual goes elsewhere, by a random number from 0 to 1.
-    pub fn diverts(&self, now: Millis, zone: u16, random: impl FnOnce() -> f64) -> bool {
+    pub fn is_diverted(&self, now: Millis, zone: u16, random: impl FnOnce() -> f64) -> bool {
         // No random number is drawn while all is as usual, so that runs without hints are what they were.
-        let part = if self.hints.is_empty() { 1.0 } else { self.part(now, zone) };
+        let part = if self.hints.is_empty() { 1.0 } else { self.fraction(now, zone) };
         part < 1.0 && random() >= part
     }
 }
@@ -66,21 +66,21 @@
 
     #[test]
     fn a_hint_holds_while_it_is_told_and_wears_off_by_itself() {
-        let mut sites = Sites::default();
-        assert!(!sites.diverts(0.0, 0, || unreachable!("nothing was told")));
-        sites.hint(1_000.0, 1, 0.25, 0.0);
+        let mut sites = ZoneFractions::default();
+        assert!(!sites.is_diverted(0.0, 0, || unreachable!("nothing was told")));
+        sites.set_fraction(1_000.0, 1, 0.25, 0.0);
         assert_eq!(
-            (sites.part(1_000.0, 0), sites.part(1_000.0, 1), sites.part(6_000.0, 1)),
+            (sites.fraction(1_000.0, 0), sites.fraction(1_000.0, 1), sites.fraction(6_000.0, 1)),
             (1.0, 0.25, 0.25)
         );
-        assert!(sites.diverts(2_000.0, 1, || 0.25) && !sites.diverts(2_000.0, 1, || 0.24));
-        assert_eq!((sites.part(11_000.0, 1), sites.part(30_000.0, 1)), (0.5, 1.0));
+        assert!(sites.is_diverted(2_000.0, 1, || 0.25) && !sites.is_diverted(2_000.0, 1, || 0.24));
+        assert_eq!((sites.fraction(11_000.0, 1), sites.fraction(30_000.0, 1)), (0.5, 1.0));
         // An older one that comes late says nothing.
-        sites.hint(2_000.0, 1, 0.9, 1_500.0);
-        assert_eq!(sites.part(2_000.0, 1), 0.25);
-        sites.hint(3_000.0, 1, 1.0, 0.0);
-        assert_eq!(sites, Sites::default());
-        sites.hint(3_000.0, 1, f64::NAN, 0.0);
-        assert_eq!(sites, Sites::default());
+        sites.set_fraction(2_000.0, 1, 0.9, 1_500.0);
+        assert_eq!(sites.fraction(2_000.0, 1), 0.25);
+        sites.set_fraction(3_000.0, 1, 1.0, 0.0);
+        assert_eq!(sites, ZoneFractions::default());
+        sites.set_fraction(3_000.0, 1, f64::NAN, 0.0);
+        assert_eq!(sites, ZoneFractions::default());
     }
 }
--- a/crates/proxy-core/src/carrier.rs
+++ b/crates/proxy-core/src/carrier.rs
@@ -2,7 +2,7 @@
 
 use crate::driver::Permit;
 use crate::metrics::Counter;
-use hillstall_decision::api::{BackendId, Outcome, Report};
+use hillstall_decision::{BackendId, LoadReport, Outcome};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -43,7 +43,7 @@
     /// When: the last read, where an answer came.
     pub at: Instant,
     /// The server's load report.
-    pub report: Report,
+    pub report: LoadReport,
     /// The answer, for [`Outcome::Ok`] alone.
     pub answer: Option<C::Answer>,
     /// What a server said of the call itself, and another would say again.
@@ -53,7 +53,7 @@
 impl<C: Carrier> Ended<C> {
     /// An end without an answer.
     pub fn now(outcome: Outcome) -> Ended<C> {
-        Ended { outcome, at: Instant::now(), report: Report::default(), answer: None, rejected: None }
+        Ended { outcome, at: Instant::now(), report: LoadReport::default(), answer: None, rejected: None }
     }
 }
 
--- a/crates/proxy-core/src/directory.rs
+++ b/crates/proxy-core/src/directory.rs
@@ -1,6 +1,6 @@
 //! The servers by name: the list as it is told, and the ids and addresses behind it.
 
-use hillstall_decision::api::{BackendId, BackendInfo, BackendState, Settings};
+use hillstall_decision::{BackendId, BackendInfo, BackendState, Settings};
 use rustc_hash::{FxHashMap, FxHashSet};
 use serde::Deserialize;
 use std::net::SocketAddr;
--- a/crates/proxy-core/src/driver.rs
+++ b/crates/proxy-core/src/driver.rs
@@ -7,8 +7,8 @@
 use crate::directory::{Directory, List, Place};
 use crate::discovery::{self, Discovery};
 use crate::metrics::{Cluster, Metrics};
-use hillstall_decision::api::*;
 use hillstall_decision::Balancer;
+use hillstall_decision::*;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -53,7 +53,7 @@
     /// How the last attempt that ended did.
     pub last_outcome: Option<Outcome>,
     /// Why the module refused or failed it.
-    pub why: Option<Reason>,
+    pub why: Option<UnservedReason>,
 }
 
 impl Course {
@@ -217,8 +217,8 @@
             metrics,
             listed_at: Cell::new(start.discovery),
             must_subscribe: settings.must_subscribe,
-            max_attempts: settings.allowed.max_attempts.min(u32::from(u8::MAX)),
-            max_open: start.max_open.min(settings.allowed.max_open as usize),
+            max_attempts: settings.permissions.max_attempts.min(u32::from(u8::MAX)),
+            max_open: start.max_open.min(settings.permissions.max_open as usize),
             probes_report: settings.report_via == ReportVia::Probe,
             cpu_at: settings.report.iter().position(|field| *field == ReportField::Cpu),
             listed: Cell::new(false),
@@ -276,7 +276,7 @@
 
     /// A hint for the module: a zone gets this part of its usual load.
     pub fn site_part(&self, zone: u16, part: f64, age_ms: Millis) {
-        self.event(Event::SitePart { zone, part, age_ms });
+        self.event(Event::ZoneFraction { zone, fraction: part, age_ms });
     }
 
     /// The backends as the module sees them.
@@ -348,10 +348,10 @@
             key: asked.key,
             class: asked.class,
             tenant: asked.tenant,
-            hint_ms: asked.hint_ms,
-            repeat: asked.repeat,
-            write: asked.write,
-            ttl_ms: ttl.as_secs_f64() * 1000.0,
+            expected_work_ms: asked.hint_ms,
+            is_retry: asked.repeat,
+            is_write: asked.write,
+            timeout_ms: ttl.as_secs_f64() * 1000.0,
         };
         self.handle(state, Happening::Event(event));
         Some((Guard { driver: self.me.clone(), id }, receiver))
@@ -391,9 +391,9 @@
         let zone = place.map(|place| usize::from(place.zone));
         if let Some(to) = zone.and_then(|zone| state.to_zones.get_mut(zone)) {
             match ended.outcome {
-                Outcome::Ok | Outcome::Error | Outcome::Full => to.answered += 1,
+                Outcome::Ok | Outcome::Error | Outcome::Rejected => to.answered += 1,
                 Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => to.silent += 1,
-                Outcome::Cancelled | Outcome::Moot => {}
+                Outcome::Cancelled | Outcome::NotSent => {}
             }
             let cpu = self.cpu_at.filter(|at| *at < usize::from(ended.report.len));
             if let Some(cpu) = cpu.and_then(|at| ended.report.values.get(at)).filter(|cpu| cpu.is_finite()) {
@@ -431,7 +431,7 @@
             let event = match &happening {
                 Happening::Event(event) => *event,
                 Happening::List(kind, version, backends) => {
-                    Event::BackendsChanged { kind: *kind, version: *version, backends }
+                    Event::EndpointsChanged { kind: *kind, version: *version, backends }
                 }
             };
             state.balancer.handle(self.clock.now(), event, &mut actions);
@@ -447,10 +447,10 @@
     fn carry_out(&self, state: &mut State<C>, action: Action) {
         match action {
             Action::Send { request, backend, timeout_ms } => self.send(state, request, backend, timeout_ms),
-            Action::Refuse { request, retry_after_ms, why } => {
+            Action::Reject { request, retry_after_ms, reason: why } => {
                 self.finish(state, request, Final::Refused(retry_after_ms), why);
             }
-            Action::Fail { request, why } => self.finish(state, request, Final::Failed, why),
+            Action::Fail { request, reason: why } => self.finish(state, request, Final::Failed, why),
             Action::Cancel { request, attempt } => {
                 let out = state.open.get_mut(&request).and_then(|open| open.out.as_mut());
                 if let Some(cancel) = out.filter(|o| o.attempt == attempt).and_then(|o| o.cancel.take()) {
@@ -476,7 +476,7 @@
         }
     }
 
-    fn finish(&self, state: &mut State<C>, request: RequestId, with: Final<C>, why: Reason) {
+    fn finish(&self, state: &mut State<C>, request: RequestId, with: Final<C>, why: UnservedReason) {
         if let Some(open) = state.open.get_mut(&request) {
             open.course.why = Some(why);
             self.metrics.unserved(open.class, why);
@@ -506,10 +506,10 @@
                 request,
                 attempt: state.open.get(&request).map_or(0, |open| open.course.attempts as u8),
                 backend,
-                outcome: Outcome::Moot,
+                outcome: Outcome::NotSent,
                 took_ms: 0.0,
                 ended: state.open.get(&request).is_none_or(|open| open.answer.is_none()),
-                report: Report::default(),
+                report: LoadReport::default(),
             };
             state.happened.push_back(Happening::Event(event));
             return;
@@ -562,7 +562,7 @@
         spawn_local(async move {
             let ended = match place {
                 Some(place) => carrier.probe(place.address, report).await,
-                None => Ended::now(Outcome::Moot),
+                None => Ended::now(Outcome::NotSent),
             };
             let Some(driver) = me.upgrade() else { return };
             let took_ms = ended.at.saturating_duration_since(sent).as_secs_f64() * 1000.0;
--- a/crates/proxy-core/src/metrics.rs
+++ b/crates/proxy-core/src/metrics.rs
@@ -1,6 +1,6 @@
 //! What has happened since the start and what is going on now, in figures for the operators.
 
-use hillstall_decision::api::{Class, Reason};
+use hillstall_decision::{Class, UnservedReason};
 use std::cell::Cell;
 use std::fmt::Write;
 use std::rc::Rc;
@@ -30,7 +30,7 @@
     deferred: Cell<u64>,
     errored: Cell<u64>,
     sends: Counter,
-    unserved: [Cell<u64>; Reason::ALL.len()],
+    unserved: [Cell<u64>; UnservedReason::ALL.len()],
 }
 
 /// What the proxy knows of its backends.
@@ -79,7 +79,7 @@
     }
 
     /// The module gave up a request of a class, for this reason.
-    pub fn unserved(&self, class: u8, why: Reason) {
+    pub fn unserved(&self, class: u8, why: UnservedReason) {
         if let Some(class) = self.classes.get(usize::from(class)) {
             raise(&class.unserved[why as usize]);
         }
@@ -105,7 +105,9 @@
             for (figure, count) in counts {
                 let _ = writeln!(text, "svc_{figure}{{group=\"{name}\"}} {}", count.get());
             }
-            for (why, count) in Reason::ALL.iter().zip(&class.unserved).filter(|(_, count)| count.get() > 0) {
+            for (why, count) in
+                UnservedReason::ALL.iter().zip(&class.unserved).filter(|(_, count)| count.get() > 0)
+            {
                 let why = why.name();
                 let _ = writeln!(text, "svc_unserved{{group=\"{name}\",reason=\"{why}\"}} {}", count.get());
             }
@@ -151,7 +153,7 @@
         second.end(Ending::Errored);
         metrics.count(0, Ending::Deferred);
         raise(&metrics.sends(0));
-        metrics.unserved(0, Reason::Borrow);
+        metrics.unserved(0, UnservedReason::TenantQuota);
         let cluster = Cluster { size: 7, unhealthy: 2 };
         let of = |current: u32| {
             format!(
--- a/crates/proxy-core/tests/fleet.rs
+++ b/crates/proxy-core/tests/fleet.rs
@@ -5,8 +5,8 @@
 mod common;
 
 use common::{backends, settings};
-use hillstall_decision::api::{Action, Event, ListKind, Millis, Settings};
 use hillstall_decision::Balancer;
+use hillstall_decision::{Action, Event, ListKind, Millis, Settings};
 use hillstall_proxy_core::discovery::ANSWER;
 
 /// A service that handles calls one after another. It answers what has waited up to so long, refuses at once what
@@ -49,7 +49,7 @@
     /// Tells of a failed call, and asks again when the module says.
     fn failed(&mut self, now: Millis) {
         let mut actions = Vec::new();
-        let failed = Event::BackendsChanged { kind: ListKind::Failed, version: 0, backends: &[] };
+        let failed = Event::EndpointsChanged { kind: ListKind::Failed, version: 0, backends: &[] };
         self.balancer.handle(now, failed, &mut actions);
         let wait = actions.iter().find_map(|action| match action {
             Action::SetTimer { after_ms, .. } => Some(*after_ms),
@@ -66,7 +66,8 @@
         .map(|rank| {
             let told = Settings { rank, fleet_size: copies, ..settings() };
             let mut balancer = Balancer::new(told, seed * 1_000 + u64::from(rank));
-            let list = Event::BackendsChanged { kind: ListKind::Cached, version: 0, backends: &backends(12) };
+            let list =
+                Event::EndpointsChanged { kind: ListKind::Cached, version: 0, backends: &backends(12) };
             balancer.handle(0.0, list, &mut Vec::new());
             let mut copy = Proxy { balancer, at: 0.0, next: Next::Ask };
             copy.failed(0.0);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reads the settings of the decision module, as the platform writes them in JSON. Every value is checked
 //! here, and an error names its key, so that the module can rely on what it is given.
 
-use hillstall_decision::api::*;
+use hillstall_decision::*;
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer};
 
@@ -345,11 +345,11 @@
         machine_kinds: raw.machine_types,
         service: raw.kind_of_service,
         passes_deadline: raw.family_info.passes_deadline,
-        warm_keys: raw.family_info.warm_keys,
+        caches_keys: raw.family_info.warm_keys,
         marks_retry: raw.clients.marks_retry,
         must_subscribe: matches!(raw.membership_mode, RawMode::Subscribe),
-        worth_by_work: matches!(raw.worth_by, RawWorthBy::Work),
-        over_share_worth: raw.over_share_worth,
+        weight_by_work: matches!(raw.worth_by, RawWorthBy::Work),
+        over_quota_weight: raw.over_share_worth,
         tick_ms: raw.tick,
         weights: match raw.weights {
             RawWeights::Off => Weights::Off,
@@ -366,7 +366,7 @@
         classes: raw.classes.into_iter().map(class).collect(),
         tenants: raw.tenants.into_iter().map(tenant).collect(),
         rules: rules(&raw.rules),
-        allowed: allowed(&raw.allowed),
+        permissions: allowed(&raw.allowed),
         prices: prices(&raw.prices),
         objective: Objective {
             whole: raw.objective_mix.whole,
@@ -394,48 +394,48 @@
 fn class(raw: RawClass) -> Class {
     Class {
         name: raw.name,
-        aim_ms: raw.aim,
-        aim_stretch: raw.aim_stretch,
+        latency_objective_ms: raw.aim,
+        objective_per_work_ms: raw.aim_stretch,
         deadline_ms: raw.hard_limit,
-        worth: raw.points,
-        late_worth: raw.late_worth,
-        effect: match raw.effect {
-            RawEffect::Repeatable => Effect::Repeatable,
-            RawEffect::ByKey => Effect::Keyed,
-            RawEffect::Once => Effect::Once,
+        priority_weight: raw.points,
+        late_weight_fraction: raw.late_worth,
+        retry_safety: match raw.effect {
+            RawEffect::Repeatable => RetrySafety::Idempotent,
+            RawEffect::ByKey => RetrySafety::IdempotencyKey,
+            RawEffect::Once => RetrySafety::NonIdempotent,
         },
-        scope: match raw.key_scope {
-            RawScope::All => Scope::All,
-            RawScope::Zone => Scope::Zone,
-            RawScope::Cell => Scope::Cell,
+        dedup_scope: match raw.key_scope {
+            RawScope::All => DedupScope::All,
+            RawScope::Zone => DedupScope::Zone,
+            RawScope::Cell => DedupScope::Cell,
         },
-        window_ms: raw.window,
+        dedup_window_ms: raw.window,
         streaming: raw.streaming,
     }
 }
 
 fn tenant(raw: RawTenant) -> Tenant {
-    Tenant { name: raw.name, allowance_per_s: raw.allowance_per_s, fraction: raw.fraction }
+    Tenant { name: raw.name, quota_per_s: raw.allowance_per_s, fraction: raw.fraction }
 }
 
 fn rules(raw: &RawRules) -> Rules {
     Rules {
-        answer_grace_ms: raw.grace_to_answer,
+        response_grace_ms: raw.grace_to_answer,
         drain_grace_ms: raw.drain_grace,
-        ask_within_ms: raw.ask_within,
-        cold_from: raw.cold_from,
-        cold_ms: raw.cold,
-        fall_multiple: raw.fall_multiple,
-        fall_ms: raw.fall,
+        poll_interval_ms: raw.ask_within,
+        warmup_start_fraction: raw.cold_from,
+        warmup_ms: raw.cold,
+        overload_multiple: raw.fall_multiple,
+        overload_window_ms: raw.fall,
     }
 }
 
-fn allowed(raw: &RawAllowed) -> Allowed {
-    Allowed {
+fn allowed(raw: &RawAllowed) -> Permissions {
+    Permissions {
         cancel: raw.cancelling,
         probe: raw.probing,
         parallel: raw.parallel_tries,
-        peers: raw.peers,
+        peer_messages: raw.peers,
         retry_after: raw.retry_after,
         max_retry_after_ms: raw.max_retry_after,
         max_attempts: raw.max_attempts,
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The settings: every key is read, absent ones get their meaning, unusable ones are named.
 
-use hillstall_decision::api::*;
+use hillstall_decision::*;
 use serde_json::{json, Value};
 
 /// Settings in which every key has a value that is not its default.
@@ -60,28 +60,32 @@
 fn every_key_is_read() {
     let class = |name: &str, effect, scope| Class {
         name: name.into(),
-        aim_ms: 2_500.0,
-        aim_stretch: 0.0,
+        latency_objective_ms: 2_500.0,
+        objective_per_work_ms: 0.0,
         deadline_ms: 6_000.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect,
-        scope,
-        window_ms: 10_000.0,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.0,
+        retry_safety: effect,
+        dedup_scope: scope,
+        dedup_window_ms: 10_000.0,
         streaming: false,
     };
     let look = Class {
-        aim_ms: 1_500.0,
-        aim_stretch: 2.5,
+        latency_objective_ms: 1_500.0,
+        objective_per_work_ms: 2.5,
         deadline_ms: 4_000.0,
-        worth: 2.0,
-        late_worth: 0.2,
-        window_ms: 5_000.0,
+        priority_weight: 2.0,
+        late_weight_fraction: 0.2,
+        dedup_window_ms: 5_000.0,
         streaming: true,
-        ..class("look", Effect::Repeatable, Scope::All)
+        ..class("look", RetrySafety::Idempotent, DedupScope::All)
+    };
+    let once = Class {
+        latency_objective_ms: 1.0,
+        deadline_ms: 2.0,
+        dedup_window_ms: 0.0,
+        ..class("", RetrySafety::NonIdempotent, DedupScope::Zone)
     };
-    let once =
-        Class { aim_ms: 1.0, deadline_ms: 2.0, window_ms: 0.0, ..class("", Effect::Once, Scope::Zone) };
     let expected = Settings {
         rank: 3,
         fleet_size: 10,
@@ -92,31 +96,31 @@
         machine_kinds: vec!["fast".into(), "slow".into()],
         service: "chain".into(),
         passes_deadline: true,
-        warm_keys: true,
+        caches_keys: true,
         marks_retry: true,
         must_subscribe: true,
-        worth_by_work: true,
-        over_share_worth: 0.05,
+        weight_by_work: true,
+        over_quota_weight: 0.05,
         tick_ms: 5.0,
         weights: Weights::Live,
         report: vec![ReportField::Active, ReportField::Waiting, ReportField::Cpu, ReportField::Unknown],
         report_via: ReportVia::Probe,
-        classes: vec![look, class("book", Effect::Keyed, Scope::Cell), once],
-        tenants: vec![Tenant { name: "tiles".into(), allowance_per_s: 55.0, fraction: 0.25 }],
+        classes: vec![look, class("book", RetrySafety::IdempotencyKey, DedupScope::Cell), once],
+        tenants: vec![Tenant { name: "tiles".into(), quota_per_s: 55.0, fraction: 0.25 }],
         rules: Rules {
-            answer_grace_ms: 20.0,
+            response_grace_ms: 20.0,
             drain_grace_ms: 500.0,
-            ask_within_ms: 10_000.0,
-            cold_from: 0.16,
-            cold_ms: 18_000.0,
-            fall_multiple: 2.5,
-            fall_ms: 3_000.0,
+            poll_interval_ms: 10_000.0,
+            warmup_start_fraction: 0.16,
+            warmup_ms: 18_000.0,
+            overload_multiple: 2.5,
+            overload_window_ms: 3_000.0,
         },
-        allowed: Allowed {
+        permissions: Permissions {
             cancel: true,
             probe: true,
             parallel: true,
-            peers: true,
+            peer_messages: true,
             retry_after: true,
             max_retry_after_ms: 2_000.0,
             max_attempts: 6,
@@ -156,13 +160,21 @@
 fn absent_keys_mean_no_feature_no_price_and_no_limit() {
     let s = read(&least()).expect("good settings");
     assert_eq!((s.rank, s.fleet_size, s.zone, s.stage), (0, 1, 0, 0));
-    assert!(!s.passes_deadline && !s.warm_keys && !s.marks_retry && !s.worth_by_work && !s.must_subscribe);
-    assert!(!s.allowed.cancel && !s.allowed.probe && !s.allowed.parallel && !s.allowed.peers);
-    assert_eq!((s.allowed.cpu_us_per_request, s.allowed.idle_close_ms), (0.0, f64::MAX));
+    assert!(!s.passes_deadline && !s.caches_keys && !s.marks_retry && !s.weight_by_work && !s.must_subscribe);
+    assert!(
+        !s.permissions.cancel
+            && !s.permissions.probe
+            && !s.permissions.parallel
+            && !s.permissions.peer_messages
+    );
+    assert_eq!((s.permissions.cpu_us_per_request, s.permissions.idle_close_ms), (0.0, f64::MAX));
     assert_eq!((s.prices, s.report_via, s.weights), (Prices::default(), ReportVia::Off, Weights::Off));
-    assert_eq!((s.classes[0].worth, s.classes[0].late_worth, s.classes[0].aim_stretch), (1.0, 0.0, 0.0));
-    assert_eq!((s.objective.whole, s.objective.nines, s.over_share_worth), (1.0, 0.0, 1.0));
-    assert_eq!(s.rules.ask_within_ms, f64::MAX);
+    assert_eq!(
+        (s.classes[0].priority_weight, s.classes[0].late_weight_fraction, s.classes[0].objective_per_work_ms),
+        (1.0, 0.0, 0.0)
+    );
+    assert_eq!((s.objective.whole, s.objective.nines, s.over_quota_weight), (1.0, 0.0, 1.0));
+    assert_eq!(s.rules.poll_interval_ms, f64::MAX);
 }
 
 /// The place of `key`, written as in an error: `Classes[0].Aim`.
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,8 +1,8 @@
 //! Hosts any number of balancers behind the bench's wire: one frame in on standard input, one reply out on
 //! standard output, until the input ends.
 
-use hillstall_decision::api::{Action, BackendInfo, Event, ListKind};
 use hillstall_decision::Balancer;
+use hillstall_decision::{Action, BackendInfo, Event, ListKind};
 use hillstall_sim_adapter::wire::{self, Header, Malformed, Record, Reply, BATCH_HEADER};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -37,7 +37,7 @@
             Record::BackendsChanged { instance, kind, version, buffer } => {
                 let list = std::mem::take(&mut self.lists[usize::from(buffer) % 16]);
                 let backends = if kind == ListKind::Failed { &[][..] } else { &list[..] };
-                self.event(now, instance, Event::BackendsChanged { kind, version, backends });
+                self.event(now, instance, Event::EndpointsChanged { kind, version, backends });
                 self.lists[usize::from(buffer) % 16] = list;
             }
             Record::Event { instance, event } => self.event(now, instance, event),
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -3,7 +3,7 @@
 //! Nothing here decides anything. Frames are big-endian and unpadded; every read is checked against the
 //! frame's end, so a malformed frame is an error and never a wrong event or a large allocation.
 
-use hillstall_decision::api::*;
+use hillstall_decision::*;
 use std::fmt;
 
 /// Bytes in the header of a batch.
@@ -147,9 +147,9 @@
         Ok(f64::from_be_bytes(self.array()?))
     }
 
-    fn report(&mut self) -> Result<Report, Malformed> {
+    fn report(&mut self) -> Result<LoadReport, Malformed> {
         let n = self.u8()?;
-        let mut report = Report::default();
+        let mut report = LoadReport::default();
         for i in 0..n as usize {
             let value = self.f32()?;
             if let Some(slot) = report.values.get_mut(i) {
@@ -164,12 +164,12 @@
         Ok(match self.u16()? {
             0 => Outcome::Ok,
             255 => Outcome::Error,
-            254 => Outcome::Full,
+            254 => Outcome::Rejected,
             253 => Outcome::Timeout,
             252 => Outcome::ConnectFailed,
             251 => Outcome::Reset,
             250 => Outcome::Cancelled,
-            249 => Outcome::Moot,
+            249 => Outcome::NotSent,
             other => return malformed(format!("unknown outcome {other}")),
         })
     }
@@ -207,7 +207,16 @@
         let (hint, flags, ttl_ms) = (self.f64()?, self.u8()?, self.f64()?);
         let (repeat, write) = (flags & 2 != 0, flags & 4 != 0);
         let (key, hint_ms) = ((key != 0).then_some(key), (flags & 1 != 0).then_some(hint));
-        Ok(Event::Request { id, key, class, tenant, hint_ms, repeat, write, ttl_ms })
+        Ok(Event::Request {
+            id,
+            key,
+            class,
+            tenant,
+            expected_work_ms: hint_ms,
+            is_retry: repeat,
+            is_write: write,
+            timeout_ms: ttl_ms,
+        })
     }
 
     fn returned(&mut self) -> Result<Event<'a>, Malformed> {
@@ -335,7 +344,7 @@
                 out.extend(backend.to_be_bytes());
                 out.extend(timeout_ms.to_be_bytes());
             }
-            Action::Refuse { request, retry_after_ms, .. } => {
+            Action::Reject { request, retry_after_ms, .. } => {
                 self.with_request(65, instance, *request).extend(retry_after_ms.to_be_bytes());
             }
             Action::Fail { request, .. } => {
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The codec against the wire's published example frames.
 
-use hillstall_decision::api::*;
+use hillstall_decision::*;
 use hillstall_sim_adapter::wire::{self, Header, Record, Reply, BATCH_HEADER};
 
 fn bytes(hex: &str) -> Vec<u8> {
@@ -39,10 +39,10 @@
         key: Some(0x91f0_3b7c_55d2_0a64),
         class: 0,
         tenant: 0,
-        hint_ms: Some(12.0),
-        repeat: false,
-        write: false,
-        ttl_ms: 240.0,
+        expected_work_ms: Some(12.0),
+        is_retry: false,
+        is_write: false,
+        timeout_ms: 240.0,
     };
     let gone = Event::ClientGone { request: 0x0001_9753_0e6f_2b19 };
     assert_eq!(
@@ -119,7 +119,7 @@
         })
         .collect();
     let report = |values: &[f32]| {
-        let mut report = Report { len: values.len() as u8, ..Report::default() };
+        let mut report = LoadReport { len: values.len() as u8, ..LoadReport::default() };
         report.values[..values.len()].copy_from_slice(values);
         report
     };
@@ -130,10 +130,10 @@
             key: None,
             class: 5,
             tenant: 258,
-            hint_ms: None,
-            repeat: true,
-            write: true,
-            ttl_ms: 240.0,
+            expected_work_ms: None,
+            is_retry: true,
+            is_write: true,
+            timeout_ms: 240.0,
         },
         Event::FirstByte { request: 7, attempt: 2, backend: 0x0312_4a07, took_ms: 9.25 },
         // Values of a report beyond the fourth are passed over.
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -1,10 +1,10 @@
 //! Who decides about calls in an experiment: the decision module, or a textbook rule to hold it against.
 
-use hillstall_decision::api::{
-    Action, BackendId, BackendInfo, BackendState, Event, ListKind, Millis, Outcome, Reason, RequestId,
-    Settings,
-};
 use hillstall_decision::Balancer;
+use hillstall_decision::{
+    Action, BackendId, BackendInfo, BackendState, Event, ListKind, Millis, Outcome, RequestId, Settings,
+    UnservedReason,
+};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::HashMap;
@@ -124,7 +124,7 @@
             truth: HashMap::new(),
             open: HashMap::new(),
             turn: settings.rank as usize,
-            most_attempts: settings.allowed.max_attempts,
+            most_attempts: settings.permissions.max_attempts,
         }
     }
 
@@ -163,7 +163,11 @@
     fn send(&mut self, id: RequestId, attempts: u32, tried: Vec<BackendId>, actions: &mut Vec<Action>) {
         let picked = if attempts < self.most_attempts { self.pick(&tried) } else { None };
         let Some(at) = picked else {
-            return actions.push(Action::Refuse { request: id, retry_after_ms: 0.0, why: Reason::NoBackend });
+            return actions.push(Action::Reject {
+                request: id,
+                retry_after_ms: 0.0,
+                reason: UnservedReason::NoBackend,
+            });
         };
         self.servers[at].1 += 1.0;
         let backend = self.servers[at].0.id;
@@ -190,17 +194,17 @@
 impl Policy for Textbook {
     fn handle(&mut self, _now: Millis, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::BackendsChanged { kind: ListKind::Failed, .. } => {}
-            Event::BackendsChanged { kind, backends, .. } => self.on_list(kind, backends),
+            Event::EndpointsChanged { kind: ListKind::Failed, .. } => {}
+            Event::EndpointsChanged { kind, backends, .. } => self.on_list(kind, backends),
             Event::Request { id, .. } => self.send(id, 0, Vec::new(), actions),
             Event::Outcome { request, outcome, ended, .. } => {
                 let Some(open) = self.open.remove(&request) else { return };
                 self.servers[open.at].1 = (self.servers[open.at].1 - 1.0).max(0.0);
                 if ended {
-                } else if outcome.never_ran() && outcome != Outcome::Moot {
+                } else if outcome.never_ran() && outcome != Outcome::NotSent {
                     self.send(request, open.attempts, open.tried, actions);
                 } else {
-                    actions.push(Action::Fail { request, why: Reason::NoRepeat });
+                    actions.push(Action::Fail { request, reason: UnservedReason::NotRetryable });
                 }
             }
             _ => {}
--- a/crates/simulation/src/sim/attempts.rs
+++ b/crates/simulation/src/sim/attempts.rs
@@ -7,7 +7,7 @@
 use crate::chance::part;
 use crate::model::machine::Taken;
 use crate::model::work::{self, Shape};
-use hillstall_decision::api::{BackendId, Event, Outcome, Report};
+use hillstall_decision::{BackendId, Event, LoadReport, Outcome};
 
 impl World {
     fn way(&self, proxy: usize, host: usize) -> f64 {
@@ -51,10 +51,10 @@
             key: None,
             class: class as u8,
             tenant: tenant as u16,
-            hint_ms: None,
-            repeat,
-            write: false,
-            ttl_ms: ttl,
+            expected_work_ms: None,
+            is_retry: repeat,
+            is_write: false,
+            timeout_ms: ttl,
         };
         self.tell(proxy, event);
     }
@@ -141,13 +141,13 @@
             return self.queue.put(self.now + way, Happening::Back { attempt, outcome });
         }
         if host.turns_away {
-            let outcome = Outcome::Full;
+            let outcome = Outcome::Rejected;
             return self.queue.put(self.now + way, Happening::Back { attempt, outcome });
         }
         match host.machine.offer(self.now, attempt as u64, work, &mut self.done) {
             Taken::Yes => self.attempts[attempt].held = true,
             Taken::Full => {
-                let outcome = Outcome::Full;
+                let outcome = Outcome::Rejected;
                 self.queue.put(self.now + way, Happening::Back { attempt, outcome });
             }
         }
@@ -303,7 +303,7 @@
         let (ask, no, machine, took) = (a.ask, a.no, a.machine, self.now - a.sent_at);
         self.asks[ask].out = None;
         let proxy = self.asks[ask].proxy;
-        let kept = matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Error);
+        let kept = matches!(outcome, Outcome::Ok | Outcome::Rejected | Outcome::Error);
         self.account.ended((proxy, machine), kept);
         if !self.proxies[proxy].alive {
             return;
@@ -321,7 +321,7 @@
             outcome,
             took_ms: took,
             ended: served || self.asks[ask].gone,
-            report: Report::default(),
+            report: LoadReport::default(),
         };
         self.tell(proxy, event);
         let a = &self.asks[ask];
--- a/crates/simulation/src/sim/clients.rs
+++ b/crates/simulation/src/sim/clients.rs
@@ -6,7 +6,7 @@
 use super::tally::Ended;
 use super::{Call, Caller, World};
 use crate::chance::part;
-use hillstall_decision::api::Event;
+use hillstall_decision::Event;
 
 impl World {
     /// The next call sets out, and the one after it is put down.
--- a/crates/simulation/src/sim/failures.rs
+++ b/crates/simulation/src/sim/failures.rs
@@ -4,7 +4,7 @@
 use super::setup::some_of;
 use super::World;
 use crate::scenario::What;
-use hillstall_decision::api::{BackendInfo, BackendState, Event, ListKind};
+use hillstall_decision::{BackendInfo, BackendState, Event, ListKind};
 
 /// How long a drained machine takes to start again.
 const RESTART_MS: f64 = 500.0;
@@ -192,6 +192,6 @@
     /// Tells one proxy of one machine.
     pub(super) fn tell_one(&mut self, proxy: usize, machine: usize) {
         let list: [BackendInfo; 1] = [self.info(machine)];
-        self.tell(proxy, Event::BackendsChanged { kind: ListKind::Delta, version: 0, backends: &list });
+        self.tell(proxy, Event::EndpointsChanged { kind: ListKind::Delta, version: 0, backends: &list });
     }
 }
--- a/crates/simulation/src/sim/harm.rs
+++ b/crates/simulation/src/sim/harm.rs
@@ -158,8 +158,8 @@
             able: of.places[place].speed * of.kind.cores as f64,
             from: of.kind.cold_from,
             warm_after: of.kind.cold,
-            multiple: rules.fall_multiple,
-            over: rules.fall_ms,
+            multiple: rules.overload_multiple,
+            over: rules.overload_window_ms,
             slack: SLACK_CALLS * self.work_at(tier),
         }
     }
--- a/crates/simulation/src/sim/mod.rs
+++ b/crates/simulation/src/sim/mod.rs
@@ -20,7 +20,7 @@
 use crate::policy::{Named, Policy};
 use crate::scenario::Scenario;
 use arrivals::{Arrival, Arrivals};
-use hillstall_decision::api::{Action, BackendInfo, BackendState, Event, ListKind};
+use hillstall_decision::{Action, BackendInfo, BackendState, Event, ListKind};
 use queue::{Happening, Queue};
 use rand_xoshiro::rand_core::RngCore;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -278,7 +278,7 @@
     fn tell_all(&mut self, proxy: usize) {
         let tier = self.proxies[proxy].tier;
         let list: Vec<BackendInfo> = self.tiers[tier].iter().map(|h| self.info(*h)).collect();
-        self.tell(proxy, Event::BackendsChanged { kind: ListKind::Cached, version: 0, backends: &list });
+        self.tell(proxy, Event::EndpointsChanged { kind: ListKind::Cached, version: 0, backends: &list });
     }
 
     /// A machine as the list has it.
@@ -309,7 +309,7 @@
             Action::Send { request, backend, timeout_ms } => {
                 self.send(request as usize, backend as usize, timeout_ms);
             }
-            Action::Refuse { request, retry_after_ms, .. } => {
+            Action::Reject { request, retry_after_ms, .. } => {
                 self.answer(request as usize, queue::End::Refused, retry_after_ms);
             }
             Action::Fail { request, .. } => self.answer(request as usize, queue::End::Failed, 0.0),
--- a/crates/simulation/src/sim/queue.rs
+++ b/crates/simulation/src/sim/queue.rs
@@ -20,7 +20,7 @@
     /// Something changes at a machine by itself; an older stamp is out of date.
     Due { machine: usize, stamp: u64 },
     /// The end of an attempt reaches its proxy.
-    Back { attempt: usize, outcome: hillstall_decision::api::Outcome },
+    Back { attempt: usize, outcome: hillstall_decision::Outcome },
     /// An attempt's time is up.
     TimeUp { attempt: usize },
     /// A cancel reaches the machine.
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -4,8 +4,9 @@
 use crate::model::machine::Kind;
 use crate::model::work::Shape;
 use crate::scenario::{Between, Mode, Repeats, Scenario, What};
-use hillstall_decision::api::{
-    Allowed, Class, Effect, Objective, Prices, ReportVia, Rules, Scope, Settings, Tenant, Weights,
+use hillstall_decision::{
+    Class, DedupScope, Objective, Permissions, Prices, ReportVia, RetrySafety, Rules, Settings, Tenant,
+    Weights,
 };
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -361,22 +362,22 @@
         let kind = &self.tiers[tier].kind;
         let class = |c: &ClassOf| Class {
             name: c.name.clone(),
-            aim_ms: c.aim,
-            aim_stretch: 0.0,
+            latency_objective_ms: c.aim,
+            objective_per_work_ms: 0.0,
             deadline_ms: c.deadline,
-            worth: c.worth,
-            late_worth: 0.0,
-            effect: match c.repeats {
-                Repeats::Safe => Effect::Repeatable,
-                Repeats::Keyed => Effect::Keyed,
-                Repeats::Once => Effect::Once,
+            priority_weight: c.worth,
+            late_weight_fraction: 0.0,
+            retry_safety: match c.repeats {
+                Repeats::Safe => RetrySafety::Idempotent,
+                Repeats::Keyed => RetrySafety::IdempotencyKey,
+                Repeats::Once => RetrySafety::NonIdempotent,
             },
-            scope: Scope::All,
-            window_ms: 2_500.0,
+            dedup_scope: DedupScope::All,
+            dedup_window_ms: 2_500.0,
             streaming: false,
         };
         let tenant =
-            |t: &TenantOf| Tenant { name: t.name.clone(), allowance_per_s: t.quota, fraction: t.traffic };
+            |t: &TenantOf| Tenant { name: t.name.clone(), quota_per_s: t.quota, fraction: t.traffic };
         Settings {
             rank: rank as u32,
             fleet_size: copies as u32,
@@ -387,11 +388,11 @@
             machine_kinds: vec!["machine".into()],
             service: "lab".into(),
             passes_deadline: true,
-            warm_keys: false,
+            caches_keys: false,
             marks_retry: true,
             must_subscribe: false,
-            worth_by_work: true,
-            over_share_worth: self.over_share_worth,
+            weight_by_work: true,
+            over_quota_weight: self.over_share_worth,
             tick_ms: 2.0,
             weights: Weights::Off,
             report: Vec::new(),
@@ -399,15 +400,15 @@
             classes: self.classes.iter().map(class).collect(),
             tenants: self.tenants.iter().map(tenant).collect(),
             rules: Rules {
-                answer_grace_ms: 100.0,
+                response_grace_ms: 100.0,
                 drain_grace_ms: 2_000.0,
-                ask_within_ms: 5_000.0,
-                cold_from: kind.cold_from,
-                cold_ms: kind.cold,
-                fall_multiple: 3.0,
-                fall_ms: 2_000.0,
+                poll_interval_ms: 5_000.0,
+                warmup_start_fraction: kind.cold_from,
+                warmup_ms: kind.cold,
+                overload_multiple: 3.0,
+                overload_window_ms: 2_000.0,
             },
-            allowed: Allowed {
+            permissions: Permissions {
                 cancel: true,
                 probe: false,
                 parallel: false,
@@ -415,7 +416,7 @@
                 max_retry_after_ms: 750.0,
                 max_attempts: 6,
                 max_open: 100_000,
-                peers: false,
+                peer_messages: false,
                 idle_close_ms: 60_000.0,
                 connect_timeout_ms: CONNECT_TIMEOUT,
                 streams_per_connection: 1,
