--- a/crates/hillstall/src/config.rs
+++ b/crates/hillstall/src/config.rs
@@ -1,7 +1,7 @@
 //! What the platform tells a proxy: `NODE_CONFIG` and the environment.
 
 use hillstall_decision::Settings;
-use hillstall_proxy_core::directory::List;
+use hillstall_proxy_core::endpoints::List;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/crates/hillstall/src/platform.rs
+++ b/crates/hillstall/src/platform.rs
@@ -3,7 +3,7 @@
 
 use crate::config;
 use crate::operator::line_of;
-use hillstall_proxy_core::directory::List;
+use hillstall_proxy_core::endpoints::List;
 use hillstall_simulation::site;
 use serde_json::{Map, Value};
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -3,7 +3,7 @@
 
 use crate::io::Wire;
 use bytes::Bytes;
-use hillstall_proxy_core::limits::Taken;
+use hillstall_proxy_core::limits::Reservation;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
--- a/crates/http1/src/conn.rs
+++ b/crates/http1/src/conn.rs
@@ -3,7 +3,7 @@
 use crate::body::{Outgoing, Rest};
 use crate::io::{Io, Wire};
 use bytes::Bytes;
-use hillstall_proxy_core::limits::{Body, Limits, Taken};
+use hillstall_proxy_core::limits::{BufferedBody, Limits, Reservation};
 use hillstall_proxy_core::tuning::Tuning;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -102,7 +102,7 @@
 /// What was read of an answer's body.
 pub enum Gathered {
     /// All of it.
-    Whole(Body),
+    Whole(BufferedBody),
     /// The first pieces of a long one.
     Begun(Rest, Taken),
 }
@@ -111,22 +111,22 @@
 /// its first bytes matter more than a second try.
 async fn gather(mut body: Incoming, length: Framed, limits: &Limits) -> Result<Gathered, ()> {
     let tuning = limits.tuning();
-    let held_most = tuning.held_most;
+    let held_most = tuning.max_buffered_body;
     let (most, long) = match length {
-        Framed::Bytes(bytes) if bytes > tuning.message_most as u64 => return Err(()),
+        Framed::Bytes(bytes) if bytes > tuning.max_message as u64 => return Err(()),
         Framed::Bytes(bytes) => ((bytes as usize).min(held_most), bytes > held_most as u64),
         Framed::Untold => (held_most, false),
     };
-    let mut room = limits.bytes.take(most).ok_or(())?;
-    let early =
-        Instant::now() + if length == Framed::Untold { tuning.answer_hold } else { tuning.answer_time };
+    let mut room = limits.buffered_bytes.reserve(most).ok_or(())?;
+    let early = Instant::now()
+        + if length == Framed::Untold { tuning.unsized_response_hold } else { tuning.response_timeout };
     let (mut first, mut held) = (VecDeque::new(), 0);
     loop {
         let passes = long || (length == Framed::Untold && Instant::now() >= early);
         if held > 0 && (passes || held > held_most) {
-            return Ok(Gathered::Begun(Rest::new(first, body, tuning.message_most), room));
+            return Ok(Gathered::Begun(Rest::new(first, body, tuning.max_message), room));
         }
-        let stalled = Instant::now() + tuning.answer_time;
+        let stalled = Instant::now() + tuning.response_timeout;
         let until = if length == Framed::Untold && held > 0 { early } else { stalled };
         match timeout_at(until.into(), body.frame()).await {
             Ok(Some(Ok(frame))) => {
@@ -141,8 +141,8 @@
             Err(_) => return Err(()),
         }
     }
-    room.keep(held);
-    Ok(Gathered::Whole(Body::new(joined(first), room)))
+    room.shrink_to(held);
+    Ok(Gathered::Whole(BufferedBody::new(joined(first), room)))
 }
 
 /// The pieces of a body in one.
--- a/crates/http1/src/discovery.rs
+++ b/crates/http1/src/discovery.rs
@@ -2,8 +2,8 @@
 
 use crate::io::{Io, Wire};
 use bytes::Bytes;
-use hillstall_proxy_core::directory::List;
-use hillstall_proxy_core::discovery::{Discovery, Pending, ANSWER};
+use hillstall_proxy_core::discovery::{BoxFuture, Discovery, RESPONSE_TIMEOUT};
+use hillstall_proxy_core::endpoints::EndpointList;
 use hillstall_proxy_core::tuning::Tuning;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::{header::HOST, Request, StatusCode};
@@ -28,12 +28,12 @@
         &'a self,
         address: SocketAddr,
         index: &'a mut Option<u64>,
-        take: &'a mut dyn FnMut(List),
-    ) -> Pending<'a, String> {
+        take: &'a mut dyn FnMut(EndpointList),
+    ) -> BoxFuture<'a, String> {
         Box::pin(watch(address, index, take))
     }
 
-    fn fetch(&self, address: SocketAddr) -> Pending<'_, Option<List>> {
+    fn fetch(&self, address: SocketAddr) -> BoxFuture<'_, Option<EndpointList>> {
         Box::pin(fetch(address))
     }
 }
@@ -72,8 +72,8 @@
 }
 
 /// Reads an answer line by line and hands each list on; gives why it ended.
-async fn read(address: SocketAddr, path: &str, mut take: impl FnMut(List)) -> String {
-    let opened = match timeout(ANSWER, get(address, path)).await {
+async fn read(address: SocketAddr, path: &str, mut take: impl FnMut(EndpointList)) -> String {
+    let opened = match timeout(RESPONSE_TIMEOUT, get(address, path)).await {
         Ok(Ok(opened)) => opened,
         Ok(Err(why)) => return why,
         Err(_) => return "no answer".into(),
@@ -122,7 +122,7 @@
 
 /// Watches from version `index` until the watch ends, and gives why. Where no version is known, the whole list
 /// is asked for first: versions of one address mean nothing at another.
-async fn watch(address: SocketAddr, index: &mut Option<u64>, take: &mut dyn FnMut(List)) -> String {
+async fn watch(address: SocketAddr, index: &mut Option<u64>, take: &mut dyn FnMut(EndpointList)) -> String {
     let from = match *index {
         Some(from) => from,
         None => {
@@ -141,7 +141,7 @@
 }
 
 /// Asks for the whole list once; it may run over several lines.
-async fn fetch(address: SocketAddr) -> Option<List> {
+async fn fetch(address: SocketAddr) -> Option<EndpointList> {
     let ask = async {
         let (body, connection) = get(address, "/discovery/hosts").await.ok()?;
         tokio::pin!(connection);
@@ -152,10 +152,10 @@
             whole = &mut whole => whole,
             _ = &mut connection => whole.await,
         };
-        let list: List = serde_json::from_slice(&whole.ok()?.to_bytes()).ok()?;
-        Some(List { snapshot: true, ..list })
+        let list: EndpointList = serde_json::from_slice(&whole.ok()?.to_bytes()).ok()?;
+        Some(EndpointList { snapshot: true, ..list })
     };
-    timeout(ANSWER, ask).await.ok()?
+    timeout(RESPONSE_TIMEOUT, ask).await.ok()?
 }
 
 #[cfg(test)]
--- a/crates/http1/src/download.rs
+++ b/crates/http1/src/download.rs
@@ -4,7 +4,7 @@
 use crate::body::Rest;
 use crate::conn::Conn;
 use bytes::Bytes;
-use hillstall_proxy_core::limits::Taken;
+use hillstall_proxy_core::limits::Reservation;
 use hyper::body::{Body, Frame, SizeHint};
 use std::future::Future;
 use std::io::{Error, ErrorKind};
--- a/crates/http1/src/front/call.rs
+++ b/crates/http1/src/front/call.rs
@@ -9,10 +9,10 @@
 use crate::conn::joined;
 use crate::message::{AnswerBody, Inbound, Payload};
 use bytes::Bytes;
-use hillstall_proxy_core::driver::Final;
+use hillstall_proxy_core::driver::FinalResponse;
 use hillstall_proxy_core::lifecycle::Phase;
 use hillstall_proxy_core::limits;
-use hillstall_proxy_core::metrics::Ending;
+use hillstall_proxy_core::metrics::RequestOutcome;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, CONNECTION, CONTENT_LENGTH, CONTENT_TYPE, TRANSFER_ENCODING};
@@ -77,14 +77,14 @@
         let (mut asked, timeout_ms) = self.read_head(&head)?;
         let path = head.uri.path_and_query().ok_or((StatusCode::BAD_REQUEST, "no path"))?.clone();
         let tuning = self.limits.tuning();
-        let held_most = tuning.held_most;
+        let held_most = tuning.max_buffered_body;
         let length = body.size_hint().exact();
-        if length.is_some_and(|length| length > tuning.message_most as u64) {
+        if length.is_some_and(|length| length > tuning.max_message as u64) {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"));
         }
         let hold = length.map_or(held_most, |length| (length as usize).min(held_most));
-        let Some(mut room) = self.limits.bytes.take(hold) else {
-            self.metrics.count(asked.class, Ending::Deferred);
+        let Some(mut room) = self.limits.buffered_bytes.reserve(hold) else {
+            self.metrics.count(asked.class, RequestOutcome::Deferred);
             return Ok(self.no_room());
         };
         let timeout = Duration::from_millis(timeout_ms.into());
@@ -99,13 +99,13 @@
         let body = match rest {
             None => {
                 let bytes = joined(first);
-                room.keep(bytes.len());
-                Payload::Held(limits::Body::new(bytes, room))
+                room.shrink_to(bytes.len());
+                Payload::Held(limits::BufferedBody::new(bytes, room))
             }
             Some(body) => Payload::Passing(Upload::new(
                 caller.wire.clone(),
                 timeout,
-                Rest::new(first, body, tuning.message_most),
+                Rest::new(first, body, tuning.max_message),
                 room,
             )),
         };
@@ -123,12 +123,12 @@
         };
         caller.upload.replace(upload.clone());
         let bodiless = head.method == Method::HEAD;
-        let id = if tuning.log_calls { id.to_string() } else { String::new() };
+        let id = if tuning.log_requests { id.to_string() } else { String::new() };
         let (class, tenant) = (asked.class, asked.tenant);
         let begun = caller.wire.begun().unwrap_or_else(Instant::now);
         let inbound = Inbound { method: head.method, path, headers: head.headers, body };
         let Some((guard, mut answer)) = self.driver.request(asked, inbound) else {
-            return Ok(ended(self.no_room(), open, Ending::Deferred));
+            return Ok(ended(self.no_room(), open, RequestOutcome::Deferred));
         };
         let answer = loop {
             let due = match &upload {
@@ -145,21 +145,21 @@
                 }
             }
         };
-        let mut record = answer.as_ref().ok().filter(|_| tuning.log_calls).map(|ended| {
+        let mut record = answer.as_ref().ok().filter(|_| tuning.log_requests).map(|ended| {
             Box::new(Record {
                 id,
                 class: self.classes.get(usize::from(class)).map(|c| c.name.clone()).unwrap_or_default(),
                 tenant: self.tenants.get(usize::from(tenant)).map(|t| t.name.clone()).unwrap_or_default(),
                 tier: self.tier.clone(),
-                end: record::end(&ended.answer),
+                end: record::end(&ended.response),
                 status: 0,
-                course: ended.course,
+                course: ended.trace,
                 begun,
                 ended: Instant::now(),
             })
         });
-        let mut reply = match answer.map(|ended| ended.answer) {
-            Ok(Final::Served(answer)) => {
+        let mut reply = match answer.map(|ended| ended.response) {
+            Ok(FinalResponse::Served(answer)) => {
                 let (body, busy) = match answer.body {
                     AnswerBody::Held(body) => {
                         let bytes = body.bytes.clone();
@@ -175,19 +175,19 @@
                         reply.headers_mut().insert(name, value.clone());
                     }
                 }
-                ended(reply, open, Ending::Answered)
+                ended(reply, open, RequestOutcome::Answered)
             }
-            Ok(Final::Refused(after_ms)) => ended(refusal(after_ms), open, Ending::Deferred),
-            Ok(Final::Rejected(status)) => {
-                open.end(Ending::Errored);
+            Ok(FinalResponse::Rejected(after_ms)) => ended(refusal(after_ms), open, RequestOutcome::Deferred),
+            Ok(FinalResponse::InvalidRequest(status)) => {
+                open.end(RequestOutcome::Errored);
                 if let Some(mut record) = record {
                     record.status = status.as_u16();
                     record.write(true);
                 }
                 return Err((status, "a backend found fault with it"));
             }
-            Ok(Final::Failed) | Err(_) => {
-                ended(plain(StatusCode::BAD_GATEWAY, "failed"), open, Ending::Errored)
+            Ok(FinalResponse::Failed) | Err(_) => {
+                ended(plain(StatusCode::BAD_GATEWAY, "failed"), open, RequestOutcome::Errored)
             }
         };
         if let Some(record) = &mut record {
@@ -199,13 +199,13 @@
 
     /// A refusal for want of room, which says when to come back where that is allowed.
     fn no_room(&self) -> Reply {
-        refusal(if self.retry_after { self.limits.tuning().come_back.as_secs_f64() * 1000.0 } else { 0.0 })
+        refusal(if self.retry_after { self.limits.tuning().retry_after.as_secs_f64() * 1000.0 } else { 0.0 })
     }
 
     /// Whether calls can be served: there is a backend list, or none is to be had.
     pub fn is_ready(&self) -> bool {
         let most = if self.knows_some { UP_KNOWN } else { UP_ANYWAY };
-        self.driver.is_listed() || self.started.elapsed() >= most
+        self.driver.has_endpoint_list() || self.started.elapsed() >= most
     }
 
     fn up(&self) -> Reply {
--- a/crates/http1/src/front/caller.rs
+++ b/crates/http1/src/front/caller.rs
@@ -2,7 +2,7 @@
 
 use crate::body::Upload;
 use crate::io::Wire;
-use hillstall_proxy_core::limits::{self, Taken};
+use hillstall_proxy_core::limits::{self, Reservation};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -27,7 +27,7 @@
     /// When it connected, or had its last answer.
     pub(super) used: Cell<Instant>,
     /// Its last answer, which may still wait to be written; let go once it is seen to be out.
-    pub(super) last: RefCell<Option<limits::Body>>,
+    pub(super) last: RefCell<Option<limits::BufferedBody>>,
     /// Its body that passes.
     pub(super) upload: RefCell<Option<Rc<Upload>>>,
     pub(super) closing: Cell<Closing>,
--- a/crates/http1/src/front/head.rs
+++ b/crates/http1/src/front/head.rs
@@ -3,8 +3,8 @@
 use super::Server;
 use crate::message::TIMEOUT_HEADER;
 use hillstall_decision::RetrySafety;
-use hillstall_proxy_core::directory::hash;
-use hillstall_proxy_core::driver::Asked;
+use hillstall_proxy_core::driver::RequestMetadata;
+use hillstall_proxy_core::endpoints::hash;
 use hyper::header::HeaderMap;
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode};
@@ -21,7 +21,7 @@
 
 impl Server {
     /// Checks all that comes before the body.
-    pub(super) fn read_head(&self, head: &Parts) -> Result<(Asked, u32), Bad> {
+    pub(super) fn read_head(&self, head: &Parts) -> Result<(RequestMetadata, u32), Bad> {
         let bad = |why| (StatusCode::BAD_REQUEST, why);
         let id = single(&head.headers, REQUEST_ID).ok_or(bad("no single Request-Id"))?;
         if id.is_empty() || id.len() > 128 || !id.bytes().all(|b| b.is_ascii_graphic()) {
@@ -56,16 +56,16 @@
             return Err(bad("Idempotency-Key does not go with this class"));
         }
         let info = head.headers.get("request-info").and_then(|v| v.to_str().ok()).unwrap_or_default();
-        let asked = Asked {
+        let asked = RequestMetadata {
             class: class as u8,
             tenant: tenant as u16,
             key: key(head.uri.path()),
-            hint_ms: single(&head.headers, "work-hint")
+            expected_work_ms: single(&head.headers, "work-hint")
                 .and_then(|t| t.parse::<f64>().ok())
                 .filter(|us| us.is_finite() && *us >= 0.0)
                 .map(|us| us / 1000.0),
-            repeat: single(&head.headers, "client-retry") == Some("1"),
-            write: info.split(',').any(|part| part.trim() == "write=1"),
+            is_retry: single(&head.headers, "client-retry") == Some("1"),
+            is_write: info.split(',').any(|part| part.trim() == "write=1"),
             deadline: Instant::now(),
         };
         Ok((asked, timeout_ms))
--- a/crates/http1/src/front/mod.rs
+++ b/crates/http1/src/front/mod.rs
@@ -12,7 +12,7 @@
 use hillstall_decision::{Class, Settings, Tenant};
 use hillstall_proxy_core::driver::Driver;
 use hillstall_proxy_core::lifecycle::Lifecycle;
-use hillstall_proxy_core::limits::{Limits, Taken};
+use hillstall_proxy_core::limits::{Limits, Reservation};
 use hillstall_proxy_core::metrics::Metrics;
 use hillstall_proxy_core::sockets::out_of_descriptors;
 use hyper::server::conn::http1;
@@ -136,7 +136,7 @@
     /// leaves the sockets that attempts need alone.
     async fn admit(self: &Rc<Self>, stream: TcpStream) {
         for _ in 0..ADMIT_TRIES {
-            if let Some(counted) = self.limits.callers.take(1) {
+            if let Some(counted) = self.limits.client_connections.reserve(1) {
                 let (number, caller) = self.enter(stream, counted);
                 spawn_local(self.clone().connection(number, caller));
                 return;
@@ -152,16 +152,16 @@
     /// Keeps to a part of the proxy, with so many other processes beside this one.
     pub fn share_with(&self, others: usize) {
         self.limits.share_with(others);
-        self.driver.share_with(others);
+        self.driver.share_quota_with(others);
     }
 
     /// Whether this process holds no more than its part; lets go what can be let go of first.
     pub fn fits(&self) -> bool {
-        if self.limits.callers.is_over() {
+        if self.limits.client_connections.is_exceeded() {
             self.shed();
         }
-        while self.limits.upstream.is_over() && self.upstream.shed() {}
-        !self.limits.callers.is_over() && !self.limits.upstream.is_over()
+        while self.limits.backend_connections.is_exceeded() && self.upstream.shed() {}
+        !self.limits.client_connections.is_exceeded() && !self.limits.backend_connections.is_exceeded()
     }
 
     /// Closes the least useful of the connections that never brought a good request, or else the one that has
@@ -199,13 +199,13 @@
 
     fn close_overdue(&self) {
         let tuning = self.limits.tuning();
-        for caller in self.callers.borrow().values().filter(|c| c.is_overdue(tuning.request_time)) {
+        for caller in self.callers.borrow().values().filter(|c| c.is_overdue(tuning.request_timeout)) {
             caller.upload.take();
             caller.taken.set(false);
             caller.close(Closing::Now);
         }
         // One that does not read its answer is owed no more of it.
-        for caller in self.callers.borrow().values().filter(|c| c.wire.is_stalled(tuning.stall)) {
+        for caller in self.callers.borrow().values().filter(|c| c.wire.is_stalled(tuning.stall_timeout)) {
             caller.taken.set(false);
             caller.close(Closing::Now);
         }
@@ -218,12 +218,15 @@
             self.close_overdue();
             let tuning = self.limits.tuning();
             let closes = self.lifecycle.closes_idle(tuning.drain_notice);
-            self.close_idle(if closes { tuning.drain_rest } else { tuning.caller_idle });
+            self.close_idle(if closes { tuning.drain_idle_timeout } else { tuning.client_idle_timeout });
             for caller in self.callers.borrow().values().filter(|c| !c.wire.is_stuck()) {
                 caller.last.take();
             }
-            for caller in
-                self.callers.borrow().values().filter(|c| !c.parked.get() && c.may_park(tuning.park))
+            for caller in self
+                .callers
+                .borrow()
+                .values()
+                .filter(|c| !c.parked.get() && c.may_park(tuning.buffer_release_after))
             {
                 caller.close.notify_one();
             }
@@ -302,7 +305,7 @@
                 // connection, and a request that was open with its guard.
                 _ = &mut serving => return After::Over,
                 () = caller.close.notified() => match caller.closing.get() {
-                    Closing::No if caller.may_park(self.limits.tuning().park) => return After::Parks,
+                    Closing::No if caller.may_park(self.limits.tuning().buffer_release_after) => return After::Parks,
                     Closing::No => {}
                     Closing::Now if !caller.taken.get() => return After::Over,
                     _ => serving.as_mut().graceful_shutdown(),
--- a/crates/http1/src/front/record.rs
+++ b/crates/http1/src/front/record.rs
@@ -2,7 +2,7 @@
 
 use crate::upstream::Upstream;
 use hillstall_decision::Outcome;
-use hillstall_proxy_core::driver::{Course, Final};
+use hillstall_proxy_core::driver::{FinalResponse, RequestTrace};
 use std::time::{Duration, Instant};
 
 /// What the log is told of a call.
@@ -14,7 +14,7 @@
     pub(super) tier: String,
     pub(super) end: &'static str,
     pub(super) status: u16,
-    pub(super) course: Course,
+    pub(super) course: RequestTrace,
     /// When the first bytes of the call were read.
     pub(super) begun: Instant,
     /// When its final answer was there.
@@ -22,12 +22,12 @@
 }
 
 /// Why a call ended as it did, in one word.
-pub(super) fn end(answer: &Final<Upstream>) -> &'static str {
+pub(super) fn end(answer: &FinalResponse<Upstream>) -> &'static str {
     match answer {
-        Final::Served(_) => "served",
-        Final::Refused(_) => "refused",
-        Final::Failed => "failed",
-        Final::Rejected(_) => "rejected",
+        FinalResponse::Served(_) => "served",
+        FinalResponse::Rejected(_) => "refused",
+        FinalResponse::Failed => "failed",
+        FinalResponse::InvalidRequest(_) => "rejected",
     }
 }
 
@@ -40,12 +40,12 @@
     /// reading the call, deciding on its first attempt, all attempts but the last, the last, and writing.
     pub(super) fn write(self: Box<Self>, whole: bool) {
         let Record { id, class, tenant, tier, end, status, course, begun, ended } = *self;
-        let first = course.first_sent.unwrap_or(ended);
-        let last = course.last_sent.unwrap_or(ended);
+        let first = course.first_attempt_at.unwrap_or(ended);
+        let last = course.last_attempt_at.unwrap_or(ended);
         let between = |from: Instant, to: Instant| ms(to.saturating_duration_since(from));
-        let server = course.server.map(|server| server.to_string()).unwrap_or_default();
+        let server = course.backend_address.map(|server| server.to_string()).unwrap_or_default();
         let outcome = course.last_outcome.map(Outcome::name).unwrap_or_default();
-        let why = course.why.map(|why| why.name()).unwrap_or_default();
+        let why = course.reason.map(|why| why.name()).unwrap_or_default();
         tracing::info!(
             target: "hillstall::call",
             id,
@@ -59,8 +59,8 @@
             server,
             outcome,
             why,
-            read_ms = between(begun, course.taken),
-            decide_ms = between(course.taken, first),
+            read_ms = between(begun, course.accepted_at),
+            decide_ms = between(course.accepted_at, first),
             earlier_ms = between(first, last),
             last_ms = between(last, ended),
             write_ms = ms(ended.elapsed()),
--- a/crates/http1/src/front/reply.rs
+++ b/crates/http1/src/front/reply.rs
@@ -4,7 +4,7 @@
 use super::record::Record;
 use crate::download::{Download, Passed};
 use bytes::Bytes;
-use hillstall_proxy_core::metrics::{Ending, InProgress};
+use hillstall_proxy_core::metrics::{InProgress, RequestOutcome};
 use http_body_util::Full;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::header::{HeaderValue, RETRY_AFTER};
@@ -18,7 +18,7 @@
 /// The body of a reply. It counts the request as ended once all of it has gone to the connection.
 pub(super) struct Replied {
     pub(super) body: Reading,
-    pub(super) open: Option<(InProgress, Ending)>,
+    pub(super) open: Option<(InProgress, RequestOutcome)>,
     /// The caller, which is busy until an answer that passes has ended.
     pub(super) busy: Option<Rc<Caller>>,
     /// What the log is told of the call, if it is to be told.
@@ -67,7 +67,7 @@
             Reading::Passing(answer) => match answer.passed() {
                 Passed::Partly => None,
                 Passed::Whole => Some(None),
-                Passed::Broken => Some(Some(Ending::Errored)),
+                Passed::Broken => Some(Some(RequestOutcome::Errored)),
             },
         };
         if let (Some((open, usual)), Some(how)) = (self.open.take(), how) {
@@ -87,7 +87,7 @@
 }
 
 /// A reply with which a request ends.
-pub(super) fn ended(mut reply: Reply, open: InProgress, how: Ending) -> Reply {
+pub(super) fn ended(mut reply: Reply, open: InProgress, how: RequestOutcome) -> Reply {
     reply.body_mut().open = Some((open, how));
     reply
 }
--- a/crates/http1/src/io.rs
+++ b/crates/http1/src/io.rs
@@ -110,7 +110,7 @@
         // Fails only on a stream that is already dead, which the first read tells.
         let _ = stream.set_nodelay(true);
         let socket = SockRef::from(&stream);
-        let buffer = tuning.system_buffer;
+        let buffer = tuning.socket_buffer;
         let _ = socket.set_send_buffer_size(buffer).and(socket.set_recv_buffer_size(buffer));
         let now = Instant::now();
         Rc::new(Wire {
@@ -123,7 +123,7 @@
             step: Cell::new((now, 0)),
             written: RefCell::default(),
             framing,
-            request_step: tuning.request_step,
+            request_step: tuning.request_bytes_per_timeout,
         })
     }
 
--- a/crates/http1/src/message.rs
+++ b/crates/http1/src/message.rs
@@ -3,7 +3,7 @@
 use crate::body::Upload;
 use crate::download::Download;
 use crate::io::Length;
-use hillstall_proxy_core::limits::Body;
+use hillstall_proxy_core::limits::BufferedBody;
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::http::uri::PathAndQuery;
 use hyper::Method;
@@ -28,7 +28,7 @@
 /// The body of a caller's request.
 pub enum Payload {
     /// Held whole.
-    Held(Body),
+    Held(BufferedBody),
     /// Too long to be held.
     Passing(Rc<Upload>),
 }
@@ -46,12 +46,12 @@
     }
 }
 
-impl hillstall_proxy_core::carrier::Payload for Inbound {
-    fn is_spent(&self) -> bool {
-        matches!(&self.body, Payload::Passing(upload) if upload.is_spent())
+impl hillstall_proxy_core::transport::RequestPayload for Inbound {
+    fn is_consumed(&self) -> bool {
+        matches!(&self.body, Payload::Passing(upload) if upload.is_consumed())
     }
 
-    fn whole_at(&self) -> Option<Instant> {
+    fn completed_at(&self) -> Option<Instant> {
         match &self.body {
             Payload::Held(_) => None,
             Payload::Passing(upload) => Some(upload.deadline()? - upload.timeout()),
@@ -70,7 +70,7 @@
 /// The body of an answer.
 pub enum AnswerBody {
     /// Held whole.
-    Held(Body),
+    Held(BufferedBody),
     /// Too long to be held.
     Passing(Box<Download>),
 }
--- a/crates/http1/src/upstream.rs
+++ b/crates/http1/src/upstream.rs
@@ -6,12 +6,12 @@
 use crate::message::{Answer, AnswerBody, Inbound, Payload, TIMEOUT_HEADER};
 use crate::report::Reports;
 use hillstall_decision::{BackendId, Outcome, ReportField};
-use hillstall_proxy_core::carrier::{Attempt, Carrier, Ended};
-use hillstall_proxy_core::connects::Connects;
-use hillstall_proxy_core::driver::Permit;
+use hillstall_proxy_core::connect_hedging::ConnectHedging;
+use hillstall_proxy_core::driver::SendPermit;
 use hillstall_proxy_core::limits::Limits;
-use hillstall_proxy_core::pool::{Choice, Pool, PoolLimits};
+use hillstall_proxy_core::pool::{Checkout, Pool, PoolLimits};
 use hillstall_proxy_core::sockets::out_of_descriptors;
+use hillstall_proxy_core::transport::{Attempt, AttemptResult, Transport};
 use hillstall_proxy_core::tuning::Tuning;
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
@@ -46,17 +46,17 @@
 
 fn pool_limits(tuning: &Tuning, idle_most: Duration) -> PoolLimits {
     PoolLimits {
-        rest: tuning.pool_rest,
-        idle_most,
-        kept_most: tuning.pool_kept,
-        pinches_most: tuning.pool_waits,
+        min_rest: tuning.min_connection_rest,
+        max_idle: idle_most,
+        max_idle_per_backend: tuning.max_idle_per_backend,
+        max_waits: tuning.max_rest_waits,
     }
 }
 
 /// Carries calls to backends over HTTP/1.1.
 pub struct Upstream {
     pool: RefCell<Pool<BackendId, Conn>>,
-    connects: RefCell<Connects<BackendId>>,
+    connects: RefCell<ConnectHedging<BackendId>>,
     limits: Rc<Limits>,
     idle_most: Duration,
     connect_timeout: Duration,
@@ -102,25 +102,25 @@
 
     fn put_back(&self, backend: BackendId, address: SocketAddr, conn: Conn) {
         // What gives way for it is dropped here.
-        let _ = self.pool.borrow_mut().keep(backend, address, conn, Instant::now());
+        let _ = self.pool.borrow_mut().check_in(backend, address, conn, Instant::now());
     }
 
     /// A connection to a backend that has rested and is quiet; `None` if one is to be opened.
     async fn take_idle(&self, backend: BackendId, address: SocketAddr) -> Option<Conn> {
         let mut waited = false;
         loop {
-            let room = self.limits.upstream.has_room();
-            let choice = self.pool.borrow_mut().choose(backend, address, Instant::now(), room, waited);
+            let room = self.limits.backend_connections.has_capacity();
+            let choice = self.pool.borrow_mut().check_out(backend, address, Instant::now(), room, waited);
             match choice {
                 // Asked of the socket itself, at the last moment before the write.
-                Choice::Reuse(conn) if conn.wire().is_quiet() => return Some(conn),
+                Checkout::Reuse(conn) if conn.wire().is_quiet() => return Some(conn),
                 // It was closed, or more came behind its answer than belongs to it.
-                Choice::Reuse(_) => {}
-                Choice::Wait(rest) => {
+                Checkout::Reuse(_) => {}
+                Checkout::Wait(rest) => {
                     waited = true;
                     sleep(rest).await;
                 }
-                Choice::Open => return None,
+                Checkout::Open => return None,
             }
         }
     }
@@ -132,9 +132,9 @@
         backend: BackendId,
         address: SocketAddr,
         until: Instant,
-        permit: &Rc<Permit<Upstream>>,
+        permit: &Rc<SendPermit<Upstream>>,
     ) -> Result<Conn, Outcome> {
-        let patience = self.connects.borrow_mut().patience(&backend);
+        let patience = self.connects.borrow_mut().hedge_delay(&backend);
         let (sender, mut ended) = mpsc::unbounded_channel();
         let begin = || {
             let (me, sender, permit) = (self.clone(), sender.clone(), permit.clone());
@@ -142,11 +142,11 @@
                 let begun = Instant::now();
                 let conn = me.connect(address, until).await;
                 if conn.is_ok() {
-                    me.connects.borrow_mut().came_up(backend, begun.elapsed());
+                    me.connects.borrow_mut().on_connected(backend, begun.elapsed());
                 }
                 // Nobody waits for it any more.
                 if let Err(mpsc::error::SendError(Ok(conn))) = sender.send(conn) {
-                    if permit.still_there() {
+                    if permit.is_backend_current() {
                         me.put_back(backend, address, conn);
                     }
                 }
@@ -165,14 +165,16 @@
                     out -= 1;
                     if out == 0 {
                         if outcome == Outcome::ConnectFailed {
-                            self.connects.borrow_mut().failed(&backend);
+                            self.connects.borrow_mut().on_failed(&backend);
                         }
                         return Err(outcome);
                     }
                 }
                 Ok(None) => return Err(Outcome::ConnectFailed),
                 Err(_late) => {
-                    if !self.limits.upstream.has_room() || !self.connects.borrow_mut().spend() {
+                    if !self.limits.backend_connections.has_capacity()
+                        || !self.connects.borrow_mut().try_hedge()
+                    {
                         return ended.recv().await.unwrap_or(Err(Outcome::ConnectFailed));
                     }
                     out += 1;
@@ -185,7 +187,7 @@
     /// A new connection. Want of sockets here is told as [`Outcome::Moot`]: it says nothing of the backend.
     async fn connect(&self, address: SocketAddr, until: Instant) -> Result<Conn, Outcome> {
         let counted = loop {
-            match self.limits.upstream.take(1) {
+            match self.limits.backend_connections.reserve(1) {
                 Some(counted) => break counted,
                 None if self.shed() => {}
                 None => return Err(Outcome::NotSent),
@@ -204,39 +206,46 @@
     }
 
     /// Checks a backend once, on a connection of its own.
-    async fn check(&self, address: SocketAddr, path: &'static str) -> Ended<Upstream> {
+    async fn check(&self, address: SocketAddr, path: &'static str) -> AttemptResult<Upstream> {
         let until = Instant::now() + self.connect_timeout * 2;
         let mut conn = match self.connect(address, until).await {
             Ok(conn) => conn,
-            Err(outcome) => return Ended::now(outcome),
+            Err(outcome) => return AttemptResult::now(outcome),
         };
         let request = Request::get(path).header(header::HOST, address.to_string());
         let request =
             request.body(Outgoing::Whole(Full::default())).expect("a fixed path and an address are valid");
         match timeout_at(until.into(), conn.exchange(request, &self.limits)).await {
-            Err(_) => Ended::now(Outcome::Timeout),
-            Ok(Err(())) => Ended::now(Outcome::Reset),
+            Err(_) => AttemptResult::now(Outcome::Timeout),
+            Ok(Err(())) => AttemptResult::now(Outcome::Reset),
             Ok(Ok(Exchanged { status, headers, body })) => {
                 let outcome = if status == StatusCode::OK { Outcome::Ok } else { Outcome::Error };
                 let mut report = self.reports.of(&headers);
                 if let (Some(Gathered::Whole(body)), 0) = (body, report.len) {
                     report = self.reports.parse(std::str::from_utf8(&body.bytes).unwrap_or_default());
                 }
-                Ended { outcome, at: conn.wire().last_read(), report, answer: None, rejected: None }
+                AttemptResult {
+                    outcome,
+                    ended_at: conn.wire().last_read(),
+                    load_report: report,
+                    response: None,
+                    invalid_request: None,
+                }
             }
         }
     }
 }
 
-impl Carrier for Upstream {
-    type Call = Inbound;
-    type Answer = Answer;
-    type Rejection = StatusCode;
+impl Transport for Upstream {
+    type Request = Inbound;
+    type Response = Answer;
+    type InvalidRequest = StatusCode;
 
     /// One attempt of a request, which ends at its deadline or after its `most`. When this returns, the
     /// request is no longer out on any open connection.
-    async fn attempt(self: Rc<Self>, attempt: Attempt<Upstream>) -> Ended<Upstream> {
-        let Attempt { call, backend, address, deadline, most, sends, permit } = attempt;
+    async fn attempt(self: Rc<Self>, attempt: Attempt<Upstream>) -> AttemptResult<Upstream> {
+        let Attempt { request: call, backend, address, deadline, timeout: most, sent_counter: sends, permit } =
+            attempt;
         let inbound = &*call;
         let permit = Rc::new(permit);
         let sent = Instant::now();
@@ -255,18 +264,18 @@
             };
             let mut conn = match conn {
                 Ok(conn) => conn,
-                Err(outcome) => return Ended::now(outcome),
+                Err(outcome) => return AttemptResult::now(outcome),
             };
             // Guards a drain that was told while the connection came up: nothing new may start then.
-            if !permit.may_write() {
-                return Ended::now(Outcome::ConnectFailed);
+            if !permit.may_send() {
+                return AttemptResult::now(Outcome::ConnectFailed);
             }
             let left = match &inbound.body {
                 Payload::Held(_) => until.saturating_duration_since(Instant::now()),
                 Payload::Passing(upload) => upload.timeout().min(most),
             };
             if left.is_zero() {
-                return Ended::now(Outcome::NotSent);
+                return AttemptResult::now(Outcome::NotSent);
             }
             // Whole milliseconds are all that the header can tell; less than one is still time to be served.
             let left = (left.as_millis() as u64).max(1);
@@ -275,7 +284,7 @@
             let result = tokio::select! {
                 biased;
                 result = exchange => Ok(result),
-                () = overdue(inbound, until, most, self.limits.tuning().stall) => Err(()),
+                () = overdue(inbound, until, most, self.limits.tuning().stall_timeout) => Err(()),
             };
             if let Ok(Ok(Exchanged { status, headers, body })) = result {
                 let report = self.reports.of(&headers);
@@ -284,7 +293,7 @@
                 let rejected = Some(status).filter(|_| outcome == Outcome::Cancelled);
                 let body = match body {
                     Some(Gathered::Whole(body)) => {
-                        if conn.settle().await && permit.still_there() {
+                        if conn.settle().await && permit.is_backend_current() {
                             self.put_back(backend, address, conn);
                         }
                         Some(AnswerBody::Held(body))
@@ -292,7 +301,7 @@
                     Some(Gathered::Begun(rest, room)) if outcome == Outcome::Ok => {
                         let me = self.clone();
                         let keep = move |conn| {
-                            if permit.still_there() {
+                            if permit.is_backend_current() {
                                 me.put_back(backend, address, conn);
                             }
                         };
@@ -300,7 +309,7 @@
                             rest,
                             conn,
                             room,
-                            self.limits.tuning().stall,
+                            self.limits.tuning().stall_timeout,
                             keep,
                         ))))
                     }
@@ -308,7 +317,13 @@
                 };
                 let body = body.filter(|_| outcome == Outcome::Ok);
                 let answer = body.map(|body| Answer { headers, body });
-                return Ended { outcome, at, report, answer, rejected };
+                return AttemptResult {
+                    outcome,
+                    ended_at: at,
+                    load_report: report,
+                    response: answer,
+                    invalid_request: rejected,
+                };
             }
             if pooled && result.is_ok() && !conn.wire().request_begun() {
                 // It died in the pool and not a byte of the request went out: a fresh one serves as well.
@@ -318,9 +333,9 @@
             // one fails soon, and with nothing sent. What has carried an answer meanwhile is alive; and any
             // other end speaks of its own connection alone.
             if result.is_err() {
-                self.pool.borrow_mut().forget_before(backend, sent);
+                self.pool.borrow_mut().remove_older_than(backend, sent);
             }
-            return Ended::now(match (conn.wire().request_whole(), result) {
+            return AttemptResult::now(match (conn.wire().request_whole(), result) {
                 // A backend begins a request with its last byte: this one never began.
                 (false, _) => Outcome::ConnectFailed,
                 (true, Ok(_)) => Outcome::Reset,
@@ -329,13 +344,13 @@
         }
     }
 
-    async fn probe(self: Rc<Self>, address: SocketAddr, report: bool) -> Ended<Upstream> {
+    async fn probe(self: Rc<Self>, address: SocketAddr, report: bool) -> AttemptResult<Upstream> {
         self.check(address, if report { LOAD_PATH } else { ALIVE_PATH }).await
     }
 
     fn close_idle(&self, backend: BackendId) {
-        self.pool.borrow_mut().forget(backend);
-        self.connects.borrow_mut().forget(&backend);
+        self.pool.borrow_mut().remove(backend);
+        self.connects.borrow_mut().remove(&backend);
     }
 }
 
--- a/crates/proxy-core/src/connects.rs
+++ b/crates/proxy-core/src/connect_hedging.rs
@@ -32,21 +32,21 @@
 }
 
 /// What is known of how connections come up, by server.
-pub struct Connects<K> {
+pub struct ConnectHedging<K> {
     servers: FxHashMap<K, Server>,
     saved: f64,
 }
 
-impl<K> Default for Connects<K> {
-    fn default() -> Connects<K> {
-        Connects { servers: FxHashMap::default(), saved: SAVED }
+impl<K> Default for ConnectHedging<K> {
+    fn default() -> ConnectHedging<K> {
+        ConnectHedging { servers: FxHashMap::default(), saved: SAVED }
     }
 }
 
-impl<K: Eq + Hash> Connects<K> {
+impl<K: Eq + Hash> ConnectHedging<K> {
     /// A first connection to a server is asked for: how long to wait until a second one is of use, or `None` where
     /// too little is known of it or it is gone.
-    pub fn patience(&mut self, server: &K) -> Option<Duration> {
+    pub fn hedge_delay(&mut self, server: &K) -> Option<Duration> {
         self.saved = (self.saved + EARNED).min(SAVED);
         let of = self.servers.get(server).filter(|of| !of.gone && of.took.len() >= KNOWN_LEAST)?;
         let mut took: Vec<Duration> = of.took.iter().copied().collect();
@@ -56,14 +56,14 @@
     }
 
     /// Whether a second connection may be asked for now; it is counted as asked for.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_hedge(&mut self) -> bool {
         let may = self.saved >= 1.0;
         self.saved -= f64::from(u8::from(may));
         may
     }
 
     /// A connection came up.
-    pub fn came_up(&mut self, server: K, took: Duration) {
+    pub fn on_connected(&mut self, server: K, took: Duration) {
         let of = self.servers.entry(server).or_default();
         of.gone = false;
         if of.took.len() == KNOWN {
@@ -73,14 +73,14 @@
     }
 
     /// A connection did not come up, nor did one beside it.
-    pub fn failed(&mut self, server: &K) {
+    pub fn on_failed(&mut self, server: &K) {
         if let Some(of) = self.servers.get_mut(server) {
             of.gone = true;
         }
     }
 
     /// The server has left, or another stands in its place.
-    pub fn forget(&mut self, server: &K) {
+    pub fn remove(&mut self, server: &K) {
         self.servers.remove(server);
     }
 }
@@ -91,37 +91,37 @@
 
     const MS: Duration = Duration::from_millis(1);
 
-    fn known(took: &[u32]) -> Connects<u32> {
-        let mut connects = Connects::default();
-        took.iter().for_each(|ms| connects.came_up(1, MS * *ms));
+    fn known(took: &[u32]) -> ConnectHedging<u32> {
+        let mut connects = ConnectHedging::default();
+        took.iter().for_each(|ms| connects.on_connected(1, MS * *ms));
         connects
     }
 
     #[test]
     fn late_connections_do_not_move_the_wait() {
         let mut connects = known(&[5, 300, 5, 5, 400, 5, 300]);
-        assert_eq!(connects.patience(&1), Some(MS * 20));
-        assert_eq!(known(&[1, 1, 1]).patience(&1), Some(LATE_LEAST));
+        assert_eq!(connects.hedge_delay(&1), Some(MS * 20));
+        assert_eq!(known(&[1, 1, 1]).hedge_delay(&1), Some(LATE_LEAST));
     }
 
     #[test]
     fn an_unknown_server_and_a_gone_one_get_no_second() {
         let mut connects = known(&[5, 5]);
-        assert_eq!(connects.patience(&1), None);
-        connects.came_up(1, MS * 5);
-        assert!(connects.patience(&1).is_some());
-        connects.failed(&1);
-        assert_eq!(connects.patience(&1), None);
-        connects.came_up(1, MS * 5);
-        assert!(connects.patience(&1).is_some());
-        connects.forget(&1);
-        assert_eq!(connects.patience(&1), None);
+        assert_eq!(connects.hedge_delay(&1), None);
+        connects.on_connected(1, MS * 5);
+        assert!(connects.hedge_delay(&1).is_some());
+        connects.on_failed(&1);
+        assert_eq!(connects.hedge_delay(&1), None);
+        connects.on_connected(1, MS * 5);
+        assert!(connects.hedge_delay(&1).is_some());
+        connects.remove(&1);
+        assert_eq!(connects.hedge_delay(&1), None);
     }
 
     #[test]
     fn all_late_connections_earn_half_as_many_seconds() {
         let mut connects = known(&[5, 5, 5]);
-        let spent = (0..1000).filter(|_| connects.patience(&1).is_some() && connects.spend()).count();
+        let spent = (0..1000).filter(|_| connects.hedge_delay(&1).is_some() && connects.try_hedge()).count();
         assert!((500..=510).contains(&spent), "{spent}");
     }
 }
--- a/crates/proxy-core/src/discovery.rs
+++ b/crates/proxy-core/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Where the list of servers comes from. How it is asked is a protocol of its own; how often, and from where it
 //! goes on after a failure, is the same for all.
 
-use crate::directory::List;
+use crate::endpoints::EndpointList;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -15,10 +15,10 @@
 /// Longest wait for the head of an answer. A service that handles one call after another lets calls wait, and
 /// says itself when one has waited too long. A caller that leaves sooner than that asks again at the end of the
 /// line, while the service goes on to work for nobody: a whole fleet that does so hears nothing any more.
-pub const ANSWER: Duration = Duration::from_millis(4_000);
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 /// A future that a trait object gives.
-pub type Pending<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
+pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
 /// A service that knows the servers.
 pub trait Discovery {
@@ -28,11 +28,11 @@
         &'a self,
         address: SocketAddr,
         index: &'a mut Option<u64>,
-        take: &'a mut dyn FnMut(List),
-    ) -> Pending<'a, String>;
+        take: &'a mut dyn FnMut(EndpointList),
+    ) -> BoxFuture<'a, String>;
 
     /// Asks for the whole list once.
-    fn fetch(&self, address: SocketAddr) -> Pending<'_, Option<List>>;
+    fn fetch(&self, address: SocketAddr) -> BoxFuture<'_, Option<EndpointList>>;
 }
 
 /// Watches for ever, and gives why each watch ended to `tell`. One that ends, falls silent or is garbled is opened
@@ -41,7 +41,7 @@
     discovery: Rc<dyn Discovery>,
     address: SocketAddr,
     mut index: Option<u64>,
-    mut take: impl FnMut(List),
+    mut take: impl FnMut(EndpointList),
     tell: impl Fn(&str),
 ) {
     let mut wait = BACKOFF;
--- a/crates/proxy-core/src/driver.rs
+++ b/crates/proxy-core/src/driver.rs
@@ -3,10 +3,10 @@
 //! requests and the promises of the interface, which are one final answer for each request, one attempt out
 //! at a time, and one outcome for each send.
 
-use crate::carrier::{Attempt, Carrier, Ended, Payload};
-use crate::directory::{Directory, List, Place};
 use crate::discovery::{self, Discovery};
-use crate::metrics::{Cluster, Metrics};
+use crate::endpoints::{BackendAddress, EndpointDirectory, EndpointList};
+use crate::metrics::{ClusterSize, Metrics};
+use crate::transport::{Attempt, AttemptResult, RequestPayload, Transport};
 use hillstall_decision::Balancer;
 use hillstall_decision::*;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -19,60 +19,68 @@
 use tokio::task::{spawn_local, AbortHandle};
 
 /// Longest time that can be asked for or waited; keeps arithmetic on instants in range.
-const SPAN_MOST: Millis = 3.6e6;
+const MAX_DURATION_MS: Millis = 3.6e6;
 
 /// Part of the time that the rules leave after a drain was told in which this lets something new begin. It guards
 /// the rule whatever the module says; the rest is for what is on its way.
-const LEAVE_PART: f64 = 0.75;
+const DRAIN_GRACE_FRACTION: f64 = 0.75;
 
 /// The final answer to a caller.
-pub enum Final<C: Carrier> {
+pub enum FinalResponse<C: Transport> {
     /// A backend's answer.
-    Served(C::Answer),
+    Served(C::Response),
     /// Trying again is harmless; not before so many milliseconds, if above 0.
-    Refused(Millis),
+    Rejected(Millis),
     /// Promises nothing.
     Failed,
     /// A backend found fault with the request itself, and would again.
-    Rejected(C::Rejection),
+    InvalidRequest(C::InvalidRequest),
 }
 
 /// How a call went, for the log.
 #[derive(Clone, Copy, Debug)]
-pub struct Course {
+pub struct RequestTrace {
     /// Attempts made.
     pub attempts: u32,
     /// The server of the last one.
-    pub server: Option<SocketAddr>,
+    pub backend_address: Option<SocketAddr>,
     /// When the call was taken.
-    pub taken: Instant,
+    pub accepted_at: Instant,
     /// When its first attempt was sent.
-    pub first_sent: Option<Instant>,
+    pub first_attempt_at: Option<Instant>,
     /// When its last attempt was sent.
-    pub last_sent: Option<Instant>,
+    pub last_attempt_at: Option<Instant>,
     /// How the last attempt that ended did.
     pub last_outcome: Option<Outcome>,
     /// Why the module refused or failed it.
-    pub why: Option<UnservedReason>,
+    pub reason: Option<UnservedReason>,
 }
 
-impl Course {
-    fn new() -> Course {
+impl RequestTrace {
+    fn new() -> RequestTrace {
         let (server, first_sent, last_sent, last_outcome) = (None, None, None, None);
-        Course { attempts: 0, server, taken: Instant::now(), first_sent, last_sent, last_outcome, why: None }
+        RequestTrace {
+            attempts: 0,
+            backend_address: server,
+            accepted_at: Instant::now(),
+            first_attempt_at: first_sent,
+            last_attempt_at: last_sent,
+            last_outcome,
+            reason: None,
+        }
     }
 }
 
 /// The end of a call.
-pub struct End<C: Carrier> {
+pub struct Completion<C: Transport> {
     /// The final answer.
-    pub answer: Final<C>,
+    pub response: FinalResponse<C>,
     /// How it came about.
-    pub course: Course,
+    pub trace: RequestTrace,
 }
 
 /// What a request is, in the module's terms.
-pub struct Asked {
+pub struct RequestMetadata {
     /// Its class.
     pub class: u8,
     /// Its tenant.
@@ -80,11 +88,11 @@
     /// What it is about.
     pub key: Option<u64>,
     /// Expected work.
-    pub hint_ms: Option<Millis>,
+    pub expected_work_ms: Option<Millis>,
     /// A client's repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// It writes.
-    pub write: bool,
+    pub is_write: bool,
     /// When its client leaves.
     pub deadline: Instant,
 }
@@ -106,58 +114,58 @@
     }
 }
 
-impl<C: Carrier> Open<C> {
+impl<C: Transport> OpenRequest<C> {
     /// Gives the final answer, unless there was one.
-    fn answer(&mut self, answer: Final<C>) {
-        if let Some(sender) = self.answer.take() {
+    fn answer(&mut self, answer: FinalResponse<C>) {
+        if let Some(sender) = self.responder.take() {
             // Fails only where the caller has just left.
-            let _ = sender.send(End { answer, course: self.course });
+            let _ = sender.send(Completion { response: answer, trace: self.trace });
         }
     }
 }
 
-struct Out {
+struct InFlightAttempt {
     attempt: u8,
     backend: BackendId,
     cancel: Option<oneshot::Sender<()>>,
 }
 
-struct Open<C: Carrier> {
+struct OpenRequest<C: Transport> {
     class: u8,
-    call: Rc<C::Call>,
+    request: Rc<C::Request>,
     deadline: Instant,
     /// Taken by the final answer; empty from then on, and once the caller has left.
-    answer: Option<oneshot::Sender<End<C>>>,
-    course: Course,
-    out: Option<Out>,
+    responder: Option<oneshot::Sender<Completion<C>>>,
+    trace: RequestTrace,
+    in_flight: Option<InFlightAttempt>,
 }
 
-enum Happening {
+enum QueuedEvent {
     List(ListKind, u32, Vec<BackendInfo>),
     Event(Event<'static>),
 }
 
 /// What was sent to a zone since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ToZone {
+pub struct ZoneTraffic {
     /// Attempts.
     pub sent: u64,
     /// Those that a server answered.
     pub answered: u64,
     /// Those that ended in silence: no connection, a broken one, or no answer in time.
-    pub silent: u64,
+    pub unanswered: u64,
     /// The part of its CPU that a server used, added up over the answers that told it, and how many did.
     pub busy: (f64, u64),
 }
 
-struct State<C: Carrier> {
+struct State<C: Transport> {
     balancer: Balancer,
     /// By zone; empty where nobody wants to know.
-    to_zones: Vec<ToZone>,
-    happened: VecDeque<Happening>,
+    to_zones: Vec<ZoneTraffic>,
+    happened: VecDeque<QueuedEvent>,
     actions: Vec<Action>,
-    directory: Directory,
-    open: FxHashMap<RequestId, Open<C>>,
+    directory: EndpointDirectory,
+    open: FxHashMap<RequestId, OpenRequest<C>>,
     next_id: RequestId,
     /// The version held; `None` until the present discovery has told its own.
     index: Option<u64>,
@@ -165,7 +173,7 @@
 }
 
 /// See the module's text.
-pub struct Driver<C: Carrier> {
+pub struct Driver<C: Transport> {
     me: Weak<Driver<C>>,
     clock: Clock,
     carrier: Rc<C>,
@@ -187,23 +195,23 @@
 }
 
 /// What a driver starts from.
-pub struct Start {
+pub struct DriverConfig {
     /// The module's settings.
     pub settings: Settings,
     /// For the module's random numbers.
     pub seed: u64,
     /// The servers as they were known last.
-    pub known: List,
+    pub known_endpoints: EndpointList,
     /// Where discovery answers.
     pub discovery: SocketAddr,
     /// The most calls open at once.
-    pub max_open: usize,
+    pub max_open_requests: usize,
 }
 
-impl<C: Carrier> Driver<C> {
+impl<C: Transport> Driver<C> {
     /// Starts the module on the list that is known, and the watch on discovery.
     pub fn start(
-        start: Start,
+        start: DriverConfig,
         carrier: Rc<C>,
         discovery: Rc<dyn Discovery>,
         metrics: Rc<Metrics>,
@@ -218,26 +226,26 @@
             listed_at: Cell::new(start.discovery),
             must_subscribe: settings.must_subscribe,
             max_attempts: settings.permissions.max_attempts.min(u32::from(u8::MAX)),
-            max_open: start.max_open.min(settings.permissions.max_open as usize),
+            max_open: start.max_open_requests.min(settings.permissions.max_open as usize),
             probes_report: settings.report_via == ReportVia::Probe,
             cpu_at: settings.report.iter().position(|field| *field == ReportField::Cpu),
             listed: Cell::new(false),
             unheard: Cell::new(false),
-            leave_grace: span(settings.rules.drain_grace_ms * LEAVE_PART),
+            leave_grace: duration_from_ms(settings.rules.drain_grace_ms * DRAIN_GRACE_FRACTION),
             state: RefCell::new(State {
-                directory: Directory::new(&settings),
+                directory: EndpointDirectory::new(&settings),
                 to_zones: Vec::new(),
                 balancer: Balancer::new(settings, start.seed),
                 happened: VecDeque::new(),
                 actions: Vec::new(),
                 open: FxHashMap::default(),
                 next_id: 1,
-                index: Some(start.known.index),
+                index: Some(start.known_endpoints.index),
                 watch: None,
             }),
         });
         // A complete list, whatever it says of itself: it is all that this proxy held.
-        driver.take_list(&List { snapshot: true, ..start.known }, Some(ListKind::Cached));
+        driver.apply_list(&EndpointList { snapshot: true, ..start.known_endpoints }, Some(ListKind::Cached));
         if !driver.must_subscribe {
             driver.watch(&mut driver.state.borrow_mut());
         }
@@ -245,7 +253,7 @@
     }
 
     /// Follows the list at another address from now on. What is held stays in use until that one has told.
-    pub fn follow(&self, discovery: SocketAddr) {
+    pub fn set_discovery(&self, discovery: SocketAddr) {
         if self.listed_at.replace(discovery) != discovery {
             self.unheard.set(false);
             let state = &mut *self.state.borrow_mut();
@@ -255,62 +263,62 @@
     }
 
     /// Whether discovery has been heard since the start.
-    pub fn is_listed(&self) -> bool {
+    pub fn has_endpoint_list(&self) -> bool {
         self.listed.get()
     }
 
     /// Has the module keep to its part of what the rules count by proxy, with other processes beside it.
-    pub fn share_with(&self, others: usize) {
+    pub fn share_quota_with(&self, others: usize) {
         self.state.borrow_mut().balancer.share_with(others);
     }
 
     /// Counts from now on what is sent to each of so many zones.
-    pub fn count_zones(&self, zones: usize) {
-        self.state.borrow_mut().to_zones.resize(zones, ToZone::default());
+    pub fn track_zones(&self, zones: usize) {
+        self.state.borrow_mut().to_zones.resize(zones, ZoneTraffic::default());
     }
 
     /// What was sent to each zone, where it is counted.
-    pub fn to_zones(&self) -> Vec<ToZone> {
+    pub fn zone_traffic(&self) -> Vec<ZoneTraffic> {
         self.state.borrow().to_zones.clone()
     }
 
     /// A hint for the module: a zone gets this part of its usual load.
-    pub fn site_part(&self, zone: u16, part: f64, age_ms: Millis) {
+    pub fn set_zone_fraction(&self, zone: u16, part: f64, age_ms: Millis) {
         self.event(Event::ZoneFraction { zone, fraction: part, age_ms });
     }
 
     /// The backends as the module sees them.
-    pub fn cluster(&self) -> Cluster {
+    pub fn cluster(&self) -> ClusterSize {
         let (size, unhealthy) = self.state.borrow().balancer.listed(self.clock.now());
-        Cluster { size, unhealthy }
+        ClusterSize { size, unhealthy }
     }
 
     // ---- what happens ----
 
-    fn take_list(&self, list: &List, kind: Option<ListKind>) {
+    fn apply_list(&self, list: &EndpointList, kind: Option<ListKind>) {
         let state = &mut *self.state.borrow_mut();
         let changes = state.directory.apply(list, Instant::now());
         changes.stale.into_iter().for_each(|backend| self.carrier.close_idle(backend));
         changes.leaving.into_iter().for_each(|backend| self.close_later(backend));
         let infos = changes.infos;
         let used: FxHashSet<BackendId> =
-            state.open.values().filter_map(|o| o.out.as_ref()).map(|o| o.backend).collect();
-        state.directory.forget_gone(|backend| used.contains(&backend));
+            state.open.values().filter_map(|o| o.in_flight.as_ref()).map(|o| o.backend).collect();
+        state.directory.remove_gone(|backend| used.contains(&backend));
         state.index = Some(list.index);
         if kind.is_none() {
             self.listed.set(true);
             self.unheard.set(false);
         }
         let kind = kind.unwrap_or(if list.snapshot { ListKind::Full } else { ListKind::Delta });
-        self.handle(state, Happening::List(kind, list.index as u32, infos));
+        self.handle(state, QueuedEvent::List(kind, list.index as u32, infos));
     }
 
     /// Lets go of the connections to a server that leaves, once nothing new may begin there.
     fn close_later(&self, backend: BackendId) {
         let grace = self.leave_grace;
         self.after(grace, move |driver| {
-            let place = driver.state.borrow().directory.place(backend);
-            if place.is_some_and(|place| !place.takes_new(Instant::now(), grace)) {
+            let place = driver.state.borrow().directory.backend(backend);
+            if place.is_some_and(|place| !place.accepts_new(Instant::now(), grace)) {
                 driver.carrier.close_idle(backend);
             }
         });
@@ -325,7 +333,7 @@
 
     /// Takes a request in; `None` if this proxy holds as many as it can. The answer comes exactly once, if
     /// the guard is kept until then; dropping it earlier tells that the caller has left.
-    pub fn request(&self, asked: Asked, call: C::Call) -> Option<Taken<C>> {
+    pub fn request(&self, asked: RequestMetadata, call: C::Request) -> Option<AcceptedRequest<C>> {
         let state = &mut *self.state.borrow_mut();
         if state.open.len() >= self.max_open {
             return None;
@@ -333,13 +341,13 @@
         let id = state.next_id;
         state.next_id += 1;
         let (answer, receiver) = oneshot::channel();
-        let open = Open {
+        let open = OpenRequest {
             class: asked.class,
-            call: Rc::new(call),
+            request: Rc::new(call),
             deadline: asked.deadline,
-            answer: Some(answer),
-            course: Course::new(),
-            out: None,
+            responder: Some(answer),
+            trace: RequestTrace::new(),
+            in_flight: None,
         };
         state.open.insert(id, open);
         let ttl = asked.deadline.saturating_duration_since(Instant::now());
@@ -348,24 +356,24 @@
             key: asked.key,
             class: asked.class,
             tenant: asked.tenant,
-            expected_work_ms: asked.hint_ms,
-            is_retry: asked.repeat,
-            is_write: asked.write,
+            expected_work_ms: asked.expected_work_ms,
+            is_retry: asked.is_retry,
+            is_write: asked.is_write,
             timeout_ms: ttl.as_secs_f64() * 1000.0,
         };
-        self.handle(state, Happening::Event(event));
-        Some((Guard { driver: self.me.clone(), id }, receiver))
+        self.handle(state, QueuedEvent::Event(event));
+        Some((RequestGuard { driver: self.me.clone(), id }, receiver))
     }
 
     /// The caller has left, or can be kept waiting no longer: fails what is still owed.
     fn close(&self, id: RequestId) {
         let state = &mut *self.state.borrow_mut();
         let Some(open) = state.open.get_mut(&id) else { return };
-        if open.answer.is_none() {
+        if open.responder.is_none() {
             return;
         }
-        open.answer(Final::Failed);
-        self.handle(state, Happening::Event(Event::ClientGone { request: id }));
+        open.answer(FinalResponse::Failed);
+        self.handle(state, QueuedEvent::Event(Event::ClientGone { request: id }));
         Self::forget(state, id);
     }
 
@@ -375,28 +383,30 @@
         ids.into_iter().for_each(|id| self.close(id));
     }
 
-    fn attempt_ended(&self, request: RequestId, backend: BackendId, sent: Instant, ended: Ended<C>) {
+    fn attempt_ended(&self, request: RequestId, backend: BackendId, sent: Instant, ended: AttemptResult<C>) {
         let state = &mut *self.state.borrow_mut();
         let Some(open) = state.open.get_mut(&request) else { return };
-        let Some(out) = open.out.take() else { return };
-        let last = match (ended.answer, ended.rejected) {
-            (Some(answer), _) => Some(Final::Served(answer)),
-            (None, Some(why)) => Some(Final::Rejected(why)),
+        let Some(out) = open.in_flight.take() else { return };
+        let last = match (ended.response, ended.invalid_request) {
+            (Some(answer), _) => Some(FinalResponse::Served(answer)),
+            (None, Some(why)) => Some(FinalResponse::InvalidRequest(why)),
             (None, None) => None,
         };
-        open.course.last_outcome = Some(ended.outcome);
+        open.trace.last_outcome = Some(ended.outcome);
         // Where nobody counts, nothing is looked up.
         let counted = !state.to_zones.is_empty();
-        let place = if counted { state.directory.place(backend) } else { None };
+        let place = if counted { state.directory.backend(backend) } else { None };
         let zone = place.map(|place| usize::from(place.zone));
         if let Some(to) = zone.and_then(|zone| state.to_zones.get_mut(zone)) {
             match ended.outcome {
                 Outcome::Ok | Outcome::Error | Outcome::Rejected => to.answered += 1,
-                Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => to.silent += 1,
+                Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => to.unanswered += 1,
                 Outcome::Cancelled | Outcome::NotSent => {}
             }
-            let cpu = self.cpu_at.filter(|at| *at < usize::from(ended.report.len));
-            if let Some(cpu) = cpu.and_then(|at| ended.report.values.get(at)).filter(|cpu| cpu.is_finite()) {
+            let cpu = self.cpu_at.filter(|at| *at < usize::from(ended.load_report.len));
+            if let Some(cpu) =
+                cpu.and_then(|at| ended.load_report.values.get(at)).filter(|cpu| cpu.is_finite())
+            {
                 to.busy = (to.busy.0 + f64::from(*cpu), to.busy.1 + 1);
             }
         }
@@ -404,39 +414,39 @@
             open.answer(last);
         }
         // A backend begins a request with its last byte, which a slow caller may send much later.
-        let begun = open.call.whole_at().map_or(sent, |whole| whole.max(sent));
+        let begun = open.request.completed_at().map_or(sent, |whole| whole.max(sent));
         let event = Event::Outcome {
             request,
             attempt: out.attempt,
             backend,
             outcome: ended.outcome,
-            took_ms: ended.at.saturating_duration_since(begun).as_secs_f64() * 1000.0,
-            ended: open.answer.is_none(),
-            report: ended.report,
+            took_ms: ended.ended_at.saturating_duration_since(begun).as_secs_f64() * 1000.0,
+            ended: open.responder.is_none(),
+            report: ended.load_report,
         };
-        self.handle(state, Happening::Event(event));
+        self.handle(state, QueuedEvent::Event(event));
         Self::forget(state, request);
     }
 
     fn event(&self, event: Event<'static>) {
-        self.handle(&mut self.state.borrow_mut(), Happening::Event(event));
+        self.handle(&mut self.state.borrow_mut(), QueuedEvent::Event(event));
     }
 
     /// Gives one happening to the module and carries out what it wants, with all that follows at once.
     /// Carrying out only queues and spawns, so the module is never entered from within itself.
-    fn handle(&self, state: &mut State<C>, happening: Happening) {
+    fn handle(&self, state: &mut State<C>, happening: QueuedEvent) {
         state.happened.push_back(happening);
         while let Some(happening) = state.happened.pop_front() {
             let mut actions = std::mem::take(&mut state.actions);
             let event = match &happening {
-                Happening::Event(event) => *event,
-                Happening::List(kind, version, backends) => {
+                QueuedEvent::Event(event) => *event,
+                QueuedEvent::List(kind, version, backends) => {
                     Event::EndpointsChanged { kind: *kind, version: *version, backends }
                 }
             };
             state.balancer.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(state, action);
+                self.dispatch(state, action);
             }
             state.actions = actions;
         }
@@ -444,21 +454,21 @@
 
     // ---- what is to be done ----
 
-    fn carry_out(&self, state: &mut State<C>, action: Action) {
+    fn dispatch(&self, state: &mut State<C>, action: Action) {
         match action {
             Action::Send { request, backend, timeout_ms } => self.send(state, request, backend, timeout_ms),
             Action::Reject { request, retry_after_ms, reason: why } => {
-                self.finish(state, request, Final::Refused(retry_after_ms), why);
+                self.finish(state, request, FinalResponse::Rejected(retry_after_ms), why);
             }
-            Action::Fail { request, reason: why } => self.finish(state, request, Final::Failed, why),
+            Action::Fail { request, reason: why } => self.finish(state, request, FinalResponse::Failed, why),
             Action::Cancel { request, attempt } => {
-                let out = state.open.get_mut(&request).and_then(|open| open.out.as_mut());
+                let out = state.open.get_mut(&request).and_then(|open| open.in_flight.as_mut());
                 if let Some(cancel) = out.filter(|o| o.attempt == attempt).and_then(|o| o.cancel.take()) {
                     let _ = cancel.send(());
                 }
             }
             Action::SetTimer { after_ms, token } => {
-                self.after(span(after_ms), move |driver| driver.event(Event::Timer { token }));
+                self.after(duration_from_ms(after_ms), move |driver| driver.event(Event::Timer { token }));
             }
             Action::Probe { backend } => self.probe(state, backend),
             Action::CloseIdle { backend } => self.carrier.close_idle(backend),
@@ -476,9 +486,9 @@
         }
     }
 
-    fn finish(&self, state: &mut State<C>, request: RequestId, with: Final<C>, why: UnservedReason) {
+    fn finish(&self, state: &mut State<C>, request: RequestId, with: FinalResponse<C>, why: UnservedReason) {
         if let Some(open) = state.open.get_mut(&request) {
-            open.course.why = Some(why);
+            open.trace.reason = Some(why);
             self.metrics.unserved(open.class, why);
             open.answer(with);
         }
@@ -487,59 +497,69 @@
 
     /// Drops a request that is over and has no attempt out.
     fn forget(state: &mut State<C>, request: RequestId) {
-        if state.open.get(&request).is_some_and(|open| open.answer.is_none() && open.out.is_none()) {
+        if state.open.get(&request).is_some_and(|open| open.responder.is_none() && open.in_flight.is_none()) {
             state.open.remove(&request);
         }
     }
 
     fn send(&self, state: &mut State<C>, request: RequestId, backend: BackendId, timeout_ms: Millis) {
-        let place = state.directory.place(backend);
+        let place = state.directory.backend(backend);
         let open = state.open.get_mut(&request);
         // Guards the rules whatever the module says: nothing for a request that is over, no second copy, no
         // attempt past the most, no body that is spent.
         let fit = open.filter(|o| {
-            let again = o.course.attempts < self.max_attempts && !o.call.is_spent();
-            o.answer.is_some() && o.out.is_none() && again
+            let again = o.trace.attempts < self.max_attempts && !o.request.is_consumed();
+            o.responder.is_some() && o.in_flight.is_none() && again
         });
         let (Some(open), Some(place)) = (fit, place) else {
             let event = Event::Outcome {
                 request,
-                attempt: state.open.get(&request).map_or(0, |open| open.course.attempts as u8),
+                attempt: state.open.get(&request).map_or(0, |open| open.trace.attempts as u8),
                 backend,
                 outcome: Outcome::NotSent,
                 took_ms: 0.0,
-                ended: state.open.get(&request).is_none_or(|open| open.answer.is_none()),
+                ended: state.open.get(&request).is_none_or(|open| open.responder.is_none()),
                 report: LoadReport::default(),
             };
-            state.happened.push_back(Happening::Event(event));
+            state.happened.push_back(QueuedEvent::Event(event));
             return;
         };
         let (cancel, cancelled) = oneshot::channel();
-        open.out = Some(Out { attempt: open.course.attempts as u8, backend, cancel: Some(cancel) });
+        open.in_flight =
+            Some(InFlightAttempt { attempt: open.trace.attempts as u8, backend, cancel: Some(cancel) });
         let sent = Instant::now();
         if let Some(to) = state.to_zones.get_mut(usize::from(place.zone)) {
             to.sent += 1;
         }
-        open.course.attempts += 1;
-        open.course.server = Some(place.address);
-        open.course.first_sent = open.course.first_sent.or(Some(sent));
-        open.course.last_sent = Some(sent);
+        open.trace.attempts += 1;
+        open.trace.backend_address = Some(place.address);
+        open.trace.first_attempt_at = open.trace.first_attempt_at.or(Some(sent));
+        open.trace.last_attempt_at = Some(sent);
         let deadline = open.deadline;
-        let most = if timeout_ms == 0.0 { span(SPAN_MOST) } else { span(timeout_ms) };
-        let call = open.call.clone();
+        let most =
+            if timeout_ms == 0.0 { duration_from_ms(MAX_DURATION_MS) } else { duration_from_ms(timeout_ms) };
+        let call = open.request.clone();
         let sends = self.metrics.sends(open.class);
         let me = self.me.clone();
         spawn_local(async move {
             let Some(driver) = me.upgrade() else { return };
-            let permit = Permit { driver: driver.clone(), request, backend, place };
+            let permit = SendPermit { driver: driver.clone(), request, backend, address: place };
             let address = place.address;
-            let attempt = Attempt { call, backend, address, deadline, most, sends, permit };
+            let attempt = Attempt {
+                request: call,
+                backend,
+                address,
+                deadline,
+                timeout: most,
+                sent_counter: sends,
+                permit,
+            };
             let attempt = driver.carrier.clone().attempt(attempt);
             let ended = tokio::select! {
                 biased;
                 ended = attempt => ended,
                 // The attempt was dropped, and its connection closed, before this is told.
-                Ok(()) = cancelled => Ended::now(Outcome::Cancelled),
+                Ok(()) = cancelled => AttemptResult::now(Outcome::Cancelled),
             };
             driver.attempt_ended(request, backend, sent, ended);
         });
@@ -558,15 +578,15 @@
 
     fn probe(&self, state: &State<C>, backend: BackendId) {
         let (me, carrier, report) = (self.me.clone(), self.carrier.clone(), self.probes_report);
-        let (place, sent) = (state.directory.place(backend), Instant::now());
+        let (place, sent) = (state.directory.backend(backend), Instant::now());
         spawn_local(async move {
             let ended = match place {
                 Some(place) => carrier.probe(place.address, report).await,
-                None => Ended::now(Outcome::NotSent),
+                None => AttemptResult::now(Outcome::NotSent),
             };
             let Some(driver) = me.upgrade() else { return };
-            let took_ms = ended.at.saturating_duration_since(sent).as_secs_f64() * 1000.0;
-            let (outcome, report) = (ended.outcome, ended.report);
+            let took_ms = ended.ended_at.saturating_duration_since(sent).as_secs_f64() * 1000.0;
+            let (outcome, report) = (ended.outcome, ended.load_report);
             driver.event(Event::ProbeResult { backend, outcome, took_ms, report });
         });
     }
@@ -580,9 +600,9 @@
         let (me, address, ask) = (self.me.clone(), self.listed_at.get(), self.must_subscribe);
         let discovery = self.discovery.clone();
         let mut index = state.index;
-        let mut take = move |list: List| {
+        let mut take = move |list: EndpointList| {
             if let Some(driver) = me.upgrade() {
-                driver.take_list(&list, None);
+                driver.apply_list(&list, None);
             }
         };
         let me = self.me.clone();
@@ -611,7 +631,7 @@
             let list = discovery.fetch(address).await;
             let Some(driver) = me.upgrade() else { return };
             match list.filter(|_| driver.listed_at.get() == address) {
-                Some(list) => driver.take_list(&list, None),
+                Some(list) => driver.apply_list(&list, None),
                 None => driver.list_failed(),
             }
         });
@@ -620,24 +640,24 @@
     fn list_failed(&self) {
         let state = &mut *self.state.borrow_mut();
         let version = state.index.unwrap_or_default() as u32;
-        self.handle(state, Happening::List(ListKind::Failed, version, Vec::new()));
+        self.handle(state, QueuedEvent::List(ListKind::Failed, version, Vec::new()));
     }
 }
 
-fn span(ms: Millis) -> Duration {
-    Duration::from_secs_f64(if ms.is_finite() { ms.clamp(0.0, SPAN_MOST) / 1000.0 } else { 0.0 })
+fn duration_from_ms(ms: Millis) -> Duration {
+    Duration::from_secs_f64(if ms.is_finite() { ms.clamp(0.0, MAX_DURATION_MS) / 1000.0 } else { 0.0 })
 }
 
 /// A call that was taken: its guard, and where its final answer comes.
-pub type Taken<C> = (Guard<C>, oneshot::Receiver<End<C>>);
+pub type AcceptedRequest<C> = (RequestGuard<C>, oneshot::Receiver<Completion<C>>);
 
 /// Stands for a caller that waits.
-pub struct Guard<C: Carrier> {
+pub struct RequestGuard<C: Transport> {
     driver: Weak<Driver<C>>,
     id: RequestId,
 }
 
-impl<C: Carrier> Guard<C> {
+impl<C: Transport> RequestGuard<C> {
     /// Fails the request if it still has no answer.
     pub fn close(&self) {
         if let Some(driver) = self.driver.upgrade() {
@@ -646,7 +666,7 @@
     }
 }
 
-impl<C: Carrier> Drop for Guard<C> {
+impl<C: Transport> Drop for RequestGuard<C> {
     fn drop(&mut self) {
         self.close();
     }
@@ -654,28 +674,28 @@
 
 /// What an attempt may do, by the list and the call as they are when it asks: by then the server may drain, or
 /// another may stand at its address, or the caller may have its answer.
-pub struct Permit<C: Carrier> {
+pub struct SendPermit<C: Transport> {
     driver: Rc<Driver<C>>,
     request: RequestId,
     backend: BackendId,
-    place: Place,
+    address: BackendAddress,
 }
 
-impl<C: Carrier> Permit<C> {
+impl<C: Transport> SendPermit<C> {
     /// Whether the first byte may go out.
-    pub fn may_write(&self) -> bool {
+    pub fn may_send(&self) -> bool {
         let wanted = {
             let state = self.driver.state.borrow();
-            state.open.get(&self.request).is_some_and(|open| open.answer.is_some())
+            state.open.get(&self.request).is_some_and(|open| open.responder.is_some())
         };
-        wanted && self.still_there()
+        wanted && self.is_backend_current()
     }
 
     /// Whether a connection to the server is still of use.
-    pub fn still_there(&self) -> bool {
+    pub fn is_backend_current(&self) -> bool {
         let state = self.driver.state.borrow();
-        state.directory.place(self.backend).is_some_and(|place| {
-            place.is_same(&self.place) && place.takes_new(Instant::now(), self.driver.leave_grace)
+        state.directory.backend(self.backend).is_some_and(|place| {
+            place.is_same_process(&self.address) && place.accepts_new(Instant::now(), self.driver.leave_grace)
         })
     }
 }
--- a/crates/proxy-core/src/lib.rs
+++ b/crates/proxy-core/src/lib.rs
@@ -6,14 +6,14 @@
 //! ended. Fronts and carriers speak a protocol, and bring payloads and answers of its own. Nothing here knows
 //! any of them, and nothing here decides anything about a call.
 
-pub mod carrier;
-pub mod connects;
-pub mod directory;
+pub mod connect_hedging;
 pub mod discovery;
 pub mod driver;
+pub mod endpoints;
 pub mod lifecycle;
 pub mod limits;
 pub mod metrics;
 pub mod pool;
 pub mod sockets;
+pub mod transport;
 pub mod tuning;
--- a/crates/proxy-core/src/limits.rs
+++ b/crates/proxy-core/src/limits.rs
@@ -9,59 +9,59 @@
 /// Descriptors kept for the listeners, discovery, the runtime, the standard streams and the second address.
 const RESERVED_SOCKETS: usize = 32;
 /// The most calls open at once at the second address; the descriptors for them are kept free.
-pub const ADMIN_MOST: usize = 12;
+pub const MAX_ADMIN_CONNECTIONS: usize = 12;
 /// Part of the memory that bodies and answers may take. On its way each byte is held up to three times: as it
 /// was read, as it is passed on, and in the buffer that is written.
 const BODY_PART: usize = 4;
 /// So much of something as may be held at once.
-pub struct Share {
+pub struct ResourceQuota {
     most: Cell<usize>,
     held: Cell<usize>,
 }
 
-impl Share {
-    fn new(most: usize) -> Rc<Share> {
-        Rc::new(Share { most: Cell::new(most), held: Cell::new(0) })
+impl ResourceQuota {
+    fn new(most: usize) -> Rc<ResourceQuota> {
+        Rc::new(ResourceQuota { most: Cell::new(most), held: Cell::new(0) })
     }
 
     /// Takes an amount until the result is dropped; `None` if so much is not left.
-    pub fn take(self: &Rc<Share>, amount: usize) -> Option<Taken> {
+    pub fn reserve(self: &Rc<ResourceQuota>, amount: usize) -> Option<Reservation> {
         let held = self.held.get().checked_add(amount).filter(|held| *held <= self.most.get())?;
         self.held.set(held);
-        Some(Taken { share: self.clone(), amount })
+        Some(Reservation { share: self.clone(), amount })
     }
 
     /// Whether any of it is left.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.held.get() < self.most.get()
     }
 
     /// How much there is in all.
-    pub fn most(&self) -> usize {
+    pub fn limit(&self) -> usize {
         self.most.get()
     }
 
     /// Whether more is held than there is, since there is less.
-    pub fn is_over(&self) -> bool {
+    pub fn is_exceeded(&self) -> bool {
         self.held.get() > self.most.get()
     }
 }
 
 /// A part of a [`Share`], given back when dropped.
-pub struct Taken {
-    share: Rc<Share>,
+pub struct Reservation {
+    share: Rc<ResourceQuota>,
     amount: usize,
 }
 
-impl Drop for Taken {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.share.held.set(self.share.held.get() - self.amount);
     }
 }
 
-impl Taken {
+impl Reservation {
     /// Gives back all but an amount.
-    pub fn keep(&mut self, amount: usize) {
+    pub fn shrink_to(&mut self, amount: usize) {
         let back = self.amount.saturating_sub(amount);
         self.share.held.set(self.share.held.get() - back);
         self.amount -= back;
@@ -69,16 +69,16 @@
 }
 
 /// A whole body with the room that it takes.
-pub struct Body {
+pub struct BufferedBody {
     /// Its bytes.
     pub bytes: Bytes,
-    _room: Taken,
+    _room: Reservation,
 }
 
-impl Body {
+impl BufferedBody {
     /// A body that takes so much room.
-    pub fn new(bytes: Bytes, room: Taken) -> Body {
-        Body { bytes, _room: room }
+    pub fn new(bytes: Bytes, room: Reservation) -> BufferedBody {
+        BufferedBody { bytes, _room: room }
     }
 }
 
@@ -87,11 +87,11 @@
     sockets: usize,
     memory_mb: usize,
     /// Callers' connections.
-    pub callers: Rc<Share>,
+    pub client_connections: Rc<ResourceQuota>,
     /// Connections to backends.
-    pub upstream: Rc<Share>,
+    pub backend_connections: Rc<ResourceQuota>,
     /// Bytes of bodies, from callers and from backends.
-    pub bytes: Rc<Share>,
+    pub buffered_bytes: Rc<ResourceQuota>,
     tuning: Cell<Tuning>,
     /// Other processes that the limits hold for as well.
     others: Cell<usize>,
@@ -100,13 +100,13 @@
 impl Limits {
     /// Shares out what the platform gives. Each open request holds a caller's connection and an upstream one.
     pub fn new(sockets: usize, memory_mb: usize) -> Rc<Limits> {
-        let share = || Share::new(0);
+        let share = || ResourceQuota::new(0);
         let limits = Limits {
             sockets,
             memory_mb,
-            callers: share(),
-            upstream: share(),
-            bytes: share(),
+            client_connections: share(),
+            backend_connections: share(),
+            buffered_bytes: share(),
             tuning: Cell::default(),
             others: Cell::default(),
         };
@@ -132,9 +132,9 @@
         let processes = others + 1;
         let side = (self.sockets / processes).saturating_sub(RESERVED_SOCKETS).max(2) / 2;
         let bytes = self.memory_mb.saturating_mul(1 << 20) / BODY_PART / processes;
-        self.callers.most.set(side);
-        self.upstream.most.set(side);
-        self.bytes.most.set(bytes.max(2 * self.tuning().held_most));
+        self.client_connections.most.set(side);
+        self.backend_connections.most.set(side);
+        self.buffered_bytes.most.set(bytes.max(2 * self.tuning().max_buffered_body));
     }
 }
 
@@ -144,24 +144,28 @@
 
     #[test]
     fn a_share_gives_no_more_than_it_has_and_takes_back_what_is_dropped() {
-        let share = Share::new(10);
-        let first = share.take(7).expect("there is room");
-        assert!(share.take(4).is_none() && share.take(usize::MAX).is_none());
-        let _second = share.take(3).expect("there is room");
+        let share = ResourceQuota::new(10);
+        let first = share.reserve(7).expect("there is room");
+        assert!(share.reserve(4).is_none() && share.reserve(usize::MAX).is_none());
+        let _second = share.reserve(3).expect("there is room");
         drop(first);
-        assert!(share.take(7).is_some());
+        assert!(share.reserve(7).is_some());
     }
 
     #[test]
     fn two_processes_together_hold_no_more_than_one() {
         let (alone, shared) = (Limits::new(384, 48), Limits::new(384, 48));
-        let held = |l: &Limits| l.callers.most() + l.upstream.most() + RESERVED_SOCKETS;
-        let taken = shared.callers.take(alone.callers.most()).expect("there is room");
+        let held =
+            |l: &Limits| l.client_connections.limit() + l.backend_connections.limit() + RESERVED_SOCKETS;
+        let taken =
+            shared.client_connections.reserve(alone.client_connections.limit()).expect("there is room");
         shared.share_with(1);
-        assert!(2 * held(&shared) <= 384 && 2 * shared.bytes.most() <= alone.bytes.most());
-        assert!(shared.callers.is_over() && shared.callers.take(1).is_none());
+        assert!(
+            2 * held(&shared) <= 384 && 2 * shared.buffered_bytes.limit() <= alone.buffered_bytes.limit()
+        );
+        assert!(shared.client_connections.is_exceeded() && shared.client_connections.reserve(1).is_none());
         drop(taken);
-        assert!(!shared.callers.is_over());
+        assert!(!shared.client_connections.is_exceeded());
         shared.share_with(0);
         assert_eq!(held(&shared), held(&alone));
     }
--- a/crates/proxy-core/src/metrics.rs
+++ b/crates/proxy-core/src/metrics.rs
@@ -14,7 +14,7 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestOutcome {
     /// A backend's answer went out whole.
     Answered,
     /// It was turned away; trying again is harmless.
@@ -35,7 +35,7 @@
 
 /// What the proxy knows of its backends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Cluster {
+pub struct ClusterSize {
     /// Backends in the list.
     pub size: usize,
     /// Those of them that are now avoided.
@@ -62,12 +62,12 @@
     }
 
     /// A request of a class ended.
-    pub fn count(&self, class: u8, how: Ending) {
+    pub fn count(&self, class: u8, how: RequestOutcome) {
         let Some(class) = self.classes.get(usize::from(class)) else { return };
         raise(match how {
-            Ending::Answered => &class.answered,
-            Ending::Deferred => &class.deferred,
-            Ending::Errored => &class.errored,
+            RequestOutcome::Answered => &class.answered,
+            RequestOutcome::Deferred => &class.deferred,
+            RequestOutcome::Errored => &class.errored,
         });
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// All figures, one a line.
-    pub fn render(&self, cluster: Cluster) -> String {
+    pub fn render(&self, cluster: ClusterSize) -> String {
         let mut text = String::new();
         for class in &self.classes {
             let counts = [
@@ -127,7 +127,7 @@
 
 impl InProgress {
     /// Counts how it ended.
-    pub fn end(self, how: Ending) {
+    pub fn end(self, how: RequestOutcome) {
         self.metrics.count(self.class, how);
     }
 }
@@ -149,12 +149,12 @@
             current: Cell::new(0),
         });
         let [first, second, left] = [0; 3].map(|class| metrics.begin(class));
-        first.end(Ending::Answered);
-        second.end(Ending::Errored);
-        metrics.count(0, Ending::Deferred);
+        first.end(RequestOutcome::Answered);
+        second.end(RequestOutcome::Errored);
+        metrics.count(0, RequestOutcome::Deferred);
         raise(&metrics.sends(0));
         metrics.unserved(0, UnservedReason::TenantQuota);
-        let cluster = Cluster { size: 7, unhealthy: 2 };
+        let cluster = ClusterSize { size: 7, unhealthy: 2 };
         let of = |current: u32| {
             format!(
                 "svc_answered{{group=\"a\\\"b\"}} 1\nsvc_deferred{{group=\"a\\\"b\"}} 1\n\
--- a/crates/proxy-core/src/pool.rs
+++ b/crates/proxy-core/src/pool.rs
@@ -17,22 +17,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolLimits {
     /// How long a connection rests after an answer.
-    pub rest: Duration,
+    pub min_rest: Duration,
     /// How long a connection is kept that carries nothing. Servers close them too, and a call that crosses such
     /// a close is lost, so this is well below their time.
-    pub idle_most: Duration,
+    pub max_idle: Duration,
     /// The most that are kept for one server while they carry nothing.
-    pub kept_most: usize,
+    pub max_idle_per_backend: usize,
     /// Waits for a rest within [`PINCH_TIME`] that are borne before another connection is opened.
-    pub pinches_most: u32,
+    pub max_waits: u32,
 }
 
 /// The time over which waits for a rest are counted.
-pub const PINCH_TIME: Duration = Duration::from_millis(250);
+pub const WAIT_MEMORY: Duration = Duration::from_millis(250);
 
 /// What is to be done for an attempt.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Choice<T> {
+pub enum Checkout<T> {
     /// This connection has rested. It must still be looked at: if it is not quiet, ask again.
     Reuse(T),
     /// All that there are rest; ask again after this time.
@@ -73,43 +73,43 @@
 
     /// Chooses for an attempt at a server, which listens at `address` now. `room` tells whether another
     /// connection could be opened without closing one; `waited`, whether this attempt has waited already.
-    pub fn choose(
+    pub fn check_out(
         &mut self,
         server: K,
         address: SocketAddr,
         now: Instant,
         room: bool,
         waited: bool,
-    ) -> Choice<T> {
-        let Some(of) = self.servers.get_mut(&server) else { return Choice::Open };
-        let (rest, idle_most) = (self.limits.rest, self.limits.idle_most);
+    ) -> Checkout<T> {
+        let Some(of) = self.servers.get_mut(&server) else { return Checkout::Open };
+        let (rest, idle_most) = (self.limits.min_rest, self.limits.max_idle);
         let age = |idle: &Idle<T>| now.saturating_duration_since(idle.since);
         of.idle.retain(|idle| idle.address == address && age(idle) < idle_most);
         // Of those that have rested, the one used last: the others can grow old, and be let go of.
         let rested = of.idle.partition_point(|idle| age(idle) >= rest);
         if let Some(last) = rested.checked_sub(1) {
             if let Some(idle) = of.idle.remove(last) {
-                return Choice::Reuse(idle.kept);
+                return Checkout::Reuse(idle.kept);
             }
         }
-        let Some(next) = of.idle.front() else { return Choice::Open };
+        let Some(next) = of.idle.front() else { return Checkout::Open };
         let left = rest.saturating_sub(age(next));
         if !waited {
-            if now.saturating_duration_since(of.pinched_at) >= PINCH_TIME {
+            if now.saturating_duration_since(of.pinched_at) >= WAIT_MEMORY {
                 of.pinches = 0;
                 of.pinched_at = now;
             }
             of.pinches = of.pinches.saturating_add(1);
         }
-        let grows = of.pinches > self.limits.pinches_most && of.idle.len() < self.limits.kept_most;
+        let grows = of.pinches > self.limits.max_waits && of.idle.len() < self.limits.max_idle_per_backend;
         if grows && room {
-            return Choice::Open;
+            return Checkout::Open;
         }
-        Choice::Wait(left)
+        Checkout::Wait(left)
     }
 
     /// Keeps a connection whose answer has just ended. Gives what has to be let go of for it, if anything.
-    pub fn keep(&mut self, server: K, address: SocketAddr, kept: T, now: Instant) -> Option<T> {
+    pub fn check_in(&mut self, server: K, address: SocketAddr, kept: T, now: Instant) -> Option<T> {
         let of = self.servers.entry(server).or_insert_with(|| Server {
             idle: VecDeque::new(),
             pinches: 0,
@@ -118,18 +118,18 @@
         // Guards the order against a caller whose clock reading is older than the last.
         let since = of.idle.back().map_or(now, |last| last.since.max(now));
         of.idle.push_back(Idle { kept, address, since });
-        let over = of.idle.len() > self.limits.kept_most;
+        let over = of.idle.len() > self.limits.max_idle_per_backend;
         over.then(|| of.idle.pop_front()).flatten().map(|idle| idle.kept)
     }
 
     /// Lets go of all connections to a server.
-    pub fn forget(&mut self, server: K) {
+    pub fn remove(&mut self, server: K) {
         self.servers.remove(&server);
     }
 
     /// Lets go of the connections to a server that have carried nothing since then: one that is silent there
     /// was likely cut off, and its other connections look alive for ever.
-    pub fn forget_before(&mut self, server: K, then: Instant) {
+    pub fn remove_older_than(&mut self, server: K, then: Instant) {
         if let Some(of) = self.servers.get_mut(&server) {
             of.idle.retain(|idle| idle.since > then);
         }
@@ -137,11 +137,11 @@
 
     /// Lets go of what is too old, or what `is_alive` says is dead.
     pub fn expire(&mut self, now: Instant, mut is_alive: impl FnMut(&T) -> bool) {
-        let idle_most = self.limits.idle_most;
+        let idle_most = self.limits.max_idle;
         self.servers.retain(|_, of| {
             of.idle
                 .retain(|idle| now.saturating_duration_since(idle.since) < idle_most && is_alive(&idle.kept));
-            !of.idle.is_empty() || now.saturating_duration_since(of.pinched_at) < PINCH_TIME
+            !of.idle.is_empty() || now.saturating_duration_since(of.pinched_at) < WAIT_MEMORY
         });
     }
 
@@ -168,10 +168,10 @@
     use super::*;
 
     const LIMITS: PoolLimits = PoolLimits {
-        rest: Duration::from_millis(2),
-        idle_most: Duration::from_secs(1),
-        kept_most: 3,
-        pinches_most: 2,
+        min_rest: Duration::from_millis(2),
+        max_idle: Duration::from_secs(1),
+        max_idle_per_backend: 3,
+        max_waits: 2,
     };
 
     fn at(port: u16) -> SocketAddr {
@@ -185,7 +185,7 @@
     fn pool(kept: &[(u32, u64)]) -> (Pool<u8, u32>, Instant) {
         let (mut pool, start) = (Pool::new(LIMITS), Instant::now());
         for (n, after) in kept {
-            assert_eq!(pool.keep(1, at(1), *n, start + ms(*after)), None);
+            assert_eq!(pool.check_in(1, at(1), *n, start + ms(*after)), None);
         }
         (pool, start)
     }
@@ -193,37 +193,41 @@
     #[test]
     fn a_connection_rests_before_it_is_used_again_and_the_one_used_last_goes_first() {
         let (mut pool, start) = pool(&[(10, 0), (11, 1), (12, 3)]);
-        assert_eq!(pool.choose(1, at(1), start + ms(4), true, false), Choice::Reuse(11));
-        assert_eq!(pool.choose(1, at(1), start + ms(4), true, false), Choice::Reuse(10));
-        assert_eq!(pool.choose(1, at(1), start + ms(4), true, false), Choice::Wait(ms(1)));
-        assert_eq!(pool.choose(1, at(1), start + ms(5), true, true), Choice::Reuse(12));
-        assert_eq!(pool.choose(1, at(1), start + ms(5), true, false), Choice::Open);
+        assert_eq!(pool.check_out(1, at(1), start + ms(4), true, false), Checkout::Reuse(11));
+        assert_eq!(pool.check_out(1, at(1), start + ms(4), true, false), Checkout::Reuse(10));
+        assert_eq!(pool.check_out(1, at(1), start + ms(4), true, false), Checkout::Wait(ms(1)));
+        assert_eq!(pool.check_out(1, at(1), start + ms(5), true, true), Checkout::Reuse(12));
+        assert_eq!(pool.check_out(1, at(1), start + ms(5), true, false), Checkout::Open);
     }
 
     #[test]
     fn only_repeated_waits_open_another_and_only_where_there_is_room() {
         let (mut pool, start) = pool(&[(10, 0)]);
         for _ in 0..2 {
-            assert_eq!(pool.choose(1, at(1), start, true, false), Choice::Wait(ms(2)));
+            assert_eq!(pool.check_out(1, at(1), start, true, false), Checkout::Wait(ms(2)));
             // One attempt that asks again is no second sign of want.
-            assert_eq!(pool.choose(1, at(1), start + ms(1), true, true), Choice::Wait(ms(1)));
+            assert_eq!(pool.check_out(1, at(1), start + ms(1), true, true), Checkout::Wait(ms(1)));
         }
-        assert_eq!(pool.choose(1, at(1), start, false, false), Choice::Wait(ms(2)));
-        assert_eq!(pool.choose(1, at(1), start, true, false), Choice::Open);
+        assert_eq!(pool.check_out(1, at(1), start, false, false), Checkout::Wait(ms(2)));
+        assert_eq!(pool.check_out(1, at(1), start, true, false), Checkout::Open);
         // Old waits are forgotten.
-        let later = start + PINCH_TIME;
-        assert_eq!(pool.keep(1, at(1), 11, later), None);
-        assert_eq!(pool.choose(1, at(1), later, true, false), Choice::Reuse(10));
-        assert_eq!(pool.choose(1, at(1), later, true, false), Choice::Wait(ms(2)));
+        let later = start + WAIT_MEMORY;
+        assert_eq!(pool.check_in(1, at(1), 11, later), None);
+        assert_eq!(pool.check_out(1, at(1), later, true, false), Checkout::Reuse(10));
+        assert_eq!(pool.check_out(1, at(1), later, true, false), Checkout::Wait(ms(2)));
     }
 
     #[test]
     fn a_server_has_so_many_kept_and_the_oldest_goes() {
         let (mut pool, start) = pool(&[(10, 0), (11, 0), (12, 0)]);
         for _ in 0..9 {
-            assert_eq!(pool.choose(1, at(1), start, true, false), Choice::Wait(ms(2)), "no more than three");
+            assert_eq!(
+                pool.check_out(1, at(1), start, true, false),
+                Checkout::Wait(ms(2)),
+                "no more than three"
+            );
         }
-        assert_eq!(pool.keep(1, at(1), 13, start), Some(10));
+        assert_eq!(pool.check_in(1, at(1), 13, start), Some(10));
         assert_eq!(pool.len(), 3);
     }
 
@@ -234,18 +238,18 @@
         assert_eq!(dead.len(), 2);
         dead.expire(start + ms(1_000), |_| true);
         assert_eq!(dead.len(), 1);
-        dead.forget_before(1, start + ms(500));
+        dead.remove_older_than(1, start + ms(500));
         assert!(dead.is_empty() && dead.shed().is_none());
         let (mut moved, start) = pool(&[(10, 0)]);
         assert_eq!(
-            moved.choose(1, at(2), start + ms(9), true, false),
-            Choice::Open,
+            moved.check_out(1, at(2), start + ms(9), true, false),
+            Checkout::Open,
             "it listens elsewhere now"
         );
         let (mut old, start) = pool(&[(10, 0)]);
         assert_eq!(
-            old.choose(1, at(1), start + ms(1_000), true, false),
-            Choice::Open,
+            old.check_out(1, at(1), start + ms(1_000), true, false),
+            Checkout::Open,
             "it may be closed by now"
         );
     }
@@ -253,7 +257,7 @@
     #[test]
     fn the_one_that_was_idle_longest_gives_way_whatever_its_server() {
         let (mut pool, start) = pool(&[(10, 5), (11, 6)]);
-        pool.keep(2, at(2), 20, start);
+        pool.check_in(2, at(2), 20, start);
         assert_eq!(
             [pool.shed(), pool.shed(), pool.shed(), pool.shed()],
             [Some(20), Some(10), Some(11), None]
@@ -263,8 +267,8 @@
     #[test]
     fn a_clock_that_goes_back_keeps_the_order() {
         let (mut pool, start) = pool(&[(10, 5)]);
-        pool.keep(1, at(1), 11, start);
-        assert_eq!(pool.choose(1, at(1), start + ms(6), true, false), Choice::Wait(ms(1)));
-        assert_eq!(pool.choose(1, at(1), start + ms(7), true, true), Choice::Reuse(11));
+        pool.check_in(1, at(1), 11, start);
+        assert_eq!(pool.check_out(1, at(1), start + ms(6), true, false), Checkout::Wait(ms(1)));
+        assert_eq!(pool.check_out(1, at(1), start + ms(7), true, true), Checkout::Reuse(11));
     }
 }
--- a/crates/proxy-core/tests/fleet.rs
+++ b/crates/proxy-core/tests/fleet.rs
@@ -7,7 +7,7 @@
 use common::{backends, settings};
 use hillstall_decision::Balancer;
 use hillstall_decision::{Action, Event, ListKind, Millis, Settings};
-use hillstall_proxy_core::discovery::ANSWER;
+use hillstall_proxy_core::discovery::RESPONSE_TIMEOUT;
 
 /// A service that handles calls one after another. It answers what has waited up to so long, refuses at once what
 /// would have to wait longer, and does not see that a caller has given up.
@@ -94,7 +94,7 @@
 #[test]
 fn a_whole_fleet_hears_of_the_servers_again_from_a_service_that_is_slow() {
     for seed in 0..5 {
-        let all = heard(40, ANSWER.as_secs_f64() * 1000.0, seed);
+        let all = heard(40, RESPONSE_TIMEOUT.as_secs_f64() * 1000.0, seed);
         let last = all.iter().map(|at| at.unwrap_or(f64::MAX)).fold(0.0, f64::max);
         // 40 calls take 9.6 s one after another, from 2 s on.
         assert!(last < 20_000.0, "seed {seed}: the last copy heard after {last} ms");
