--- a/crates/hillstall/src/admin.rs
+++ b/crates/hillstall/src/admin.rs
@@ -1,10 +1,10 @@
 //! The second address: one line a connection, for those who operate the proxy.
 
+use hillstall_http1::client::HttpClient;
 use hillstall_http1::front::Server;
-use hillstall_http1::upstream::Upstream;
 use hillstall_proxy_core::driver::Driver;
 use hillstall_proxy_core::lifecycle::{Lifecycle, Phase};
-use hillstall_proxy_core::limits::ADMIN_MOST;
+use hillstall_proxy_core::limits::MAX_ADMIN_CONNECTIONS;
 use hillstall_proxy_core::metrics::Metrics;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -28,7 +28,7 @@
     /// The figures of `INFO`.
     pub metrics: Rc<Metrics>,
     /// Knows the backends.
-    pub driver: Rc<Driver<Upstream>>,
+    pub driver: Rc<Driver<HttpClient>>,
     /// Knows whether clients can be served.
     pub server: Rc<Server>,
     /// The fleet's part, where it is on.
@@ -50,7 +50,7 @@
                 }
             };
             calls.retain(|call| !call.is_finished());
-            if calls.len() >= ADMIN_MOST {
+            if calls.len() >= MAX_ADMIN_CONNECTIONS {
                 if let Some(oldest) = calls.pop_front() {
                     oldest.abort();
                 }
--- a/crates/hillstall/src/config.rs
+++ b/crates/hillstall/src/config.rs
@@ -1,7 +1,7 @@
 //! What the platform tells a proxy: `NODE_CONFIG` and the environment.
 
 use hillstall_decision::Settings;
-use hillstall_proxy_core::endpoints::List;
+use hillstall_proxy_core::endpoints::EndpointList;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
     /// Memory that the process may hold.
     pub memory_mb: usize,
     /// The backends as this proxy had them last.
-    pub known: List,
+    pub known: EndpointList,
     /// The module's settings.
     pub settings: Settings,
 }
@@ -39,7 +39,7 @@
     #[serde(default)]
     limits: RawLimits,
     #[serde(default)]
-    known: List,
+    known: EndpointList,
     settings: Value,
 }
 
--- a/crates/hillstall/src/coordination.rs
+++ b/crates/hillstall/src/coordination.rs
@@ -4,8 +4,8 @@
 use hillstall_coordination::settings::Settings as Section;
 use hillstall_coordination::{Advisory, CoordinationHandle, InstanceLocation, LoadReport, SiteCounts};
 use hillstall_decision::Settings;
-use hillstall_http1::upstream::Upstream;
-use hillstall_proxy_core::driver::{Driver, ToZone};
+use hillstall_http1::client::HttpClient;
+use hillstall_proxy_core::driver::{Driver, ZoneTraffic};
 use hillstall_proxy_core::lifecycle::{Lifecycle, Phase};
 use hillstall_proxy_core::metrics::Metrics;
 use std::collections::BTreeMap;
@@ -47,7 +47,7 @@
 /// What the calls' loop has for the fleet.
 pub struct Calls {
     /// Takes hints, and knows what was sent where.
-    pub driver: Rc<Driver<Upstream>>,
+    pub driver: Rc<Driver<HttpClient>>,
     /// Knows what was refused.
     pub metrics: Rc<Metrics>,
     /// Whether this copy takes clients.
@@ -64,7 +64,7 @@
         hints: UnboundedReceiver<Advisory>,
         settings: &Settings,
     ) {
-        self.driver.count_zones(settings.zones.len());
+        self.driver.track_zones(settings.zones.len());
         let calls = Rc::new(self);
         let front = (settings.stage == 0).then(|| Front::new(settings));
         spawn_local(calls.clone().report(fleet, settings.zones.clone()));
@@ -73,12 +73,12 @@
 
     async fn report(self: Rc<Calls>, fleet: Rc<CoordinationHandle>, zones: Vec<String>) {
         let mut tick = interval(REPORT);
-        let (mut zones_before, mut before) = (self.driver.to_zones(), self.metrics.ended());
+        let (mut zones_before, mut before) = (self.driver.zone_traffic(), self.metrics.ended());
         let mut since = Instant::now();
         tick.tick().await;
         loop {
             tick.tick().await;
-            let (zones_now, now) = (self.driver.to_zones(), self.metrics.ended());
+            let (zones_now, now) = (self.driver.zone_traffic(), self.metrics.ended());
             let counted = zones.iter().zip(zones_now.iter().zip(&zones_before));
             let sites: BTreeMap<String, SiteCounts> =
                 counted.map(|(zone, (now, before))| (zone.clone(), counts(now, before))).collect();
@@ -136,11 +136,11 @@
                         continue;
                     }
                     parts.insert(zone, part);
-                    self.driver.site_part(zone, part, 0.0);
+                    self.driver.set_zone_fraction(zone, part, 0.0);
                 }
                 _ = again.tick() => {
                     for (zone, part) in parts.iter().filter(|(_, part)| **part < 1.0) {
-                        self.driver.site_part(*zone, *part, 0.0);
+                        self.driver.set_zone_fraction(*zone, *part, 0.0);
                     }
                 }
             }
@@ -148,13 +148,13 @@
     }
 }
 
-fn counts(now: &ToZone, before: &ToZone) -> SiteCounts {
+fn counts(now: &ZoneTraffic, before: &ZoneTraffic) -> SiteCounts {
     let (used, told) = (now.busy.0 - before.busy.0, now.busy.1 - before.busy.1);
     let busy = if told > 0 { (100.0 * used / told as f64).clamp(0.0, 100.0) as u8 } else { u8::MAX };
     SiteCounts {
         sent: (now.sent - before.sent) as u32,
         served: (now.answered - before.answered) as u32,
-        unanswered: (now.silent - before.silent) as u32,
+        unanswered: (now.unanswered - before.unanswered) as u32,
         utilization_percent: busy,
         // The fleet's part knows what it has ordered here.
         fraction: 0,
--- a/crates/hillstall/src/main.rs
+++ b/crates/hillstall/src/main.rs
@@ -18,10 +18,10 @@
 use cli::{exit, Command, Set, What};
 use config::Config;
 use handover::Handover;
+use hillstall_http1::client::HttpClient;
 use hillstall_http1::discovery::HttpDiscovery;
 use hillstall_http1::front::Server;
-use hillstall_http1::upstream::Upstream;
-use hillstall_proxy_core::driver::{Driver, Start};
+use hillstall_proxy_core::driver::{Driver, DriverConfig};
 use hillstall_proxy_core::lifecycle::Lifecycle;
 use hillstall_proxy_core::limits::Limits;
 use hillstall_proxy_core::metrics::Metrics;
@@ -64,15 +64,15 @@
     let limits = Limits::new(config.sockets, config.memory_mb);
     limits.tune(keys::tuning(&operator));
     let (connect_ms, idle_ms) = (allowed.connect_timeout_ms, allowed.idle_close_ms);
-    let upstream = Rc::new(Upstream::new(limits.clone(), connect_ms, idle_ms, settings.report.clone()));
+    let upstream = Rc::new(HttpClient::new(limits.clone(), connect_ms, idle_ms, settings.report.clone()));
     let (lifecycle, metrics) = (Lifecycle::new(), Metrics::new(&settings.classes));
     let knows_some = !config.known.endpoints.is_empty();
-    let start = Start {
+    let start = DriverConfig {
         settings: config.settings,
         seed: config.seed,
-        known: config.known,
+        known_endpoints: config.known,
         discovery: config.discovery,
-        max_open: limits.callers.most(),
+        max_open_requests: limits.client_connections.limit(),
     };
     let driver = Driver::start(start, upstream.clone(), Rc::new(HttpDiscovery), metrics.clone());
     let reloads = Reloads {
@@ -147,8 +147,8 @@
 struct Reloads {
     set: Set,
     operator: RefCell<Operator>,
-    driver: Rc<Driver<Upstream>>,
-    upstream: Rc<Upstream>,
+    driver: Rc<Driver<HttpClient>>,
+    upstream: Rc<HttpClient>,
     limits: Rc<Limits>,
     fleet: Option<Rc<hillstall_coordination::CoordinationHandle>>,
 }
@@ -160,7 +160,7 @@
             fleet.on_signal("SIGHUP");
         }
         match config::reload(environment) {
-            Ok(discovery) => self.driver.follow(discovery),
+            Ok(discovery) => self.driver.set_discovery(discovery),
             Err(why) => tracing::error!("not reloaded: {why}"),
         }
         let new = match commands::operator(&self.set) {
--- a/crates/hillstall/src/platform.rs
+++ b/crates/hillstall/src/platform.rs
@@ -3,7 +3,7 @@
 
 use crate::config;
 use crate::operator::line_of;
-use hillstall_proxy_core::endpoints::List;
+use hillstall_proxy_core::endpoints::EndpointList;
 use hillstall_simulation::site;
 use serde_json::{Map, Value};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -89,7 +89,7 @@
     };
     for (n, entry) in entries.iter().enumerate() {
         let one = serde_json::json!({"index": 0, "snapshot": true, "endpoints": [entry]});
-        if let Err(e) = serde_path_to_error::deserialize::<_, List>(one) {
+        if let Err(e) = serde_path_to_error::deserialize::<_, EndpointList>(one) {
             let mut steps = vec![key("known"), key("endpoints"), Step::At(n)];
             let path = e.path().to_string();
             if let Some(field) = path.rsplit('.').next().filter(|field| entry.get(field).is_some()) {
--- a/crates/http1/src/conn.rs
+++ b/crates/http1/src/backend_connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a backend, and the exchanges on it.
 
-use crate::body::{Outgoing, Rest};
-use crate::io::{Io, Wire};
+use crate::request_body::{Outgoing, Rest};
+use crate::stream::{Io, Wire};
 use bytes::Bytes;
 use hillstall_proxy_core::limits::{BufferedBody, Limits, Reservation};
 use hillstall_proxy_core::tuning::Tuning;
@@ -27,12 +27,16 @@
     protocol: Pin<Box<Connection<Io, Outgoing>>>,
     over: bool,
     wire: Rc<Wire>,
-    _counted: Taken,
+    _counted: Reservation,
 }
 
 impl Conn {
     /// Opens the protocol on a stream.
-    pub async fn open(stream: TcpStream, counted: Taken, tuning: &Tuning) -> Result<Conn, hyper::Error> {
+    pub async fn open(
+        stream: TcpStream,
+        counted: Reservation,
+        tuning: &Tuning,
+    ) -> Result<Conn, hyper::Error> {
         let wire = Wire::new(stream, tuning);
         let opened = Builder::new().max_buf_size(tuning.read_ahead).handshake(Io(wire.clone())).await;
         let (sender, protocol) = opened?;
@@ -104,7 +108,7 @@
     /// All of it.
     Whole(BufferedBody),
     /// The first pieces of a long one.
-    Begun(Rest, Taken),
+    Begun(Rest, Reservation),
 }
 
 /// Reads a body, until it is whole or begins to pass. What tells no length may be long: after a short while
--- a/crates/http1/src/upstream.rs
+++ b/crates/http1/src/client.rs
@@ -1,10 +1,10 @@
 //! Attempts at backends, and the pool of connections to them.
 
-use crate::body::Outgoing;
-use crate::conn::{Conn, Exchanged, Gathered};
-use crate::download::Download;
+use crate::backend_connection::{Conn, Exchanged, Gathered};
+use crate::load_report::Reports;
 use crate::message::{Answer, AnswerBody, Inbound, Payload, TIMEOUT_HEADER};
-use crate::report::Reports;
+use crate::request_body::Outgoing;
+use crate::response_body::Download;
 use hillstall_decision::{BackendId, Outcome, ReportField};
 use hillstall_proxy_core::connect_hedging::ConnectHedging;
 use hillstall_proxy_core::driver::SendPermit;
@@ -54,7 +54,7 @@
 }
 
 /// Carries calls to backends over HTTP/1.1.
-pub struct Upstream {
+pub struct HttpClient {
     pool: RefCell<Pool<BackendId, Conn>>,
     connects: RefCell<ConnectHedging<BackendId>>,
     limits: Rc<Limits>,
@@ -63,7 +63,7 @@
     reports: Reports,
 }
 
-impl Upstream {
+impl HttpClient {
     /// A carrier whose connections count against these limits. Those that carry nothing are dropped at half of
     /// the time at which backends close them: a request that crosses such a close would be lost.
     pub fn new(
@@ -71,11 +71,11 @@
         connect_ms: f64,
         idle_close_ms: f64,
         fields: Vec<ReportField>,
-    ) -> Upstream {
+    ) -> HttpClient {
         let span = |ms: f64| Duration::from_secs_f64(ms.clamp(0.0, 3.6e6) / 1000.0);
         let idle_most = span(idle_close_ms / 2.0);
         let pool = Pool::new(pool_limits(&limits.tuning(), idle_most));
-        Upstream {
+        HttpClient {
             pool: RefCell::new(pool),
             connects: RefCell::default(),
             idle_most,
@@ -132,7 +132,7 @@
         backend: BackendId,
         address: SocketAddr,
         until: Instant,
-        permit: &Rc<SendPermit<Upstream>>,
+        permit: &Rc<SendPermit<HttpClient>>,
     ) -> Result<Conn, Outcome> {
         let patience = self.connects.borrow_mut().hedge_delay(&backend);
         let (sender, mut ended) = mpsc::unbounded_channel();
@@ -206,7 +206,7 @@
     }
 
     /// Checks a backend once, on a connection of its own.
-    async fn check(&self, address: SocketAddr, path: &'static str) -> AttemptResult<Upstream> {
+    async fn check(&self, address: SocketAddr, path: &'static str) -> AttemptResult<HttpClient> {
         let until = Instant::now() + self.connect_timeout * 2;
         let mut conn = match self.connect(address, until).await {
             Ok(conn) => conn,
@@ -236,14 +236,14 @@
     }
 }
 
-impl Transport for Upstream {
+impl Transport for HttpClient {
     type Request = Inbound;
     type Response = Answer;
     type InvalidRequest = StatusCode;
 
     /// One attempt of a request, which ends at its deadline or after its `most`. When this returns, the
     /// request is no longer out on any open connection.
-    async fn attempt(self: Rc<Self>, attempt: Attempt<Upstream>) -> AttemptResult<Upstream> {
+    async fn attempt(self: Rc<Self>, attempt: Attempt<HttpClient>) -> AttemptResult<HttpClient> {
         let Attempt { request: call, backend, address, deadline, timeout: most, sent_counter: sends, permit } =
             attempt;
         let inbound = &*call;
@@ -344,7 +344,7 @@
         }
     }
 
-    async fn probe(self: Rc<Self>, address: SocketAddr, report: bool) -> AttemptResult<Upstream> {
+    async fn probe(self: Rc<Self>, address: SocketAddr, report: bool) -> AttemptResult<HttpClient> {
         self.check(address, if report { LOAD_PATH } else { ALIVE_PATH }).await
     }
 
--- a/crates/http1/src/discovery.rs
+++ b/crates/http1/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery as the platform speaks it: JSON lists over HTTP/1.1, whole or as a watch on changes.
 
-use crate::io::{Io, Wire};
+use crate::stream::{Io, Wire};
 use bytes::Bytes;
 use hillstall_proxy_core::discovery::{BoxFuture, Discovery, RESPONSE_TIMEOUT};
 use hillstall_proxy_core::endpoints::EndpointList;
--- a/crates/http1/src/front/record.rs
+++ b/crates/http1/src/front/access_log.rs
@@ -1,6 +1,6 @@
 //! One record of the log for each call, where the operator asks for it.
 
-use crate::upstream::Upstream;
+use crate::client::HttpClient;
 use hillstall_decision::Outcome;
 use hillstall_proxy_core::driver::{FinalResponse, RequestTrace};
 use std::time::{Duration, Instant};
@@ -22,7 +22,7 @@
 }
 
 /// Why a call ended as it did, in one word.
-pub(super) fn end(answer: &FinalResponse<Upstream>) -> &'static str {
+pub(super) fn end(answer: &FinalResponse<HttpClient>) -> &'static str {
     match answer {
         FinalResponse::Served(_) => "served",
         FinalResponse::Rejected(_) => "refused",
--- a/crates/http1/src/front/caller.rs
+++ b/crates/http1/src/front/client_connection.rs
@@ -1,7 +1,7 @@
 //! One caller's connection, and what is known of it.
 
-use crate::body::Upload;
-use crate::io::Wire;
+use crate::request_body::Upload;
+use crate::stream::Wire;
 use hillstall_proxy_core::limits::{self, Reservation};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -34,7 +34,7 @@
     /// Nothing of the protocol is held for it at the moment.
     pub(super) parked: Cell<bool>,
     pub(super) close: Notify,
-    pub(super) _counted: Taken,
+    pub(super) _counted: Reservation,
 }
 
 impl Caller {
--- a/crates/http1/src/front/mod.rs
+++ b/crates/http1/src/front/mod.rs
@@ -1,14 +1,14 @@
 //! The callers' side: connections, `/up`, and the orderly end. What happens with one call is in `call`.
 
-mod call;
-mod caller;
-mod head;
-mod record;
-mod reply;
+mod access_log;
+mod client_connection;
+mod request;
+mod request_head;
+mod response;
 
-use crate::io::{Io, Wire};
-use crate::upstream::Upstream;
-use caller::{Caller, Closing};
+use crate::client::HttpClient;
+use crate::stream::{Io, Wire};
+use client_connection::{Caller, Closing};
 use hillstall_decision::{Class, Settings, Tenant};
 use hillstall_proxy_core::driver::Driver;
 use hillstall_proxy_core::lifecycle::Lifecycle;
@@ -48,8 +48,8 @@
 
 /// Serves callers.
 pub struct Server {
-    driver: Rc<Driver<Upstream>>,
-    upstream: Rc<Upstream>,
+    driver: Rc<Driver<HttpClient>>,
+    upstream: Rc<HttpClient>,
     classes: Vec<Class>,
     tenants: Vec<Tenant>,
     /// The name of the tier this proxy sends to, for the log.
@@ -71,8 +71,8 @@
 impl Server {
     /// A server for the callers of a deployment.
     pub fn new(
-        driver: Rc<Driver<Upstream>>,
-        upstream: Rc<Upstream>,
+        driver: Rc<Driver<HttpClient>>,
+        upstream: Rc<HttpClient>,
         limits: Rc<Limits>,
         (lifecycle, metrics): (Rc<Lifecycle>, Rc<Metrics>),
         settings: &Settings,
@@ -259,7 +259,7 @@
 
     /// Enters a connection among the callers. That is done before anything else is accepted: a burst of
     /// connections that nobody knows of yet would be taken for callers that can't give way.
-    fn enter(&self, stream: TcpStream, counted: Taken) -> (u64, Rc<Caller>) {
+    fn enter(&self, stream: TcpStream, counted: Reservation) -> (u64, Rc<Caller>) {
         let caller = Rc::new(Caller {
             wire: Wire::for_caller(stream, &self.limits.tuning()),
             taken: Cell::new(false),
--- a/crates/http1/src/front/call.rs
+++ b/crates/http1/src/front/request.rs
@@ -1,13 +1,13 @@
 //! One call: from its head to its final answer.
 
-use super::caller::Caller;
-use super::head::{single, Bad, OpenId, REQUEST_ID};
-use super::record::{self, Record};
-use super::reply::{ended, plain, refusal, Reading, Replied, Reply};
+use super::access_log::{self, Record};
+use super::client_connection::Caller;
+use super::request_head::{single, Bad, OpenId, REQUEST_ID};
+use super::response::{ended, plain, refusal, Reading, Replied, Reply};
 use super::{Server, TIDY};
-use crate::body::{discard, Rest, Upload};
-use crate::conn::joined;
+use crate::backend_connection::joined;
 use crate::message::{AnswerBody, Inbound, Payload};
+use crate::request_body::{discard, Rest, Upload};
 use bytes::Bytes;
 use hillstall_proxy_core::driver::FinalResponse;
 use hillstall_proxy_core::lifecycle::Phase;
@@ -151,7 +151,7 @@
                 class: self.classes.get(usize::from(class)).map(|c| c.name.clone()).unwrap_or_default(),
                 tenant: self.tenants.get(usize::from(tenant)).map(|t| t.name.clone()).unwrap_or_default(),
                 tier: self.tier.clone(),
-                end: record::end(&ended.response),
+                end: access_log::end(&ended.response),
                 status: 0,
                 course: ended.trace,
                 begun,
--- a/crates/http1/src/front/reply.rs
+++ b/crates/http1/src/front/response.rs
@@ -1,8 +1,8 @@
 //! Replies to callers.
 
-use super::caller::Caller;
-use super::record::Record;
-use crate::download::{Download, Passed};
+use super::access_log::Record;
+use super::client_connection::Caller;
+use crate::response_body::{Download, Passed};
 use bytes::Bytes;
 use hillstall_proxy_core::metrics::{InProgress, RequestOutcome};
 use http_body_util::Full;
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -2,13 +2,13 @@
 //! platform's discovery service. How messages are framed is hyper's; what is added here is what the rules need:
 //! whether the last byte of a call was written, what came behind an answer, and bounds on all that is held.
 
-pub mod body;
-pub mod conn;
+pub mod backend_connection;
+pub mod client;
 pub mod discovery;
-pub mod download;
 pub mod framing;
 pub mod front;
-pub mod io;
+pub mod load_report;
 pub mod message;
-pub mod report;
-pub mod upstream;
+pub mod request_body;
+pub mod response_body;
+pub mod stream;
--- a/crates/http1/src/message.rs
+++ b/crates/http1/src/message.rs
@@ -1,8 +1,8 @@
 //! Calls and answers in the form of HTTP.
 
-use crate::body::Upload;
-use crate::download::Download;
-use crate::io::Length;
+use crate::request_body::Upload;
+use crate::response_body::Download;
+use crate::stream::Length;
 use hillstall_proxy_core::limits::BufferedBody;
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::http::uri::PathAndQuery;
@@ -48,7 +48,7 @@
 
 impl hillstall_proxy_core::transport::RequestPayload for Inbound {
     fn is_consumed(&self) -> bool {
-        matches!(&self.body, Payload::Passing(upload) if upload.is_consumed())
+        matches!(&self.body, Payload::Passing(upload) if upload.is_spent())
     }
 
     fn completed_at(&self) -> Option<Instant> {
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/request_body.rs
@@ -1,7 +1,7 @@
 //! A caller's body on its way to a backend. One too long to be held is pulled by the side that writes, so nothing
 //! is read before there is room for it.
 
-use crate::io::Wire;
+use crate::stream::Wire;
 use bytes::Bytes;
 use hillstall_proxy_core::limits::Reservation;
 use http_body_util::Full;
@@ -79,12 +79,12 @@
     pulled: Cell<Instant>,
     ended: Rc<Cell<bool>>,
     length: Option<u64>,
-    _room: Taken,
+    _room: Reservation,
 }
 
 impl Upload {
     /// The body of a caller that waits so long for an answer once all of it is sent.
-    pub fn new(wire: Rc<Wire>, timeout: Duration, rest: Rest, room: Taken) -> Rc<Upload> {
+    pub fn new(wire: Rc<Wire>, timeout: Duration, rest: Rest, room: Reservation) -> Rc<Upload> {
         Rc::new(Upload {
             wire,
             timeout,
--- a/crates/http1/src/download.rs
+++ b/crates/http1/src/response_body.rs
@@ -1,8 +1,8 @@
 //! A backend's answer too long to be held, on its way back to the caller: pulled by the caller's side, with the
 //! connection it comes on.
 
-use crate::body::Rest;
-use crate::conn::Conn;
+use crate::backend_connection::Conn;
+use crate::request_body::Rest;
 use bytes::Bytes;
 use hillstall_proxy_core::limits::Reservation;
 use hyper::body::{Body, Frame, SizeHint};
@@ -32,7 +32,7 @@
     passed: Passed,
     stall: Option<Pin<Box<Sleep>>>,
     stall_most: Duration,
-    _room: Taken,
+    _room: Reservation,
 }
 
 impl Download {
@@ -40,7 +40,7 @@
     pub fn new(
         rest: Rest,
         conn: Conn,
-        room: Taken,
+        room: Reservation,
         stall_most: Duration,
         keep: impl FnOnce(Conn) + 'static,
     ) -> Download {
