--- a/crates/change-freeze/src/detection.rs
+++ b/crates/change-freeze/src/detection.rs
@@ -62,13 +62,13 @@
 /// The limits of all signs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
-    /// See [`Sign::Lost`].
+    /// See [`Symptom::Unanswered`].
     pub unanswered: Threshold,
-    /// See [`Sign::Refused`].
+    /// See [`Symptom::Rejected`].
     pub rejected: Threshold,
-    /// See [`Sign::Failed`].
+    /// See [`Symptom::Failed`].
     pub failed: Threshold,
-    /// See [`Sign::Margin`].
+    /// See [`Symptom::QuorumMargin`].
     pub quorum_margin: Threshold,
 }
 
--- a/crates/change-freeze/src/lib.rs
+++ b/crates/change-freeze/src/lib.rs
@@ -3,9 +3,9 @@
 //!
 //! - [`scope`]: what a change or an incident touches, and whether two of them meet.
 //! - [`rules`]: which changes an incident bars; the one table of precedence.
-//! - [`register`]: the state that the keepers agree on. What must never be wrong is held here, whatever any coordinator
+//! - [`state`]: the state that the keepers agree on. What must never be wrong is held here, whatever any coordinator
 //!   believes: no permit while it conflicts, no two in flight whose scopes meet, no incident forgotten.
-//! - [`detect`]: what a coordinator makes of the copies' reports.
+//! - [`detection`]: what a coordinator makes of the copies' reports.
 
 pub mod detection;
 pub mod rules;
--- a/crates/change-freeze/src/state.rs
+++ b/crates/change-freeze/src/state.rs
@@ -10,9 +10,9 @@
 
 /// Most incidents, changes and lines of the record that are kept: what a snapshot carries is bounded.
 pub const MAX_INCIDENTS: usize = 256;
-/// See [`INCIDENTS_MOST`].
+/// See [`MAX_INCIDENTS`].
 pub const MAX_CHANGES: usize = 256;
-/// See [`INCIDENTS_MOST`]; the oldest go first.
+/// See [`MAX_INCIDENTS`]; the oldest go first.
 pub const MAX_AUDIT_RECORDS: usize = 512;
 /// Longest time that a change may ask for: a day.
 pub const MAX_CHANGE_DURATION_MS: Millis = 86_400_000;
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -3,8 +3,8 @@
 //! simulated time.
 //!
 //! - [`state`]: the one state that is agreed on: duties, windows, incidents and permits.
-//! - [`keeper`]: the part of the three or five copies that agree, by a consensus crate, over a log on a [`disk`].
-//! - [`member`]: what every copy does: it stands for duties, carries out orders, and learns the state.
+//! - [`replica`]: the part of the three or five copies that agree, by a consensus crate, over a log on a [`storage`].
+//! - [`node`]: what every copy does: it stands for duties, carries out orders, and learns the state.
 //! - [`frame`]: what copies send each other.
 
 mod follower_streams;
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,5 +1,5 @@
 //! What every copy does for the fleet: it stands for duties, carries out orders, reports, and learns the state. Keepers
-//! hold a [`Keeper`]; all others follow one of them.
+//! hold a [`Replica`]; all others follow one of them.
 
 use crate::follower_streams::FollowerStreams;
 use crate::frame::{Frame, StreamItem};
@@ -384,7 +384,7 @@
         }
     }
 
-    /// A person, or the shell, wants something; [`Out::Done`] tells what became of it.
+    /// A person, or the shell, wants something; [`Output::Answered`] tells what became of it.
     pub fn request(&mut self, now: Millis, ticket: u64, command: Command) {
         self.propose(now, command, ProposalOrigin::Line(ticket), LINE_FOR);
     }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -40,13 +40,13 @@
 pub enum MembershipMessage {
     /// Who one is, and what one's disk holds.
     Announce {
-        /// See [`Kept::id`].
+        /// See [`PersistentState::id`].
         id: u64,
-        /// See [`Kept::boot`].
+        /// See [`PersistentState::boot`].
         boot: u64,
         /// Drawn at each start: a disk that was put back may count the same start again.
         incarnation: u64,
-        /// See [`Kept::founders`].
+        /// See [`PersistentState::founders`].
         founders: Vec<u64>,
     },
     /// That start is the newest known, and is known from now on.
@@ -550,7 +550,7 @@
         }
     }
 
-    /// Asks for a true read under a number; [`News::Read`] tells when the state is new enough.
+    /// Asks for a true read under a number; [`ReplicaEvent::Read`] tells when the state is new enough.
     pub fn read_index(&mut self, number: u64) {
         if !self.may_speak() {
             return;
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -26,17 +26,17 @@
 /// What changes at once, or not at all.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WriteBatch {
-    /// See [`Kept::boot`].
+    /// See [`PersistentState::boot`].
     pub boot: Option<u64>,
-    /// See [`Kept::founders`].
+    /// See [`PersistentState::founders`].
     pub founders: Option<Vec<u64>>,
-    /// See [`Kept::takes_part`].
+    /// See [`PersistentState::participates`].
     pub participates: Option<bool>,
-    /// See [`Kept::hard`].
+    /// See [`PersistentState::hard_state`].
     pub hard_state: Option<Vec<u8>>,
-    /// Adds to [`Kept::seen`].
+    /// Adds to [`PersistentState::known_boots`].
     pub known_boots: BTreeMap<u64, u64>,
-    /// See [`Kept::snapshot`].
+    /// See [`PersistentState::snapshot`].
     pub snapshot: Option<Vec<u8>>,
     /// Entries from this index on go first,
     pub truncate_from: Option<u64>,
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,7 +1,7 @@
 //! The fleet's part of a copy on sockets and disk: one loop on one thread of its own, beside the loop that carries calls.
 //! The two speak by messages and neither waits for the other. Whatever is decided is decided in `hillstall-consensus`.
 //!
-//! [`settings`] reads the section `[fleet]` of the operator file; [`start`] begins; [`Handle`] is what the calls' loop has.
+//! [`settings`] reads the section `[fleet]` of the operator file; [`start`] begins; [`CoordinationHandle`] is what the calls' loop has.
 
 mod admin_commands;
 mod calendar;
--- a/crates/decision/src/action.rs
+++ b/crates/decision/src/action.rs
@@ -37,7 +37,7 @@
         /// The number of the attempt.
         attempt: u8,
     },
-    /// Ask for an [`Event::Timer`].
+    /// Ask for an [`Event::Timer`](crate::Event::Timer).
     SetTimer {
         /// From now.
         after_ms: Millis,
--- a/crates/decision/src/event.rs
+++ b/crates/decision/src/event.rs
@@ -68,7 +68,7 @@
     },
     /// A timer of this balancer fell due.
     Timer {
-        /// The token given with [`Action::SetTimer`].
+        /// The token given with [`Action::SetTimer`](crate::Action::SetTimer).
         token: u64,
     },
     /// A probe ended. No decision reads it: the module sends none.
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -10,7 +10,7 @@
 pub enum RetrySafety {
     /// Safe to repeat anywhere, at any time.
     Idempotent,
-    /// Carries a key: a [`Scope`] of backends drops repeats for [`Class::window_ms`].
+    /// Carries a key: a [`DedupScope`] of backends drops repeats for [`Class::dedup_window_ms`].
     IdempotencyKey,
     /// Must never run twice.
     NonIdempotent,
@@ -49,7 +49,7 @@
     pub dedup_scope: DedupScope,
     /// For keyed classes: for how long, from the send of the first attempt that may have run.
     pub dedup_window_ms: Millis,
-    /// Its answers are streams: [`Event::FirstByte`] comes. No decision reads it.
+    /// Its answers are streams: [`Event::FirstByte`](crate::Event::FirstByte) comes. No decision reads it.
     pub streaming: bool,
 }
 
@@ -129,13 +129,13 @@
 /// What this deployment permits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Permissions {
-    /// [`Action::Cancel`] may be used.
+    /// [`Action::Cancel`](crate::Action::Cancel) may be used.
     pub cancel: bool,
-    /// [`Action::Probe`] may be used. No decision reads it.
+    /// [`Action::Probe`](crate::Action::Probe) may be used. No decision reads it.
     pub probe: bool,
     /// Two attempts of one request may be out at once. No decision reads it.
     pub parallel: bool,
-    /// Clients are told [`Action::Refuse::retry_after_ms`].
+    /// Clients are told [`Action::Reject::retry_after_ms`](crate::Action::Reject::retry_after_ms).
     pub retry_after: bool,
     /// The longest such wait that a client follows.
     pub max_retry_after_ms: Millis,
@@ -143,11 +143,11 @@
     pub max_attempts: u32,
     /// The most requests a copy holds at once. No decision reads it: more never reach the copy.
     pub max_open: u32,
-    /// [`Action::Message`] may be used. No decision reads it: copies share nothing.
+    /// [`Action::Message`](crate::Action::Message) may be used. No decision reads it: copies share nothing.
     pub peer_messages: bool,
     /// Connections close after this long without use. No decision reads it.
     pub idle_close_ms: Millis,
-    /// An attempt without a connection by then ends as [`Outcome::ConnectFailed`]. No decision reads it.
+    /// An attempt without a connection by then ends as [`Outcome::ConnectFailed`](crate::Outcome::ConnectFailed). No decision reads it.
     pub connect_timeout_ms: Millis,
     /// Attempts that one connection carries at once. No decision reads it.
     pub streams_per_connection: u32,
@@ -226,7 +226,7 @@
     pub caches_keys: bool,
     /// Whether clients mark what they send again. No decision reads it.
     pub marks_retry: bool,
-    /// Whether list changes come only after [`Action::Subscribe`].
+    /// Whether list changes come only after [`Action::Subscribe`](crate::Action::Subscribe).
     pub must_subscribe: bool,
     /// Worth goes by work, as told by the hint, and not by request. No decision reads it.
     pub weight_by_work: bool,
--- a/crates/decision/src/types.rs
+++ b/crates/decision/src/types.rs
@@ -9,7 +9,7 @@
 /// Identifies a backend; survives a restart of its process.
 pub type BackendId = u32;
 
-/// A load report: the first `len` values count, in the order of [`Settings::report`].
+/// A load report: the first `len` values count, in the order of [`Settings::report`](crate::Settings::report).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// How many values there are; 0 where no report came.
@@ -42,13 +42,13 @@
     pub cell: u16,
     /// May it be sent to?
     pub state: BackendState,
-    /// Relative size, as [`Settings::weights`] says.
+    /// Relative size, as [`Settings::weights`](crate::Settings::weights) says.
     pub rating: f64,
     /// Clock time of its last start; `None` if long ago.
     pub started_at: Option<Millis>,
 }
 
-/// What a [`Event::BackendsChanged`] carries.
+/// What a [`Event::EndpointsChanged`](crate::Event::EndpointsChanged) carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the changed entries.
--- a/crates/lease/src/fencing.rs
+++ b/crates/lease/src/fencing.rs
@@ -86,7 +86,7 @@
     }
 
     /// Whether the order may be carried out, without taking it: gives the floor that has to be stored first, where the
-    /// copy has a disk. [`Gates::take`] takes it then.
+    /// copy has a disk. [`FencingChecks::accept`] takes it then.
     pub fn check(&self, order: &FencedCommand<T>) -> Result<MinimumToken, FencingError> {
         let Some(floor) = self.minimums.get(&order.lease) else { return Err(FencingError::NoMinimumToken) };
         if order.token < floor.token {
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -3,13 +3,13 @@
 //!
 //! Four parts, each where its promise is kept:
 //!
-//! - [`book`]: who holds which duty, as the keepers agree on it. It knows no clock: what lapses is proposed to it.
-//! - [`watch`]: when a keeper that leads proposes so; all keepers wait by their own monotonic clocks, with [`timers`].
-//! - [`hold`]: what a copy knows of a duty that it holds or stands for; it gives up before it could be given away.
-//! - [`gate`]: what carries out orders. It refuses those of an older owner, whatever that owner believes.
+//! - [`table`]: who holds which duty, as the keepers agree on it. It knows no clock: what lapses is proposed to it.
+//! - [`expiry`]: when a keeper that leads proposes so; all keepers wait by their own monotonic clocks, with [`timers`].
+//! - [`session`]: what a copy knows of a duty that it holds or stands for; it gives up before it could be given away.
+//! - [`fencing`]: what carries out orders. It refuses those of an older owner, whatever that owner believes.
 //!
 //! A lease bounds how long the others wait; the token bounds the harm. Where clocks run apart by more than
-//! [`terms::Terms`] states, two copies may believe that they hold one duty; the gates still act in the order of the
+//! [`timing::LeaseTiming`] states, two copies may believe that they hold one duty; the gates still act in the order of the
 //! tokens.
 
 pub mod expiry;
--- a/crates/lease/src/table.rs
+++ b/crates/lease/src/table.rs
@@ -7,7 +7,7 @@
 
 /// Most duties of a fleet, and most copies that stand for one: what a snapshot carries is bounded.
 pub const MAX_LEASES: usize = 1_024;
-/// See [`DUTIES_MOST`].
+/// See [`MAX_LEASES`].
 pub const MAX_CANDIDATES_PER_LEASE: usize = 64;
 
 /// A duty given to a copy.
@@ -62,7 +62,7 @@
         lease: LeaseName,
         /// Who.
         instance: Instance,
-        /// See [`Standing::rank`].
+        /// See [`Candidate::rank`].
         rank: u8,
     },
     /// The holder goes on.
--- a/crates/maintenance/src/calendar.rs
+++ b/crates/maintenance/src/calendar.rs
@@ -23,15 +23,15 @@
     pub time_zone: TimeZone,
     /// From one start to the next; once if absent.
     pub interval: Option<Span>,
-    /// See [`Plan`].
+    /// See [`WindowPlan`].
     pub duration: Millis,
-    /// See [`Plan`].
+    /// See [`WindowPlan`].
     pub lead_time: Millis,
-    /// See [`Plan`].
+    /// See [`WindowPlan`].
     pub max_delay: Millis,
-    /// See [`Plan`].
+    /// See [`WindowPlan`].
     pub reserve_percent: u8,
-    /// See [`Plan`].
+    /// See [`WindowPlan`].
     pub overrun_policy: OverrunPolicy,
 }
 
--- a/crates/maintenance/src/windows.rs
+++ b/crates/maintenance/src/windows.rs
@@ -131,7 +131,7 @@
     Admit {
         /// Which.
         window: Number,
-        /// See [`Window::usual`].
+        /// See [`Window::baseline_rate`].
         baseline_rate: u64,
     },
     /// The owner: it can't begin in time, or must not begin.
--- a/crates/proxy-core/src/lib.rs
+++ b/crates/proxy-core/src/lib.rs
@@ -2,7 +2,7 @@
 //! time, one outcome for each attempt, and nothing to a server that drains.
 //!
 //! A *front* takes calls and hands them to the [`driver::Driver`]; the driver tells the decision module; the
-//! module says which server is to be tried; a [`carrier::Carrier`] carries the call there and says how that
+//! module says which server is to be tried; a [`transport::Transport`] carries the call there and says how that
 //! ended. Fronts and carriers speak a protocol, and bring payloads and answers of its own. Nothing here knows
 //! any of them, and nothing here decides anything about a call.
 
--- a/crates/proxy-core/src/limits.rs
+++ b/crates/proxy-core/src/limits.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// A part of a [`Share`], given back when dropped.
+/// A part of a [`ResourceQuota`], given back when dropped.
 pub struct Reservation {
     share: Rc<ResourceQuota>,
     amount: usize,
--- a/crates/proxy-core/src/pool.rs
+++ b/crates/proxy-core/src/pool.rs
@@ -23,7 +23,7 @@
     pub max_idle: Duration,
     /// The most that are kept for one server while they carry nothing.
     pub max_idle_per_backend: usize,
-    /// Waits for a rest within [`PINCH_TIME`] that are borne before another connection is opened.
+    /// Waits for a rest within [`WAIT_MEMORY`] that are borne before another connection is opened.
     pub max_waits: u32,
 }
 
