--- a/crates/decision/src/choice.rs
+++ b/crates/decision/src/choice.rs
@@ -5,7 +5,10 @@
 //! exceed a node's count is refused unsent. The counts are learned. The backend is then drawn at random,
 //! weighted by rating, warmth, feedback and load. Where it departs from this, the comment says when.
 
-use crate::*;
+use crate::{
+    Action, BackendId, BackendInfo, BackendState, DedupScope, Event, ListKind, LoadReport, Millis, Outcome,
+    ReportField, RequestId, RetrySafety, Rules, Settings, Tenant, UnservedReason,
+};
 use hillstall_overload::capacity::OverloadedCapacity;
 use hillstall_overload::zone_traffic::ZoneFractions;
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
--- a/crates/proxy-core/src/driver.rs
+++ b/crates/proxy-core/src/driver.rs
@@ -8,7 +8,10 @@
 use crate::metrics::{ClusterSize, Metrics};
 use crate::transport::{Attempt, AttemptResult, RequestPayload, Transport};
 use hillstall_decision::Balancer;
-use hillstall_decision::*;
+use hillstall_decision::{
+    Action, BackendId, BackendInfo, Event, ListKind, LoadReport, Millis, Outcome, ReportField, ReportVia,
+    RequestId, Settings, UnservedReason,
+};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,10 @@
 //! Reads the settings of the decision module, as the platform writes them in JSON. Every value is checked
 //! here, and an error names its key, so that the module can rely on what it is given.
 
-use hillstall_decision::*;
+use hillstall_decision::{
+    Class, DedupScope, Objective, Permissions, Prices, ReportField, ReportVia, RetrySafety, Rules, Settings,
+    Tenant, Weights,
+};
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer};
 
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -3,7 +3,9 @@
 //! Nothing here decides anything. Frames are big-endian and unpadded; every read is checked against the
 //! frame's end, so a malformed frame is an error and never a wrong event or a large allocation.
 
-use hillstall_decision::*;
+use hillstall_decision::{
+    Action, BackendInfo, BackendState, Event, ListKind, LoadReport, Millis, Outcome, RequestId,
+};
 use std::fmt;
 
 /// Bytes in the header of a batch.
