--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -4,7 +4,8 @@
 //! [`settings`] reads the section `[fleet]` of the operator file; [`start`] begins; [`Handle`] is what the calls' loop has.
 
 mod calendar;
-mod disk;
+#[doc(hidden)]
+pub mod disk;
 mod lines;
 mod links;
 pub mod settings;
