--- a/crates/fleet/tests/replica_store.rs
+++ b/crates/fleet/tests/replica_store.rs
@@ -1,8 +1,119 @@
-//! A replica's file: what was saved is there after a start, and a file that is torn is put aside.
+//! A replica's file: what was saved is there after a start, and a file that an earlier version wrote is read to the byte.
+//! `fixtures/keeper-1.redb` was written by a replica of three; a test opens a copy of it and never writes it.
 
 use hillstall_fleet::disk::{NoDisk, RedbDisk};
-use hillstall_quorum::disk::{Change, Disk};
+use hillstall_freeze::register::Stand;
+use hillstall_quorum::disk::{Change, Disk, Kept};
+use hillstall_quorum::keeper::Keeper;
+use hillstall_quorum::log::Log;
+use hillstall_quorum::state::{Proposal, State};
+use protobuf::Message as _;
+use raft::eraftpb::{Entry, EntryType, HardState};
+use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use std::collections::BTreeMap;
+use std::fmt::Write;
+use std::path::{Path, PathBuf};
+use tempfile::TempDir;
+
+const FILE: &[u8] = include_bytes!("fixtures/keeper-1.redb");
+/// All that is in the file, one value a line: a name, then the bytes.
+const CONTENT: &str = include_str!("fixtures/keeper-1.txt");
+const FILE_NAME: &str = "keeper-1.redb";
+const SLOT: usize = 1;
+const REPLICAS: usize = 3;
+
+const META: TableDefinition<'_, &str, Vec<u8>> = TableDefinition::new("meta");
+const LOG: TableDefinition<'_, u64, Vec<u8>> = TableDefinition::new("log");
+
+const ID: u64 = 0x1_b8db_d0f9;
+const BOOT: u64 = 2;
+const FOUNDERS: [u64; REPLICAS] = [0x6f3b_9246, ID, 0x2_5402_d36a];
+const SEEN: [(u64, u64); 2] = [(0x6f3b_9246, 2), (0x2_5402_d36a, 2)];
+/// Term, vote and commit.
+const HARD: (u64, u64, u64) = (3, ID, 277);
+const SNAPSHOT_INDEX: u64 = 257;
+/// The first and the last index.
+const ENTRIES: (u64, u64) = (194, 277);
+
+/// The bytes of a text of hexadecimal digits.
+fn bytes_of(hex: &str) -> Vec<u8> {
+    assert!(hex.len().is_multiple_of(2), "half a byte: {hex}");
+    let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
+    (0..hex.len()).step_by(2).map(digits).collect()
+}
+
+fn hex_of(bytes: &[u8]) -> String {
+    bytes.iter().fold(String::new(), |mut text, byte| {
+        let _ = write!(text, "{byte:02x}");
+        text
+    })
+}
+
+fn content() -> BTreeMap<String, Vec<u8>> {
+    let line = |line: &str| {
+        let (name, hex) = line.split_once(' ').expect("a name and its bytes");
+        (name.to_owned(), bytes_of(hex))
+    };
+    CONTENT.lines().map(line).collect()
+}
+
+/// What is in the file itself: the content without what follows from it.
+fn stored() -> BTreeMap<String, Vec<u8>> {
+    content().into_iter().filter(|(name, _)| name.starts_with("meta/") || name.starts_with("log/")).collect()
+}
+
+fn pinned(name: &str) -> Vec<u8> {
+    content().remove(name).unwrap_or_else(|| panic!("no line {name}"))
+}
+
+/// A folder with a copy of the file.
+fn copied() -> (TempDir, PathBuf) {
+    let folder = tempfile::tempdir().expect("a folder");
+    let path = folder.path().join(FILE_NAME);
+    std::fs::write(&path, FILE).expect("it is copied");
+    (folder, path)
+}
+
+/// All values of all tables of a file.
+fn tables(path: &Path) -> BTreeMap<String, Vec<u8>> {
+    let base = Database::open(path).expect("it opens");
+    let reading = base.begin_read().expect("it is read");
+    let mut names: Vec<String> =
+        reading.list_tables().expect("it has tables").map(|t| t.name().to_owned()).collect();
+    names.sort();
+    assert_eq!(names, ["log", "meta"]);
+    let mut values = BTreeMap::new();
+    for entry in reading.open_table(META).expect("it is there").iter().expect("it is read") {
+        let (key, value) = entry.expect("it is read");
+        values.insert(format!("meta/{}", key.value()), value.value());
+    }
+    for entry in reading.open_table(LOG).expect("it is there").iter().expect("it is read") {
+        let (index, value) = entry.expect("it is read");
+        values.insert(format!("log/{:06}", index.value()), value.value());
+    }
+    values
+}
+
+fn assert_same(found: &BTreeMap<String, Vec<u8>>, expected: &BTreeMap<String, Vec<u8>>) {
+    assert_eq!(found.keys().collect::<Vec<_>>(), expected.keys().collect::<Vec<_>>());
+    for (name, bytes) in expected {
+        assert_eq!(hex_of(&found[name]), hex_of(bytes), "{name}");
+    }
+}
+
+fn load(folder: &TempDir) -> Kept {
+    let mut disk = RedbDisk::open(folder.path(), SLOT).expect("it opens");
+    disk.load().expect("it is read")
+}
+
+fn entries(kept: &Kept) -> BTreeMap<u64, Entry> {
+    let entry = |(index, bytes): (&u64, &Vec<u8>)| {
+        let entry = Entry::parse_from_bytes(bytes).expect("it is an entry");
+        assert_eq!(hex_of(&entry.write_to_bytes().expect("it is written")), hex_of(bytes), "entry {index}");
+        (*index, entry)
+    };
+    kept.entries.iter().map(entry).collect()
+}
 
 #[test]
 fn what_was_saved_is_there_after_a_start_and_nothing_else() {
@@ -15,10 +126,7 @@
     disk.save(change).expect("it is written");
     let cut = Change { cut_from: Some(8), cut_to: Some(5), seen: [(3, 4)].into(), ..Change::default() };
     disk.save(cut).expect("it is written");
-    assert!(
-        matches!(RedbDisk::open(folder.path(), 1), Err(NoDisk::Taken)),
-        "two processes never share it"
-    );
+    assert!(matches!(RedbDisk::open(folder.path(), 1), Err(NoDisk::Taken)), "two processes never share it");
     drop(disk);
     let mut again = RedbDisk::open(folder.path(), 1).expect("it opens");
     let kept = again.load().expect("it is read");
@@ -43,3 +151,133 @@
         assert_ne!(disk.load().map(|kept| kept.id).unwrap_or(0), id);
     }
 }
+
+#[test]
+fn the_tables_of_a_stored_file_hold_what_they_held() {
+    let (_folder, path) = copied();
+    assert_same(&tables(&path), &stored());
+}
+
+#[test]
+fn a_stored_file_is_loaded_whole() {
+    let (folder, path) = copied();
+    let kept = load(&folder);
+    assert_eq!((kept.id, kept.boot, kept.takes_part), (ID, BOOT, true));
+    assert_eq!(kept.founders, FOUNDERS);
+    assert_eq!(kept.seen, SEEN.into());
+    assert_eq!(hex_of(&kept.hard), hex_of(&pinned("meta/hard")));
+    assert_eq!(hex_of(&kept.snapshot), hex_of(&pinned("meta/snapshot")));
+    let logged = |(index, bytes): (&u64, &Vec<u8>)| (format!("log/{index:06}"), bytes.clone());
+    let expected = stored().into_iter().filter(|(name, _)| name.starts_with("log/")).collect();
+    assert_same(&kept.entries.iter().map(logged).collect(), &expected);
+    assert_same(&tables(&path), &stored());
+}
+
+#[test]
+fn the_vote_of_a_stored_file_is_read() {
+    let (folder, _) = copied();
+    let hard = HardState::parse_from_bytes(&load(&folder).hard).expect("it is a vote");
+    assert_eq!((hard.term, hard.vote, hard.commit), HARD);
+}
+
+#[test]
+fn the_log_of_a_stored_file_leads_to_the_same_state() {
+    let (folder, _) = copied();
+    let kept = load(&folder);
+    let log = Log::read(&kept).expect("it is a log");
+    assert_eq!(log.members().voters, FOUNDERS);
+    let (index, snapshot) = log.state();
+    assert_eq!((index, log.last()), (SNAPSHOT_INDEX, ENTRIES.1));
+    assert_eq!(hex_of(snapshot), hex_of(&pinned("state/snapshot")));
+    let mut state = State::from_bytes(snapshot).expect("it is a state");
+    assert_eq!(hex_of(&state.to_bytes()), hex_of(snapshot));
+    let entries = entries(&kept);
+    assert_eq!(
+        (entries.keys().min().copied(), entries.keys().max().copied()),
+        (Some(ENTRIES.0), Some(ENTRIES.1))
+    );
+    for (at, entry) in entries {
+        assert_eq!((entry.index, entry.entry_type), (at, EntryType::EntryNormal));
+        if entry.data.is_empty() {
+            continue;
+        }
+        let (proposal, rest) = postcard::take_from_bytes::<Proposal>(&entry.data).expect("it is a proposal");
+        assert!(rest.is_empty(), "entry {at} has more bytes than a proposal");
+        assert_eq!(hex_of(&postcard::to_stdvec(&proposal).expect("it is written")), hex_of(&entry.data));
+        if at > index {
+            state.apply(at, &proposal);
+        }
+    }
+    assert_eq!(hex_of(&state.to_bytes()), hex_of(&pinned("state/after-all-entries")));
+}
+
+#[test]
+fn the_snapshot_of_a_stored_file_has_something_in_each_part() {
+    let (folder, _) = copied();
+    let log = Log::read(&load(&folder)).expect("it is a log");
+    let state = State::from_bytes(log.state().1).expect("it is a state");
+    assert!(state.book().duties().any(|(_, grant, waiting)| grant.is_some() && waiting.len() > 1));
+    assert!(state.register().incidents().len() > 1);
+    let has = |stand: Stand| state.register().changes().values().any(|change| change.stand == stand);
+    assert!(has(Stand::Waits) && has(Stand::InFlight) && has(Stand::Half));
+    assert!(state.windows().all().values().any(|window| window.stage.is_away() && window.overrun));
+}
+
+#[test]
+fn a_replica_starts_from_a_stored_file() {
+    let (folder, path) = copied();
+    let disk = RedbDisk::open(folder.path(), SLOT).expect("it opens");
+    let replica = Keeper::start(SLOT, REPLICAS, disk, 7, 0);
+    assert_eq!((replica.halted(), replica.id(), replica.applied()), (None, ID, SNAPSHOT_INDEX));
+    assert_eq!(replica.members(), FOUNDERS);
+    assert_eq!(hex_of(&replica.state().to_bytes()), hex_of(&pinned("state/snapshot")));
+    drop(replica);
+    let mut expected = stored();
+    expected.insert("meta/head".into(), pinned("head/after-start"));
+    assert_same(&tables(&path), &expected);
+}
+
+#[test]
+fn what_is_saved_today_has_the_bytes_of_the_stored_file() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let mut disk = RedbDisk::open(folder.path(), SLOT).expect("it opens");
+    disk.load().expect("it is new");
+    let (stored_folder, _) = copied();
+    let kept = load(&stored_folder);
+    let change = Change {
+        boot: Some(kept.boot),
+        founders: Some(kept.founders),
+        takes_part: Some(kept.takes_part),
+        hard: Some(kept.hard),
+        seen: kept.seen,
+        snapshot: Some(kept.snapshot),
+        entries: kept.entries,
+        ..Change::default()
+    };
+    disk.save(change).expect("it is written");
+    drop(disk);
+    let mut found = tables(&folder.path().join(FILE_NAME));
+    // The id is drawn for each new file; what stands before and behind it is the same.
+    let (new, old) = (found.remove("meta/head").expect("it is there"), pinned("meta/head"));
+    let behind_id = |head: &[u8]| {
+        let (_, rest) = postcard::take_from_bytes::<(u8, u64)>(head).expect("a version and an id");
+        rest.to_vec()
+    };
+    assert_eq!(new[0], old[0], "the version");
+    assert_eq!(hex_of(&behind_id(&new)), hex_of(&behind_id(&old)));
+    let mut expected = stored();
+    expected.remove("meta/head");
+    assert_same(&found, &expected);
+}
+
+#[test]
+fn a_file_that_is_renewed_stays_beside_the_new_one() {
+    let (folder, path) = copied();
+    let mut disk = RedbDisk::open(folder.path(), SLOT).expect("it opens");
+    disk.load().expect("it is read");
+    let renewed = disk.renew().expect("it is renewed");
+    assert!(renewed.id != ID && renewed.id >> 32 == SLOT as u64);
+    drop(disk);
+    assert_same(&tables(&folder.path().join("keeper-1.old")), &stored());
+    assert_eq!(tables(&path).into_keys().collect::<Vec<_>>(), ["meta/head"]);
+}
--- /dev/null
+++ b/crates/quorum/tests/samples/mod.rs
@@ -0,0 +1,88 @@
+//! Values built by hand, each with the name of its line in `fixtures/messages.txt`. Numbers and texts differ within a
+//! value, so that two fields that change places show.
+
+pub mod freeze;
+pub mod history;
+pub mod lease;
+pub mod maintenance;
+pub mod quorum;
+
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use std::fmt::Debug;
+
+/// Tells whether some bytes are read as a certain value.
+type CheckDecoding = Box<dyn Fn(&[u8]) -> Result<(), String>>;
+
+/// A value as it is encoded today, and how to tell whether some bytes are read as that value.
+pub struct Sample {
+    /// The name of its line.
+    pub name: String,
+    /// What the value is encoded to.
+    pub encoded: Vec<u8>,
+    decodes_from: CheckDecoding,
+}
+
+impl Sample {
+    /// Whether these bytes are read as the value, and nothing is left over.
+    pub fn check_decoding(&self, bytes: &[u8]) -> Result<(), String> {
+        (self.decodes_from)(bytes)
+    }
+
+    /// A value that is stored or sent as a part of others.
+    pub fn of<T>(name: &str, value: T) -> Sample
+    where
+        T: Serialize + DeserializeOwned + PartialEq + Debug + 'static,
+    {
+        let encoded = postcard::to_stdvec(&value).expect("it is encoded");
+        let decodes_from = move |bytes: &[u8]| {
+            let (read, rest) = postcard::take_from_bytes::<T>(bytes).map_err(|error| error.to_string())?;
+            check_equal(&read, &value)?;
+            check_equal(&rest.len(), &0)
+        };
+        Sample { name: name.to_owned(), encoded, decodes_from: Box::new(decodes_from) }
+    }
+
+    /// A whole frame, with its version.
+    pub fn of_frame(name: &str, value: hillstall_quorum::frame::Frame) -> Sample {
+        let encoded = value.encode();
+        let decodes_from = move |bytes: &[u8]| {
+            let read = hillstall_quorum::frame::Frame::decode(bytes).map_err(|error| error.to_string())?;
+            check_equal(&read, &value)?;
+            check_equal(&read.encode().as_slice(), &bytes)
+        };
+        Sample { name: name.to_owned(), encoded, decodes_from: Box::new(decodes_from) }
+    }
+}
+
+fn check_equal<T: PartialEq + Debug>(read: &T, expected: &T) -> Result<(), String> {
+    if read == expected {
+        return Ok(());
+    }
+    Err(format!("read as {read:?}, not {expected:?}"))
+}
+
+/// One sample of each variant of an enum. A variant that is not listed does not compile.
+macro_rules! each_variant {
+    ($make:path, $type:ty { $($name:literal: $pattern:pat => $value:expr),+ $(,)? }) => {{
+        fn name_of(value: &$type) -> &'static str {
+            match value {
+                $($pattern => $name,)+
+            }
+        }
+        let samples: Vec<(&'static str, $type)> = vec![$(($name, $value)),+];
+        for (name, value) in &samples {
+            assert_eq!(name_of(value), *name, "the value is of another variant than its name says");
+        }
+        samples.into_iter().map(|(name, value)| $make(name, value)).collect::<Vec<_>>()
+    }};
+}
+pub(crate) use each_variant;
+
+/// All samples, in the order of the fixture's lines.
+pub fn all() -> Vec<Sample> {
+    [lease::samples(), freeze::samples(), maintenance::samples(), quorum::samples()]
+        .into_iter()
+        .flatten()
+        .collect()
+}
--- /dev/null
+++ b/crates/quorum/tests/stored_bytes.rs
@@ -0,0 +1,125 @@
+//! What is stored and what processes send each other is pinned to the byte: an instance of another version reads it, so
+//! names in the code may change, and no byte may. The files in `fixtures` are never written by a test.
+
+mod samples;
+
+use hillstall_quorum::state::{Proposal, State};
+use samples::history::{self, Applied};
+use std::collections::BTreeSet;
+use std::fmt::Write;
+
+const MESSAGES: &str = include_str!("fixtures/messages.txt");
+const HISTORY: &str = include_str!("fixtures/history.txt");
+const SNAPSHOT: &str = include_str!("fixtures/snapshot.txt");
+
+/// The bytes of a text of hexadecimal digits.
+fn bytes_of(hex: &str) -> Vec<u8> {
+    assert!(hex.len().is_multiple_of(2), "half a byte: {hex}");
+    let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
+    (0..hex.len()).step_by(2).map(digits).collect()
+}
+
+fn hex_of(bytes: &[u8]) -> String {
+    bytes.iter().fold(String::new(), |mut text, byte| {
+        let _ = write!(text, "{byte:02x}");
+        text
+    })
+}
+
+/// The lines of `messages.txt`: a name, then the bytes.
+fn messages() -> Vec<(&'static str, Vec<u8>)> {
+    let line = |line: &'static str| {
+        let (name, hex) = line.split_once(' ').expect("a name and its bytes");
+        (name, bytes_of(hex))
+    };
+    MESSAGES.lines().map(line).collect()
+}
+
+/// The lines of `history.txt`: an index, the bytes of the proposal, the bytes of its outcome.
+fn stored_history() -> Vec<(u64, Vec<u8>, Vec<u8>)> {
+    let line = |line: &str| {
+        let words: Vec<&str> = line.split(' ').collect();
+        let [index, proposal, outcome] = words.as_slice() else { panic!("no entry: {line}") };
+        (index.parse().expect("an index"), bytes_of(proposal), bytes_of(outcome))
+    };
+    HISTORY.lines().map(line).collect()
+}
+
+fn snapshot() -> Vec<u8> {
+    bytes_of(SNAPSHOT.trim_end())
+}
+
+#[test]
+fn each_value_is_encoded_to_its_bytes_and_read_from_them() {
+    let (lines, samples) = (messages(), samples::all());
+    let names: Vec<&str> = lines.iter().map(|(name, _)| *name).collect();
+    let sampled: Vec<&str> = samples.iter().map(|sample| sample.name.as_str()).collect();
+    assert_eq!(names, sampled, "each line has its value");
+    assert_eq!(names.iter().collect::<BTreeSet<_>>().len(), names.len(), "a name stands once");
+    let mut wrong = Vec::new();
+    for ((name, bytes), sample) in lines.iter().zip(&samples) {
+        if sample.encoded != *bytes {
+            wrong.push(format!("{name}: {} is written as {}", hex_of(bytes), hex_of(&sample.encoded)));
+        }
+        if let Err(why) = sample.check_decoding(bytes) {
+            wrong.push(format!("{name}: {why}"));
+        }
+    }
+    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+}
+
+#[test]
+fn bytes_that_differ_are_seen() {
+    for sample in samples::all() {
+        let longer = [sample.encoded.as_slice(), &[0]].concat();
+        assert!(sample.check_decoding(&longer).is_err(), "{}: one byte more", sample.name);
+        let Some((last, first)) = sample.encoded.split_last() else { panic!("{}: no bytes", sample.name) };
+        assert!(sample.check_decoding(first).is_err(), "{}: one byte less", sample.name);
+        let other = [first, &[last ^ 1]].concat();
+        assert!(sample.check_decoding(&other).is_err(), "{}: another byte", sample.name);
+    }
+}
+
+#[test]
+fn stored_proposals_lead_to_their_outcomes_and_to_the_snapshot() {
+    let mut state = State::default();
+    for (index, proposal, outcome) in stored_history() {
+        let (read, rest) = postcard::take_from_bytes::<Proposal>(&proposal).expect("it is read");
+        assert!(rest.is_empty(), "entry {index} has more bytes than a proposal");
+        let became = state.apply(index, &read);
+        let written = postcard::to_stdvec(&became).expect("it is written");
+        assert_eq!(hex_of(&written), hex_of(&outcome), "entry {index}: {read:?} became {became:?}");
+        assert_eq!(postcard::from_bytes(&outcome), Ok(became), "entry {index}");
+    }
+    assert_eq!(hex_of(&state.to_bytes()), hex_of(&snapshot()));
+    assert_eq!(State::from_bytes(&snapshot()), Ok(state));
+}
+
+#[test]
+fn the_history_built_by_hand_is_the_stored_one() {
+    let history = history::whole();
+    let stored = stored_history();
+    assert_eq!(history.applied.len(), stored.len());
+    for (Applied { index, proposal, outcome }, (at, proposal_bytes, outcome_bytes)) in
+        history.applied.iter().zip(&stored)
+    {
+        assert_eq!(index, at);
+        let written = postcard::to_stdvec(proposal).expect("it is written");
+        assert_eq!(hex_of(&written), hex_of(proposal_bytes), "entry {index}: {proposal:?}");
+        let written = postcard::to_stdvec(outcome).expect("it is written");
+        assert_eq!(hex_of(&written), hex_of(outcome_bytes), "entry {index}: {outcome:?}");
+    }
+    assert_eq!(hex_of(&history.state.to_bytes()), hex_of(&snapshot()));
+}
+
+#[test]
+fn a_snapshot_is_read_and_written_to_the_same_bytes() {
+    let state = State::from_bytes(&snapshot()).expect("it is read");
+    assert_eq!(hex_of(&state.to_bytes()), hex_of(&snapshot()));
+    assert_eq!(state, history::whole().state);
+    let (leases, register, windows) = (state.book(), state.register(), state.windows());
+    assert!(leases.duties().any(|(_, grant, waiting)| grant.is_some() && waiting.len() > 1));
+    assert!(leases.duties().any(|(_, grant, _)| grant.is_none()));
+    assert!(register.incidents().len() > 1 && register.changes().len() > 3);
+    assert!(register.record().len() > 30 && windows.all().len() > 5);
+}
