--- /dev/null
+++ b/crates/quorum/tests/stored_words.rs
@@ -0,0 +1,103 @@
+//! The words by which people name things, and which the state keeps in its record and in its reasons. Each match names
+//! every variant, so that a new one does not compile without its word.
+
+use hillstall_freeze::rules::{Kind, Reaction, Severity};
+use hillstall_freeze::scope::Scope;
+use hillstall_maintenance::machine::Stage;
+use std::fmt::{Debug, Display};
+use std::str::FromStr;
+
+fn assert_word<T>(value: &T, word: &str)
+where
+    T: Display + FromStr + PartialEq + Debug,
+    T::Err: Debug,
+{
+    assert_eq!(value.to_string(), word);
+    assert_eq!(&word.parse::<T>().expect("it is read"), value);
+}
+
+#[test]
+fn kinds_of_changes_are_shown_and_read() {
+    let word = |kind: Kind| match kind {
+        Kind::OperatorFile => "operator-file",
+        Kind::Upgrade => "upgrade",
+        Kind::Drain => "drain",
+        Kind::Window => "window",
+        Kind::Keeper => "keeper",
+        Kind::Settings => "settings",
+    };
+    assert_eq!(Kind::ALL.len(), 6);
+    Kind::ALL.iter().for_each(|kind| assert_word(kind, word(*kind)));
+}
+
+#[test]
+fn severities_are_shown_and_read() {
+    let word = |severity: Severity| match severity {
+        Severity::Minor => "minor",
+        Severity::Major => "major",
+        Severity::Critical => "critical",
+    };
+    assert_eq!(Severity::ALL.len(), 3);
+    Severity::ALL.iter().for_each(|severity| assert_word(severity, word(*severity)));
+}
+
+#[test]
+fn reactions_are_shown_and_read() {
+    let word = |reaction: Reaction| match reaction {
+        Reaction::Finish => "finish",
+        Reaction::Pause => "pause",
+        Reaction::Undo => "undo",
+    };
+    assert_eq!(Reaction::ALL.len(), 3);
+    Reaction::ALL.iter().for_each(|reaction| assert_word(reaction, word(*reaction)));
+}
+
+#[test]
+fn scopes_are_shown_and_read() {
+    let word = |scope: &Scope| match scope {
+        Scope::Fleet => "fleet",
+        Scope::Site(_) => "site:south",
+        Scope::Tier(_) => "tier:store",
+        Scope::Keepers => "keepers",
+        Scope::Class(_) => "class:bulk",
+        Scope::Tenant(_) => "tenant:acme",
+        Scope::Copy { .. } => "copy:west/12",
+    };
+    let scopes = [
+        Scope::Fleet,
+        Scope::Site("south".into()),
+        Scope::Tier("store".into()),
+        Scope::Keepers,
+        Scope::Class("bulk".into()),
+        Scope::Tenant("acme".into()),
+        Scope::Copy { site: "west".into(), rank: 12 },
+    ];
+    scopes.iter().for_each(|scope| assert_word(scope, word(scope)));
+}
+
+#[test]
+fn stages_of_windows_are_shown() {
+    let word = |stage: Stage| match stage {
+        Stage::Planned => "planned",
+        Stage::Admitted => "admitted",
+        Stage::Shifting => "shifting",
+        Stage::Empty => "empty",
+        Stage::Running => "running",
+        Stage::Returning => "returning",
+        Stage::Done => "done",
+        Stage::Postponed => "postponed",
+        Stage::Cancelled => "cancelled",
+    };
+    let stages = [
+        Stage::Planned,
+        Stage::Admitted,
+        Stage::Shifting,
+        Stage::Empty,
+        Stage::Running,
+        Stage::Returning,
+        Stage::Done,
+        Stage::Postponed,
+        Stage::Cancelled,
+    ];
+    stages.iter().for_each(|stage| assert_eq!(stage.to_string(), word(*stage)));
+}
