--- /dev/null
+++ b/crates/fleet/tests/wire.rs
@@ -0,0 +1,158 @@
+//! A follower on a real socket, with this test as its only replica: what it sends is pinned to the byte, and so is what it
+//! answers on the second address from a state that an earlier version wrote.
+
+mod follower;
+
+use follower::{bytes_of, follower, Connection, INDEX, RANK};
+use hillstall_fleet::Handle;
+use hillstall_freeze::register::{Answer, Command as Freeze, Refused};
+use hillstall_lease::book::Grant;
+use hillstall_lease::{Copy, Token};
+use hillstall_quorum::frame::Frame;
+use hillstall_quorum::state::{Command, Outcome, Proposal};
+use std::fmt::Write as _;
+
+const ANSWERS: &str = include_str!("fixtures/admin-answers.txt");
+/// The frame that confirms the snapshot.
+const ACK: &str = "01088801";
+
+fn acknowledged(frame: Frame) -> Option<u64> {
+    match frame {
+        Frame::Ack(index) => Some(index),
+        _ => None,
+    }
+}
+
+fn answer(handle: &Handle, line: &str) -> String {
+    handle.line(line).expect("it is for the fleet").blocking_recv().expect("it is answered")
+}
+
+/// A text without what differs from run to run: what was drawn at the start, and how old the state is.
+fn without_run(text: &str) -> String {
+    let words = |line: &str| {
+        let mut words: Vec<&str> = line.split(' ').collect();
+        for name in ["life", "age"] {
+            if let Some(at) = words.iter().position(|word| *word == name) {
+                words[at + 1] = "*";
+            }
+        }
+        words.join(" ") + "\n"
+    };
+    text.lines().map(words).collect()
+}
+
+#[test]
+fn a_follower_says_who_it_is_and_confirms_the_state() {
+    let (_handle, mut connection, hello) = follower();
+    let Ok(Frame::Hello { fleet, copy, keeper }) = Frame::decode(&hello) else { panic!("{hello:?}") };
+    assert_eq!((fleet.as_str(), copy.rank, keeper), ("shop", RANK, None));
+    let mut expected = bytes_of("01000473686f7007");
+    expected.extend(postcard::to_stdvec(&copy.life).expect("it is written"));
+    expected.push(0);
+    assert_eq!(hello, expected);
+    let (bytes, index) = connection.receive_until(acknowledged);
+    assert_eq!(index, INDEX);
+    assert_eq!(bytes, bytes_of(ACK));
+}
+
+#[test]
+fn questions_are_answered_from_a_stored_state() {
+    let (handle, mut connection, _) = follower();
+    connection.receive_until(acknowledged);
+    let mut text = String::new();
+    for line in ["FLEET", "WINDOW", "INCIDENT", "CHANGE", "RECORD"] {
+        let _ = write!(text, "> {line}\n{}", without_run(&answer(&handle, line)));
+    }
+    assert_eq!(text, ANSWERS);
+}
+
+/// Each outcome and what a person is told of it.
+fn told() -> Vec<(Outcome, &'static str)> {
+    let grant = Grant { holder: Copy { rank: 1, life: 2 }, token: Token(3), renewals: 4 };
+    let barred = Answer::Barred { change: 10, incident: 11, ask_again: 12 };
+    vec![
+        (Outcome::Window, "200 agreed\n"),
+        (Outcome::Grant(Some(grant)), "200 agreed\n"),
+        (Outcome::Over { newest: Token(5) }, "409 the grant is over; the newest token is 5\n"),
+        (Outcome::Refused("the window is running".into()), "409 the window is running\n"),
+        (Outcome::TooLate, "409 it came too late\n"),
+        (Outcome::Freeze(Answer::Done(5)), "200 5\n"),
+        (Outcome::Freeze(Answer::Permit(6)), "200 6 permit\n"),
+        (Outcome::Freeze(Answer::Waits { change: 7, behind: 8 }), "202 7 waits behind change 8\n"),
+        (Outcome::Freeze(Answer::Half(9)), "202 9 waits for a second person\n"),
+        (Outcome::Freeze(barred), "409 10 barred by incident 11; ask again in 12 ms\n"),
+        (Outcome::Freeze(Answer::Refused(Refused::Unknown)), "400 there is none of that number\n"),
+        (Outcome::Freeze(Answer::Refused(Refused::Over)), "400 it has changed since\n"),
+        (
+            Outcome::Freeze(Answer::Refused(Refused::NotByRule)),
+            "400 a person has opened it or taken it on, so only a person closes it\n",
+        ),
+        (
+            Outcome::Freeze(Answer::Refused(Refused::SamePerson)),
+            "400 the same person has asked already; an emergency takes two\n",
+        ),
+        (
+            Outcome::Freeze(Answer::Refused(Refused::Name)),
+            "400 a name has 1 to 64 letters, digits, '-', '.', '_', '/' or '@'\n",
+        ),
+        (Outcome::Freeze(Answer::Refused(Refused::Runs)), "400 a change runs for 1 ms to a day\n"),
+        (
+            Outcome::Freeze(Answer::Refused(Refused::Full)),
+            "400 there are as many incidents or changes as may be open\n",
+        ),
+    ]
+}
+
+/// Names every variant: a new one does not compile before it stands here and in the list above.
+fn name_of(outcome: &Outcome) -> &'static str {
+    match outcome {
+        Outcome::Grant(_) => "grant",
+        Outcome::Over { .. } => "superseded",
+        Outcome::Window => "window",
+        Outcome::Refused(_) => "rejected",
+        Outcome::TooLate => "too late",
+        Outcome::Freeze(answer) => match answer {
+            Answer::Done(_) => "done",
+            Answer::Permit(_) => "permit",
+            Answer::Waits { .. } => "queued",
+            Answer::Half(_) => "awaiting second approval",
+            Answer::Barred { .. } => "blocked",
+            Answer::Refused(why) => match why {
+                Refused::Unknown => "unknown",
+                Refused::Over => "stale",
+                Refused::NotByRule => "not by rule",
+                Refused::SamePerson => "same person",
+                Refused::Name => "name",
+                Refused::Runs => "duration",
+                Refused::Full => "full",
+            },
+        },
+    }
+}
+
+/// Has a person propose something, gives it this outcome, and returns what the person is told.
+fn told_of(handle: &Handle, connection: &mut Connection, number: u64, outcome: &Outcome) -> String {
+    let line = format!("INCIDENT TAKE {number} mira");
+    let answered = handle.line(&line).expect("it is for the fleet");
+    let wanted = Command::Freeze(Freeze::Take { incident: number, person: "mira".into() });
+    let proposed = |frame| match frame {
+        Frame::Propose(Proposal { id, command }) if command == wanted => Some(id),
+        _ => None,
+    };
+    let (_, id) = connection.receive_until(proposed);
+    connection.send(&Frame::Answer { id, outcome: outcome.clone() });
+    answered.blocking_recv().expect("it is answered")
+}
+
+#[test]
+fn a_person_is_told_what_became_of_a_command() {
+    let (handle, mut connection, _) = follower();
+    let mut numbers = 1..;
+    for (outcome, expected) in told() {
+        // On a machine that is very busy an outcome may come after the time that a person waits for it.
+        let mut tries =
+            numbers.by_ref().take(5).map(|number| told_of(&handle, &mut connection, number, &outcome));
+        let text = tries.find(|text| !text.starts_with("504"));
+        assert_eq!(text.as_deref(), Some(expected), "{}", name_of(&outcome));
+    }
+}
