--- a/crates/hillstall/tests/proxy/main.rs
+++ b/crates/hillstall/tests/proxy/main.rs
@@ -4,6 +4,7 @@
 mod harness;
 mod hostile;
 mod operate;
+mod operator_file;
 mod streams;
 use harness::*;
 use std::io::{BufReader, ErrorKind, Read, Write};
