--- /dev/null
+++ b/crates/drill/tests/written_forms.rs
@@ -0,0 +1,68 @@
+//! What the drill and the process that owns its processes say to each other, and the words of its verdicts.
+
+use hillstall_drill::keeper::{News, Sign, Start};
+use hillstall_drill::referee::Rule;
+use serde_json::{from_str, to_string};
+
+#[test]
+fn news_have_these_forms() {
+    let news = [
+        (News::Started { number: 3, pid: 41 }, r#"{"started":{"number":3,"pid":41}}"#),
+        (News::Failed { number: 3, why: "gone".into() }, r#"{"failed":{"number":3,"why":"gone"}}"#),
+        (
+            News::Ended { number: 3, code: Some(1), signal: None },
+            r#"{"ended":{"number":3,"code":1,"signal":null}}"#,
+        ),
+        (
+            News::Ended { number: 3, code: None, signal: Some(9) },
+            r#"{"ended":{"number":3,"code":null,"signal":9}}"#,
+        ),
+    ];
+    for (news, text) in news {
+        assert_eq!(to_string(&news).expect("plain data"), text);
+        assert_eq!(from_str::<News>(text).expect("news"), news);
+    }
+}
+
+#[test]
+fn a_process_to_start_has_this_form() {
+    let text =
+        r#"{"number":3,"program":"/bin/p","arguments":["run"],"environment":[["A","b"]],"log":"/tmp/log"}"#;
+    let start: Start = from_str(text).expect("a start");
+    assert_eq!((start.number, start.program.to_str()), (3, Some("/bin/p")));
+    assert_eq!((start.arguments.clone(), start.log.to_str()), (vec!["run".to_owned()], Some("/tmp/log")));
+    assert_eq!(start.environment, [("A".to_owned(), "b".to_owned())]);
+    assert_eq!(to_string(&start).expect("plain data"), text);
+}
+
+#[test]
+fn signals_have_these_names() {
+    let signs = [Sign::Kill, Sign::Term, Sign::Stop, Sign::Go, Sign::Reload];
+    let names = signs.map(|sign| to_string(&sign).expect("plain data"));
+    assert_eq!(names, [r#""Kill""#, r#""Term""#, r#""Stop""#, r#""Go""#, r#""Reload""#]);
+}
+
+#[test]
+fn rules_have_these_names() {
+    let rules = [
+        Rule::OneAnswer,
+        Rule::BarredRepeat,
+        Rule::Attempts,
+        Rule::Drain,
+        Rule::Cold,
+        Rule::Refusal,
+        Rule::Unasked,
+        Rule::Crash,
+    ];
+    let names = [
+        "one final answer",
+        "no barred repeat",
+        "attempts of a request",
+        "nothing new to a draining server",
+        "no cold server pushed over",
+        "a refusal is harmless",
+        "nothing unasked",
+        "no crash",
+    ];
+    assert_eq!(rules.map(Rule::name), names);
+}
