--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -156,3 +156,110 @@
     ];
     assert_eq!(found, expected);
 }
+
+#[test]
+fn reads_every_record_that_is_no_event() {
+    let frame = events(
+        "00 00000003 0000000000000009 00000002 7b7d
+         01 00000003 00 00000029 0f
+         01 00000003 01 0000002a 01
+         01 00000003 02 0000002b 02
+         01 00000003 03 0000002c ff
+         09 00000003
+         0a 0f 00000003
+         00000001 0002 03 0004 00 3f800000 0000000000000000
+         00000002 0002 03 0004 01 3f800000 0000000000000000
+         00000003 0002 03 0004 02 3fc00000 40b7d40000000000",
+        7,
+    );
+    let (header, body) = split(&frame);
+    let found = wire::records(&header, body).expect("good records");
+    let news = |kind, version, buffer| Record::BackendsChanged { instance: 3, kind, version, buffer };
+    let entry = |id, state, rating, started_at| BackendInfo {
+        id,
+        zone: 2,
+        kind: 3,
+        cell: 4,
+        state,
+        rating,
+        started_at,
+    };
+    let entries = vec![
+        entry(1, BackendState::Draining, 1.0, None),
+        entry(2, BackendState::Gone, 1.0, None),
+        entry(3, BackendState::Ready, 1.5, Some(6_100.0)),
+    ];
+    let expected = [
+        Record::Provision { instance: 3, seed: 9, conf: b"{}" },
+        news(ListKind::Delta, 41, 15),
+        news(ListKind::Full, 42, 1),
+        news(ListKind::Cached, 43, 2),
+        news(ListKind::Failed, 44, 255),
+        Record::Halt { instance: 3 },
+        Record::Manifest { buffer: 15, entries },
+    ];
+    assert_eq!(found, expected);
+}
+
+#[test]
+fn reads_every_outcome() {
+    let codes = [
+        ("0000", Outcome::Ok),
+        ("00ff", Outcome::Error),
+        ("00fe", Outcome::Full),
+        ("00fd", Outcome::Timeout),
+        ("00fc", Outcome::ConnectFailed),
+        ("00fb", Outcome::Reset),
+        ("00fa", Outcome::Cancelled),
+        ("00f9", Outcome::Moot),
+    ];
+    for (code, outcome) in codes {
+        let frame = events(&format!("07 00000003 2c9011f2 3ff8000000000000 {code} 00"), 1);
+        let (header, body) = split(&frame);
+        let event =
+            Event::ProbeResult { backend: 0x2c90_11f2, outcome, took_ms: 1.5, report: Report::default() };
+        assert_eq!(wire::records(&header, body), Ok(vec![Record::Event { instance: 3, event }]), "{code}");
+    }
+}
+
+#[test]
+fn writes_every_action() {
+    let mut reply = Reply::default();
+    reply.clear();
+    let (request, backend) = (0x0001_6b86_5d3a_91c4, 0x0312_4a07);
+    reply.action(3, &Action::Send { request, backend, timeout_ms: 80.0 });
+    reply.action(3, &Action::Refuse { request, retry_after_ms: 500.0, why: Reason::Tier });
+    reply.action(3, &Action::Fail { request, why: Reason::Spent });
+    reply.action(3, &Action::Cancel { request, attempt: 2 });
+    reply.action(3, &Action::SetTimer { after_ms: 500.0, token: 77 });
+    reply.action(3, &Action::Probe { backend });
+    reply.action(3, &Action::CloseIdle { backend });
+    reply.action(3, &Action::Message { to: Some(2), bytes: b"hi 7".to_vec() });
+    reply.action(3, &Action::Message { to: None, bytes: b"hi 7".to_vec() });
+    reply.action(3, &Action::Log("two".into()));
+    reply.fatal(3, "bad");
+    reply.action(3, &Action::Subscribe { on: true });
+    reply.action(3, &Action::Subscribe { on: false });
+    reply.action(3, &Action::Fetch);
+    let records = bytes(
+        "40 00000003 00016b865d3a91c4 03124a07 4054000000000000
+         41 00000003 00016b865d3a91c4 407f400000000000
+         42 00000003 00016b865d3a91c4
+         43 00000003 00016b865d3a91c4 02
+         44 00000003 407f400000000000 000000000000004d
+         45 00000003 03124a07
+         46 00000003 03124a07
+         47 00000003 00000002 0004 68692037
+         47 00000003 ffffffff 0004 68692037
+         48 00000003 0003 74776f
+         49 00000003 0003 626164
+         4a 00000003 01
+         4a 00000003 00
+         4b 00000003",
+    );
+    let mut expected = (records.len() as u32 + 12).to_be_bytes().to_vec();
+    expected.extend(14u32.to_be_bytes());
+    expected.extend(12u32.to_be_bytes());
+    expected.extend(records);
+    assert_eq!(reply.finish(12), expected);
+}
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -152,6 +152,55 @@
     assert_eq!(read(&full()), Ok(expected));
 }
 
+/// The settings with the value at one key replaced.
+fn with(key: &str, value: Value) -> Settings {
+    let mut json = full();
+    *place(&mut json, key) = value;
+    read(&json).unwrap_or_else(|why| panic!("{key}: {why}"))
+}
+
+#[test]
+fn every_word_of_a_key_that_knows_some_is_read() {
+    let effects = [("repeatable", Effect::Repeatable), ("by_key", Effect::Keyed), ("once", Effect::Once)];
+    for (word, effect) in effects {
+        assert_eq!(with("Classes[0].Effect", json!(word)).classes[0].effect, effect, "{word}");
+    }
+    for (word, scope) in [("all", Scope::All), ("zone", Scope::Zone), ("cell", Scope::Cell)] {
+        assert_eq!(with("Classes[0].KeyScope", json!(word)).classes[0].scope, scope, "{word}");
+    }
+    let weights = [
+        ("off", Weights::Off),
+        ("nominal", Weights::Nominal),
+        ("rough", Weights::Rough),
+        ("live", Weights::Live),
+    ];
+    for (word, weights) in weights {
+        assert_eq!(with("Weights", json!(word)).weights, weights, "{word}");
+    }
+    let ways = [("off", ReportVia::Off), ("inline", ReportVia::Inline), ("on_probe", ReportVia::Probe)];
+    for (word, via) in ways {
+        assert_eq!(with("Report.Via", json!(word)).report_via, via, "{word}");
+    }
+    let fields = [
+        ("active", ReportField::Active),
+        ("waiting", ReportField::Waiting),
+        ("cpu", ReportField::Cpu),
+        ("avg_ms", ReportField::LatencyMs),
+        ("rps", ReportField::PerSecond),
+        ("err_rps", ReportField::ErrorsPerSecond),
+        ("heat", ReportField::Unknown),
+    ];
+    for (word, field) in fields {
+        assert_eq!(with("Report.Fields", json!([word])).report, [field], "{word}");
+    }
+    for (word, subscribes) in [("automatic", false), ("subscribe", true)] {
+        assert_eq!(with("MembershipMode", json!(word)).must_subscribe, subscribes, "{word}");
+    }
+    for (word, by_work) in [("request", false), ("work", true)] {
+        assert_eq!(with("WorthBy", json!(word)).worth_by_work, by_work, "{word}");
+    }
+}
+
 #[test]
 fn absent_keys_mean_no_feature_no_price_and_no_limit() {
     let s = read(&least()).expect("good settings");
