--- /dev/null
+++ b/crates/hillstall/tests/fleet/lines.rs
@@ -0,0 +1,300 @@
+//! Every line that people say to the fleet on the second address, with its whole answer. What varies from run to run is
+//! masked by [`masked`], and by nothing else.
+
+use crate::talking::{cut, settled, sure, talk, COORDINATOR, SOON};
+use hillstall_drill::fleet::Fleet;
+use hillstall_drill::link::Fault;
+use hillstall_drill::talk::from_process;
+use std::time::{Duration, Instant};
+use tokio::time::sleep;
+
+/// Three people, one of whom has two names.
+const PEOPLE: &str = "people = [[\"mira\", \"m.k\"], [\"tom\"], [\"ann\"]]\n";
+/// A copy that is no keeper.
+const FOLLOWER: usize = 4;
+const USAGE: &str = "400 there are FLEET [HANDOVER DUTY], WINDOW [PLAN|CANCEL|END], \
+    INCIDENT [OPEN|TAKE|RESOLVE|REMEDY], CHANGE [ASK|EMERGENCY|DONE|CLEAR] and RECORD\n";
+
+/// Words whose following word varies from run to run.
+const BEFORE_VARYING: [&str; 9] =
+    ["life", "keeper", "leader", "members", "held", "token", "follows", "age", "index"];
+
+/// Puts `*` in place of the word after each of [`BEFORE_VARYING`], and of the time of `ask again in TIME ms`; leaves the
+/// word ` leads` out, which one of the keepers says.
+fn masked(answer: &str) -> String {
+    let lines = answer.lines().map(|line| {
+        let mut words: Vec<&str> = Vec::new();
+        for word in line.split(' ') {
+            let before = words.last().copied().unwrap_or_default();
+            let varies = BEFORE_VARYING.contains(&before) || (before == "in" && words.contains(&"again"));
+            words.push(if varies { "*" } else { word });
+        }
+        words.retain(|word| *word != "leads");
+        words.join(" ") + "\n"
+    });
+    lines.collect()
+}
+
+/// Says each line to a copy; all answers have to be as wanted. A list is what the copy knows, and that may come a little
+/// later than the answer to a line that changed it, so it is asked for again until it is as wanted.
+async fn exchange(fleet: &Fleet, process: usize, said: &[(&str, &str)]) -> Result<(), String> {
+    let mut wrong = Vec::new();
+    for (line, wanted) in said {
+        let is_list = wanted.ends_with("EOF\n");
+        let answer = match is_list {
+            true => fleet.until(process, line, SOON, |text| masked(text) == *wanted).await,
+            false => fleet.line(process, line).await.ok_or_else(|| "no answer".to_owned()),
+        };
+        match answer.map(|text| masked(&text)) {
+            Ok(answer) if answer == *wanted => {}
+            Ok(other) | Err(other) => wrong.push(format!("{line}: {other:?} where {wanted:?} was wanted")),
+        }
+    }
+    sure(wrong.is_empty(), || wrong.join("\n"))
+}
+
+/// Lines that can't be carried out, and why.
+const WRONG: &[(&str, &str)] = &[
+    ("FLEET NOW", USAGE),
+    ("FLEET HANDOVER", "400 the duty is missing\n"),
+    (
+        "FLEET HANDOVER Shift",
+        "400 a duty's name has 1 to 64 of a-z, 0-9, '-', '.', '_' and '/': \"Shift\"\n",
+    ),
+    ("FLEET HANDOVER shift/nowhere", "400 this copy does not hold shift/nowhere\n"),
+    ("FLEET age=3", "400 age= has no meaning here\n"),
+    ("RECORD 5", USAGE),
+    ("WINDOW OPEN", USAGE),
+    ("WINDOW PLAN", "400 begin= is missing\n"),
+    (
+        "WINDOW PLAN zone-1 begin=soon length=1h lead=15m",
+        "400 begin: \"soon\" is no moment, like 2026-05-03T02:00[Europe/Berlin]\n",
+    ),
+    ("WINDOW PLAN begin=2090-05-03T00:00Z length=1h lead=15m", "400 the site is missing\n"),
+    ("WINDOW PLAN zone-1 begin=2090-05-03T00:00Z lead=15m", "400 length= is missing\n"),
+    ("WINDOW PLAN zone-1 begin=2090-05-03T00:00Z length=1h", "400 lead= is missing\n"),
+    (
+        "WINDOW PLAN zone-1 begin=2090-05-03T00:00Z length=1 lead=15m",
+        "400 length: time unit needed, for example 1sec or 1ms\n",
+    ),
+    (
+        "WINDOW PLAN zone-1 begin=2090-05-03T00:00Z length=1h lead=15m overrun=stay",
+        "400 overrun: \"stay\" is none of return, hold\n",
+    ),
+    (
+        "WINDOW PLAN zone-1 begin=2090-05-03T00:00Z length=1h lead=15m reserve=x",
+        "400 reserve: invalid digit found in string\n",
+    ),
+    (
+        "WINDOW PLAN zone-1 begin=2090-05-03T00:00Z length=1h lead=15m reserve=91",
+        "409 a reserve is at most 90 in a hundred\n",
+    ),
+    (
+        "WINDOW PLAN zone-1 begin=2090-05-03T00:00Z length=13h lead=15m",
+        "409 a window lasts up to 12 hours, and its lead up to 6\n",
+    ),
+    (
+        "WINDOW PLAN zone:1 begin=2090-05-03T00:00Z length=1h lead=15m",
+        "409 a site's name has 1 to 64 letters, digits, '-', '.', '_', '/' or '@'\n",
+    ),
+    (
+        "WINDOW PLAN zone-1 begin=2090-05-03T00:00Z length=1h lead=15m late=1h",
+        "400 late= has no meaning here\n",
+    ),
+    ("WINDOW CANCEL", "400 the window's number is missing\n"),
+    ("WINDOW CANCEL x", "400 the window's number: invalid digit found in string\n"),
+    ("WINDOW CANCEL 77", "409 there is no window of that number\n"),
+    ("WINDOW END", "400 the window's number is missing\n"),
+    ("WINDOW END 77", "409 there is no window of that number\n"),
+    ("INCIDENT CLOSE", USAGE),
+    ("INCIDENT OPEN", "400 the severity is missing\n"),
+    ("INCIDENT OPEN bad fleet ann", "400 the severity: \"bad\" is no severity: minor, major, critical\n"),
+    ("INCIDENT OPEN minor", "400 the scope is missing\n"),
+    (
+        "INCIDENT OPEN minor here ann",
+        "400 the scope: \"here\" is no scope: \
+         fleet, keepers, site:NAME, tier:NAME, class:NAME, tenant:NAME or copy:SITE/RANK\n",
+    ),
+    ("INCIDENT OPEN minor fleet", "400 the person is missing\n"),
+    ("INCIDENT OPEN minor fleet eve", "400 \"eve\" is nobody of fleet.people\n"),
+    ("INCIDENT TAKE", "400 the incident's number is missing\n"),
+    ("INCIDENT TAKE 77 ann", "400 there is none of that number\n"),
+    ("INCIDENT TAKE 77", "400 the person is missing\n"),
+    ("INCIDENT RESOLVE", "400 the incident's number is missing\n"),
+    ("INCIDENT RESOLVE 77", "400 the person is missing\n"),
+    ("INCIDENT RESOLVE 77 ann", "400 there is none of that number\n"),
+    ("INCIDENT REMEDY", "400 the incident's number is missing\n"),
+    ("INCIDENT REMEDY 77", "400 the change's number is missing\n"),
+    ("INCIDENT REMEDY 77 78", "400 the person is missing\n"),
+    ("INCIDENT REMEDY 77 78 ann", "400 there is none of that number\n"),
+    ("CHANGE DRAIN", USAGE),
+    ("CHANGE ASK", "400 the kind is missing\n"),
+    (
+        "CHANGE ASK dran fleet tom",
+        "400 the kind: \"dran\" is no kind of change: operator-file, upgrade, drain, window, keeper, settings\n",
+    ),
+    ("CHANGE ASK drain", "400 the scope is missing\n"),
+    ("CHANGE ASK drain fleet", "400 the person is missing\n"),
+    ("CHANGE ASK drain fleet eve", "400 \"eve\" is nobody of fleet.people\n"),
+    ("CHANGE ASK drain fleet tom worth=256", "400 worth: number too large to fit in target type\n"),
+    ("CHANGE ASK drain fleet tom for=9", "400 for: time unit needed, for example 9sec or 9ms\n"),
+    ("CHANGE ASK drain fleet tom for=25h", "400 a change runs for 1 ms to a day\n"),
+    (
+        "CHANGE ASK drain fleet tom reaction=wait",
+        "400 reaction: \"wait\" is no reaction: finish, pause, undo\n",
+    ),
+    ("CHANGE ASK drain fleet tom fro=9s", "400 fro= has no meaning here\n"),
+    ("CHANGE EMERGENCY", "400 the kind is missing\n"),
+    ("CHANGE DONE", "400 the change's number is missing\n"),
+    ("CHANGE DONE 77", "400 there is none of that number\n"),
+    ("CHANGE CLEAR", "400 the change's number is missing\n"),
+    ("CHANGE CLEAR 77", "400 the person is missing\n"),
+    ("CHANGE CLEAR 77 ann", "400 there is none of that number\n"),
+    ("PONG", "400 not a call; there are PING, INFO, LAMEDUCK and REJOIN\n"),
+    ("PING", "200 serving\n"),
+];
+
+/// Windows, incidents and changes in one course. The register gives out its numbers in order, from 1.
+const COURSE: &[(&str, &str)] = &[
+    ("WINDOW", "EOF\n"),
+    ("INCIDENT", "EOF\n"),
+    ("CHANGE", "EOF\n"),
+    ("RECORD", "EOF\n"),
+    (
+        "WINDOW PLAN zone-1 begin=2090-05-03T02:00[Europe/Berlin] length=1h lead=15m latest=10m reserve=20 overrun=hold",
+        "200 agreed\n",
+    ),
+    ("WINDOW PLAN zone-2 begin=2090-05-04T02:00Z length=1h lead=15m", "200 agreed\n"),
+    ("WINDOW END 1", "409 the window is planned\n"),
+    ("WINDOW CANCEL 2", "200 agreed\n"),
+    ("WINDOW CANCEL 2", "409 the window is cancelled\n"),
+    (
+        "WINDOW",
+        "1 zone-1 planned begin=2090-05-03T00:00:00Z part=100%\n\
+         2 zone-2 cancelled begin=2090-05-04T02:00:00Z part=100% why=called off\nEOF\n",
+    ),
+    ("CHANGE ASK upgrade site:zone-1 tom worth=7 for=5m reaction=undo", "200 1 permit\n"),
+    ("CHANGE ASK drain site:zone-1 mira", "202 2 waits behind change 1\n"),
+    ("INCIDENT OPEN critical tenant:acme ann boxes are gone rack=7", "200 3\n"),
+    ("CHANGE ASK settings site:zone-2 m.k", "409 4 barred by incident 3; ask again in * ms\n"),
+    ("CHANGE EMERGENCY settings site:zone-0 m.k", "202 5 waits for a second person\n"),
+    (
+        "CHANGE EMERGENCY settings site:zone-0 mira",
+        "400 the same person has asked already; an emergency takes two\n",
+    ),
+    ("CHANGE EMERGENCY settings site:zone-0 tom", "200 5 permit\n"),
+    (
+        "CHANGE",
+        "1 upgrade site:zone-1 reacts by=tom\n2 drain site:zone-1 waits by=mira\n\
+         4 settings site:zone-2 waits by=mira\n5 settings site:zone-0 in-flight by=mira emergency\nEOF\n",
+    ),
+    ("INCIDENT TAKE 3 m.k", "200 3\n"),
+    ("INCIDENT", "3 critical tenant:acme active by=ann taken=mira boxes are gone rack=7\nEOF\n"),
+    ("INCIDENT REMEDY 3 2 ann", "200 3\n"),
+    ("CHANGE DONE 1", "200 1\n"),
+    ("CHANGE CLEAR 5 ann", "200 5\n"),
+    (
+        "CHANGE",
+        "2 drain site:zone-1 in-flight by=mira\n4 settings site:zone-2 waits by=mira\nEOF\n",
+    ),
+    ("INCIDENT RESOLVE 3 ann", "200 3\n"),
+    ("INCIDENT RESOLVE 3 ann", "400 it has changed since\n"),
+    ("INCIDENT", "3 critical tenant:acme cooling by=ann taken=mira boxes are gone rack=7\nEOF\n"),
+    (
+        "RECORD",
+        "1 1 upgrade at site:zone-1 asked for by tom\n2 1 permit given\n\
+         3 2 drain at site:zone-1 asked for by mira\n\
+         4 3 critical incident at tenant:acme by Person(\"ann\")\n5 1 has to undo for incident 3\n\
+         6 4 settings at site:zone-2 asked for by mira\n7 5 emergency settings at site:zone-0 by mira\n\
+         8 5 emergency seconded by tom\n9 5 permit given\n10 3 taken by mira\n\
+         11 3 ann names change 2 as its remedy\n12 1 done\n13 2 permit given\n14 5 cleared by ann\n\
+         15 3 resolved by Person(\"ann\")\nEOF\n",
+    ),
+];
+
+/// What every copy knows of the fleet, behind what it says of itself.
+const OF_THE_FLEET: &str = "index * gates open\n\
+    duty freeze/coordinator held * token * standing 2\nduty shift/zone-0 held * token * standing 2\n\
+    duty shift/zone-1 held * token * standing 2\nduty shift/zone-2 held * token * standing 2\n\
+    part zone-0 1.000\npart zone-1 1.000\npart zone-2 1.000\nEOF\n";
+
+#[test]
+fn each_line_has_its_answer() {
+    talk("drill-duties", 3, PEOPLE, |fleet| async move {
+        settled(&fleet).await?;
+        exchange(&fleet, FOLLOWER, WRONG).await?;
+        exchange(&fleet, FOLLOWER, COURSE).await
+    });
+}
+
+#[test]
+fn a_copy_tells_of_itself_and_gives_a_duty_up() {
+    talk("drill-duties", 3, PEOPLE, |fleet| async move {
+        settled(&fleet).await?;
+        let (owner, _) = fleet.new_owner(COORDINATOR, &[], SOON).await?;
+        let keeper = (owner + 1) % 3;
+        let of_a_keeper =
+            format!("copy {keeper} life * site zone-{keeper}\nkeeper * leader * members *\n{OF_THE_FLEET}");
+        exchange(&fleet, keeper, &[("FLEET", &of_a_keeper)]).await?;
+        let of_a_follower = format!("copy 4 life * site zone-1\nfollows * connected age *\n{OF_THE_FLEET}");
+        exchange(&fleet, FOLLOWER, &[("FLEET", &of_a_follower)]).await?;
+        let text = fleet.line(owner, "FLEET").await.unwrap_or_default();
+        let held: Vec<String> = text.lines().filter(|line| line.starts_with("holds ")).map(masked).collect();
+        sure(held.contains(&"holds freeze/coordinator token *\n".to_owned()), || text.clone())?;
+        exchange(&fleet, owner, &[("FLEET HANDOVER freeze/coordinator", "200 handed over\n")]).await
+    });
+}
+
+#[test]
+fn a_copy_that_hears_no_keeper_says_that_nothing_is_known() {
+    talk("drill-duties", 3, PEOPLE, |fleet| async move {
+        settled(&fleet).await?;
+        cut(&fleet, Fault::Silent, from_process(FOLLOWER))?;
+        let unknown =
+            "504 the keepers have not answered; it may still be carried out, and asking again is harmless\n";
+        exchange(&fleet, FOLLOWER, &[("CHANGE ASK drain site:zone-0 tom", unknown)]).await?;
+        fleet.set(Fault::None, from_process(FOLLOWER));
+        Ok(())
+    });
+}
+
+/// Replaces the values of some fields of a JSON line by `*`.
+fn without_values(line: &str, names: &[&str]) -> String {
+    let mut line = line.to_owned();
+    for name in names {
+        let mark = format!("\"{name}\":");
+        let Some(start) = line.find(&mark).map(|at| at + mark.len()) else { continue };
+        let end = start + line[start..].find([',', '}']).expect("a field ends");
+        line.replace_range(start..end, "*");
+    }
+    line
+}
+
+/// Waits until a copy has written an act of the coordinator's duty into its log, in exactly this form.
+async fn written(fleet: &Fleet, process: usize, what: &str) -> Result<(), String> {
+    let expected = format!(
+        "{{\"timestamp\":*,\"level\":\"INFO\",\"message\":\"fleet {what}\",\"copy\":{process},\"life\":*,\
+         \"at\":*,\"duty\":\"freeze/coordinator\",\"token\":*,\"target\":\"hillstall_fleet::shell\"}}"
+    );
+    let is_written = || {
+        let log = std::fs::read_to_string(fleet.processes[process].log()).unwrap_or_default();
+        log.lines().any(|line| without_values(line, &["timestamp", "life", "at", "token"]) == expected)
+    };
+    let end = Instant::now() + SOON;
+    while !is_written() && Instant::now() < end {
+        sleep(Duration::from_millis(50)).await;
+    }
+    sure(is_written(), || format!("{expected} is not in the log"))
+}
+
+#[test]
+fn acts_are_written_down_in_this_form() {
+    talk("drill-duties", 3, PEOPLE, |fleet| async move {
+        settled(&fleet).await?;
+        let (owner, _) = fleet.new_owner(COORDINATOR, &[], SOON).await?;
+        // What a copy holds is looked at from time to time, so a duty that it gave up at once would not be written down.
+        written(&fleet, owner, "holds").await?;
+        exchange(&fleet, owner, &[("FLEET HANDOVER freeze/coordinator", "200 handed over\n")]).await?;
+        written(&fleet, owner, "lost").await
+    });
+}
--- a/crates/hillstall/tests/fleet/main.rs
+++ b/crates/hillstall/tests/fleet/main.rs
@@ -7,6 +7,7 @@
 #[path = "../drill/harness.rs"]
 #[allow(dead_code)]
 mod harness;
+mod lines;
 mod owners;
 mod talking;
 mod windows;
--- a/crates/hillstall/tests/proxy/main.rs
+++ b/crates/hillstall/tests/proxy/main.rs
@@ -1,5 +1,6 @@
 //! The real proxy over loopback sockets: one test for each promise that a failure once broke or could break.
 
+mod admin_lines;
 mod call_record;
 mod commands;
 mod harness;
