--- a/crates/hillstall/tests/proxy/main.rs
+++ b/crates/hillstall/tests/proxy/main.rs
@@ -3,6 +3,7 @@
 mod admin_lines;
 mod call_record;
 mod commands;
+mod handover;
 mod harness;
 mod hostile;
 mod operate;
