--- a/crates/hillstall/tests/proxy/main.rs
+++ b/crates/hillstall/tests/proxy/main.rs
@@ -1,9 +1,13 @@
 //! The real proxy over loopback sockets: one test for each promise that a failure once broke or could break.
 
+mod admin_lines;
+mod call_record;
 mod commands;
+mod handover;
 mod harness;
 mod hostile;
 mod operate;
+mod operator_file;
 mod streams;
 use harness::*;
 use std::io::{BufReader, ErrorKind, Read, Write};
