--- a/crates/fault-injection/src/talk.rs
+++ b/crates/fault-injection/src/coordination_fleet.rs
@@ -1,6 +1,6 @@
 //! Fleets whose copies talk: keepers with disks, a link from each copy to each keeper, and the second address of each.
 
-use crate::fleet::{system, Ends, Fleet, NoDrill};
+use crate::fleet::{system, Fleet, FleetError, LinkEnds};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -16,14 +16,14 @@
 
 /// How the copies of a drill talk.
 #[derive(Clone, Debug, Default)]
-pub struct Talk {
+pub struct CoordinationOptions {
     /// The first so many proxies are keepers.
     pub keepers: usize,
     /// Lines of the section `[fleet]` beside those that name addresses, then whole tables.
     pub section: String,
 }
 
-impl Talk {
+impl CoordinationOptions {
     /// Whether a proxy is a keeper.
     pub fn is_keeper(&self, process: usize) -> bool {
         process < self.keepers
@@ -51,7 +51,7 @@
 
 /// A line of the record that a copy writes of its acts for the fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Act {
+pub struct AuditLine {
     /// Which process.
     pub process: usize,
     /// One of its lives.
@@ -154,7 +154,7 @@
     }
 
     /// Takes a keeper's disk away; gives what was on it.
-    pub fn take_disk(&self, process: usize) -> Result<Vec<u8>, NoDrill> {
+    pub fn take_disk(&self, process: usize) -> Result<Vec<u8>, FleetError> {
         let path = self.disk(process).join(format!("keeper-{process}.redb"));
         let bytes = std::fs::read(&path).map_err(system(path.display().to_string()))?;
         std::fs::remove_file(&path).map_err(system(path.display().to_string()))?;
@@ -162,19 +162,19 @@
     }
 
     /// What is on a keeper's disk now, whether it runs or not.
-    pub fn read_disk(&self, process: usize) -> Result<Vec<u8>, NoDrill> {
+    pub fn read_disk(&self, process: usize) -> Result<Vec<u8>, FleetError> {
         let path = self.disk(process).join(format!("keeper-{process}.redb"));
         std::fs::read(&path).map_err(system(path.display().to_string()))
     }
 
     /// Puts bytes in its place.
-    pub fn put_disk(&self, process: usize, bytes: &[u8]) -> Result<(), NoDrill> {
+    pub fn put_disk(&self, process: usize, bytes: &[u8]) -> Result<(), FleetError> {
         let path = self.disk(process).join(format!("keeper-{process}.redb"));
         std::fs::write(&path, bytes).map_err(system(path.display().to_string()))
     }
 
     /// All acts that the copies wrote down, in the order of the machine's clock.
-    pub fn acts(&self) -> Vec<Act> {
+    pub fn acts(&self) -> Vec<AuditLine> {
         let mut acts = Vec::new();
         for process in &self.processes {
             let text = std::fs::read_to_string(process.log()).unwrap_or_default();
@@ -185,12 +185,12 @@
     }
 }
 
-fn act(process: usize, line: &str) -> Option<Act> {
+fn act(process: usize, line: &str) -> Option<AuditLine> {
     let value: serde_json::Value = serde_json::from_str(line).ok()?;
     let fields = value.get("fields").unwrap_or(&value);
     let what = fields.get("message")?.as_str()?.strip_prefix("fleet ")?;
     let number = |name: &str| fields.get(name).and_then(serde_json::Value::as_u64);
-    Some(Act {
+    Some(AuditLine {
         process,
         life: number("life")?,
         at: number("at")?,
@@ -204,7 +204,7 @@
 /// What the acts of a fleet break, if anything: a duty's tokens that fall at one life of an executor, two copies that held
 /// one token, a site that is away while another is, and an old owner's order that was carried out after a newer one's at
 /// the same copy.
-pub fn judge(acts: &[Act]) -> Vec<String> {
+pub fn judge(acts: &[AuditLine]) -> Vec<String> {
     use std::collections::BTreeMap;
     let mut wrong = Vec::new();
     let mut highest: BTreeMap<(usize, u64, &str), u64> = BTreeMap::new();
@@ -237,13 +237,13 @@
 }
 
 /// Links between copies and keepers, for faults: those of a process to all keepers, or those to one keeper's process.
-pub fn from_process(of: usize) -> impl Fn(Ends) -> bool + Copy {
-    move |ends| matches!(ends, Ends::Keeper { process, .. } if process == of)
+pub fn from_process(of: usize) -> impl Fn(LinkEnds) -> bool + Copy {
+    move |ends| matches!(ends, LinkEnds::Keeper { process, .. } if process == of)
 }
 
 /// See [`from_process`].
-pub fn to_keeper(of: usize) -> impl Fn(Ends) -> bool + Copy {
-    move |ends| matches!(ends, Ends::Keeper { slot, .. } if slot == of)
+pub fn to_keeper(of: usize) -> impl Fn(LinkEnds) -> bool + Copy {
+    move |ends| matches!(ends, LinkEnds::Keeper { slot, .. } if slot == of)
 }
 
 impl Fleet {
@@ -258,9 +258,9 @@
 mod tests {
     use super::*;
 
-    fn act(at: u64, process: usize, what: &str, duty: &str, token: u64, part: u64) -> Act {
+    fn act(at: u64, process: usize, what: &str, duty: &str, token: u64, part: u64) -> AuditLine {
         let (what, duty) = (what.to_owned(), duty.to_owned());
-        Act { process, life: 1, at, what, duty, token, part: Some(part) }
+        AuditLine { process, life: 1, at, what, duty, token, part: Some(part) }
     }
 
     #[test]
--- a/crates/fault-injection/src/list.rs
+++ b/crates/fault-injection/src/discovery_server.rs
@@ -1,10 +1,10 @@
 //! The service that lists the servers of a tier, with its failures: late, down, cut short, and a line that handles one
 //! call after another.
 
+use crate::history::{History, Notification};
 use crate::http::Wire;
-use crate::link::Callers;
-use crate::record::{History, Told};
 use crate::server::WhoCalls;
+use crate::tcp_proxy::Callers;
 use hillstall_decision::BackendState;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -38,7 +38,7 @@
 
 /// What the list says of a server that has started again.
 #[derive(Clone, Copy, Debug)]
-pub struct Started {
+pub struct BackendStarted {
     /// When, as Unix time in milliseconds.
     pub since_ms: f64,
     /// How much of the calls it should get, against the others.
@@ -52,7 +52,7 @@
 type News = (u64, Vec<Entry>);
 
 /// The list of a tier.
-pub struct Roster {
+pub struct DiscoveryServer {
     history: Rc<History>,
     callers: Callers,
     who: WhoCalls,
@@ -82,15 +82,15 @@
     }
 }
 
-impl Roster {
-    /// A list; [`Roster::serve`] answers for it.
+impl DiscoveryServer {
+    /// A list; [`DiscoveryServer::serve`](DiscoveryServer::serve) answers for it.
     pub fn new(
         history: Rc<History>,
         (callers, who): (Callers, WhoCalls),
         places: Places,
         entries: Vec<Entry>,
-    ) -> Rc<Roster> {
-        Rc::new(Roster {
+    ) -> Rc<DiscoveryServer> {
+        Rc::new(DiscoveryServer {
             history,
             callers,
             who,
@@ -123,7 +123,7 @@
     }
 
     /// Says something new of a server. While the service is down, this waits until it is back.
-    pub fn change(&self, server: usize, status: BackendState, started: Option<Started>) {
+    pub fn change(&self, server: usize, status: BackendState, started: Option<BackendStarted>) {
         let Some(mut entry) = self.entries.borrow().iter().find(|e| e.server == server).cloned() else {
             return;
         };
@@ -167,7 +167,7 @@
     }
 
     /// Answers.
-    pub async fn serve(self: Rc<Roster>, listener: TcpListener) {
+    pub async fn serve(self: Rc<DiscoveryServer>, listener: TcpListener) {
         while let Ok((stream, peer)) = listener.accept().await {
             let roster = self.clone();
             spawn_local(async move {
@@ -178,7 +178,7 @@
                     while down.changed().await.is_ok() && !*down.borrow() {}
                 };
                 tokio::select! {
-                    () = went_down => crate::link::abort(&wire.stream),
+                    () = went_down => crate::tcp_proxy::abort(&wire.stream),
                     _ = roster.connection(&mut wire, peer) => {}
                 }
             });
@@ -231,7 +231,7 @@
     fn told(&self, (process, life): (usize, u32), entries: &[Entry]) {
         let at = self.history.now();
         self.history.note(|seen| {
-            let told = |e: &Entry| Told { process, life, server: e.server, status: e.status, at };
+            let told = |e: &Entry| Notification { process, life, server: e.server, status: e.status, at };
             seen.told.extend(entries.iter().map(told));
         });
     }
--- a/crates/fault-injection/src/faults.rs
+++ b/crates/fault-injection/src/faults.rs
@@ -1,14 +1,14 @@
 //! What goes wrong, as the scenario has it: each failure begins and ends at its time, on processes, servers, lists and
 //! links. What simulated time does to its models is done here to real ones.
 
-use crate::fleet::{Ends, Fleet, NoDrill};
-use crate::keeper::Sign;
-use crate::link::Fault;
-use crate::list::{unix_ms, Started};
-use crate::record::Cut as CutSeen;
+use crate::discovery_server::{unix_ms, BackendStarted};
+use crate::fleet::{Fleet, FleetError, LinkEnds};
+use crate::history::LinkCut as CutSeen;
+use crate::process_supervisor::ProcessSignal;
+use crate::tcp_proxy::Fault;
 use hillstall_decision::BackendState;
-use hillstall_simulation::scenario::{Between, Mode, What};
-use hillstall_simulation::sim::setup::{some_of, FailureOf};
+use hillstall_simulation::scenario::{CutMode, FailureKind, LinkKind};
+use hillstall_simulation::sim::setup::{count_of, DrawnFailure};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -51,7 +51,7 @@
         }
     }
 
-    fn sure(&self, done: Result<(), NoDrill>) {
+    fn sure(&self, done: Result<(), FleetError>) {
         if let Err(why) = done {
             self.wrong.borrow_mut().push(why.to_string());
         }
@@ -63,91 +63,98 @@
     }
 
     /// The servers that a failure is about, as in simulated time: a part of the tier, from the first on.
-    fn meant(&self, failure: &FailureOf) -> Vec<usize> {
+    fn meant(&self, failure: &DrawnFailure) -> Vec<usize> {
         let all = self.tier(failure.tier);
-        let count = some_of(failure.part, all.len());
+        let count = count_of(failure.part, all.len());
         all.take(count).collect()
     }
 
     fn fronts(&self, part: f64) -> Vec<usize> {
-        (0..some_of(part, self.fleet.fronts)).collect()
+        (0..count_of(part, self.fleet.fronts)).collect()
     }
 
-    async fn begin(self: &Rc<Faults>, failure: &FailureOf) {
+    async fn begin(self: &Rc<Faults>, failure: &DrawnFailure) {
         match failure.what {
-            What::Burst => {}
-            What::DiscoveryDown => self.fleet.lists.iter().for_each(|list| list.set_down(true)),
-            What::Slow => {
+            FailureKind::Burst => {}
+            FailureKind::DiscoveryDown => self.fleet.lists.iter().for_each(|list| list.set_down(true)),
+            FailureKind::Slow => {
                 let times = failure.times.max(1e-3);
                 self.tier(failure.tier).for_each(|server| self.fleet.servers[server].slow(times));
             }
-            What::Hang => {
+            FailureKind::Hang => {
                 self.meant(failure).into_iter().for_each(|server| self.fleet.servers[server].hang(true));
             }
-            What::TurnAway => {
+            FailureKind::TurnAway => {
                 self.meant(failure).into_iter().for_each(|server| self.fleet.servers[server].drain(true));
             }
-            What::Crash => self.meant(failure).into_iter().for_each(|server| self.die(server, false)),
-            What::Lose => {
+            FailureKind::Crash => self.meant(failure).into_iter().for_each(|server| self.die(server, false)),
+            FailureKind::Lose => {
                 let servers = self.meant(failure);
                 self.lose(&servers, |ends| self.is_about(&servers, ends));
             }
-            What::LoseZone => {
+            FailureKind::LoseZone => {
                 let zone = failure.zone;
                 self.lose(&self.servers_of(zone), |ends| self.of_zone(zone, ends));
                 for front in self.fronts_of(zone) {
-                    self.sure(self.fleet.signal(front, Sign::Kill));
+                    self.sure(self.fleet.signal(front, ProcessSignal::Kill));
                 }
             }
-            What::Release => self.release(failure),
-            What::KillProxies => {
+            FailureKind::Release => self.release(failure),
+            FailureKind::KillProxies => {
                 for front in self.fronts(failure.part) {
-                    self.sure(self.fleet.signal(front, Sign::Kill));
+                    self.sure(self.fleet.signal(front, ProcessSignal::Kill));
                 }
             }
-            What::StopProxies => {
+            FailureKind::StopProxies => {
                 for front in self.fronts(failure.part) {
-                    self.sure(self.fleet.signal(front, Sign::Stop));
+                    self.sure(self.fleet.signal(front, ProcessSignal::Stop));
                 }
             }
-            What::ReloadProxies => {
+            FailureKind::ReloadProxies => {
                 for front in self.fronts(failure.part) {
-                    self.sure(self.fleet.signal(front, Sign::Reload));
+                    self.sure(self.fleet.signal(front, ProcessSignal::Reload));
                 }
             }
-            What::RollProxies => self.roll(failure).await,
-            What::Cut => self.cut(failure, true),
+            FailureKind::RollProxies => self.roll(failure).await,
+            FailureKind::Cut => self.cut(failure, true),
         }
     }
 
-    fn end(self: &Rc<Faults>, failure: &FailureOf) {
+    fn end(self: &Rc<Faults>, failure: &DrawnFailure) {
         match failure.what {
-            What::DiscoveryDown => self.fleet.lists.iter().for_each(|list| list.set_down(false)),
-            What::Slow => self.tier(failure.tier).for_each(|server| self.fleet.servers[server].slow(1.0)),
-            What::Hang => {
+            FailureKind::DiscoveryDown => self.fleet.lists.iter().for_each(|list| list.set_down(false)),
+            FailureKind::Slow => {
+                self.tier(failure.tier).for_each(|server| self.fleet.servers[server].slow(1.0))
+            }
+            FailureKind::Hang => {
                 self.meant(failure).into_iter().for_each(|server| self.fleet.servers[server].hang(false));
             }
-            What::TurnAway => {
+            FailureKind::TurnAway => {
                 self.meant(failure).into_iter().for_each(|server| self.fleet.servers[server].drain(false));
             }
-            What::Crash => self.meant(failure).into_iter().for_each(|server| self.revive(server)),
-            What::Lose => {
+            FailureKind::Crash => self.meant(failure).into_iter().for_each(|server| self.revive(server)),
+            FailureKind::Lose => {
                 let servers = self.meant(failure);
                 self.give_back(&servers, |ends| self.is_about(&servers, ends));
             }
-            What::LoseZone => {
+            FailureKind::LoseZone => {
                 let zone = failure.zone;
                 self.give_back(&self.servers_of(zone), |ends| self.of_zone(zone, ends));
                 self.fronts_of(zone).into_iter().for_each(|front| self.start(front));
             }
-            What::KillProxies => self.fronts(failure.part).into_iter().for_each(|front| self.start(front)),
-            What::StopProxies => {
+            FailureKind::KillProxies => {
+                self.fronts(failure.part).into_iter().for_each(|front| self.start(front))
+            }
+            FailureKind::StopProxies => {
                 for front in self.fronts(failure.part) {
-                    self.sure(self.fleet.signal(front, Sign::Go));
+                    self.sure(self.fleet.signal(front, ProcessSignal::Go));
                 }
             }
-            What::Cut => self.cut(failure, false),
-            What::Burst | What::Release | What::ReloadProxies | What::RollProxies => {}
+            FailureKind::Cut => self.cut(failure, false),
+            FailureKind::Burst
+            | FailureKind::Release
+            | FailureKind::ReloadProxies
+            | FailureKind::RollProxies => {}
         }
     }
 
@@ -164,7 +171,7 @@
     fn list(self: &Rc<Faults>, server: usize, status: BackendState, notice: f64) {
         let fleet = self.fleet.clone();
         let weight = fleet.weight_again.get();
-        let since = (status == BackendState::Ready).then(|| Started { since_ms: unix_ms(), weight });
+        let since = (status == BackendState::Ready).then(|| BackendStarted { since_ms: unix_ms(), weight });
         spawn_local(async move {
             sleep(Duration::from_secs_f64(notice / 1e3)).await;
             fleet.lists.iter().for_each(|list| list.change(server, status, since));
@@ -175,7 +182,7 @@
         let of = &self.fleet.servers[server];
         of.die(silently);
         if let Some(process) = of.own_proxy() {
-            self.sure(self.fleet.signal(process, Sign::Kill));
+            self.sure(self.fleet.signal(process, ProcessSignal::Kill));
         }
         let figures = &self.fleet.figures;
         let notice = if silently { figures.silent_notice } else { figures.notice };
@@ -200,13 +207,13 @@
     }
 
     /// The links that lead into a zone, or from a zone into another.
-    fn of_zone(&self, zone: usize, ends: Ends) -> bool {
+    fn of_zone(&self, zone: usize, ends: LinkEnds) -> bool {
         let process = &self.fleet.processes[ends.process()];
         match ends {
-            Ends::Server { server, .. } => {
+            LinkEnds::Server { server, .. } => {
                 self.fleet.servers[server].figures.zone == zone || process.zone == zone
             }
-            Ends::Door { .. } | Ends::List { .. } | Ends::Keeper { .. } => process.zone == zone,
+            LinkEnds::Door { .. } | LinkEnds::List { .. } | LinkEnds::Keeper { .. } => process.zone == zone,
         }
     }
 
@@ -220,12 +227,12 @@
     }
 
     /// Servers that are gone from the network, with the proxies that stand beside them and some links.
-    fn lose(self: &Rc<Faults>, servers: &[usize], links: impl Fn(Ends) -> bool) {
+    fn lose(self: &Rc<Faults>, servers: &[usize], links: impl Fn(LinkEnds) -> bool) {
         self.fleet.set(Fault::Silent, links);
         servers.iter().for_each(|server| self.die(*server, true));
     }
 
-    fn give_back(self: &Rc<Faults>, servers: &[usize], links: impl Fn(Ends) -> bool) {
+    fn give_back(self: &Rc<Faults>, servers: &[usize], links: impl Fn(LinkEnds) -> bool) {
         for (_, link) in self.fleet.links.iter().filter(|(ends, _)| links(*ends)) {
             link.reset();
             link.set(Fault::None);
@@ -238,13 +245,13 @@
     }
 
     /// The links to some servers, and those of the proxies beside them.
-    fn is_about(&self, servers: &[usize], ends: Ends) -> bool {
+    fn is_about(&self, servers: &[usize], ends: LinkEnds) -> bool {
         let own = servers.iter().any(|s| self.fleet.servers[*s].own_proxy() == Some(ends.process()));
-        own || matches!(ends, Ends::Server { server, .. } if servers.contains(&server))
+        own || matches!(ends, LinkEnds::Server { server, .. } if servers.contains(&server))
     }
 
     /// One after another: the list says that it drains; it serves on for a while, ends, and starts again cold.
-    fn release(self: &Rc<Faults>, failure: &FailureOf) {
+    fn release(self: &Rc<Faults>, failure: &DrawnFailure) {
         let machines = self.meant(failure);
         let each = failure.lasts / machines.len() as f64;
         for (i, server) in machines.into_iter().enumerate() {
@@ -270,7 +277,7 @@
     }
 
     /// Fronts are restarted in order, one after another.
-    async fn roll(self: &Rc<Faults>, failure: &FailureOf) {
+    async fn roll(self: &Rc<Faults>, failure: &DrawnFailure) {
         let fronts = self.fronts(failure.part);
         let each = Duration::from_secs_f64(failure.lasts / fronts.len() as f64 / 1e3);
         for front in fronts {
@@ -281,12 +288,12 @@
     }
 
     async fn restart(self: Rc<Faults>, front: usize) {
-        self.sure(self.fleet.signal(front, Sign::Term));
+        self.sure(self.fleet.signal(front, ProcessSignal::Term));
         let deadline = self.fleet.figures.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
         let until = self.fleet.history.now() + deadline + KILL_MS;
         while self.fleet.processes[front].runs.get() {
             if self.fleet.history.now() > until {
-                self.sure(self.fleet.signal(front, Sign::Kill));
+                self.sure(self.fleet.signal(front, ProcessSignal::Kill));
                 break;
             }
             sleep(Duration::from_millis(10)).await;
@@ -295,35 +302,35 @@
         self.sure(started);
     }
 
-    fn cut(&self, failure: &FailureOf, begins: bool) {
+    fn cut(&self, failure: &DrawnFailure, begins: bool) {
         let cut = &failure.cut;
         let fault = match cut.mode {
             _ if !begins => Fault::None,
-            Mode::Silent => Fault::Silent,
-            Mode::LoseForth => Fault::LoseForth,
-            Mode::LoseBack => Fault::LoseBack,
-            Mode::Reset => Fault::Reset,
-            Mode::Refuse => Fault::Refuse,
-            Mode::Delay => Fault::Delay(Duration::from_secs_f64(cut.delay / 1e3)),
+            CutMode::Silent => Fault::Silent,
+            CutMode::LoseForth => Fault::LoseForth,
+            CutMode::LoseBack => Fault::LoseBack,
+            CutMode::Reset => Fault::Reset,
+            CutMode::Refuse => Fault::Refuse,
+            CutMode::Delay => Fault::Delay(Duration::from_secs_f64(cut.delay / 1e3)),
         };
         let copies = |tier: usize| self.fleet.processes.iter().filter(|p| p.tier == tier).count();
-        let meant = |ends: Ends| {
+        let meant = |ends: LinkEnds| {
             let of = &self.fleet.processes[ends.process()];
             let from = cut.is_from(failure.part, (of.rank, copies(of.tier)), of.zone);
             from && match (cut.link, ends) {
-                (Between::ProxyServer, Ends::Server { server, .. }) => {
+                (LinkKind::ProxyServer, LinkEnds::Server { server, .. }) => {
                     of.tier == failure.tier && cut.is_to(self.fleet.servers[server].figures.zone)
                 }
-                (Between::ClientFront, Ends::Door { .. }) => true,
-                (Between::ProxyDiscovery, Ends::List { .. }) => of.tier == failure.tier,
+                (LinkKind::ClientFront, LinkEnds::Door { .. }) => true,
+                (LinkKind::ProxyDiscovery, LinkEnds::List { .. }) => of.tier == failure.tier,
                 _ => false,
             }
         };
         self.fleet.set(fault, meant);
-        if begins && cut.link == Between::ClientFront {
+        if begins && cut.link == LinkKind::ClientFront {
             let (from, to) = (failure.at, failure.at + failure.lasts);
             let doors = self.fleet.links.iter().map(|(ends, _)| *ends).filter(|ends| meant(*ends));
-            for process in doors.map(Ends::process) {
+            for process in doors.map(LinkEnds::process) {
                 self.fleet.history.note(|seen| seen.cuts.push(CutSeen { process, from, to }));
             }
         }
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -1,18 +1,18 @@
 //! A whole fleet: fronts, servers with proxies of their own, lists, and the links between them.
 
-use crate::keeper::{Keeper, News, Sign, Start};
-use crate::link::{Callers, Fault, Link, Passed};
-use crate::list::{Entry, Roster};
+use crate::coordination_fleet::CoordinationOptions;
+use crate::discovery_server::{DiscoveryServer, Entry};
+use crate::history::{History, ProcessEvent, ProcessLifetime};
+use crate::invariant_checker::{GroundTruth, Server as TrueServer};
 use crate::platform;
-use crate::port::Port;
-use crate::record::{History, Life, Lived};
-use crate::referee::{Server as TrueServer, Truth};
-use crate::server::{Below, Figures as ServerFigures, Server, WhoCalls};
-use crate::talk::Talk;
+use crate::process_supervisor::{ProcessSignal, ProcessSupervisor, StartProcess, SupervisorEvent};
+use crate::reserved_port::ReservedPort;
+use crate::server::{BackendParameters as ServerFigures, DownstreamTier, Server, WhoCalls};
+use crate::tcp_proxy::{Callers, Fault, TcpProxy, TransferredBytes};
 use hillstall_decision::{BackendState, Settings};
-use hillstall_simulation::scenario::Repeats;
-use hillstall_simulation::sim::setup::{chance, Figures, Stream};
-use hillstall_simulation::sim::Tally;
+use hillstall_simulation::scenario::ClassRetrySafety;
+use hillstall_simulation::sim::setup::{chance, DrawnScenario, Stream};
+use hillstall_simulation::sim::RunSummary;
 use rand_xoshiro::rand_core::RngCore;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cell::{Cell, RefCell};
@@ -33,7 +33,7 @@
 
 /// Why a drill can't be played.
 #[derive(Debug, thiserror::Error)]
-pub enum NoDrill {
+pub enum FleetError {
     /// The system refuses something: sockets, files, processes.
     #[error("{what}: {why}")]
     System {
@@ -55,21 +55,21 @@
 }
 
 /// For scripts, which tell in words what went wrong.
-impl From<NoDrill> for String {
-    fn from(why: NoDrill) -> String {
+impl From<FleetError> for String {
+    fn from(why: FleetError) -> String {
         why.to_string()
     }
 }
 
 /// Words for an error of the system's.
-pub(crate) fn system(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> NoDrill {
+pub(crate) fn system(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> FleetError {
     let what = what.into();
-    move |why| NoDrill::System { what, why }
+    move |why| FleetError::System { what, why }
 }
 
 /// What a link leads from and to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Ends {
+pub enum LinkEnds {
     /// From clients to a front.
     Door {
         /// The front.
@@ -96,14 +96,14 @@
     },
 }
 
-impl Ends {
+impl LinkEnds {
     /// The proxy at one of its ends.
     pub fn process(self) -> usize {
         match self {
-            Ends::Door { process }
-            | Ends::Server { process, .. }
-            | Ends::List { process }
-            | Ends::Keeper { process, .. } => process,
+            LinkEnds::Door { process }
+            | LinkEnds::Server { process, .. }
+            | LinkEnds::List { process }
+            | LinkEnds::Keeper { process, .. } => process,
         }
     }
 }
@@ -122,10 +122,10 @@
     pub zone: usize,
     /// What it is told.
     pub settings: Settings,
-    port: Port,
+    port: ReservedPort,
     /// Kept for its second address, and for its own copies' links where it is a keeper.
-    admin_port: Port,
-    talk_port: Port,
+    admin_port: ReservedPort,
+    talk_port: ReservedPort,
     folder: PathBuf,
     /// Whether its process runs.
     pub runs: Cell<bool>,
@@ -158,11 +158,11 @@
 /// A running fleet.
 pub struct Fleet {
     /// What it was drawn as.
-    pub figures: Figures,
+    pub figures: DrawnScenario,
     /// What was seen.
     pub history: Rc<History>,
     /// What clients got.
-    pub tally: RefCell<Tally>,
+    pub tally: RefCell<RunSummary>,
     /// The proxies; the fronts come first.
     pub processes: Vec<Process>,
     /// How many of them are fronts.
@@ -170,35 +170,35 @@
     /// The servers, tier by tier.
     pub servers: Vec<Rc<Server>>,
     /// The list of each tier.
-    pub lists: Vec<Rc<Roster>>,
+    pub lists: Vec<Rc<DiscoveryServer>>,
     /// All links, with their ends.
-    pub links: Vec<(Ends, Rc<Link>)>,
+    pub links: Vec<(LinkEnds, Rc<TcpProxy>)>,
     /// The weight that the list gives to servers that have started again; 1 is the truth.
     pub weight_again: Cell<f64>,
     /// How its copies talk, if they do.
-    pub talk: Option<Talk>,
-    by_ends: HashMap<Ends, usize>,
+    pub talk: Option<CoordinationOptions>,
+    by_ends: HashMap<LinkEnds, usize>,
     lives: Rc<RefCell<Vec<u32>>>,
-    keeper: RefCell<Keeper>,
+    keeper: RefCell<ProcessSupervisor>,
     program: PathBuf,
     seeds: RefCell<Xoshiro256PlusPlus>,
 }
 
 /// Changes what the proxies are told: to see what a rule is for, or that the referee sees it broken.
-pub type Lie = Rc<dyn Fn(&mut Settings)>;
+pub type SettingsFault = Rc<dyn Fn(&mut Settings)>;
 
 /// What a fleet is made of.
-pub struct Plan<'a> {
+pub struct FleetPlan<'a> {
     /// The program whose `run` is each proxy and whose `lab keeper` owns them.
     pub program: &'a Path,
     /// The figures.
-    pub figures: Figures,
+    pub figures: DrawnScenario,
     /// The seed.
     pub seed: u64,
     /// What the proxies are told wrongly, if anything.
-    pub lie: Option<Lie>,
+    pub lie: Option<SettingsFault>,
     /// How its copies talk, if they do.
-    pub talk: Option<Talk>,
+    pub talk: Option<CoordinationOptions>,
     /// Where files go.
     pub folder: &'a Path,
 }
@@ -209,23 +209,24 @@
     rank: usize,
     copies: usize,
     zone: usize,
-    port: Port,
-    admin_port: Port,
-    talk_port: Port,
+    port: ReservedPort,
+    admin_port: ReservedPort,
+    talk_port: ReservedPort,
 }
 
-fn sketches(figures: &Figures) -> IoResult<Vec<Sketch>> {
+fn sketches(figures: &DrawnScenario) -> IoResult<Vec<Sketch>> {
     let mut all = Vec::new();
     for (rank, zone) in figures.proxies.iter().enumerate() {
-        let (copies, port) = (figures.proxies.len(), Port::take()?);
-        let (name, admin_port, talk_port) = (format!("front-{rank}"), Port::take()?, Port::take()?);
+        let (copies, port) = (figures.proxies.len(), ReservedPort::take()?);
+        let (name, admin_port, talk_port) =
+            (format!("front-{rank}"), ReservedPort::take()?, ReservedPort::take()?);
         all.push(Sketch { name, tier: 0, rank, copies, zone: *zone, port, admin_port, talk_port });
     }
     for (above, tier) in figures.tiers.iter().take(figures.tiers.len() - 1).enumerate() {
         for (rank, place) in tier.places.iter().enumerate() {
-            let (copies, port) = (tier.places.len(), Port::take()?);
+            let (copies, port) = (tier.places.len(), ReservedPort::take()?);
             let name = format!("beside-s{above}-{rank}");
-            let (admin_port, talk_port) = (Port::take()?, Port::take()?);
+            let (admin_port, talk_port) = (ReservedPort::take()?, ReservedPort::take()?);
             let (tier, zone) = (above + 1, place.zone);
             all.push(Sketch { name, tier, rank, copies, zone, port, admin_port, talk_port });
         }
@@ -235,8 +236,8 @@
 
 impl Fleet {
     /// Starts everything, and waits until all of it is up.
-    pub async fn start(plan: Plan<'_>) -> Result<Rc<Fleet>, NoDrill> {
-        let Plan { program, figures, seed, lie, talk, folder } = plan;
+    pub async fn start(plan: FleetPlan<'_>) -> Result<Rc<Fleet>, FleetError> {
+        let FleetPlan { program, figures, seed, lie, talk, folder } = plan;
         let history = Rc::new(History::default());
         let callers = Callers::default();
         let owners: Rc<RefCell<Vec<usize>>> = Rc::default();
@@ -252,17 +253,17 @@
         let servers = servers(&figures, &sketches, &history, (&callers, &who)).map_err(system("servers"))?;
         // Links, and what each proxy reaches each server by.
         let places: Rc<RefCell<HashMap<(usize, usize), SocketAddr>>> = Rc::default();
-        let mut links: Vec<(Ends, Rc<Link>)> = Vec::new();
-        let mut link = |ends: Ends, to: SocketAddr| {
+        let mut links: Vec<(LinkEnds, Rc<TcpProxy>)> = Vec::new();
+        let mut link = |ends: LinkEnds, to: SocketAddr| {
             owners.borrow_mut().push(ends.process());
-            let link = Link::start(links.len(), to, callers.clone()).map_err(system("a link"))?;
+            let link = TcpProxy::start(links.len(), to, callers.clone()).map_err(system("a link"))?;
             links.push((ends, link.clone()));
-            Ok::<_, NoDrill>(link)
+            Ok::<_, FleetError>(link)
         };
         for (process, sketch) in sketches.iter().enumerate() {
             for server in figures.machines_of(sketch.tier) {
                 let of = &servers[server];
-                let link = link(Ends::Server { process, server }, of.address())?;
+                let link = link(LinkEnds::Server { process, server }, of.address())?;
                 places.borrow_mut().insert((process, server), link.address());
                 of.is_reached_by(link);
             }
@@ -279,8 +280,12 @@
             });
             let places = places.clone();
             let places = Rc::new(move |process, server| places.borrow()[&(process, server)]);
-            let roster =
-                Roster::new(history.clone(), (callers.clone(), who.clone()), places, entries.collect());
+            let roster = DiscoveryServer::new(
+                history.clone(),
+                (callers.clone(), who.clone()),
+                places,
+                entries.collect(),
+            );
             let listener = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.map_err(system("a list"))?;
             lists_at.push(listener.local_addr().map_err(system("a list"))?);
             spawn_local(roster.clone().serve(listener));
@@ -288,16 +293,16 @@
         }
         let mut lists_by = Vec::new();
         for (process, sketch) in sketches.iter().enumerate() {
-            lists_by.push(link(Ends::List { process }, lists_at[sketch.tier])?.address());
+            lists_by.push(link(LinkEnds::List { process }, lists_at[sketch.tier])?.address());
         }
         for slot in 0..talk.as_ref().map_or(0, |talk| talk.keepers) {
             let keeper = sketches[slot].talk_port.address();
             for process in 0..sketches.len() {
-                link(Ends::Keeper { process, slot }, keeper)?;
+                link(LinkEnds::Keeper { process, slot }, keeper)?;
             }
         }
         for (process, sketch) in sketches.iter().enumerate().take(figures.proxies.len()) {
-            link(Ends::Door { process }, sketch.port.address())?;
+            link(LinkEnds::Door { process }, sketch.port.address())?;
         }
         let processes: Vec<Process> = (sketches.into_iter().enumerate())
             .map(|(number, s)| {
@@ -326,11 +331,11 @@
             })
             .collect();
         let (tell, news) = mpsc::unbounded_channel();
-        let keeper = Keeper::start(program, &["lab", "keeper"], move |news| {
+        let keeper = ProcessSupervisor::start(program, &["lab", "keeper"], move |news| {
             // Nobody listens any more once the drill is over.
             let _ = tell.send(news);
         });
-        let tally = Tally::new("drill", seed, figures.length, figures.shares());
+        let tally = RunSummary::new("drill", seed, figures.length, figures.shares());
         let fleet = Rc::new(Fleet {
             fronts: figures.proxies.len(),
             tally: RefCell::new(tally),
@@ -364,15 +369,15 @@
     }
 
     /// The link of a kind that leads from a proxy, or to it.
-    pub fn link(&self, ends: Ends) -> &Rc<Link> {
+    pub fn link(&self, ends: LinkEnds) -> &Rc<TcpProxy> {
         // All links there can be were made at the start.
         &self.links[self.by_ends[&ends]].1
     }
 
     /// What passed over some links together.
-    pub fn passed(&self, which: impl Fn(Ends) -> bool) -> Passed {
+    pub fn passed(&self, which: impl Fn(LinkEnds) -> bool) -> TransferredBytes {
         let each = self.links.iter().filter(|(ends, _)| which(*ends)).map(|(_, link)| link.passed());
-        each.fold(Passed::default(), |a, b| Passed {
+        each.fold(TransferredBytes::default(), |a, b| TransferredBytes {
             connections: a.connections + b.connections,
             forth: a.forth + b.forth,
             back: a.back + b.back,
@@ -380,15 +385,15 @@
     }
 
     /// Sets what is wrong with some links.
-    pub fn set(&self, fault: Fault, which: impl Fn(Ends) -> bool) {
+    pub fn set(&self, fault: Fault, which: impl Fn(LinkEnds) -> bool) {
         let meant = self.links.iter().filter(|(ends, _)| which(*ends));
         meant.for_each(|(_, link)| link.set(fault));
     }
 
     /// The truth, for the referee.
-    pub fn truth(&self) -> Truth {
+    pub fn truth(&self) -> GroundTruth {
         let delays = self.figures.failures.iter().map(|f| f.cut.delay);
-        Truth {
+        GroundTruth {
             settings: self.figures.settings(0, 0, self.fronts, 0),
             servers: (self.figures.tiers.iter().enumerate())
                 .flat_map(|(tier, of)| (0..of.places.len()).map(move |n| (tier, n)))
@@ -403,15 +408,15 @@
         }
     }
 
-    fn note(&self, process: usize, what: Lived) {
+    fn note(&self, process: usize, what: ProcessEvent) {
         let at = self.history.now();
-        self.history.note(|seen| seen.lives.push(Life { process, at, what }));
+        self.history.note(|seen| seen.lives.push(ProcessLifetime { process, at, what }));
     }
 
-    fn launch(&self, number: usize, list: SocketAddr) -> Result<(), NoDrill> {
+    fn launch(&self, number: usize, list: SocketAddr) -> Result<(), FleetError> {
         let process = &self.processes[number];
         let config = process.folder.join("config.json");
-        let told = platform::Told {
+        let told = platform::ProxyConfig {
             name: &process.name,
             listen: process.address(),
             discovery: list,
@@ -425,14 +430,14 @@
         let mut operator = Vec::new();
         if let Some(talk) = &self.talk {
             let path = process.folder.join("operator.toml");
-            let keepers = (0..talk.keepers).map(|slot| Ends::Keeper { process: number, slot });
+            let keepers = (0..talk.keepers).map(|slot| LinkEnds::Keeper { process: number, slot });
             let keepers: Vec<SocketAddr> = keepers.map(|ends| self.link(ends).address()).collect();
             let listen = talk.is_keeper(number).then(|| process.talk_port.address());
             let file = talk.file(number, &keepers, listen, &process.folder.join("disk"));
             std::fs::write(&path, file).map_err(system(path.display().to_string()))?;
             operator = vec!["--operator".into(), text(&path)];
         }
-        let start = Start {
+        let start = StartProcess {
             number,
             program: self.program.clone(),
             arguments: ["run", "--set", "log.calls=true", "--set", "log.format=json"]
@@ -451,25 +456,25 @@
             log: process.log(),
         };
         self.lives.borrow_mut()[number] += 1;
-        self.note(number, Lived::Started);
+        self.note(number, ProcessEvent::Started);
         process.runs.set(true);
         self.keeper.borrow_mut().run(start).map_err(system("the keeper"))
     }
 
     /// Starts a proxy again, with nothing learned, and waits until it is up.
-    pub async fn start_process(&self, number: usize) -> Result<(), NoDrill> {
+    pub async fn start_process(&self, number: usize) -> Result<(), FleetError> {
         let end = Instant::now() + UP_WITHIN;
         // A name is only started once the process before it has been reaped.
         while self.processes[number].runs.get() && Instant::now() < end {
             sleep(LOOK).await;
         }
-        let list = self.link(Ends::List { process: number }).address();
+        let list = self.link(LinkEnds::List { process: number }).address();
         self.launch(number, list)?;
         self.wait_up(number).await
     }
 
     /// Waits until a proxy says that it takes calls.
-    async fn wait_up(&self, number: usize) -> Result<(), NoDrill> {
+    async fn wait_up(&self, number: usize) -> Result<(), FleetError> {
         let process = &self.processes[number];
         let up = async {
             while !says_up(process.address()).await {
@@ -480,57 +485,57 @@
             let log = std::fs::read_to_string(process.log()).unwrap_or_default();
             let from = log.char_indices().rev().nth(2_000).map_or(0, |(at, _)| at);
             let seconds = UP_WITHIN.as_secs();
-            return Err(NoDrill::NotUp { name: process.name.clone(), seconds, log: log[from..].into() });
+            return Err(FleetError::NotUp { name: process.name.clone(), seconds, log: log[from..].into() });
         }
         if number < self.fronts {
-            self.link(Ends::Door { process: number }).set_up(true);
+            self.link(LinkEnds::Door { process: number }).set_up(true);
         }
-        self.note(number, Lived::Up);
+        self.note(number, ProcessEvent::Up);
         Ok(())
     }
 
     /// Signals a proxy.
-    pub fn signal(&self, number: usize, sign: Sign) -> Result<(), NoDrill> {
+    pub fn signal(&self, number: usize, sign: ProcessSignal) -> Result<(), FleetError> {
         match sign {
-            Sign::Kill => {
-                self.note(number, Lived::Killed);
+            ProcessSignal::Kill => {
+                self.note(number, ProcessEvent::Killed);
                 if number < self.fronts {
-                    self.link(Ends::Door { process: number }).set_up(false);
+                    self.link(LinkEnds::Door { process: number }).set_up(false);
                 }
             }
-            Sign::Term => self.note(number, Lived::Asked),
-            Sign::Stop => self.note(number, Lived::Stopped),
-            Sign::Go => self.note(number, Lived::Went),
-            Sign::Reload => {}
+            ProcessSignal::Term => self.note(number, ProcessEvent::Asked),
+            ProcessSignal::Stop => self.note(number, ProcessEvent::Stopped),
+            ProcessSignal::Go => self.note(number, ProcessEvent::Went),
+            ProcessSignal::Reload => {}
         }
         self.keeper.borrow_mut().signal(number, sign).map_err(system("the keeper"))
     }
 
     /// Kills a proxy and writes nothing down: what a crash looks like to the referee.
-    pub fn strike(&self, number: usize) -> Result<(), NoDrill> {
-        self.keeper.borrow_mut().signal(number, Sign::Kill).map_err(system("the keeper"))
+    pub fn strike(&self, number: usize) -> Result<(), FleetError> {
+        self.keeper.borrow_mut().signal(number, ProcessSignal::Kill).map_err(system("the keeper"))
     }
 
-    fn heard(&self, news: News) {
+    fn heard(&self, news: SupervisorEvent) {
         match news {
-            News::Started { number, pid } => self.processes[number].pid.set(Some(pid)),
-            News::Failed { number, why } => {
+            SupervisorEvent::Started { number, pid } => self.processes[number].pid.set(Some(pid)),
+            SupervisorEvent::Failed { number, why } => {
                 eprintln!("{}: {why}", self.processes[number].name);
                 self.processes[number].runs.set(false);
             }
-            News::Ended { number, code, .. } => {
+            SupervisorEvent::Ended { number, code, .. } => {
                 let process = &self.processes[number];
                 process.runs.set(false);
                 if number < self.fronts {
-                    self.link(Ends::Door { process: number }).set_up(false);
+                    self.link(LinkEnds::Door { process: number }).set_up(false);
                 }
-                self.note(number, Lived::Ended(code));
+                self.note(number, ProcessEvent::Ended(code));
             }
         }
     }
 }
 
-async fn hear(fleet: std::rc::Weak<Fleet>, mut news: mpsc::UnboundedReceiver<News>) {
+async fn hear(fleet: std::rc::Weak<Fleet>, mut news: mpsc::UnboundedReceiver<SupervisorEvent>) {
     while let Some(news) = news.recv().await {
         match fleet.upgrade() {
             Some(fleet) => fleet.heard(news),
@@ -551,13 +556,13 @@
 }
 
 fn servers(
-    figures: &Figures,
+    figures: &DrawnScenario,
     sketches: &[Sketch],
     history: &Rc<History>,
     (callers, who): (&Callers, &WhoCalls),
 ) -> IoResult<Vec<Rc<Server>>> {
     let classes: Vec<(String, bool, bool)> = (figures.classes.iter())
-        .map(|c| (c.name.clone(), c.repeats == Repeats::Safe, c.repeats == Repeats::Keyed))
+        .map(|c| (c.name.clone(), c.repeats == ClassRetrySafety::Safe, c.repeats == ClassRetrySafety::Keyed))
         .collect();
     let tenants: Vec<String> = figures.tenants.iter().map(|t| t.name.clone()).collect();
     let mut all = Vec::new();
@@ -565,7 +570,12 @@
         for (n, place) in of.places.iter().enumerate() {
             let own = sketches.iter().position(|s| s.tier == tier + 1 && s.rank == n);
             let below = own.map(|process| {
-                Below::new(process, sketches[process].port.address(), classes.clone(), tenants.clone())
+                DownstreamTier::new(
+                    process,
+                    sketches[process].port.address(),
+                    classes.clone(),
+                    tenants.clone(),
+                )
             });
             let figures = ServerFigures {
                 number: all.len(),
--- a/crates/fault-injection/src/record.rs
+++ b/crates/fault-injection/src/history.rs
@@ -7,7 +7,7 @@
 
 /// How a try ended for whoever made it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum ClientResult {
     /// 200, with what a server made for it.
     Served,
     /// 429 or 503.
@@ -28,7 +28,7 @@
 
 /// A request that somebody made at a proxy.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct ClientAttempt {
     /// Its id.
     pub id: String,
     /// Its class.
@@ -46,14 +46,14 @@
     /// When it ended.
     pub ended_at: f64,
     /// How.
-    pub ended: Ended,
+    pub ended: ClientResult,
     /// The wait that a refusal stated, in milliseconds.
     pub come_back: Option<f64>,
 }
 
 /// How a call ended at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Done {
+pub enum BackendResult {
     /// It is held still.
     Held,
     /// Answered with 200.
@@ -70,7 +70,7 @@
 
 /// A call as a server saw it.
 #[derive(Clone, Debug)]
-pub struct Hop {
+pub struct BackendAttempt {
     /// The id that came with it.
     pub id: String,
     /// The server, by its number over all tiers.
@@ -86,12 +86,12 @@
     /// When it ended.
     pub ended_at: f64,
     /// How.
-    pub done: Done,
+    pub done: BackendResult,
 }
 
 /// A line of the list that was written to a proxy.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct Notification {
     /// To which.
     pub process: usize,
     /// The number of times that the proxy had been started by then.
@@ -106,7 +106,7 @@
 
 /// What happened to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lived {
+pub enum ProcessEvent {
     /// It was started.
     Started,
     /// It takes calls.
@@ -125,18 +125,18 @@
 
 /// Something that happened to a process.
 #[derive(Clone, Copy, Debug)]
-pub struct Life {
+pub struct ProcessLifetime {
     /// To which.
     pub process: usize,
     /// When.
     pub at: f64,
     /// What.
-    pub what: Lived,
+    pub what: ProcessEvent,
 }
 
 /// A server's start, cold.
 #[derive(Clone, Copy, Debug)]
-pub struct Start {
+pub struct BackendStart {
     /// Which.
     pub server: usize,
     /// When.
@@ -145,7 +145,7 @@
 
 /// A stretch in which the link to a proxy from its callers was not sound.
 #[derive(Clone, Copy, Debug)]
-pub struct Cut {
+pub struct LinkCut {
     /// The proxy.
     pub process: usize,
     /// From when.
@@ -156,19 +156,19 @@
 
 /// All that was seen.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Observations {
     /// Requests at proxies.
-    pub tries: Vec<Try>,
+    pub tries: Vec<ClientAttempt>,
     /// Calls at servers.
-    pub hops: Vec<Hop>,
+    pub hops: Vec<BackendAttempt>,
     /// What the list said.
-    pub told: Vec<Told>,
+    pub told: Vec<Notification>,
     /// What happened to processes.
-    pub lives: Vec<Life>,
+    pub lives: Vec<ProcessLifetime>,
     /// Cold starts.
-    pub starts: Vec<Start>,
+    pub starts: Vec<BackendStart>,
     /// Broken links to proxies.
-    pub cuts: Vec<Cut>,
+    pub cuts: Vec<LinkCut>,
     /// Connections that servers took, by server.
     pub handshakes: Vec<u64>,
     /// Calls for lists and watches.
@@ -176,12 +176,12 @@
     /// How late each call set out, in milliseconds.
     pub lateness: Vec<f64>,
     /// Who stood still though it had something to do, as the machine had no time for it.
-    pub stood: Vec<Stood>,
+    pub stood: Vec<HostStall>,
 }
 
 /// Somebody got no processor time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stood {
+pub struct HostStall {
     /// A process; or, where none is named, the rig itself with its clients, links and servers.
     pub process: Option<usize>,
     /// From.
@@ -193,7 +193,7 @@
 /// The drill's clock, and what was seen.
 pub struct History {
     zero: Cell<Instant>,
-    seen: RefCell<Seen>,
+    seen: RefCell<Observations>,
 }
 
 impl Default for History {
@@ -227,12 +227,12 @@
     }
 
     /// Writes something down.
-    pub fn note<T>(&self, what: impl FnOnce(&mut Seen) -> T) -> T {
+    pub fn note<T>(&self, what: impl FnOnce(&mut Observations) -> T) -> T {
         what(&mut self.seen.borrow_mut())
     }
 
     /// All that was seen, at the end.
-    pub fn take(&self) -> Seen {
+    pub fn take(&self) -> Observations {
         self.seen.take()
     }
 }
--- a/crates/fault-injection/src/pulse.rs
+++ b/crates/fault-injection/src/host_load_monitor.rs
@@ -3,7 +3,7 @@
 //! processor answers late, and that says nothing of the program.
 
 use crate::fleet::Fleet;
-use crate::record::Stood;
+use crate::history::HostStall;
 use std::collections::HashMap;
 use std::path::Path;
 use std::rc::Rc;
@@ -41,7 +41,7 @@
     for look in 0.. {
         sleep(PULSE).await;
         let now = fleet.history.now();
-        let stood = |process, waited: f64| Stood { process, from: now - waited, to: now };
+        let stood = |process, waited: f64| HostStall { process, from: now - waited, to: now };
         let late = now - last - PULSE.as_secs_f64() * 1e3;
         if late > LONG_MS {
             fleet.history.note(|seen| seen.stood.push(stood(None, now - last)));
--- a/crates/fault-injection/src/referee.rs
+++ b/crates/fault-injection/src/invariant_checker.rs
@@ -1,9 +1,11 @@
 //! The referee: joins what clients, servers and the list saw by request id, and judges the whole fleet by the rules of
 //! the platform's protocol. It knows the rules and the true figures, and nothing of how a proxy decides.
 
-use crate::record::{Done, Ended, Hop, Lived, Seen, Stood, Try};
+use crate::history::{
+    BackendAttempt, BackendResult, ClientAttempt, ClientResult, HostStall, Observations, ProcessEvent,
+};
 use hillstall_decision::{BackendState, RetrySafety, Settings};
-use hillstall_simulation::model::cold::ColdStart;
+use hillstall_simulation::model::slow_start::SlowStartModel;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -61,7 +63,7 @@
 
 /// A rule that was broken.
 #[derive(Clone, Debug)]
-pub struct Broken {
+pub struct Violation {
     /// Which.
     pub rule: Rule,
     /// How.
@@ -78,12 +80,12 @@
     /// Its tier.
     pub tier: usize,
     /// What it bears after a start.
-    pub cold: ColdStart,
+    pub cold: SlowStartModel,
 }
 
 /// The fleet as it truly is.
 #[derive(Clone, Debug)]
-pub struct Truth {
+pub struct GroundTruth {
     /// The settings, as they should be told.
     pub settings: Settings,
     /// The servers, over all tiers.
@@ -100,14 +102,14 @@
     /// All rules were kept.
     Kept,
     /// Some were not.
-    Broken(Vec<Broken>),
+    Broken(Vec<Violation>),
     /// The rig was late: the machine had too little time for it, and what was seen says nothing.
     Void(String),
 }
 
 impl Verdict {
     /// The broken rules.
-    pub fn broken(&self) -> &[Broken] {
+    pub fn broken(&self) -> &[Violation] {
         match self {
             Verdict::Broken(all) => all,
             _ => &[],
@@ -126,7 +128,7 @@
 }
 
 /// Judges what was seen.
-pub fn judge(truth: &Truth, seen: &Seen) -> Verdict {
+pub fn check(truth: &GroundTruth, seen: &Observations) -> Verdict {
     if let Some(why) = late(&seen.lateness).or_else(|| stood(&seen.stood)) {
         return Verdict::Void(why);
     }
@@ -154,27 +156,27 @@
 }
 
 /// Why standstills make a drill void, if they do: in a longer one queues build up that the scenario does not have.
-pub fn stood(stood: &[Stood]) -> Option<String> {
+pub fn stood(stood: &[HostStall]) -> Option<String> {
     let worst = stood.iter().max_by(|a, b| (a.to - a.from).total_cmp(&(b.to - b.from)))?;
     let (who, long) = (worst.process.map_or("it".into(), |p| format!("process {p}")), worst.to - worst.from);
     (long > STOOD_MS).then(|| format!("{who} got no processor time for {long:.0} ms"))
 }
 
 /// The most of what a cold server was sent against what it bears, over all cold starts: over 1 it is pushed over.
-pub fn overshoot(truth: &Truth, seen: &Seen) -> f64 {
+pub fn overshoot(truth: &GroundTruth, seen: &Observations) -> f64 {
     Court::new(truth, seen).overshoots().into_iter().map(|(_, part, _)| part).fold(0.0, f64::max)
 }
 
 struct Court<'a> {
-    truth: &'a Truth,
-    seen: &'a Seen,
-    tries: BTreeMap<&'a str, &'a Try>,
-    hops: BTreeMap<&'a str, Vec<&'a Hop>>,
+    truth: &'a GroundTruth,
+    seen: &'a Observations,
+    tries: BTreeMap<&'a str, &'a ClientAttempt>,
+    hops: BTreeMap<&'a str, Vec<&'a BackendAttempt>>,
 }
 
 impl<'a> Court<'a> {
-    fn new(truth: &'a Truth, seen: &'a Seen) -> Court<'a> {
-        let mut hops: BTreeMap<&str, Vec<&Hop>> = BTreeMap::new();
+    fn new(truth: &'a GroundTruth, seen: &'a Observations) -> Court<'a> {
+        let mut hops: BTreeMap<&str, Vec<&BackendAttempt>> = BTreeMap::new();
         for hop in &seen.hops {
             hops.entry(&hop.id).or_default().push(hop);
         }
@@ -188,8 +190,8 @@
         for life in self.seen.lives.iter().filter(|l| l.process == process && l.at < to + NEAR_MS) {
             match life.what {
                 // One that ends in order still owes what it has taken; until it is killed.
-                Lived::Started | Lived::Asked => {}
-                Lived::Up | Lived::Went => {
+                ProcessEvent::Started | ProcessEvent::Asked => {}
+                ProcessEvent::Up | ProcessEvent::Went => {
                     // What came while it stood still was late through no fault of its own.
                     if !well && life.at + NEAR_MS > from {
                         return false;
@@ -197,19 +199,20 @@
                     well = true;
                 }
                 // The end of one that was not killed excuses nothing.
-                Lived::Ended(_) => {}
-                Lived::Killed | Lived::Stopped => well = false,
+                ProcessEvent::Ended(_) => {}
+                ProcessEvent::Killed | ProcessEvent::Stopped => well = false,
             }
         }
-        let cut =
-            |c: &&crate::record::Cut| c.process == process && c.from < to + NEAR_MS && c.to + NEAR_MS > from;
+        let cut = |c: &&crate::history::LinkCut| {
+            c.process == process && c.from < to + NEAR_MS && c.to + NEAR_MS > from
+        };
         well && !self.seen.cuts.iter().any(|c| cut(&c))
     }
 
     /// Whether the rig or a proxy got no processor time in a stretch: what waited in it was late through no fault of
     /// the program.
     fn stood(&self, process: usize, from: f64, to: f64) -> bool {
-        let meant = |stood: &&Stood| stood.process.is_none_or(|of| of == process);
+        let meant = |stood: &&HostStall| stood.process.is_none_or(|of| of == process);
         self.seen.stood.iter().filter(meant).any(|stood| stood.from < to && stood.to > from)
     }
 
@@ -218,45 +221,46 @@
         let mut asked = None;
         for life in self.seen.lives.iter().filter(|l| l.process == process && l.at < at) {
             match life.what {
-                Lived::Asked => asked = Some(life.at),
-                Lived::Up => asked = None,
+                ProcessEvent::Asked => asked = Some(life.at),
+                ProcessEvent::Up => asked = None,
                 _ => {}
             }
         }
         asked.is_some_and(|asked| at - asked > OWED_MS)
     }
 
-    fn answers(&self, broken: &mut Vec<Broken>) {
+    fn answers(&self, broken: &mut Vec<Violation>) {
         for a_try in &self.seen.tries {
             let Some(written) = a_try.written_at else { continue };
             let how = match &a_try.ended {
-                Ended::Wrong(how) => how.clone(),
-                Ended::Served => {
+                ClientResult::Wrong(how) => how.clone(),
+                ClientResult::Served => {
                     // Some server must have made it, for this request.
-                    let served = |h: &&Hop| h.done == Done::Served;
+                    let served = |h: &&BackendAttempt| h.done == BackendResult::Served;
                     match self.hops.get(a_try.id.as_str()).is_some_and(|hops| hops.iter().any(served)) {
                         true => continue,
                         false => "served with something that no server made for it".to_string(),
                     }
                 }
-                Ended::Broken => "its connection ended without an answer".to_string(),
-                Ended::Unanswered => format!("no answer within {:.0} ms", a_try.ended_at - written),
+                ClientResult::Broken => "its connection ended without an answer".to_string(),
+                ClientResult::Unanswered => format!("no answer within {:.0} ms", a_try.ended_at - written),
                 _ => continue,
             };
-            let wrong = matches!(a_try.ended, Ended::Wrong(_) | Ended::Served);
+            let wrong = matches!(a_try.ended, ClientResult::Wrong(_) | ClientResult::Served);
             let owed = self.was_well(a_try.process, written, a_try.ended_at)
                 && !self.came_late(a_try.process, written)
-                && !(a_try.ended == Ended::Unanswered && self.stood(a_try.process, written, a_try.ended_at));
+                && !(a_try.ended == ClientResult::Unanswered
+                    && self.stood(a_try.process, written, a_try.ended_at));
             if wrong || owed {
-                broken.push(Broken { rule: Rule::OneAnswer, how, id: Some(a_try.id.clone()) });
+                broken.push(Violation { rule: Rule::OneAnswer, how, id: Some(a_try.id.clone()) });
             }
         }
     }
 
-    fn repeats(&self, broken: &mut Vec<Broken>) {
+    fn repeats(&self, broken: &mut Vec<Violation>) {
         let settings = &self.truth.settings;
         for (id, hops) in &self.hops {
-            let mut found = |rule, how| broken.push(Broken { rule, how, id: Some((*id).to_string()) });
+            let mut found = |rule, how| broken.push(Violation { rule, how, id: Some((*id).to_string()) });
             let Some(a_try) = self.tries.get(id) else {
                 found(Rule::Unasked, "a server got a request that nobody made".into());
                 continue;
@@ -266,7 +270,7 @@
                 found(Rule::Attempts, format!("{} attempts of {most}", hops.len()));
             }
             let class = &settings.classes[a_try.class];
-            let Some(ran) = hops.iter().find(|h| h.done != Done::TurnedAway) else { continue };
+            let Some(ran) = hops.iter().find(|h| h.done != BackendResult::TurnedAway) else { continue };
             let permitted = |at: f64| match class.retry_safety {
                 RetrySafety::Idempotent => true,
                 RetrySafety::IdempotencyKey => at - ran.at <= class.dedup_window_ms + LENIENCE_MS,
@@ -277,13 +281,13 @@
                 let after = again.at - ran.at;
                 found(Rule::BarredRepeat, format!("sent again {after:.0} ms after it may have run"));
             }
-            if a_try.ended == Ended::Refused && !permitted(a_try.ended_at) {
+            if a_try.ended == ClientResult::Refused && !permitted(a_try.ended_at) {
                 found(Rule::Refusal, "refused although it may have run".into());
             }
         }
     }
 
-    fn drains(&self, broken: &mut Vec<Broken>) {
+    fn drains(&self, broken: &mut Vec<Violation>) {
         let grace = self.truth.settings.rules.drain_grace_ms + LENIENCE_MS + self.truth.delay;
         // For each life of a proxy and each server: since when it is told not to send there.
         let mut away: BTreeMap<(usize, u32, usize), Vec<(f64, bool)>> = BTreeMap::new();
@@ -300,7 +304,7 @@
             if let Some(since) = since.filter(|since| hop.at - since > grace) {
                 let server = &self.truth.servers[hop.server].name;
                 let how = format!("{server} got it {:.0} ms after the proxy was told", hop.at - since);
-                broken.push(Broken { rule: Rule::Drain, how, id: Some(hop.id.clone()) });
+                broken.push(Violation { rule: Rule::Drain, how, id: Some(hop.id.clone()) });
             }
         }
     }
@@ -308,7 +312,7 @@
     /// For each cold start: the server, the most of what it was sent against what it bears, and when that was.
     fn overshoots(&self) -> Vec<(usize, f64, f64)> {
         let each = self.seen.starts.iter().map(|start| {
-            let of = |h: &&Hop| h.server == start.server && h.at >= start.at;
+            let of = |h: &&BackendAttempt| h.server == start.server && h.at >= start.at;
             let sent: Vec<(f64, f64)> =
                 self.seen.hops.iter().filter(of).map(|h| (h.at - start.at, h.work)).collect();
             let (most, when) = self.truth.servers[start.server].cold.overshoot(&sent);
@@ -317,26 +321,26 @@
         each.collect()
     }
 
-    fn cold(&self, broken: &mut Vec<Broken>) {
+    fn cold(&self, broken: &mut Vec<Violation>) {
         for (server, part, when) in self.overshoots() {
             if part > 1.0 {
                 let name = &self.truth.servers[server].name;
                 let how = format!("{name} was sent {part:.2} times what it bears, at {when:.0} ms");
-                broken.push(Broken { rule: Rule::Cold, how, id: None });
+                broken.push(Violation { rule: Rule::Cold, how, id: None });
             }
         }
     }
 
-    fn crashes(&self, broken: &mut Vec<Broken>) {
+    fn crashes(&self, broken: &mut Vec<Violation>) {
         let mut told = vec![false; self.truth.processes.len()];
         for life in &self.seen.lives {
             match life.what {
-                Lived::Started => told[life.process] = false,
-                Lived::Asked | Lived::Killed => told[life.process] = true,
-                Lived::Ended(code) if !told[life.process] => {
+                ProcessEvent::Started => told[life.process] = false,
+                ProcessEvent::Asked | ProcessEvent::Killed => told[life.process] = true,
+                ProcessEvent::Ended(code) if !told[life.process] => {
                     let name = &self.truth.processes[life.process];
                     let how = format!("{name} ended by itself at {:.0} ms with {code:?}", life.at);
-                    broken.push(Broken { rule: Rule::Crash, how, id: None });
+                    broken.push(Violation { rule: Rule::Crash, how, id: None });
                 }
                 _ => {}
             }
@@ -345,7 +349,7 @@
 }
 
 /// All that is known of a request and of what came of it at the tiers below, one line a hop, in order of time.
-pub fn story(truth: &Truth, seen: &Seen, id: &str) -> String {
+pub fn story(truth: &GroundTruth, seen: &Observations, id: &str) -> String {
     let root = id.split('.').next().unwrap_or(id);
     let of = |other: &str| other == root || other.starts_with(&format!("{root}."));
     let mut lines: Vec<(f64, String)> = Vec::new();
@@ -370,7 +374,7 @@
 }
 
 /// The verdict for people: each kind of broken rule with its count, and the first few with their whole way.
-pub fn tell(truth: &Truth, seen: &Seen, verdict: &Verdict) -> String {
+pub fn tell(truth: &GroundTruth, seen: &Observations, verdict: &Verdict) -> String {
     match verdict {
         Verdict::Kept => "rules kept\n".to_string(),
         Verdict::Void(why) => format!("void: the rig was late: {why}\n"),
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -3,23 +3,23 @@
 //! goes through a relay of this package that can lose, hold, delay or break what passes. Afterwards the referee joins
 //! what clients and servers saw and judges it by the rules, and by them alone.
 //!
-//! [`run()`] is the whole of it. [`link`] and [`keeper`] are of use by themselves.
+//! [`run()`] is the whole of it. [`tcp_proxy`] and [`process_supervisor`] are of use by themselves.
 
-pub mod clients;
+pub mod coordination_fleet;
+pub mod discovery_server;
 pub mod faults;
 pub mod fleet;
+pub mod history;
+pub mod host_load_monitor;
 mod http;
-pub mod keeper;
-pub mod link;
-pub mod list;
+pub mod invariant_checker;
+pub mod open_loop_clients;
 pub mod platform;
-pub mod port;
-pub mod pulse;
-pub mod record;
-pub mod referee;
+pub mod process_supervisor;
+pub mod reserved_port;
 pub mod run;
 pub mod server;
-pub mod talk;
-pub mod udp;
+pub mod tcp_proxy;
+pub mod udp_proxy;
 
-pub use run::{run, Drilled, Options};
+pub use run::{run, Options, ScenarioRun};
--- a/crates/fault-injection/src/clients.rs
+++ b/crates/fault-injection/src/open_loop_clients.rs
@@ -1,15 +1,15 @@
 //! The clients, and the layer before the proxies: an open loop. A call sets out when the arrival process says so,
 //! whatever became of the others; its client tries again as the scenario has it.
 
-use crate::fleet::{says_up, Ends, Fleet};
+use crate::fleet::{says_up, Fleet, LinkEnds};
+use crate::history::{ClientAttempt, ClientResult};
 use crate::http::{Call, Wire};
-use crate::record::{Ended, Try};
 use crate::server::{ask, target, MadeTry};
 use hillstall_decision::RetrySafety;
-use hillstall_simulation::chance::part;
+use hillstall_simulation::random::part;
+use hillstall_simulation::sim::accounting;
 use hillstall_simulation::sim::arrivals::{drawn, Arrival, Arrivals};
 use hillstall_simulation::sim::setup::{chance, Stream};
-use hillstall_simulation::sim::tally;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -31,16 +31,16 @@
 }
 
 /// Clients and the layer before the proxies.
-pub struct Clients {
+pub struct OpenLoopClients {
     fleet: Rc<Fleet>,
     fronts: Vec<Listed>,
     chance: RefCell<Xoshiro256PlusPlus>,
     open: Cell<usize>,
 }
 
-impl Clients {
+impl OpenLoopClients {
     /// Clients of a fleet that is up.
-    pub fn new(fleet: Rc<Fleet>, seed: u64) -> Rc<Clients> {
+    pub fn new(fleet: Rc<Fleet>, seed: u64) -> Rc<OpenLoopClients> {
         let listed = |front: usize| Listed {
             heat: fleet.figures.heat.get(front).copied().unwrap_or(1.0),
             listed: Cell::new(true),
@@ -48,7 +48,7 @@
         };
         let fronts = (0..fleet.fronts).map(listed).collect();
         let chance = RefCell::new(chance(seed, Stream::Network));
-        Rc::new(Clients { fleet, fronts, chance, open: Cell::new(0) })
+        Rc::new(OpenLoopClients { fleet, fronts, chance, open: Cell::new(0) })
     }
 
     /// Calls that have not ended.
@@ -61,7 +61,7 @@
     }
 
     /// Makes all calls of a seed, each at its time; returns once the last has set out.
-    pub async fn play(self: &Rc<Clients>, seed: u64) {
+    pub async fn play(self: &Rc<OpenLoopClients>, seed: u64) {
         let looks: Vec<JoinHandle<()>> =
             (0..self.fronts.len()).map(|front| spawn_local(self.clone().look(front))).collect();
         let history = self.fleet.history.clone();
@@ -82,13 +82,13 @@
 
     /// Watches one front: it is listed as soon as it says yes, and no more once it has not for a while. One that says
     /// no is believed at once.
-    async fn look(self: Rc<Clients>, front: usize) {
+    async fn look(self: Rc<OpenLoopClients>, front: usize) {
         let notice = self.fleet.figures.front_notice;
         let mut well_at = self.fleet.history.now();
         loop {
             sleep(LOOK).await;
             let asked_at = self.fleet.history.now();
-            let well = says_up(self.fleet.link(Ends::Door { process: front }).address()).await;
+            let well = says_up(self.fleet.link(LinkEnds::Door { process: front }).address()).await;
             if well {
                 well_at = asked_at;
             }
@@ -112,7 +112,7 @@
         able.get(place).copied()
     }
 
-    async fn call(self: &Rc<Clients>, number: usize, arrival: Arrival) {
+    async fn call(self: &Rc<OpenLoopClients>, number: usize, arrival: Arrival) {
         let (figures, history) = (&self.fleet.figures, &self.fleet.history);
         let class = &figures.classes[arrival.class];
         let tell = |ended| {
@@ -127,11 +127,14 @@
             let over = (at + figures.try_part * class.deadline).min(deadline_at);
             let (ended, come_back) = self.one_try(number, no, &arrival, over).await;
             let now = history.now();
-            if ended == Ended::Served && now <= over {
+            if ended == ClientResult::Served && now <= over {
                 let latency_ms = now - arrival.at;
-                return tell(tally::Ended::Answered { latency_ms, in_aim: latency_ms <= class.aim });
+                return tell(accounting::RequestOutcome::Answered {
+                    latency_ms,
+                    in_aim: latency_ms <= class.aim,
+                });
             }
-            let refused = ended == Ended::Refused;
+            let refused = ended == ClientResult::Refused;
             let follows = come_back.is_some_and(|wait| wait > 0.0) && self.part() < figures.honour;
             let wait = match follows {
                 true => come_back.unwrap_or(0.0).max(figures.wait),
@@ -139,7 +142,11 @@
             };
             no += 1;
             if no > figures.retries || now + wait >= deadline_at {
-                return tell(if refused { tally::Ended::Refused } else { tally::Ended::Failed });
+                return tell(if refused {
+                    accounting::RequestOutcome::Refused
+                } else {
+                    accounting::RequestOutcome::Failed
+                });
             }
             sleep_until(history.instant(now + wait)).await;
             at = now + wait;
@@ -148,16 +155,16 @@
 
     /// One try; what comes after its time is written down and no more.
     async fn one_try(
-        self: &Rc<Clients>,
+        self: &Rc<OpenLoopClients>,
         number: usize,
         no: u32,
         arrival: &Arrival,
         over: f64,
-    ) -> (Ended, Option<f64>) {
+    ) -> (ClientResult, Option<f64>) {
         let history = self.fleet.history.clone();
         let Some(front) = self.front(arrival.zone) else {
             sleep_until(history.instant(over)).await;
-            return (Ended::NotTaken, None);
+            return (ClientResult::NotTaken, None);
         };
         let process = &self.fleet.processes[front];
         let of = &process.settings.classes[arrival.class];
@@ -166,7 +173,7 @@
         let key = (of.retry_safety == RetrySafety::IdempotencyKey).then(|| format!("key-{number}"));
         let made = Rc::new(MadeTry::new(
             history.clone(),
-            Try {
+            ClientAttempt {
                 id: id.clone(),
                 class: arrival.class,
                 tenant: arrival.tenant,
@@ -175,7 +182,7 @@
                 written_at: None,
                 ttl,
                 ended_at: 0.0,
-                ended: Ended::Left,
+                ended: ClientResult::Left,
                 come_back: None,
             },
         ));
@@ -194,11 +201,11 @@
                 target: &target,
                 retry: no > 0,
             };
-            let door = clients.fleet.link(Ends::Door { process: front }).clone();
+            let door = clients.fleet.link(LinkEnds::Door { process: front }).clone();
             let kept = clients.fronts[front].idle.borrow_mut().pop();
             ask(kept, door.address(), &call, &noted, |own| door.never_took(own)).await
         });
-        let keep = move |clients: &Clients, wire: Option<Wire>| {
+        let keep = move |clients: &OpenLoopClients, wire: Option<Wire>| {
             if let Some(wire) = wire.filter(|_| clients.fronts[front].listed.get()) {
                 clients.fronts[front].idle.borrow_mut().push(wire);
             }
@@ -217,10 +224,10 @@
                             made.ended(ended, wait);
                             keep(&clients, wire);
                         }
-                        Err(_) => made.ended(Ended::Unanswered, None),
+                        Err(_) => made.ended(ClientResult::Unanswered, None),
                     }
                 });
-                (Ended::Unanswered, None)
+                (ClientResult::Unanswered, None)
             }
         }
     }
--- a/crates/fault-injection/src/platform.rs
+++ b/crates/fault-injection/src/platform.rs
@@ -52,7 +52,7 @@
 }
 
 /// What a proxy of a fleet is told at its start.
-pub struct Told<'a> {
+pub struct ProxyConfig<'a> {
     /// Its name, the same after a restart.
     pub name: &'a str,
     /// Where callers connect.
@@ -68,7 +68,7 @@
 }
 
 /// The file.
-pub fn file(told: &Told<'_>) -> Value {
+pub fn file(told: &ProxyConfig<'_>) -> Value {
     json!({
         "name": told.name, "listen": told.listen, "discovery": told.discovery,
         "seed": format!("{:016x}", told.seed),
--- a/crates/fault-injection/src/keeper.rs
+++ b/crates/fault-injection/src/process_supervisor.rs
@@ -19,13 +19,13 @@
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum Order {
-    Start(Start),
-    Signal { number: usize, name: Sign },
+    Start(StartProcess),
+    Signal { number: usize, name: ProcessSignal },
 }
 
 /// A process to start.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Start {
+pub struct StartProcess {
     /// The drill's number for it.
     pub number: usize,
     /// The program.
@@ -40,7 +40,7 @@
 
 /// A signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Sign {
+pub enum ProcessSignal {
     /// SIGKILL
     Kill,
     /// SIGTERM
@@ -53,14 +53,14 @@
     Reload,
 }
 
-impl Sign {
+impl ProcessSignal {
     fn signal(self) -> Signal {
         match self {
-            Sign::Kill => Signal::KILL,
-            Sign::Term => Signal::TERM,
-            Sign::Stop => Signal::STOP,
-            Sign::Go => Signal::CONT,
-            Sign::Reload => Signal::HUP,
+            ProcessSignal::Kill => Signal::KILL,
+            ProcessSignal::Term => Signal::TERM,
+            ProcessSignal::Stop => Signal::STOP,
+            ProcessSignal::Go => Signal::CONT,
+            ProcessSignal::Reload => Signal::HUP,
         }
     }
 }
@@ -68,7 +68,7 @@
 /// What the keeper tells.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum News {
+pub enum SupervisorEvent {
     /// A process runs.
     Started {
         /// The drill's number.
@@ -100,14 +100,14 @@
     children.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn tell(news: &News) {
+fn tell(news: &SupervisorEvent) {
     if let Ok(line) = serde_json::to_string(news) {
         // The drill may have gone; the end of the input says so.
         let _ = writeln!(std::io::stdout().lock(), "{line}");
     }
 }
 
-fn start(start: &Start) -> std::io::Result<Child> {
+fn start(start: &StartProcess) -> std::io::Result<Child> {
     let log = std::fs::File::options().create(true).append(true).open(&start.log)?;
     Command::new(&start.program)
         .args(&start.arguments)
@@ -127,7 +127,11 @@
         std::thread::sleep(LOOK);
         lock(&watched).retain(|number, child| match child.try_wait() {
             Ok(Some(status)) => {
-                tell(&News::Ended { number: *number, code: status.code(), signal: status.signal() });
+                tell(&SupervisorEvent::Ended {
+                    number: *number,
+                    code: status.code(),
+                    signal: status.signal(),
+                });
                 false
             }
             _ => true,
@@ -141,10 +145,10 @@
                 let mut children = lock(&children);
                 match start(&order) {
                     Ok(child) => {
-                        tell(&News::Started { number, pid: child.id() });
+                        tell(&SupervisorEvent::Started { number, pid: child.id() });
                         children.insert(number, child);
                     }
-                    Err(why) => tell(&News::Failed { number, why: why.to_string() }),
+                    Err(why) => tell(&SupervisorEvent::Failed { number, why: why.to_string() }),
                 }
             }
             Ok(Order::Signal { number, name }) => {
@@ -164,18 +168,18 @@
 }
 
 /// A running keeper; dropping it ends all its processes.
-pub struct Keeper {
+pub struct ProcessSupervisor {
     process: Child,
     orders: Option<ChildStdin>,
 }
 
-impl Keeper {
+impl ProcessSupervisor {
     /// Starts one; `program` with `arguments` must call [`serve`]. `hear` is called on a thread of its own.
     pub fn start(
         program: &Path,
         arguments: &[&str],
-        hear: impl Fn(News) + Send + 'static,
-    ) -> std::io::Result<Keeper> {
+        hear: impl Fn(SupervisorEvent) + Send + 'static,
+    ) -> std::io::Result<ProcessSupervisor> {
         let mut process =
             Command::new(program).args(arguments).stdin(Stdio::piped()).stdout(Stdio::piped()).spawn()?;
         let orders = process.stdin.take();
@@ -189,7 +193,7 @@
                 }
             });
         }
-        Ok(Keeper { process, orders })
+        Ok(ProcessSupervisor { process, orders })
     }
 
     /// Its process.
@@ -206,17 +210,17 @@
     }
 
     /// Has a process started.
-    pub fn run(&mut self, start: Start) -> std::io::Result<()> {
+    pub fn run(&mut self, start: StartProcess) -> std::io::Result<()> {
         self.order(&Order::Start(start))
     }
 
     /// Has a process signalled, if it still runs.
-    pub fn signal(&mut self, number: usize, name: Sign) -> std::io::Result<()> {
+    pub fn signal(&mut self, number: usize, name: ProcessSignal) -> std::io::Result<()> {
         self.order(&Order::Signal { number, name })
     }
 }
 
-impl Drop for Keeper {
+impl Drop for ProcessSupervisor {
     fn drop(&mut self) {
         // The end of its input makes it end its processes and itself.
         self.orders = None;
--- a/crates/fault-injection/src/port.rs
+++ b/crates/fault-injection/src/reserved_port.rs
@@ -9,13 +9,13 @@
 const BACKLOG: i32 = 1_024;
 
 /// A port that is kept.
-pub struct Port {
+pub struct ReservedPort {
     address: SocketAddr,
     _holder: Socket,
 }
 
 /// A listener that takes no connection: its line is full, so whoever connects hears nothing and tries for ever.
-pub struct Deaf {
+pub struct SilentListener {
     _listener: Socket,
     _filler: Vec<TcpStream>,
 }
@@ -29,13 +29,13 @@
     Ok(socket)
 }
 
-impl Port {
+impl ReservedPort {
     /// A free port of the loopback address.
-    pub fn take() -> Result<Port> {
+    pub fn take() -> Result<ReservedPort> {
         let holder = bound((Ipv4Addr::LOCALHOST, 0).into())?;
         let address = holder.local_addr()?.as_socket();
         let address = address.ok_or_else(|| std::io::Error::other("a TCP socket without an address"))?;
-        Ok(Port { address, _holder: holder })
+        Ok(ReservedPort { address, _holder: holder })
     }
 
     /// Where it is. Connections are refused while nobody listens.
@@ -51,7 +51,7 @@
     }
 
     /// Listens and takes nobody: what a machine that was cut off looks like.
-    pub fn deaf(&self) -> Result<Deaf> {
+    pub fn deaf(&self) -> Result<SilentListener> {
         let socket = bound(self.address)?;
         socket.listen(0)?;
         let mut filler = Vec::new();
@@ -63,6 +63,6 @@
             let _ = one.connect(&SockAddr::from(self.address));
             filler.push(one.into());
         }
-        Ok(Deaf { _listener: socket, _filler: filler })
+        Ok(SilentListener { _listener: socket, _filler: filler })
     }
 }
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -1,14 +1,14 @@
 //! One drill from its start to its verdict.
 
-use crate::clients::Clients;
 use crate::faults::Faults;
-use crate::fleet::{system, Fleet, Lie, NoDrill, Plan};
-use crate::pulse;
-use crate::record::Seen;
-use crate::referee::{self, Truth, Verdict};
+use crate::fleet::{system, Fleet, FleetError, FleetPlan, SettingsFault};
+use crate::history::Observations;
+use crate::host_load_monitor;
+use crate::invariant_checker::{self, GroundTruth, Verdict};
+use crate::open_loop_clients::OpenLoopClients;
 use hillstall_simulation::scenario::Scenario;
 use hillstall_simulation::sim::setup;
-use hillstall_simulation::sim::Tally;
+use hillstall_simulation::sim::RunSummary;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -29,9 +29,9 @@
 #[derive(Default)]
 pub struct Options {
     /// What the proxies are told wrongly, if anything.
-    pub lie: Option<Lie>,
+    pub lie: Option<SettingsFault>,
     /// How the copies talk, if they do.
-    pub talk: Option<crate::talk::Talk>,
+    pub talk: Option<crate::coordination_fleet::CoordinationOptions>,
     /// Runs beside the calls, from the first one on.
     pub script: Option<Script>,
     /// Where configurations and logs go, and stay; else they go with the drill.
@@ -39,23 +39,23 @@
 }
 
 /// A drill that was played.
-pub struct Drilled {
+pub struct ScenarioRun {
     /// What clients got, by the same count as in simulated time.
-    pub tally: Tally,
+    pub tally: RunSummary,
     /// All that was seen.
-    pub seen: Seen,
+    pub seen: Observations,
     /// The fleet as it truly is.
-    pub truth: Truth,
+    pub truth: GroundTruth,
     /// The referee's word.
     pub verdict: Verdict,
     /// Processes of the program that ran at the same time.
     pub processes: usize,
 }
 
-impl Drilled {
+impl ScenarioRun {
     /// The verdict for people.
     pub fn told(&self) -> String {
-        referee::tell(&self.truth, &self.seen, &self.verdict)
+        invariant_checker::tell(&self.truth, &self.seen, &self.verdict)
     }
 
     /// Attempts at a tier for each try that was made at the proxies before it.
@@ -68,7 +68,12 @@
 }
 
 /// Plays a scenario with a seed on real processes of `program`.
-pub fn run(program: &Path, scenario: &Scenario, seed: u64, options: Options) -> Result<Drilled, NoDrill> {
+pub fn run(
+    program: &Path,
+    scenario: &Scenario,
+    seed: u64,
+    options: Options,
+) -> Result<ScenarioRun, FleetError> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(system("the rig"))?;
     // Goes with its files once this function ends.
@@ -83,10 +88,11 @@
     seed: u64,
     options: Options,
     folder: &Path,
-) -> Result<Drilled, NoDrill> {
+) -> Result<ScenarioRun, FleetError> {
     let figures = setup::draw(scenario, seed);
     let fleet =
-        Fleet::start(Plan { program, figures, seed, lie: options.lie, talk: options.talk, folder }).await?;
+        Fleet::start(FleetPlan { program, figures, seed, lie: options.lie, talk: options.talk, folder })
+            .await?;
     let zero = Instant::now() + SETTLE;
     fleet.history.begin(zero);
     sleep_until(zero.into()).await;
@@ -94,14 +100,14 @@
     faults.play();
     let script = options.script.map(|script| spawn_local(script(fleet.clone())));
     let watch = spawn_local(watch(fleet.clone()));
-    let pulse = spawn_local(pulse::watch(fleet.clone()));
-    let clients = Clients::new(fleet.clone(), seed);
+    let pulse = spawn_local(host_load_monitor::watch(fleet.clone()));
+    let clients = OpenLoopClients::new(fleet.clone(), seed);
     clients.play(seed).await;
     let end = Instant::now() + END_WITHIN;
     while clients.open() > 0 {
         if Instant::now() > end {
             let why = std::io::Error::other(format!("{} calls have not ended", clients.open()));
-            return Err(NoDrill::System { what: "the clients".into(), why });
+            return Err(FleetError::System { what: "the clients".into(), why });
         }
         sleep(Duration::from_millis(10)).await;
     }
@@ -113,25 +119,25 @@
         script.abort();
     }
     if let Some(wrong) = faults.wrong().into_iter().next() {
-        return Err(NoDrill::System { what: "a fault".into(), why: std::io::Error::other(wrong) });
+        return Err(FleetError::System { what: "a fault".into(), why: std::io::Error::other(wrong) });
     }
     let truth = fleet.truth();
     let seen = fleet.history.take();
     let chokes = fleet.servers.iter().map(|server| u64::from(server.chokes())).sum();
-    let empty = Tally::new("drill", seed, 1.0, fleet.figures.shares());
+    let empty = RunSummary::new("drill", seed, 1.0, fleet.figures.shares());
     let mut tally = fleet.tally.replace(empty);
     for hop in &seen.hops {
         tally.sent(hop.at, truth.servers[hop.server].tier);
     }
     for a_try in seen.tries.iter().filter(|t| t.process < fleet.fronts && t.written_at.is_some()) {
         tally.came_to(a_try.process);
-        if a_try.ended == crate::record::Ended::Refused {
+        if a_try.ended == crate::history::ClientResult::Refused {
             tally.refused_by(a_try.process);
         }
     }
-    let verdict = referee::judge(&truth, &seen);
+    let verdict = invariant_checker::check(&truth, &seen);
     let processes = fleet.processes.len();
-    Ok(Drilled { tally: tally.close(chokes), seen, truth, verdict, processes })
+    Ok(ScenarioRun { tally: tally.close(chokes), seen, truth, verdict, processes })
 }
 
 /// Writes down from time to time what the first tier can do.
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -1,11 +1,11 @@
 //! A server: the lab's machine behind a socket. A call does a part of its work, calls the next tier through the
 //! server's own proxy, once or several times, and does the rest; it keeps its slot meanwhile, as in simulated time.
 
+use crate::history::{BackendAttempt, BackendResult, BackendStart, ClientAttempt, ClientResult, History};
 use crate::http::{Call, Message, Wire};
-use crate::link::{Callers, Link};
-use crate::port::Port;
-use crate::record::{Done, Ended, History, Hop, Start, Try};
-use hillstall_simulation::model::machine::{Job, Kind, Machine, Taken};
+use crate::reserved_port::ReservedPort;
+use crate::tcp_proxy::{Callers, TcpProxy};
+use hillstall_simulation::model::machine::{Admission, Job, Kind, Machine};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io::Result;
@@ -24,7 +24,7 @@
 const NOT_STARTED: &str = "Not-Started: 1\r\n";
 
 /// The tier below, as a server reaches it.
-pub struct Below {
+pub struct DownstreamTier {
     /// The number of its own proxy.
     pub process: usize,
     /// Where that listens.
@@ -36,20 +36,20 @@
     idle: RefCell<Vec<Wire>>,
 }
 
-impl Below {
+impl DownstreamTier {
     /// Reached through a proxy.
     pub fn new(
         process: usize,
         address: SocketAddr,
         classes: Vec<(String, bool, bool)>,
         tenants: Vec<String>,
-    ) -> Below {
-        Below { process, address, classes, tenants, idle: RefCell::default() }
+    ) -> DownstreamTier {
+        DownstreamTier { process, address, classes, tenants, idle: RefCell::default() }
     }
 }
 
 /// What a server is.
-pub struct Figures {
+pub struct BackendParameters {
     /// Its number over all tiers.
     pub number: usize,
     /// Its zone.
@@ -68,13 +68,13 @@
 /// A running server.
 pub struct Server {
     /// What it is.
-    pub figures: Figures,
+    pub figures: BackendParameters,
     history: Rc<History>,
     callers: Callers,
     who: WhoCalls,
-    below: Option<Below>,
-    port: Port,
-    links: RefCell<Vec<Rc<Link>>>,
+    below: Option<DownstreamTier>,
+    port: ReservedPort,
+    links: RefCell<Vec<Rc<TcpProxy>>>,
     machine: RefCell<Machine>,
     waiters: RefCell<HashMap<Job, oneshot::Sender<()>>>,
     changed: Notify,
@@ -115,10 +115,10 @@
 impl Server {
     /// A warm server that does not listen yet.
     pub fn new(
-        figures: Figures,
+        figures: BackendParameters,
         history: Rc<History>,
         (callers, who): (Callers, WhoCalls),
-        below: Option<Below>,
+        below: Option<DownstreamTier>,
     ) -> Result<Rc<Server>> {
         let server = Rc::new(Server {
             machine: RefCell::new(Machine::new(figures.kind)),
@@ -128,7 +128,7 @@
             callers,
             who,
             below,
-            port: Port::take()?,
+            port: ReservedPort::take()?,
             links: RefCell::default(),
             waiters: RefCell::default(),
             changed: Notify::new(),
@@ -152,7 +152,7 @@
     }
 
     /// The links that lead to it: they refuse while it does not listen.
-    pub fn is_reached_by(&self, link: Rc<Link>) {
+    pub fn is_reached_by(&self, link: Rc<TcpProxy>) {
         link.set_up(self.listening.borrow().is_some());
         self.links.borrow_mut().push(link);
     }
@@ -207,7 +207,7 @@
         let now = self.history.now();
         self.act(|machine, _| machine.start(now));
         let server = self.figures.number;
-        self.history.note(|seen| seen.starts.push(Start { server, at: now }));
+        self.history.note(|seen| seen.starts.push(BackendStart { server, at: now }));
         // What still waits at its machine's door is reset, as the machine is back.
         self.links.borrow().iter().for_each(|link| link.reset());
     }
@@ -285,7 +285,7 @@
             ended = self.clone().calls(&mut wire, peer) => ended.is_ok(),
         };
         if !clean {
-            crate::link::abort(&wire.stream);
+            crate::tcp_proxy::abort(&wire.stream);
         }
     }
 
@@ -301,9 +301,9 @@
             let timeout = message.header("request-timeout-ms").and_then(|t| t.parse::<f64>().ok());
             let hop = self.came(id, link, wish.work * self.figures.part);
             // Ends the record too where this future is dropped, as its process dies.
-            let mut guard = Guard { history: self.history.clone(), hop, done: Done::Lost };
+            let mut guard = Guard { history: self.history.clone(), hop, done: BackendResult::Lost };
             if self.draining.get() {
-                guard.done = Done::TurnedAway;
+                guard.done = BackendResult::TurnedAway;
                 drop(guard);
                 wire.answer("503 Service Unavailable", NOT_STARTED, "").await?;
                 continue;
@@ -313,12 +313,12 @@
             let done = guard.done;
             drop(guard);
             match done {
-                Done::Served => {
+                BackendResult::Served => {
                     wire.answer("200 OK", "", &format!("{id} s{}", self.figures.number)).await?;
                 }
-                Done::TurnedAway => wire.answer("503 Service Unavailable", NOT_STARTED, "").await?,
-                Done::Error => wire.answer("500 Internal Server Error", "", "").await?,
-                Done::Dropped | Done::Lost | Done::Held => return Ok(()),
+                BackendResult::TurnedAway => wire.answer("503 Service Unavailable", NOT_STARTED, "").await?,
+                BackendResult::Error => wire.answer("500 Internal Server Error", "", "").await?,
+                BackendResult::Dropped | BackendResult::Lost | BackendResult::Held => return Ok(()),
             }
         }
         Ok(())
@@ -327,7 +327,7 @@
     fn came(&self, id: &str, link: usize, work: f64) -> usize {
         let (process, life) = (self.who)(link);
         let at = self.history.now();
-        let hop = Hop {
+        let hop = BackendAttempt {
             id: id.to_string(),
             server: self.figures.number,
             process,
@@ -335,7 +335,7 @@
             at,
             work,
             ended_at: at,
-            done: Done::Held,
+            done: BackendResult::Held,
         };
         self.history.note(|seen| {
             seen.hops.push(hop);
@@ -350,7 +350,14 @@
     }
 
     /// One call from its first phase to its last.
-    async fn call(&self, wire: &mut Wire, id: &str, wish: &Wish, until: f64, guard: &mut Guard) -> Done {
+    async fn call(
+        &self,
+        wire: &mut Wire,
+        id: &str,
+        wish: &Wish,
+        until: f64,
+        guard: &mut Guard,
+    ) -> BackendResult {
         let whole = self.figures.calls.floor();
         let below = whole as usize + usize::from(self.part() < self.figures.calls - whole);
         let work = wish.work * self.figures.part / (below + 1) as f64;
@@ -359,24 +366,24 @@
         let (tell, mut done) = oneshot::channel();
         self.waiters.borrow_mut().insert(job, tell);
         let now = self.history.now();
-        if self.act(|machine, ended| machine.offer(now, job, work, ended)) == Taken::Full {
+        if self.act(|machine, ended| machine.offer(now, job, work, ended)) == Admission::Full {
             self.waiters.borrow_mut().remove(&job);
-            return Done::TurnedAway;
+            return BackendResult::TurnedAway;
         }
         for phase in 0..=below {
             let worked = tokio::select! {
                 worked = &mut done => worked.is_ok(),
                 () = wire.gone() => {
-                    guard.done = Done::Dropped;
+                    guard.done = BackendResult::Dropped;
                     self.waiters.borrow_mut().remove(&job);
                     let now = self.history.now();
                     // What runs goes on to the end of its phase, and gives its slot back then.
                     self.act(|machine, ended| machine.cancel(now, job, ended));
-                    return Done::Dropped;
+                    return BackendResult::Dropped;
                 }
             };
             if !worked {
-                return Done::Lost;
+                return BackendResult::Lost;
             }
             if phase == below {
                 break;
@@ -385,12 +392,12 @@
                 answered = self.ask_below(id, phase, below, wish, until) => answered,
                 () = wire.gone() => {
                     self.give_back();
-                    return Done::Dropped;
+                    return BackendResult::Dropped;
                 }
             };
             if !answered {
                 self.give_back();
-                return Done::Error;
+                return BackendResult::Error;
             }
             let (tell, next) = oneshot::channel();
             done = next;
@@ -399,7 +406,7 @@
             self.act(|machine, ended| machine.resume(now, job, work, ended));
         }
         self.give_back();
-        Done::Served
+        BackendResult::Served
     }
 
     fn give_back(&self) {
@@ -417,7 +424,7 @@
         let all = self.figures.calls.max(1.0).max((calls - phase) as f64);
         let made = MadeTry::new(
             self.history.clone(),
-            Try {
+            ClientAttempt {
                 id: id.clone(),
                 class: wish.class,
                 tenant: wish.tenant,
@@ -426,7 +433,7 @@
                 written_at: None,
                 ttl,
                 ended_at: 0.0,
-                ended: Ended::Left,
+                ended: ClientResult::Left,
                 come_back: None,
             },
         );
@@ -445,12 +452,12 @@
         let asked = ask(taken, below.address, &call, &made, |_| false);
         let (ended, wire) = match timeout(most, asked).await {
             Ok((ended, _, wire)) => (ended, wire),
-            Err(_) => (Ended::Unanswered, None),
+            Err(_) => (ClientResult::Unanswered, None),
         };
         if let Some(wire) = wire {
             below.idle.borrow_mut().push(wire);
         }
-        let served = ended == Ended::Served;
+        let served = ended == ClientResult::Served;
         made.ended(ended, None);
         served
     }
@@ -460,7 +467,7 @@
 const CROSSED_MS: f64 = 20.0;
 
 /// What came of asking a proxy: how it ended, the stated wait (ms), and the connection if it can be used again.
-pub(crate) type Asked = (Ended, Option<f64>, Option<Wire>);
+pub(crate) type Asked = (ClientResult, Option<f64>, Option<Wire>);
 
 /// Asks a proxy, on a kept connection if there is one. A kept connection that the proxy closed meanwhile is made up
 /// for by one new one. `untaken` tells of an own address whether the proxy never took that connection.
@@ -480,7 +487,7 @@
             Some(wire) => wire,
             None => match TcpStream::connect(address).await {
                 Ok(stream) => Wire::new(stream),
-                Err(_) => return (Ended::NotTaken, None, None),
+                Err(_) => return (ClientResult::NotTaken, None, None),
             },
         };
         let own = wire.stream.local_addr();
@@ -488,7 +495,7 @@
             if was_kept {
                 continue;
             }
-            return (Ended::NotTaken, None, None);
+            return (ClientResult::NotTaken, None, None);
         }
         made.written(true);
         let message = match wire.message(false).await {
@@ -500,23 +507,23 @@
                 }
                 if own.is_ok_and(&untaken) {
                     made.written(false);
-                    return (Ended::NotTaken, None, None);
+                    return (ClientResult::NotTaken, None, None);
                 }
-                return (Ended::Broken, None, None);
+                return (ClientResult::Broken, None, None);
             }
         };
         let wait = message.header("retry-after").and_then(|t| t.parse::<f64>().ok()).map(|s| s * 1e3);
         let ended = match message.status {
-            _ if wire.has_more() => Ended::Wrong("more than one answer".into()),
+            _ if wire.has_more() => ClientResult::Wrong("more than one answer".into()),
             200 => {
                 let body = String::from_utf8_lossy(&message.body).into_owned();
                 match body.split_once(' ') {
-                    Some((id, _)) if id == call.id => Ended::Served,
-                    _ => Ended::Wrong(format!("an answer to another request: {body}")),
+                    Some((id, _)) if id == call.id => ClientResult::Served,
+                    _ => ClientResult::Wrong(format!("an answer to another request: {body}")),
                 }
             }
-            429 | 503 => Ended::Refused,
-            other => Ended::Failed(other),
+            429 | 503 => ClientResult::Refused,
+            other => ClientResult::Failed(other),
         };
         let close = message.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
         return (ended, wait, Some(wire).filter(|_| !close));
@@ -531,7 +538,7 @@
 }
 
 impl MadeTry {
-    pub(crate) fn new(history: Rc<History>, a_try: Try) -> MadeTry {
+    pub(crate) fn new(history: Rc<History>, a_try: ClientAttempt) -> MadeTry {
         let index = history.note(|seen| {
             seen.tries.push(a_try);
             seen.tries.len() - 1
@@ -550,7 +557,7 @@
         self.history.now() - written.unwrap_or(f64::MIN)
     }
 
-    pub(crate) fn ended(&self, ended: Ended, come_back: Option<f64>) {
+    pub(crate) fn ended(&self, ended: ClientResult, come_back: Option<f64>) {
         let now = self.history.now();
         self.ended.set(true);
         self.history.note(|seen| {
@@ -563,7 +570,7 @@
 impl Drop for MadeTry {
     fn drop(&mut self) {
         if !self.ended.get() {
-            self.ended(Ended::Left, None);
+            self.ended(ClientResult::Left, None);
         }
     }
 }
@@ -572,7 +579,7 @@
 struct Guard {
     history: Rc<History>,
     hop: usize,
-    done: Done,
+    done: BackendResult,
 }
 
 impl Drop for Guard {
--- a/crates/fault-injection/src/link.rs
+++ b/crates/fault-injection/src/tcp_proxy.rs
@@ -1,6 +1,6 @@
 //! A link between two processes: a relay in user space that passes bytes on, or loses, holds, slows or breaks them.
 
-use crate::port::Port;
+use crate::reserved_port::ReservedPort;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -48,7 +48,7 @@
 
 /// What passed over a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Passed {
+pub struct TransferredBytes {
     /// Connections that were taken.
     pub connections: u64,
     /// Bytes from the connecting side.
@@ -58,10 +58,10 @@
 }
 
 /// A relay.
-pub struct Link {
+pub struct TcpProxy {
     /// Its number, as in [`Callers`].
     pub number: usize,
-    port: Port,
+    port: ReservedPort,
     target: SocketAddr,
     fault: Cell<Fault>,
     /// Whether the target listens; while it does not, connections are refused.
@@ -69,19 +69,19 @@
     /// Counts the times at which all open connections were reset.
     resets: Cell<u64>,
     changed: Notify,
-    passed: Cell<Passed>,
+    passed: Cell<TransferredBytes>,
     callers: Callers,
     /// Connections that were taken here and not by the target, by the address of who connected.
     untaken: RefCell<HashSet<SocketAddr>>,
 }
 
-impl Link {
+impl TcpProxy {
     /// Starts a relay to a target.
-    pub fn start(number: usize, target: SocketAddr, callers: Callers) -> Result<Rc<Link>> {
-        let port = Port::take()?;
+    pub fn start(number: usize, target: SocketAddr, callers: Callers) -> Result<Rc<TcpProxy>> {
+        let port = ReservedPort::take()?;
         // It takes connections from now on, not from whenever its task first runs.
         let listener = port.listen()?;
-        let link = Rc::new(Link {
+        let link = Rc::new(TcpProxy {
             number,
             port,
             target,
@@ -103,7 +103,7 @@
     }
 
     /// What passed over it so far.
-    pub fn passed(&self) -> Passed {
+    pub fn passed(&self) -> TransferredBytes {
         self.passed.get()
     }
 
@@ -155,14 +155,14 @@
         }
     }
 
-    fn count(&self, change: impl FnOnce(&mut Passed)) {
+    fn count(&self, change: impl FnOnce(&mut TransferredBytes)) {
         let mut passed = self.passed.get();
         change(&mut passed);
         self.passed.set(passed);
     }
 
     /// Waits until a look at the state gives false.
-    async fn while_so(&self, so: impl Fn(&Link) -> bool) {
+    async fn while_so(&self, so: impl Fn(&TcpProxy) -> bool) {
         loop {
             let changed = self.changed.notified();
             tokio::pin!(changed);
@@ -175,13 +175,13 @@
         }
     }
 
-    async fn serve(self: Rc<Link>, first: TcpListener) {
+    async fn serve(self: Rc<TcpProxy>, first: TcpListener) {
         self.clone().accept(first).await;
         loop {
             // The listener of the last state must be closed before the next one: two would share connections.
             if self.is_deaf() {
                 let _deaf = self.port.deaf();
-                self.while_so(Link::is_deaf).await;
+                self.while_so(TcpProxy::is_deaf).await;
             } else if self.refuses() {
                 self.while_so(|link| link.refuses() && !link.is_deaf()).await;
             } else if let Ok(listener) = self.port.listen() {
@@ -193,9 +193,9 @@
         }
     }
 
-    async fn accept(self: Rc<Link>, listener: TcpListener) {
+    async fn accept(self: Rc<TcpProxy>, listener: TcpListener) {
         loop {
-            let open = |link: &Link| !link.is_deaf() && !link.refuses();
+            let open = |link: &TcpProxy| !link.is_deaf() && !link.refuses();
             tokio::select! {
                 biased;
                 () = self.while_so(open) => return,
@@ -207,7 +207,7 @@
         }
     }
 
-    async fn connection(self: Rc<Link>, caller: TcpStream) {
+    async fn connection(self: Rc<TcpProxy>, caller: TcpStream) {
         self.count(|p| p.connections += 1);
         let resets = self.resets.get();
         let target = match self.fault.get() {
@@ -267,7 +267,7 @@
     }
 }
 
-impl Link {
+impl TcpProxy {
     /// Writes what was read, in small pieces where the link is slow.
     async fn write(&self, to: &mut WriteHalf<'_>, read: &[u8], forth: bool) -> Result<()> {
         let mut left = read;
--- a/crates/fault-injection/src/udp.rs
+++ b/crates/fault-injection/src/udp_proxy.rs
@@ -1,8 +1,8 @@
 //! A link for datagrams: what one address sends to the relay goes to the other, and back, through the same faults. A
 //! datagram that is held is lost. A reset or a refusal means nothing to datagrams: they are lost too.
 
-use crate::link::Fault;
-use hillstall_simulation::chance::part;
+use crate::tcp_proxy::Fault;
+use hillstall_simulation::random::part;
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cell::{Cell, RefCell};
@@ -17,7 +17,7 @@
 const LONGEST: usize = 65_535;
 
 /// A relay of datagrams between two addresses.
-pub struct UdpLink {
+pub struct UdpProxy {
     /// Where each side sends to reach the other.
     sockets: [Rc<UdpSocket>; 2],
     ends: [SocketAddr; 2],
@@ -27,12 +27,12 @@
     passed: Cell<[u64; 2]>,
 }
 
-impl UdpLink {
+impl UdpProxy {
     /// Starts a relay between two addresses; the seed decides which datagrams are lost.
-    pub async fn start(ends: [SocketAddr; 2], seed: u64) -> Result<Rc<UdpLink>> {
+    pub async fn start(ends: [SocketAddr; 2], seed: u64) -> Result<Rc<UdpProxy>> {
         let any = (Ipv4Addr::LOCALHOST, 0);
         let sockets = [Rc::new(UdpSocket::bind(any).await?), Rc::new(UdpSocket::bind(any).await?)];
-        let link = Rc::new(UdpLink {
+        let link = Rc::new(UdpProxy {
             sockets,
             ends,
             fault: Cell::default(),
@@ -77,7 +77,7 @@
             }
     }
 
-    async fn serve(self: Rc<UdpLink>, side: usize) {
+    async fn serve(self: Rc<UdpProxy>, side: usize) {
         let mut buffer = vec![0; LONGEST];
         loop {
             // An error tells of an earlier datagram that nobody took: nothing to do about it.
--- a/crates/fault-injection/tests/links.rs
+++ b/crates/fault-injection/tests/links.rs
@@ -1,7 +1,7 @@
 //! Each fault of a link, on real sockets: what passes, what does not, and what each side hears of it.
 
-use hillstall_fault_injection::link::{Callers, Fault, Link};
-use hillstall_fault_injection::udp::UdpLink;
+use hillstall_fault_injection::tcp_proxy::{Callers, Fault, TcpProxy};
+use hillstall_fault_injection::udp_proxy::UdpProxy;
 use std::future::Future;
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
 }
 
 /// A link to a server that says everything back.
-async fn echo() -> Rc<Link> {
+async fn echo() -> Rc<TcpProxy> {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let target = listener.local_addr().expect("its address");
     spawn_local(async move {
@@ -35,10 +35,10 @@
             });
         }
     });
-    Link::start(0, target, Callers::default()).expect("a relay")
+    TcpProxy::start(0, target, Callers::default()).expect("a relay")
 }
 
-async fn connect(link: &Link) -> std::io::Result<TcpStream> {
+async fn connect(link: &TcpProxy) -> std::io::Result<TcpStream> {
     TcpStream::connect(link.address()).await
 }
 
@@ -131,7 +131,7 @@
 fn a_target_that_is_gone_is_told_apart_from_one_that_broke() {
     on_loopback(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let link = Link::start(0, listener.local_addr().expect("its address"), Callers::default());
+        let link = TcpProxy::start(0, listener.local_addr().expect("its address"), Callers::default());
         let link = link.expect("a relay");
         drop(listener);
         let mut stream = connect(&link).await.expect("the relay takes it");
@@ -148,7 +148,7 @@
             UdpSocket::bind("127.0.0.1:0").await.expect("a port"),
         ];
         let addresses = [0, 1].map(|end: usize| ends[end].local_addr().expect("its address"));
-        let link = UdpLink::start(addresses, 7).await.expect("a relay");
+        let link = UdpProxy::start(addresses, 7).await.expect("a relay");
         let [from_first, from_second] = [0, 1].map(|end| link.address(end).expect("its address"));
         let mut read = [0; 8];
         ends[0].send_to(b"ping", from_first).await.expect("it is sent");
--- a/crates/fault-injection/tests/referee.rs
+++ b/crates/fault-injection/tests/referee.rs
@@ -1,10 +1,13 @@
 //! The referee on histories that are made by hand: each rule kept, and broken by as little as can be.
 
 use hillstall_decision::BackendState;
-use hillstall_fault_injection::pulse::waited_ns;
-use hillstall_fault_injection::record::{Cut, Done, Ended, Hop, Life, Lived, Seen, Start, Stood, Told, Try};
-use hillstall_fault_injection::referee::{judge, late, story, Rule, Server, Truth, Verdict};
-use hillstall_simulation::model::cold::ColdStart;
+use hillstall_fault_injection::history::{
+    BackendAttempt, BackendResult, BackendStart, ClientAttempt, ClientResult, HostStall, LinkCut,
+    Notification, Observations, ProcessEvent, ProcessLifetime,
+};
+use hillstall_fault_injection::host_load_monitor::waited_ns;
+use hillstall_fault_injection::invariant_checker::{check, late, story, GroundTruth, Rule, Server, Verdict};
+use hillstall_simulation::model::slow_start::SlowStartModel;
 use hillstall_simulation::scenarios;
 use hillstall_simulation::sim::setup;
 
@@ -12,12 +15,18 @@
 const PURCHASE: usize = 1;
 const REFUND: usize = 2;
 
-fn truth() -> Truth {
+fn truth() -> GroundTruth {
     let figures = setup::draw(&scenarios::find("drill-cut").expect("embedded"), 1);
-    let cold =
-        ColdStart { able: 2.0, from: 0.33, warm_after: 4_000.0, multiple: 3.0, over: 2_000.0, slack: 100.0 };
+    let cold = SlowStartModel {
+        able: 2.0,
+        from: 0.33,
+        warm_after: 4_000.0,
+        multiple: 3.0,
+        over: 2_000.0,
+        slack: 100.0,
+    };
     let server = |n: usize| Server { name: format!("s0-{n}"), tier: 0, cold };
-    Truth {
+    GroundTruth {
         settings: figures.settings(0, 0, 2, 0),
         servers: (0..3).map(server).collect(),
         processes: vec!["front-0".into(), "front-1".into()],
@@ -25,8 +34,8 @@
     }
 }
 
-fn a_try(id: &str, class: usize, ended_at: f64, ended: Ended) -> Try {
-    Try {
+fn a_try(id: &str, class: usize, ended_at: f64, ended: ClientResult) -> ClientAttempt {
+    ClientAttempt {
         id: id.into(),
         class,
         tenant: 0,
@@ -40,97 +49,117 @@
     }
 }
 
-fn hop(id: &str, server: usize, at: f64, done: Done) -> Hop {
-    Hop { id: id.into(), server, process: 0, life: 1, at, work: 50.0, ended_at: at + 50.0, done }
+fn hop(id: &str, server: usize, at: f64, done: BackendResult) -> BackendAttempt {
+    BackendAttempt { id: id.into(), server, process: 0, life: 1, at, work: 50.0, ended_at: at + 50.0, done }
 }
 
-fn broken(seen: &Seen) -> Vec<Rule> {
-    judge(&truth(), seen).broken().iter().map(|b| b.rule).collect()
+fn broken(seen: &Observations) -> Vec<Rule> {
+    check(&truth(), seen).broken().iter().map(|b| b.rule).collect()
 }
 
-fn life(at: f64, what: Lived) -> Life {
-    Life { process: 0, at, what }
+fn life(at: f64, what: ProcessEvent) -> ProcessLifetime {
+    ProcessLifetime { process: 0, at, what }
 }
 
 #[test]
 fn a_call_that_was_served_keeps_all_rules() {
-    let seen = Seen {
-        tries: vec![a_try("c1-0", BROWSE, 1_100.0, Ended::Served)],
-        hops: vec![hop("c1-0", 0, 1_010.0, Done::Served)],
-        ..Seen::default()
+    let seen = Observations {
+        tries: vec![a_try("c1-0", BROWSE, 1_100.0, ClientResult::Served)],
+        hops: vec![hop("c1-0", 0, 1_010.0, BackendResult::Served)],
+        ..Observations::default()
     };
-    assert!(matches!(judge(&truth(), &seen), Verdict::Kept));
+    assert!(matches!(check(&truth(), &seen), Verdict::Kept));
 }
 
 #[test]
 fn an_answer_is_owed_unless_the_proxy_or_its_link_was_gone() {
-    for ended in [Ended::Broken, Ended::Unanswered, Ended::Wrong("two".into())] {
+    for ended in [ClientResult::Broken, ClientResult::Unanswered, ClientResult::Wrong("two".into())] {
         let tries = vec![a_try("c1-0", BROWSE, 1_700.0, ended.clone())];
-        let seen = Seen { tries: tries.clone(), ..Seen::default() };
+        let seen = Observations { tries: tries.clone(), ..Observations::default() };
         assert_eq!(broken(&seen), [Rule::OneAnswer], "{ended:?}");
-        if matches!(ended, Ended::Wrong(_)) {
+        if matches!(ended, ClientResult::Wrong(_)) {
             continue;
         }
-        for what in [Lived::Killed, Lived::Stopped] {
-            let seen = Seen { tries: tries.clone(), lives: vec![life(1_500.0, what)], ..Seen::default() };
+        for what in [ProcessEvent::Killed, ProcessEvent::Stopped] {
+            let seen = Observations {
+                tries: tries.clone(),
+                lives: vec![life(1_500.0, what)],
+                ..Observations::default()
+            };
             assert_eq!(broken(&seen), [], "{what:?} excuses {ended:?}");
         }
-        let cut = Cut { process: 0, from: 1_200.0, to: 1_300.0 };
-        assert_eq!(broken(&Seen { tries: tries.clone(), cuts: vec![cut], ..Seen::default() }), []);
+        let cut = LinkCut { process: 0, from: 1_200.0, to: 1_300.0 };
+        assert_eq!(
+            broken(&Observations { tries: tries.clone(), cuts: vec![cut], ..Observations::default() }),
+            []
+        );
         // One that ends in order owes what it has taken, and not what comes long after it was asked to end.
-        let asked =
-            |at| Seen { tries: tries.clone(), lives: vec![life(at, Lived::Asked)], ..Seen::default() };
+        let asked = |at| Observations {
+            tries: tries.clone(),
+            lives: vec![life(at, ProcessEvent::Asked)],
+            ..Observations::default()
+        };
         assert_eq!(broken(&asked(900.0)), [Rule::OneAnswer]);
         assert_eq!(broken(&asked(200.0)), []);
     }
     // Served with something that no server made.
-    let seen = Seen { tries: vec![a_try("c1-0", BROWSE, 1_100.0, Ended::Served)], ..Seen::default() };
+    let seen = Observations {
+        tries: vec![a_try("c1-0", BROWSE, 1_100.0, ClientResult::Served)],
+        ..Observations::default()
+    };
     assert_eq!(broken(&seen), [Rule::OneAnswer]);
 }
 
 #[test]
 fn what_may_have_run_is_repeated_only_where_its_class_permits() {
-    let twice = |class, after: f64, first: Done| Seen {
-        tries: vec![a_try("c1-0", class, 9_000.0, Ended::Failed(502))],
-        hops: vec![hop("c1-0", 0, 1_000.0, first), hop("c1-0", 1, 1_000.0 + after, Done::Served)],
-        ..Seen::default()
+    let twice = |class, after: f64, first: BackendResult| Observations {
+        tries: vec![a_try("c1-0", class, 9_000.0, ClientResult::Failed(502))],
+        hops: vec![hop("c1-0", 0, 1_000.0, first), hop("c1-0", 1, 1_000.0 + after, BackendResult::Served)],
+        ..Observations::default()
     };
-    assert_eq!(broken(&twice(BROWSE, 5_000.0, Done::Lost)), []);
-    assert_eq!(broken(&twice(PURCHASE, 2_540.0, Done::Lost)), []);
-    assert_eq!(broken(&twice(PURCHASE, 2_560.0, Done::Lost)), [Rule::BarredRepeat]);
-    assert_eq!(broken(&twice(REFUND, 100.0, Done::Dropped)), [Rule::BarredRepeat]);
+    assert_eq!(broken(&twice(BROWSE, 5_000.0, BackendResult::Lost)), []);
+    assert_eq!(broken(&twice(PURCHASE, 2_540.0, BackendResult::Lost)), []);
+    assert_eq!(broken(&twice(PURCHASE, 2_560.0, BackendResult::Lost)), [Rule::BarredRepeat]);
+    assert_eq!(broken(&twice(REFUND, 100.0, BackendResult::Dropped)), [Rule::BarredRepeat]);
     // Turned away unseen, it never ran.
-    assert_eq!(broken(&twice(REFUND, 100.0, Done::TurnedAway)), []);
-    let refused = Seen {
-        tries: vec![a_try("c1-0", REFUND, 1_100.0, Ended::Refused)],
-        hops: vec![hop("c1-0", 0, 1_000.0, Done::Error)],
-        ..Seen::default()
+    assert_eq!(broken(&twice(REFUND, 100.0, BackendResult::TurnedAway)), []);
+    let refused = Observations {
+        tries: vec![a_try("c1-0", REFUND, 1_100.0, ClientResult::Refused)],
+        hops: vec![hop("c1-0", 0, 1_000.0, BackendResult::Error)],
+        ..Observations::default()
     };
     assert_eq!(broken(&refused), [Rule::Refusal]);
 }
 
 #[test]
 fn attempts_are_bounded_and_nothing_comes_unasked() {
-    let many = |count: usize| Seen {
-        tries: vec![a_try("c1-0", BROWSE, 1_500.0, Ended::Refused)],
-        hops: (0..count).map(|n| hop("c1-0", n % 3, 1_010.0 + n as f64, Done::TurnedAway)).collect(),
-        ..Seen::default()
+    let many = |count: usize| Observations {
+        tries: vec![a_try("c1-0", BROWSE, 1_500.0, ClientResult::Refused)],
+        hops: (0..count).map(|n| hop("c1-0", n % 3, 1_010.0 + n as f64, BackendResult::TurnedAway)).collect(),
+        ..Observations::default()
     };
     assert_eq!(broken(&many(6)), []);
     assert_eq!(broken(&many(7)), [Rule::Attempts]);
-    let seen = Seen { hops: vec![hop("nobody", 0, 10.0, Done::Served)], ..Seen::default() };
+    let seen =
+        Observations { hops: vec![hop("nobody", 0, 10.0, BackendResult::Served)], ..Observations::default() };
     assert_eq!(broken(&seen), [Rule::Unasked]);
 }
 
 #[test]
 fn a_drain_binds_from_its_telling_and_each_proxy_by_itself() {
-    let at = |at: f64, told: &[(f64, BackendState, u32)]| Seen {
-        tries: vec![a_try("c1-0", BROWSE, at + 100.0, Ended::Served)],
-        hops: vec![hop("c1-0", 0, at, Done::Served)],
+    let at = |at: f64, told: &[(f64, BackendState, u32)]| Observations {
+        tries: vec![a_try("c1-0", BROWSE, at + 100.0, ClientResult::Served)],
+        hops: vec![hop("c1-0", 0, at, BackendResult::Served)],
         told: (told.iter())
-            .map(|(at, status, life)| Told { process: 0, life: *life, server: 0, status: *status, at: *at })
+            .map(|(at, status, life)| Notification {
+                process: 0,
+                life: *life,
+                server: 0,
+                status: *status,
+                at: *at,
+            })
             .collect(),
-        ..Seen::default()
+        ..Observations::default()
     };
     let drains = [(1_000.0, BackendState::Draining, 1)];
     assert_eq!(broken(&at(3_040.0, &drains)), []);
@@ -146,16 +175,16 @@
 
 #[test]
 fn a_cold_server_bears_a_stretch_of_work_and_no_more() {
-    let sent = |each: f64| Seen {
-        tries: (0..100).map(|n| a_try(&format!("c{n}-0"), BROWSE, 4_000.0, Ended::Served)).collect(),
+    let sent = |each: f64| Observations {
+        tries: (0..100).map(|n| a_try(&format!("c{n}-0"), BROWSE, 4_000.0, ClientResult::Served)).collect(),
         hops: (0..100)
-            .map(|n| Hop {
+            .map(|n| BackendAttempt {
                 work: each,
-                ..hop(&format!("c{n}-0"), 0, 1_000.0 + 10.0 * f64::from(n), Done::Served)
+                ..hop(&format!("c{n}-0"), 0, 1_000.0 + 10.0 * f64::from(n), BackendResult::Served)
             })
             .collect(),
-        starts: vec![Start { server: 0, at: 1_000.0 }],
-        ..Seen::default()
+        starts: vec![BackendStart { server: 0, at: 1_000.0 }],
+        ..Observations::default()
     };
     // Over its first two seconds it does 2 * (660 + 335) core milliseconds, bears three times that, and 100 more.
     let bears = 3.0 * 2.0 * (0.33 * 2_000.0 + 0.67 * 2_000.0 * 2_000.0 / 8_000.0) + 100.0;
@@ -165,55 +194,55 @@
 
 #[test]
 fn a_process_that_ends_untold_has_crashed_and_a_late_rig_says_nothing() {
-    let ends = |before: &[Lived]| Seen {
-        lives: before.iter().chain([&Lived::Ended(None)]).map(|what| life(500.0, *what)).collect(),
-        ..Seen::default()
+    let ends = |before: &[ProcessEvent]| Observations {
+        lives: before.iter().chain([&ProcessEvent::Ended(None)]).map(|what| life(500.0, *what)).collect(),
+        ..Observations::default()
     };
-    assert_eq!(broken(&ends(&[Lived::Started, Lived::Up])), [Rule::Crash]);
-    assert_eq!(broken(&ends(&[Lived::Started, Lived::Asked])), []);
+    assert_eq!(broken(&ends(&[ProcessEvent::Started, ProcessEvent::Up])), [Rule::Crash]);
+    assert_eq!(broken(&ends(&[ProcessEvent::Started, ProcessEvent::Asked])), []);
     assert_eq!(
-        broken(&ends(&[Lived::Killed, Lived::Started])),
+        broken(&ends(&[ProcessEvent::Killed, ProcessEvent::Started])),
         [Rule::Crash],
         "what was told to an earlier one"
     );
-    let mut seen = ends(&[Lived::Started]);
+    let mut seen = ends(&[ProcessEvent::Started]);
     seen.lateness = vec![1.0; 100];
     seen.lateness.extend([90.0, 90.0]);
-    assert!(judge(&truth(), &seen).is_void(), "two of a hundred calls were late");
+    assert!(check(&truth(), &seen).is_void(), "two of a hundred calls were late");
     assert_eq!(late(&[1.0, 2.0]), None);
 }
 
 #[test]
 fn a_proxy_that_got_no_processor_time_is_not_blamed_for_a_late_answer_and_a_long_standstill_says_nothing() {
-    let missing = |process, from, to| Seen {
-        tries: vec![a_try("c1-0", BROWSE, 1_700.0, Ended::Unanswered)],
-        stood: vec![Stood { process, from, to }],
-        ..Seen::default()
+    let missing = |process, from, to| Observations {
+        tries: vec![a_try("c1-0", BROWSE, 1_700.0, ClientResult::Unanswered)],
+        stood: vec![HostStall { process, from, to }],
+        ..Observations::default()
     };
     assert_eq!(broken(&missing(Some(0), 1_100.0, 1_200.0)), []);
     assert_eq!(broken(&missing(None, 1_100.0, 1_200.0)), []);
     assert_eq!(broken(&missing(Some(1), 1_100.0, 1_200.0)), [Rule::OneAnswer], "another process stood");
     assert_eq!(broken(&missing(Some(0), 700.0, 900.0)), [Rule::OneAnswer], "it was over before");
-    assert!(judge(&truth(), &missing(Some(1), 100.0, 400.0)).is_void());
+    assert!(check(&truth(), &missing(Some(1), 100.0, 400.0)).is_void());
     assert_eq!(waited_ns("143099519 30604902 305\n"), Some(30_604_902));
     assert_eq!(waited_ns(""), None);
 }
 
 #[test]
 fn a_story_joins_both_tiers_in_order_of_time() {
-    let mut below = a_try("c1-0.7-0", BROWSE, 1_080.0, Ended::Served);
+    let mut below = a_try("c1-0.7-0", BROWSE, 1_080.0, ClientResult::Served);
     (below.written_at, below.process) = (Some(1_030.0), 1);
-    let seen = Seen {
+    let seen = Observations {
         tries: vec![
-            a_try("c1-0", BROWSE, 1_100.0, Ended::Served),
+            a_try("c1-0", BROWSE, 1_100.0, ClientResult::Served),
             below,
-            a_try("c10-0", BROWSE, 2.0, Ended::Left),
+            a_try("c10-0", BROWSE, 2.0, ClientResult::Left),
         ],
         hops: vec![
-            Hop { process: 1, ..hop("c1-0.7-0", 2, 1_040.0, Done::Served) },
-            hop("c1-0", 0, 1_010.0, Done::Served),
+            BackendAttempt { process: 1, ..hop("c1-0.7-0", 2, 1_040.0, BackendResult::Served) },
+            hop("c1-0", 0, 1_010.0, BackendResult::Served),
         ],
-        ..Seen::default()
+        ..Observations::default()
     };
     let told = story(&truth(), &seen, "c1-0.7-0");
     let places: Vec<usize> =
--- a/crates/fault-injection/tests/written_forms.rs
+++ b/crates/fault-injection/tests/written_forms.rs
@@ -1,26 +1,29 @@
 //! What the drill and the process that owns its processes say to each other, and the words of its verdicts.
 
-use hillstall_fault_injection::keeper::{News, Sign, Start};
-use hillstall_fault_injection::referee::Rule;
+use hillstall_fault_injection::invariant_checker::Rule;
+use hillstall_fault_injection::process_supervisor::{ProcessSignal, StartProcess, SupervisorEvent};
 use serde_json::{from_str, to_string};
 
 #[test]
 fn news_have_these_forms() {
     let news = [
-        (News::Started { number: 3, pid: 41 }, r#"{"started":{"number":3,"pid":41}}"#),
-        (News::Failed { number: 3, why: "gone".into() }, r#"{"failed":{"number":3,"why":"gone"}}"#),
+        (SupervisorEvent::Started { number: 3, pid: 41 }, r#"{"started":{"number":3,"pid":41}}"#),
         (
-            News::Ended { number: 3, code: Some(1), signal: None },
+            SupervisorEvent::Failed { number: 3, why: "gone".into() },
+            r#"{"failed":{"number":3,"why":"gone"}}"#,
+        ),
+        (
+            SupervisorEvent::Ended { number: 3, code: Some(1), signal: None },
             r#"{"ended":{"number":3,"code":1,"signal":null}}"#,
         ),
         (
-            News::Ended { number: 3, code: None, signal: Some(9) },
+            SupervisorEvent::Ended { number: 3, code: None, signal: Some(9) },
             r#"{"ended":{"number":3,"code":null,"signal":9}}"#,
         ),
     ];
     for (news, text) in news {
         assert_eq!(to_string(&news).expect("plain data"), text);
-        assert_eq!(from_str::<News>(text).expect("news"), news);
+        assert_eq!(from_str::<SupervisorEvent>(text).expect("news"), news);
     }
 }
 
@@ -28,7 +31,7 @@
 fn a_process_to_start_has_this_form() {
     let text =
         r#"{"number":3,"program":"/bin/p","arguments":["run"],"environment":[["A","b"]],"log":"/tmp/log"}"#;
-    let start: Start = from_str(text).expect("a start");
+    let start: StartProcess = from_str(text).expect("a start");
     assert_eq!((start.number, start.program.to_str()), (3, Some("/bin/p")));
     assert_eq!((start.arguments.clone(), start.log.to_str()), (vec!["run".to_owned()], Some("/tmp/log")));
     assert_eq!(start.environment, [("A".to_owned(), "b".to_owned())]);
@@ -37,7 +40,13 @@
 
 #[test]
 fn signals_have_these_names() {
-    let signs = [Sign::Kill, Sign::Term, Sign::Stop, Sign::Go, Sign::Reload];
+    let signs = [
+        ProcessSignal::Kill,
+        ProcessSignal::Term,
+        ProcessSignal::Stop,
+        ProcessSignal::Go,
+        ProcessSignal::Reload,
+    ];
     let names = signs.map(|sign| to_string(&sign).expect("plain data"));
     assert_eq!(names, [r#""Kill""#, r#""Term""#, r#""Stop""#, r#""Go""#, r#""Reload""#]);
 }
--- a/crates/hillstall/src/demo.rs
+++ b/crates/hillstall/src/demo.rs
@@ -3,7 +3,7 @@
 use crate::config::{self, Config};
 use hillstall_simulation::servers::Answers;
 use hillstall_simulation::site;
-use hillstall_simulation::stand::Stand;
+use hillstall_simulation::stand_in_thread::StandInThread;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -17,8 +17,8 @@
 
 /// Starts the stand-ins on a thread of their own; gives the proxy's configuration.
 pub fn start(listen: SocketAddr, count: u16) -> Result<Config, String> {
-    let stand = Stand::start(count.into(), answers).map_err(|e| format!("demo: {e}"))?;
-    let holds = site::Holds { sockets: 1_024, memory_mb: 192 };
+    let stand = StandInThread::start(count.into(), answers).map_err(|e| format!("demo: {e}"))?;
+    let holds = site::ProcessLimits { sockets: 1_024, memory_mb: 192 };
     let config = site::config(listen, stand.discovery, &stand.servers, holds);
     config::parse(config.to_string().as_bytes(), |_| None)
 }
--- a/crates/hillstall/src/fault_injection.rs
+++ b/crates/hillstall/src/fault_injection.rs
@@ -2,12 +2,12 @@
 
 use crate::commands::print;
 use crate::simulation::write_lines;
-use hillstall_fault_injection::{run as play, Drilled, Options};
+use hillstall_fault_injection::{run as play, Options, ScenarioRun};
 use hillstall_simulation::experiment::{self, Mean};
-use hillstall_simulation::policy::Named;
+use hillstall_simulation::policy::PolicyName;
 use hillstall_simulation::report;
 use hillstall_simulation::scenario::Scenario;
-use hillstall_simulation::sim::{self, Tally};
+use hillstall_simulation::sim::{self, RunSummary};
 use std::fmt::Write as _;
 use std::path::PathBuf;
 
@@ -31,7 +31,7 @@
         let drilled = play(&program, scenario, *seed, options).map_err(|why| format!("{name}: {why}"))?;
         print(&format!("seed {seed}: {}", drilled.told()));
         print(&figures(&drilled));
-        if !matches!(drilled.verdict, hillstall_fault_injection::referee::Verdict::Kept) {
+        if !matches!(drilled.verdict, hillstall_fault_injection::invariant_checker::Verdict::Kept) {
             bad.push(seed.to_string());
         }
         // A void drill says nothing, so it is not counted.
@@ -42,8 +42,8 @@
     if let Some(path) = &wishes.json {
         write_lines(path, &tallies)?;
     }
-    let simulated: Vec<Tally> = match wishes.beside_lab {
-        true => tallies.iter().map(|t| sim::run(scenario, Named::Hillstall, t.seed)).collect(),
+    let simulated: Vec<RunSummary> = match wishes.beside_lab {
+        true => tallies.iter().map(|t| sim::run(scenario, PolicyName::Hillstall, t.seed)).collect(),
         false => Vec::new(),
     };
     if !simulated.is_empty() {
@@ -57,7 +57,7 @@
     }
 }
 
-fn compare(simulated: &[Tally], drilled: &[Tally], apart: Mean) -> String {
+fn compare(simulated: &[RunSummary], drilled: &[RunSummary], apart: Mean) -> String {
     let mut text = String::new();
     for (lab, drill) in simulated.iter().zip(drilled) {
         let [lab_s, drill_s] = [lab, drill].map(|t| 100.0 * t.service);
@@ -69,7 +69,7 @@
 }
 
 /// What a drill adds to the table.
-fn figures(drilled: &Drilled) -> String {
+fn figures(drilled: &ScenarioRun) -> String {
     let seen = &drilled.seen;
     let [first, second] = [0, 1].map(|tier| drilled.attempts_a_try(tier));
     let handshakes: u64 = seen.handshakes.iter().sum();
@@ -85,6 +85,6 @@
         seen.tries.len(),
         seen.hops.len(),
         seen.list_calls,
-        hillstall_fault_injection::referee::overshoot(&drilled.truth, seen),
+        hillstall_fault_injection::invariant_checker::overshoot(&drilled.truth, seen),
     )
 }
--- a/crates/hillstall/src/platform.rs
+++ b/crates/hillstall/src/platform.rs
@@ -104,7 +104,7 @@
 fn settings(value: &Value, found: &mut Found) {
     let Some(given) = value.get("settings") else { return };
     let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
-    let holds = site::Holds { sockets: 64, memory_mb: 64 };
+    let holds = site::ProcessLimits { sockets: 64, memory_mb: 64 };
     let good = site::config(nowhere, nowhere, &[], holds)["settings"].clone();
     let mut leaves = Vec::new();
     collect(given, &mut Vec::new(), &mut leaves);
@@ -232,7 +232,8 @@
 
     fn good() -> String {
         let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
-        let config = site::config(nowhere, nowhere, &[nowhere], site::Holds { sockets: 64, memory_mb: 64 });
+        let config =
+            site::config(nowhere, nowhere, &[nowhere], site::ProcessLimits { sockets: 64, memory_mb: 64 });
         serde_json::to_string_pretty(&config).expect("it is JSON")
     }
 
--- a/crates/hillstall/src/simulation.rs
+++ b/crates/hillstall/src/simulation.rs
@@ -4,14 +4,14 @@
 use crate::fault_injection;
 use crate::say;
 use clap::{Args, Subcommand};
-use hillstall_simulation::account;
-use hillstall_simulation::calls::Fleet;
+use hillstall_simulation::access_log_report::AccessLogReport;
 use hillstall_simulation::experiment::{self, Axis};
-use hillstall_simulation::policy::Named;
+use hillstall_simulation::fleet_ratio;
+use hillstall_simulation::policy::PolicyName;
 use hillstall_simulation::report;
 use hillstall_simulation::scenario::Scenario;
 use hillstall_simulation::scenarios;
-use hillstall_simulation::sim::Tally;
+use hillstall_simulation::sim::RunSummary;
 use hillstall_simulation::stability;
 use indicatif::ProgressBar;
 use std::io::Write;
@@ -31,8 +31,8 @@
         #[arg(default_value = "lose-hall")]
         scenario: String,
         /// Policies
-        #[arg(long, value_delimiter = ',', default_values_t = Named::ALL)]
-        policy: Vec<Named>,
+        #[arg(long, value_delimiter = ',', default_values_t = PolicyName::ALL)]
+        policy: Vec<PolicyName>,
         /// How to run and where to write
         #[command(flatten)]
         how: How,
@@ -40,9 +40,9 @@
     /// Hold two policies against each other, seed by seed, with 95% intervals
     Compare {
         /// The one that is there
-        a: Named,
+        a: PolicyName,
         /// The one that may be better
-        b: Named,
+        b: PolicyName,
         /// A file, or a scenario that comes with the program
         #[arg(default_value = "lose-hall")]
         scenario: String,
@@ -60,7 +60,7 @@
         axes: Vec<Axis>,
         /// Policies
         #[arg(long, value_delimiter = ',', default_value = "hillstall")]
-        policy: Vec<Named>,
+        policy: Vec<PolicyName>,
         /// How to run and where to write
         #[command(flatten)]
         how: How,
@@ -72,7 +72,7 @@
         days: Vec<PathBuf>,
         /// Policies
         #[arg(long, value_delimiter = ',', default_value = "hillstall")]
-        policy: Vec<Named>,
+        policy: Vec<PolicyName>,
         /// How to run and where to write
         #[command(flatten)]
         how: How,
@@ -131,7 +131,7 @@
         lost: Vec<f64>,
         /// The policy
         #[arg(long, default_value = "hillstall")]
-        policy: Named,
+        policy: PolicyName,
         /// Hold it against runs kept with --json earlier, seed by seed
         #[arg(long, value_name = "FILE")]
         beside: Option<PathBuf>,
@@ -185,7 +185,7 @@
             Ok(())
         }
         Lab::Calls { folder } => {
-            let fleet = Fleet::read(&folder).map_err(|why| why.to_string())?;
+            let fleet = AccessLogReport::read(&folder).map_err(|why| why.to_string())?;
             print(&fleet.tables());
             Ok(())
         }
@@ -234,7 +234,7 @@
         Lab::Account { scenario, copies, loads, how } => {
             let (name, text) = read(&scenario)?;
             let bar = ProgressBar::new((copies.len() * loads.len()) as u64 * how.seeds);
-            let account = account::account(&text, &loads, &copies, &how.seeds(), || bar.inc(1))
+            let account = fleet_ratio::measure(&text, &loads, &copies, &how.seeds(), || bar.inc(1))
                 .map_err(|why| format!("{name}: {why}"))?;
             bar.finish_and_clear();
             let runs = account.cells.iter().flat_map(|cell| &cell.runs);
@@ -255,7 +255,7 @@
             give_out(map.cells.iter().flat_map(|cell| &cell.runs), &text, || map.html(&name), &how)
         }
         Lab::Keeper => {
-            hillstall_fault_injection::keeper::serve();
+            hillstall_fault_injection::process_supervisor::serve();
             Ok(())
         }
         Lab::Report { results: path, page } => {
@@ -269,7 +269,7 @@
 }
 
 /// Results kept with --json.
-fn results(path: &Path) -> Result<Vec<Tally>, String> {
+fn results(path: &Path) -> Result<Vec<RunSummary>, String> {
     let text = std::fs::read_to_string(path).map_err(|e| at(path, &e))?;
     let lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
     let tally = |(i, line)| {
@@ -300,12 +300,12 @@
 }
 
 /// Runs that belong to one cell of a table.
-fn in_cell(mut tallies: Vec<Tally>, cell: &str) -> Vec<Tally> {
+fn in_cell(mut tallies: Vec<RunSummary>, cell: &str) -> Vec<RunSummary> {
     tallies.iter_mut().for_each(|tally| tally.cell = cell.to_string());
     tallies
 }
 
-fn runs(cells: &[(String, Scenario)], policies: &[Named], how: &How) -> Vec<Tally> {
+fn runs(cells: &[(String, Scenario)], policies: &[PolicyName], how: &How) -> Vec<RunSummary> {
     let seeds = how.seeds();
     let bar = ProgressBar::new((cells.len() * policies.len()) as u64 * how.seeds);
     let mut all = Vec::new();
@@ -316,9 +316,9 @@
     all
 }
 
-type Figure = (&'static str, f64, fn(&Tally) -> f64);
+type Figure = (&'static str, f64, fn(&RunSummary) -> f64);
 
-fn gains(a: &[Tally], b: &[Tally]) -> String {
+fn gains(a: &[RunSummary], b: &[RunSummary]) -> String {
     let figures: [Figure; 4] = [
         ("service, points in 100", 100.0, |t| t.service),
         ("worst 10 s, points in 100", 100.0, |t| t.worst),
@@ -333,7 +333,7 @@
     figures.map(line).join("\n")
 }
 
-fn show(name: &str, tallies: Vec<Tally>, how: &How) -> Result<(), String> {
+fn show(name: &str, tallies: Vec<RunSummary>, how: &How) -> Result<(), String> {
     if let Some(path) = &how.json {
         write_lines(path, &tallies)?;
     }
@@ -347,9 +347,9 @@
 
 /// Writes runs and page where they are wanted, and prints the text.
 fn give_out<'a>(
-    runs: impl IntoIterator<Item = &'a Tally>,
+    runs: impl IntoIterator<Item = &'a RunSummary>,
     text: &str,
-    page: impl FnOnce() -> Result<String, report::NoPlot>,
+    page: impl FnOnce() -> Result<String, report::PlotError>,
     how: &How,
 ) -> Result<(), String> {
     if let Some(path) = &how.json {
@@ -365,7 +365,7 @@
 /// Writes each run as a JSON line.
 pub(crate) fn write_lines<'a>(
     path: &Path,
-    tallies: impl IntoIterator<Item = &'a Tally>,
+    tallies: impl IntoIterator<Item = &'a RunSummary>,
 ) -> Result<(), String> {
     let mut file = std::fs::File::create(path).map_err(|e| at(path, &e))?;
     for tally in tallies {
@@ -381,7 +381,7 @@
     Ok(())
 }
 
-fn write_page(title: &str, path: &Path, groups: &[(String, Vec<Tally>)]) -> Result<(), String> {
+fn write_page(title: &str, path: &Path, groups: &[(String, Vec<RunSummary>)]) -> Result<(), String> {
     let page = report::html(title, groups).map_err(|why| why.to_string())?;
     write(path, &page)
 }
--- a/crates/hillstall/tests/coordination/figures.rs
+++ b/crates/hillstall/tests/coordination/figures.rs
@@ -4,9 +4,9 @@
 use crate::harness::service;
 use crate::talking::{cut, settled, since, talk, COORDINATOR, SOON};
 use crate::windows::{plan, LONG, SECTION};
-use hillstall_fault_injection::keeper::Sign;
-use hillstall_fault_injection::link::Fault;
-use hillstall_fault_injection::talk::from_process;
+use hillstall_fault_injection::coordination_fleet::from_process;
+use hillstall_fault_injection::process_supervisor::ProcessSignal;
+use hillstall_fault_injection::tcp_proxy::Fault;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Instant;
@@ -35,15 +35,15 @@
                     let (first, _) = fleet.new_owner(COORDINATOR, &[], SOON).await?;
                     let at = Instant::now();
                     match how {
-                        "kill" => fleet.signal(first, Sign::Kill)?,
-                        "stop" => fleet.signal(first, Sign::Stop)?,
+                        "kill" => fleet.signal(first, ProcessSignal::Kill)?,
+                        "stop" => fleet.signal(first, ProcessSignal::Stop)?,
                         _ => cut(&fleet, Fault::LoseForth, from_process(first))?,
                     }
                     fleet.new_owner(COORDINATOR, &[first], SOON).await?;
                     seen.borrow_mut().push((how, since(at)));
                     match how {
                         "kill" => fleet.start_process(first).await?,
-                        "stop" => fleet.signal(first, Sign::Go)?,
+                        "stop" => fleet.signal(first, ProcessSignal::Go)?,
                         _ => fleet.set(Fault::None, from_process(first)),
                     }
                 }
--- a/crates/hillstall/tests/coordination/freeze.rs
+++ b/crates/hillstall/tests/coordination/freeze.rs
@@ -1,10 +1,10 @@
 //! Incidents, permits, and their coordinator, while parts of the fleet fail.
 
 use crate::talking::{cut, says, settled, sure, talk, COORDINATOR, SOON};
-use hillstall_fault_injection::fleet::Ends;
-use hillstall_fault_injection::keeper::Sign;
-use hillstall_fault_injection::link::Fault;
-use hillstall_fault_injection::talk::from_process;
+use hillstall_fault_injection::coordination_fleet::from_process;
+use hillstall_fault_injection::fleet::LinkEnds;
+use hillstall_fault_injection::process_supervisor::ProcessSignal;
+use hillstall_fault_injection::tcp_proxy::Fault;
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -67,8 +67,8 @@
     talk("drill-duties", 5, PEOPLE, |fleet| async move {
         settled(&fleet).await?;
         // Keepers 0 and 1 on one side, 2 to 4 on the other; all other copies hear both.
-        let between = |ends: Ends| {
-            matches!(ends, Ends::Keeper { process, slot }
+        let between = |ends: LinkEnds| {
+            matches!(ends, LinkEnds::Keeper { process, slot }
             if process < 5 && (process < 2) != (slot < 2))
         };
         cut(&fleet, Fault::Silent, between)?;
@@ -104,13 +104,14 @@
         says(&fleet, 4, "CHANGE ASK upgrade site:zone-1 tom", "200").await?;
         // All servers of one zone fall silent for all proxies.
         let boxes: Vec<usize> = fleet.servers_of_zone(1);
-        let lost = |ends: Ends| matches!(ends, Ends::Server { server, .. } if boxes.contains(&server));
+        let lost =
+            |ends: LinkEnds| matches!(ends, LinkEnds::Server { server, .. } if boxes.contains(&server));
         fleet.set(Fault::Reset, lost);
         let seen = |text: &str| text.lines().any(|l| l.contains("site:zone-1 active by=rule/"));
         fleet.until(9, "INCIDENT", SOON, seen).await?;
         fleet.until(9, "CHANGE", SOON, |text| text.contains("upgrade site:zone-1 reacts")).await?;
         // The one who opened it dies; the incident is not its own to take along.
-        fleet.signal(first, Sign::Kill)?;
+        fleet.signal(first, ProcessSignal::Kill)?;
         fleet.new_owner(COORDINATOR, &[first], SOON).await?;
         fleet.until(9, "INCIDENT", SOON, seen).await?;
         let barred =
@@ -140,12 +141,12 @@
         settled(&fleet).await?;
         let (first, token) = fleet.new_owner(COORDINATOR, &[], SOON).await?;
         // It stands still, with all that it believes; another is elected, and it goes on.
-        fleet.signal(first, Sign::Stop)?;
+        fleet.signal(first, ProcessSignal::Stop)?;
         let (second, newer) = fleet.new_owner(COORDINATOR, &[first], SOON).await?;
         sure(newer > token, || format!("{newer} after {token}"))?;
         says(&fleet, second, "INCIDENT OPEN major site:zone-2 ann", "200").await?;
         cut(&fleet, Fault::LoseBack, from_process(first))?;
-        fleet.signal(first, Sign::Go)?;
+        fleet.signal(first, ProcessSignal::Go)?;
         let barred =
             fleet.line((first + 1) % 3, "CHANGE ASK drain site:zone-2 mira").await.unwrap_or_default();
         sure(barred.starts_with("409"), || barred.clone())?;
--- a/crates/hillstall/tests/coordination/lines.rs
+++ b/crates/hillstall/tests/coordination/lines.rs
@@ -2,9 +2,9 @@
 //! masked by [`masked`], and by nothing else.
 
 use crate::talking::{cut, settled, sure, talk, COORDINATOR, SOON};
+use hillstall_fault_injection::coordination_fleet::from_process;
 use hillstall_fault_injection::fleet::Fleet;
-use hillstall_fault_injection::link::Fault;
-use hillstall_fault_injection::talk::from_process;
+use hillstall_fault_injection::tcp_proxy::Fault;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
--- a/crates/hillstall/tests/coordination/owners.rs
+++ b/crates/hillstall/tests/coordination/owners.rs
@@ -1,10 +1,10 @@
 //! One owner at a time, and no harm by an old one.
 
 use crate::talking::{cut, kill, says, settled, since, sure, talk, Told, COORDINATOR, SOON};
-use hillstall_fault_injection::fleet::{Ends, Fleet};
-use hillstall_fault_injection::keeper::Sign;
-use hillstall_fault_injection::link::Fault;
-use hillstall_fault_injection::talk::{from_process, to_keeper};
+use hillstall_fault_injection::coordination_fleet::{from_process, to_keeper};
+use hillstall_fault_injection::fleet::{Fleet, LinkEnds};
+use hillstall_fault_injection::process_supervisor::ProcessSignal;
+use hillstall_fault_injection::tcp_proxy::Fault;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
@@ -37,7 +37,7 @@
 fn an_owner_that_is_killed_is_followed_by_another_with_a_higher_token() {
     talk("drill-duties", 3, "", |fleet| async move {
         let first = owner(&fleet).await?;
-        fleet.signal(first.0, Sign::Kill)?;
+        fleet.signal(first.0, ProcessSignal::Kill)?;
         let second = goes_over(&fleet, first).await?;
         fleet.start_process(first.0).await?;
         // It is back and well, and the duty does not move again.
@@ -52,10 +52,10 @@
 fn an_owner_that_stood_still_knows_that_it_is_none_any_more() {
     talk("drill-duties", 3, "", |fleet| async move {
         let first = owner(&fleet).await?;
-        fleet.signal(first.0, Sign::Stop)?;
+        fleet.signal(first.0, ProcessSignal::Stop)?;
         let second = goes_over(&fleet, first).await?;
         sleep(Duration::from_secs(2)).await;
-        fleet.signal(first.0, Sign::Go)?;
+        fleet.signal(first.0, ProcessSignal::Go)?;
         let text =
             fleet.until(first.0, "FLEET", SOON, |text| text.contains(&format!("token {}", second.1))).await?;
         sure(!text.contains("holds freeze/coordinator"), || text.clone())?;
@@ -104,7 +104,7 @@
 fn a_copy_that_ends_in_order_hands_its_duties_over_without_a_gap() {
     let told = talk("drill-duties", 3, "", |fleet| async move {
         let first = owner(&fleet).await?;
-        fleet.signal(first.0, Sign::Term)?;
+        fleet.signal(first.0, ProcessSignal::Term)?;
         let second = fleet.new_owner(COORDINATOR, &[first.0], SOON).await?;
         sure(second.1 > first.1, || "the token did not rise".into())?;
         // Logs are written beside the loop, a little later.
@@ -137,7 +137,7 @@
         let first = owner(&fleet).await?;
         opened(&fleet).await?;
         for keeper in 0..3 {
-            fleet.signal(keeper, Sign::Kill)?;
+            fleet.signal(keeper, ProcessSignal::Kill)?;
         }
         let nothing = fleet.line(5, "CHANGE ASK drain tenant:acme tom").await.unwrap_or_default();
         sure(nothing.starts_with("504"), || format!("a permit without keepers: {nothing}"))?;
@@ -233,7 +233,8 @@
         };
         let text = fleet.line(6, "FLEET").await.unwrap_or_default();
         let keeper: usize = follows(&text).ok_or("it follows nobody")?;
-        let link = move |ends: Ends| matches!(ends, Ends::Keeper { process: 6, slot } if slot == keeper);
+        let link =
+            move |ends: LinkEnds| matches!(ends, LinkEnds::Keeper { process: 6, slot } if slot == keeper);
         cut(&fleet, Fault::Silent, link)?;
         let other = |text: &str| follows(text).is_some_and(|now| now != keeper) && text.contains("connected");
         fleet.until(6, "FLEET", SOON, other).await?;
--- a/crates/hillstall/tests/coordination/talking.rs
+++ b/crates/hillstall/tests/coordination/talking.rs
@@ -1,11 +1,11 @@
 //! Plays a drill with a script, and judges its record.
 
 use crate::harness::{drill_with, Played};
-use hillstall_fault_injection::fleet::{Ends, Fleet};
-use hillstall_fault_injection::keeper::Sign;
-use hillstall_fault_injection::link::Fault;
+use hillstall_fault_injection::coordination_fleet::{judge, AuditLine, CoordinationOptions};
+use hillstall_fault_injection::fleet::{Fleet, LinkEnds};
+use hillstall_fault_injection::process_supervisor::ProcessSignal;
 use hillstall_fault_injection::run::Script;
-use hillstall_fault_injection::talk::{judge, Act, Talk};
+use hillstall_fault_injection::tcp_proxy::Fault;
 use hillstall_fault_injection::Options;
 use std::cell::RefCell;
 use std::future::Future;
@@ -24,7 +24,7 @@
 /// A drill of copies that talk.
 pub struct Talked {
     pub played: Played,
-    pub acts: Vec<Act>,
+    pub acts: Vec<AuditLine>,
 }
 
 /// How often a drill is played that a busy machine kept from its course.
@@ -67,7 +67,7 @@
 where
     F: Future<Output = Told> + 'static,
 {
-    let came: Rc<RefCell<(Option<Told>, Vec<Act>)>> = Rc::default();
+    let came: Rc<RefCell<(Option<Told>, Vec<AuditLine>)>> = Rc::default();
     let played = drill_with(name, 1, || {
         let (script, came) = (script.clone(), came.clone());
         came.replace((None, Vec::new()));
@@ -77,7 +77,7 @@
                 came.replace((Some(told), fleet.acts()));
             })
         });
-        let talk = Some(Talk { keepers, section: section.to_owned() });
+        let talk = Some(CoordinationOptions { keepers, section: section.to_owned() });
         Options { script: Some(whole), talk, ..Options::default() }
     });
     let (told, acts) = came.take();
@@ -119,7 +119,7 @@
 
 /// Kills a copy, and waits until it has ended.
 pub async fn kill(fleet: &Fleet, process: usize) -> Told {
-    fleet.signal(process, Sign::Kill)?;
+    fleet.signal(process, ProcessSignal::Kill)?;
     while fleet.processes[process].runs.get() {
         sleep(Duration::from_millis(10)).await;
     }
@@ -127,7 +127,7 @@
 }
 
 /// Does something to a fleet's links, and sees that it bites: what passed before, and nothing while it lasts.
-pub fn cut(fleet: &Fleet, fault: Fault, which: impl Fn(Ends) -> bool + Copy) -> Told {
+pub fn cut(fleet: &Fleet, fault: Fault, which: impl Fn(LinkEnds) -> bool + Copy) -> Told {
     let passed = fleet.passed(which);
     fleet.set(fault, which);
     sure(passed.forth > 0, || "nothing passed over the links that were to be cut".into())
--- a/crates/hillstall/tests/coordination/windows.rs
+++ b/crates/hillstall/tests/coordination/windows.rs
@@ -2,9 +2,9 @@
 
 use crate::harness::{service, wait};
 use crate::talking::{settled, sure, talk, Talked, Told, BUSY, SOON};
-use hillstall_fault_injection::fleet::{Ends, Fleet};
-use hillstall_fault_injection::keeper::Sign;
-use hillstall_fault_injection::link::Fault;
+use hillstall_fault_injection::fleet::{Fleet, LinkEnds};
+use hillstall_fault_injection::process_supervisor::ProcessSignal;
+use hillstall_fault_injection::tcp_proxy::Fault;
 use std::cell::RefCell;
 use std::future::Future;
 use std::rc::Rc;
@@ -106,7 +106,7 @@
         plan(&fleet, "zone-1", 9, 3).await?;
         stage(&fleet, "zone-1 shifting").await?;
         let (first, token) = fleet.new_owner(SHIFT, &[], SOON).await?;
-        fleet.signal(first, Sign::Kill)?;
+        fleet.signal(first, ProcessSignal::Kill)?;
         let (_, newer) = fleet.new_owner(SHIFT, &[first], SOON).await?;
         sure(newer > token, || format!("{newer} after {token}"))?;
         stage(&fleet, "zone-1 running").await?;
@@ -122,11 +122,11 @@
         plan(&fleet, "zone-1", 9, 3).await?;
         stage(&fleet, "zone-1 shifting").await?;
         let (first, _) = fleet.new_owner(SHIFT, &[], SOON).await?;
-        fleet.signal(first, Sign::Stop)?;
+        fleet.signal(first, ProcessSignal::Stop)?;
         fleet.new_owner(SHIFT, &[first], SOON).await?;
         stage(&fleet, "zone-1 running").await?;
         // What it had in hand goes out now.
-        fleet.signal(first, Sign::Go)?;
+        fleet.signal(first, ProcessSignal::Go)?;
         stage(&fleet, "zone-1 done").await.map(|_| ())
     });
     let tokens: std::collections::BTreeSet<u64> =
@@ -143,7 +143,8 @@
             |text: &str| text.lines().any(|l| l.contains("zone-1 shifting") && !l.contains("part=100%"));
         fleet.until(5, "WINDOW", LONG, half).await?;
         let boxes = fleet.servers_of_zone(2);
-        let lost = |ends: Ends| matches!(ends, Ends::Server { server, .. } if boxes.contains(&server));
+        let lost =
+            |ends: LinkEnds| matches!(ends, LinkEnds::Server { server, .. } if boxes.contains(&server));
         fleet.set(Fault::Reset, lost);
         let back =
             |text: &str| text.lines().any(|l| l.contains("zone-1 returning") || l.contains("zone-1 done"));
@@ -187,7 +188,7 @@
         stage(&fleet, "zone-1 running").await?;
         fleet.until(8, "FLEET", SOON, |text| text.contains("part zone-1 0.000")).await?;
         for keeper in 0..3 {
-            fleet.signal(keeper, Sign::Kill)?;
+            fleet.signal(keeper, ProcessSignal::Kill)?;
         }
         // The order holds for its time, and then wears off at the stated pace.
         let on_the_way = |text: &str| text.contains("part zone-1 0.") && !text.contains("part zone-1 0.000");
--- a/crates/hillstall/tests/fault_injection/harness.rs
+++ b/crates/hillstall/tests/fault_injection/harness.rs
@@ -1,12 +1,12 @@
 //! Plays drills, four at a time at the most, and again, alone, where the rig itself was late.
 
 use hillstall_decision::Settings;
-use hillstall_fault_injection::fleet::{Ends, Fleet, Lie};
-use hillstall_fault_injection::link::Passed;
-use hillstall_fault_injection::record::History;
-use hillstall_fault_injection::referee::{Rule, Verdict};
+use hillstall_fault_injection::fleet::{Fleet, LinkEnds, SettingsFault};
+use hillstall_fault_injection::history::History;
+use hillstall_fault_injection::invariant_checker::{Rule, Verdict};
 use hillstall_fault_injection::run::Script;
-use hillstall_fault_injection::{Drilled, Options};
+use hillstall_fault_injection::tcp_proxy::TransferredBytes;
+use hillstall_fault_injection::{Options, ScenarioRun};
 use hillstall_simulation::scenarios;
 use std::cell::RefCell;
 use std::path::Path;
@@ -56,7 +56,7 @@
 }
 
 /// What a drill came to.
-pub struct Played(pub Drilled);
+pub struct Played(pub ScenarioRun);
 
 impl Played {
     /// Fails with the whole way of the first requests, if a rule was broken.
@@ -90,7 +90,7 @@
 
 /// The same with a lie to the proxies.
 pub fn lied(name: &str, seed: u64, lie: impl Fn(&mut Settings) + 'static) -> Played {
-    let lie: Lie = Rc::new(lie);
+    let lie: SettingsFault = Rc::new(lie);
     drill_with(name, seed, || Options { lie: Some(lie.clone()), ..Options::default() })
 }
 
@@ -112,10 +112,10 @@
 }
 
 /// What passed over some links at some times (s).
-pub type Looks = Rc<RefCell<Vec<Passed>>>;
+pub type Looks = Rc<RefCell<Vec<TransferredBytes>>>;
 
 /// Looks at links at some times; what passed by then is written down.
-pub async fn look(fleet: Rc<Fleet>, looks: Looks, times: [f64; 3], which: fn(Ends) -> bool) {
+pub async fn look(fleet: Rc<Fleet>, looks: Looks, times: [f64; 3], which: fn(LinkEnds) -> bool) {
     looks.borrow_mut().clear();
     for at in times {
         wait(&fleet.history, at).await;
--- a/crates/hillstall/tests/fault_injection/main.rs
+++ b/crates/hillstall/tests/fault_injection/main.rs
@@ -5,11 +5,11 @@
 
 use harness::{drill, drill_with, lied, look, scripted, service, wait, Looks};
 use hillstall_decision::{BackendState, RetrySafety, Settings};
-use hillstall_fault_injection::fleet::{Ends, Lie};
-use hillstall_fault_injection::record::{Done, Ended, Life, Lived};
-use hillstall_fault_injection::referee::{self, Rule};
+use hillstall_fault_injection::fleet::{LinkEnds, SettingsFault};
+use hillstall_fault_injection::history::{BackendResult, ClientResult, ProcessEvent, ProcessLifetime};
+use hillstall_fault_injection::invariant_checker::{self, Rule};
 use hillstall_fault_injection::Options;
-use hillstall_simulation::stability::Course;
+use hillstall_simulation::stability::ServiceCourse;
 use std::rc::Rc;
 
 /// Says what was measured: seen with `--nocapture`, and in a failure.
@@ -37,7 +37,9 @@
     let looks = Looks::default();
     let seen = looks.clone();
     let kept = scripted("drill-one-way", 1, move |fleet| {
-        look(fleet, seen.clone(), [2.9, 3.1, 4.9], |ends| matches!(ends, Ends::Server { process: 0 | 1, .. }))
+        look(fleet, seen.clone(), [2.9, 3.1, 4.9], |ends| {
+            matches!(ends, LinkEnds::Server { process: 0 | 1, .. })
+        })
     });
     kept.keeps_the_rules();
     let looks = looks.borrow();
@@ -59,7 +61,7 @@
     assert!(calls(4_500.0) > 20, "they are called again");
     // A list that says that each of them should get thirty times the calls of the others.
     // Proxies that are told of no cold rule, and keep no gates, believe it.
-    let lie: Lie = Rc::new(|told| {
+    let lie: SettingsFault = Rc::new(|told| {
         (told.rules.warmup_ms, told.fleet_size, told.rank) = (0.0, 1, 0);
         without_gates(told);
     });
@@ -68,7 +70,7 @@
         script: Some(Box::new(|fleet| Box::pin(async move { fleet.weight_again.set(30.0) }))),
         ..Options::default()
     });
-    let sent = |p: &harness::Played| referee::overshoot(&p.0.truth, &p.0.seen);
+    let sent = |p: &harness::Played| invariant_checker::overshoot(&p.0.truth, &p.0.seen);
     say("most that a cold box is sent, of what it bears", sent(&kept), sent(&broken));
     broken.breaks(Rule::Cold);
 }
@@ -87,9 +89,9 @@
 fn seven_in_ten_fronts_that_die_at_once_are_made_up_for() {
     let kept = drill("drill-kill", 1);
     kept.keeps_the_rules();
-    let killed = kept.0.seen.lives.iter().filter(|l| l.what == Lived::Killed).count();
+    let killed = kept.0.seen.lives.iter().filter(|l| l.what == ProcessEvent::Killed).count();
     assert_eq!(killed, 5, "five of seven fronts die");
-    let broke = kept.0.seen.tries.iter().filter(|t| t.ended == Ended::Broken).count();
+    let broke = kept.0.seen.tries.iter().filter(|t| t.ended == ClientResult::Broken).count();
     assert!(broke > 0, "clients see their connections break");
     // The last three seconds: all are back, with nothing learned.
     let after = |p: &harness::Played| {
@@ -110,14 +112,16 @@
 fn fronts_that_are_restarted_in_order_lose_nothing_while_the_tier_is_crowded() {
     let kept = drill("drill-roll", 1);
     kept.keeps_the_rules();
-    let ended = kept.0.seen.lives.iter().filter(|l| matches!(l.what, Lived::Ended(Some(0)))).count();
+    let ended = kept.0.seen.lives.iter().filter(|l| matches!(l.what, ProcessEvent::Ended(Some(0)))).count();
     assert_eq!(ended, 5, "all five fronts ended in order");
     assert!(kept.0.tally.refused > 0.02, "the tier is crowded: {:.3} refused", kept.0.tally.refused);
     // One that is killed where it should have been asked loses what it had taken.
     let broken = scripted("drill-roll", 1, |fleet| async move {
         wait(&fleet.history, 1.5).await;
         let at = fleet.history.now();
-        fleet.history.note(|seen| seen.lives.push(Life { process: 4, at, what: Lived::Asked }));
+        fleet
+            .history
+            .note(|seen| seen.lives.push(ProcessLifetime { process: 4, at, what: ProcessEvent::Asked }));
         fleet.strike(4).expect("the keeper hears");
     });
     broken.breaks(Rule::OneAnswer);
@@ -127,8 +131,8 @@
 fn fronts_that_stood_still_go_on_by_the_list_as_it_is_now() {
     let kept = drill("drill-stop", 1);
     kept.keeps_the_rules();
-    let stopped = |what: Lived| kept.0.seen.lives.iter().filter(|l| l.what == what).count();
-    assert_eq!((stopped(Lived::Stopped), stopped(Lived::Went)), (2, 2));
+    let stopped = |what: ProcessEvent| kept.0.seen.lives.iter().filter(|l| l.what == what).count();
+    assert_eq!((stopped(ProcessEvent::Stopped), stopped(ProcessEvent::Went)), (2, 2));
     let by_stopped = |from: f64, to: f64| {
         kept.0.seen.hops.iter().filter(|h| h.process < 2 && h.at > from && h.at < to).count()
     };
@@ -145,7 +149,7 @@
     let told = |from: f64, to: f64| kept.0.seen.told.iter().filter(|t| t.at > from && t.at < to).count();
     assert_eq!(told(1_600.0, 6_400.0), 0, "the list says nothing while it is down");
     assert!(told(6_400.0, 11_000.0) > 0, "and is heard again");
-    let lost = kept.0.seen.hops.iter().filter(|h| h.done == Done::Lost).count();
+    let lost = kept.0.seen.hops.iter().filter(|h| h.done == BackendResult::Lost).count();
     assert!(lost > 0, "calls were lost with their boxes");
     let broken = lied("drill-list", 1, once_told_as(RetrySafety::Idempotent));
     broken.breaks(Rule::BarredRepeat);
@@ -163,7 +167,7 @@
     let others = |p: &harness::Played| {
         let tries = || p.0.seen.tries.iter().filter(|t| t.tenant > 0 && !t.id.contains('.'));
         let calls: std::collections::BTreeSet<_> = tries().map(|t| t.id.split('-').next()).collect();
-        100.0 * tries().filter(|t| t.ended == Ended::Served).count() as f64 / calls.len() as f64
+        100.0 * tries().filter(|t| t.ended == ClientResult::Served).count() as f64 / calls.len() as f64
     };
     say("% served of the others' calls", others(&kept), others(&off));
     assert!(others(&kept) > others(&off) + 5.0, "shares are of no use");
@@ -183,7 +187,7 @@
 fn no_request_has_more_than_six_attempts_while_ledgers_turn_calls_away() {
     let kept = drill("drill-full", 1);
     kept.keeps_the_rules();
-    let away = kept.0.seen.hops.iter().filter(|h| h.done == Done::TurnedAway).count();
+    let away = kept.0.seen.hops.iter().filter(|h| h.done == BackendResult::TurnedAway).count();
     assert!(away > 10, "ledgers turned {away} calls away");
     let broken = lied("drill-full", 1, |told| told.permissions.max_attempts = 30);
     broken.breaks(Rule::Attempts);
@@ -193,10 +197,10 @@
 fn half_of_the_boxes_are_lost_for_eight_seconds_and_the_rest_do_not_tip() {
     let kept = drill("drill-half", 1);
     kept.keeps_the_rules();
-    let course = |p: &harness::Played| Course::of(&p.0.tally.seconds, 4.0, 8.0);
+    let course = |p: &harness::Played| ServiceCourse::of(&p.0.tally.seconds, 4.0, 8.0);
     // Half is left for a load of 85 in 100.
-    let part = |course: Course| course.during / (0.5 / 0.85);
-    let killed = kept.0.seen.lives.iter().filter(|l| l.what == Lived::Killed).count();
+    let part = |course: ServiceCourse| course.during / (0.5 / 0.85);
+    let killed = kept.0.seen.lives.iter().filter(|l| l.what == ProcessEvent::Killed).count();
     assert_eq!(killed, 3, "the proxies beside three boxes are gone with them");
     let off = lied("drill-half", 1, without_gates);
     say("% served of what is left to serve", 100.0 * part(course(&kept)), 100.0 * part(course(&off)));
@@ -208,15 +212,15 @@
 
 #[test]
 fn what_a_keeper_started_ends_with_it() {
-    use hillstall_fault_injection::keeper::{Keeper, News, Start};
+    use hillstall_fault_injection::process_supervisor::{ProcessSupervisor, StartProcess, SupervisorEvent};
     let (tell, news) = std::sync::mpsc::channel();
     let program = std::path::Path::new(env!("CARGO_BIN_EXE_hillstall"));
     let folder = tempfile::tempdir().expect("a folder");
-    let mut keeper = Keeper::start(program, &["lab", "keeper"], move |news| {
+    let mut keeper = ProcessSupervisor::start(program, &["lab", "keeper"], move |news| {
         let _ = tell.send(news);
     })
     .expect("it starts");
-    let start = |number: usize, program: &str| Start {
+    let start = |number: usize, program: &str| StartProcess {
         number,
         program: program.into(),
         arguments: vec!["600".into()],
@@ -226,8 +230,13 @@
     keeper.run(start(0, "/bin/sleep")).expect("it hears");
     keeper.run(start(1, "/nowhere/at/all")).expect("it hears");
     let patience = harness::PATIENCE;
-    let Ok(News::Started { number: 0, pid }) = news.recv_timeout(patience) else { panic!("it runs") };
-    assert!(matches!(news.recv_timeout(patience), Ok(News::Failed { number: 1, .. })), "an error is told");
+    let Ok(SupervisorEvent::Started { number: 0, pid }) = news.recv_timeout(patience) else {
+        panic!("it runs")
+    };
+    assert!(
+        matches!(news.recv_timeout(patience), Ok(SupervisorEvent::Failed { number: 1, .. })),
+        "an error is told"
+    );
     let runs = || std::path::Path::new(&format!("/proc/{pid}")).exists();
     assert!(runs());
     // Its input closes, as it does when whoever started it is killed; it ends once its processes have.
--- a/crates/hot-path-bench/src/paths.rs
+++ b/crates/hot-path-bench/src/paths.rs
@@ -2,10 +2,10 @@
 //! proxy as processes.
 
 use crate::child::{await_listener, Broken, Measured};
-use hillstall_simulation::callers::{self, Tally};
+use hillstall_simulation::closed_loop_clients::{self, ClientTotals};
 use hillstall_simulation::relay as bare;
-use hillstall_simulation::site::{config, Holds};
-use hillstall_simulation::stand::{listener, Stand};
+use hillstall_simulation::site::{config, ProcessLimits};
+use hillstall_simulation::stand_in_thread::{listener, StandInThread};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::rc::Rc;
@@ -28,11 +28,15 @@
     Ok(listener()?.1)
 }
 
-fn stand() -> Result<Stand, Broken> {
-    Ok(Stand::start(SERVERS, |_| Rc::new(|_, _| BODY.to_vec()))?)
+fn stand() -> Result<StandInThread, Broken> {
+    Ok(StandInThread::start(SERVERS, |_| Rc::new(|_, _| BODY.to_vec()))?)
 }
 
-fn start_proxy(program: &Path, site: &Stand, holds: Holds) -> Result<(Measured, SocketAddr), Broken> {
+fn start_proxy(
+    program: &Path,
+    site: &StandInThread,
+    holds: ProcessLimits,
+) -> Result<(Measured, SocketAddr), Broken> {
     let address = free_address()?;
     let file = std::env::temp_dir().join(format!("hillstall-hot-path-bench-{}.json", std::process::id()));
     std::fs::write(&file, config(address, site.discovery, &site.servers, holds).to_string())?;
@@ -57,7 +61,7 @@
 /// What runs of callers came to.
 #[derive(Default)]
 struct Run {
-    tally: Tally,
+    tally: ClientTotals,
     seconds: f64,
     cpu: Duration,
     opened: u64,
@@ -105,7 +109,7 @@
 }
 
 async fn run(
-    site: &Stand,
+    site: &StandInThread,
     child: &Measured,
     address: SocketAddr,
     callers: usize,
@@ -113,7 +117,7 @@
 ) -> Result<Run, Broken> {
     let count = &site.connections;
     let (before, opened) = (child.cpu()?, count.opened.load(Ordering::Relaxed));
-    let tally = callers::run(address, callers, Duration::from_secs_f64(seconds)).await;
+    let tally = closed_loop_clients::run(address, callers, Duration::from_secs_f64(seconds)).await;
     let opened = count.opened.load(Ordering::Relaxed) - opened;
     let open = count.open.load(Ordering::Relaxed);
     Ok(Run { tally, seconds, cpu: child.cpu()? - before, opened, open })
@@ -143,7 +147,7 @@
             for _ in 0..rounds {
                 // A fresh proxy each time: the first moments of one are part of what is measured.
                 let (proxy, proxy_at) =
-                    start_proxy(program, &site, Holds { sockets: 1_024, memory_mb: 192 })?;
+                    start_proxy(program, &site, ProcessLimits { sockets: 1_024, memory_mb: 192 })?;
                 await_listener("the proxy", proxy_at).await?;
                 let fresh = run(&site, &proxy, proxy_at, *callers, WARM_UP.as_secs_f64()).await?;
                 run(&site, &relay, relay_at, *callers, WARM_UP.as_secs_f64()).await?;
@@ -175,12 +179,12 @@
 pub fn idle(program: &Path, connections: usize) -> Result<(), Broken> {
     let site = stand()?;
     LocalSet::new().block_on(&runtime()?, async {
-        let holds = Holds { sockets: 2 * connections + 512, memory_mb: 2_048 };
+        let holds = ProcessLimits { sockets: 2 * connections + 512, memory_mb: 2_048 };
         let (proxy, address) = start_proxy(program, &site, holds)?;
         await_listener("the proxy", address).await?;
-        callers::run(address, 16, WARM_UP).await;
+        closed_loop_clients::run(address, 16, WARM_UP).await;
         let before = proxy.memory()?;
-        let kept = callers::idle(address, connections).await?;
+        let kept = closed_loop_clients::idle(address, connections).await?;
         let after = proxy.memory()?;
         let each = after.saturating_sub(before) as f64 / kept.len().max(1) as f64;
         println!("| connections | MB before | MB with them | KiB each |");
--- a/crates/simulation/src/calls.rs
+++ b/crates/simulation/src/access_log_report.rs
@@ -10,7 +10,7 @@
 
 /// Why logs can't be read.
 #[derive(Debug, thiserror::Error)]
-pub enum Unreadable {
+pub enum ReadLogError {
     /// A file or the folder.
     #[error("{path}: {why}")]
     File {
@@ -96,17 +96,17 @@
 
 /// The calls of a fleet.
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct AccessLogReport {
     tiers: BTreeMap<String, Tier>,
     from: u64,
 }
 
-impl Fleet {
+impl AccessLogReport {
     /// Reads a folder in which each file is the log of one proxy.
-    pub fn read(folder: &Path) -> Result<Fleet, Unreadable> {
-        let failed = |path: &Path, why| Unreadable::File { path: path.to_path_buf(), why };
+    pub fn read(folder: &Path) -> Result<AccessLogReport, ReadLogError> {
+        let failed = |path: &Path, why| ReadLogError::File { path: path.to_path_buf(), why };
         let entries = std::fs::read_dir(folder).map_err(|why| failed(folder, why))?;
-        let mut fleet = Fleet { from: u64::MAX, ..Fleet::default() };
+        let mut fleet = AccessLogReport { from: u64::MAX, ..AccessLogReport::default() };
         for entry in entries {
             let path = entry.map_err(|why| failed(folder, why))?.path();
             if path.is_file() {
@@ -116,7 +116,7 @@
             }
         }
         match fleet.tiers.is_empty() {
-            true => Err(Unreadable::Empty(folder.to_path_buf())),
+            true => Err(ReadLogError::Empty(folder.to_path_buf())),
             false => Ok(fleet),
         }
     }
@@ -194,7 +194,7 @@
 
     #[test]
     fn calls_are_counted_by_load_reason_tier_and_second() {
-        let mut fleet = Fleet { from: u64::MAX, ..Fleet::default() };
+        let mut fleet = AccessLogReport { from: u64::MAX, ..AccessLogReport::default() };
         for proxy in 0..3 {
             let log = record(0, "front", "served", "") + "noise {\n" + &record(1, "front", "served", "");
             fleet.add(Path::new(&format!("cool-{proxy}")), &log);
@@ -217,9 +217,9 @@
         let folder = std::env::temp_dir().join(format!("hillstall-calls-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         std::fs::write(folder.join("n0.log"), b"not sent: \xff\n").expect("a file");
-        let why = Fleet::read(&folder).expect_err("nothing to count").to_string();
+        let why = AccessLogReport::read(&folder).expect_err("nothing to count").to_string();
         std::fs::remove_dir_all(&folder).expect("it goes");
         assert!(why.contains("log.calls"), "{why}");
-        assert!(matches!(Fleet::read(&folder), Err(Unreadable::File { .. })));
+        assert!(matches!(AccessLogReport::read(&folder), Err(ReadLogError::File { .. })));
     }
 }
--- a/crates/simulation/src/callers.rs
+++ b/crates/simulation/src/closed_loop_clients.rs
@@ -13,7 +13,7 @@
 
 /// What came of the calls.
 #[derive(Clone, Debug)]
-pub struct Tally {
+pub struct ClientTotals {
     /// Latencies of the answers that were served, in microseconds.
     pub served: Histogram<u64>,
     /// Answers 429 and 503.
@@ -22,11 +22,11 @@
     pub failed: u64,
 }
 
-impl Default for Tally {
-    fn default() -> Tally {
+impl Default for ClientTotals {
+    fn default() -> ClientTotals {
         // 3 digits up to 60 s: some KiB, and it can't fail for these figures.
         let served = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds in order");
-        Tally { served, refused: 0, failed: 0 }
+        ClientTotals { served, refused: 0, failed: 0 }
     }
 }
 
@@ -35,7 +35,7 @@
     address: SocketAddr,
     number: usize,
     until: Instant,
-    tally: &RefCell<Tally>,
+    tally: &RefCell<ClientTotals>,
 ) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
@@ -84,8 +84,8 @@
 }
 
 /// Runs so many callers for a time and gives what came of all their calls.
-pub async fn run(address: SocketAddr, callers: usize, time: Duration) -> Tally {
-    let (tally, until) = (Rc::new(RefCell::new(Tally::default())), Instant::now() + time);
+pub async fn run(address: SocketAddr, callers: usize, time: Duration) -> ClientTotals {
+    let (tally, until) = (Rc::new(RefCell::new(ClientTotals::default())), Instant::now() + time);
     let tasks: Vec<_> = (0..callers)
         .map(|number| {
             let tally = tally.clone();
--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -1,14 +1,19 @@
 //! Many runs of one question: over seeds, policies and parameters, on all cores, with the means held against chance.
 
-use crate::policy::Named;
-use crate::scenario::{Invalid, Scenario};
-use crate::sim::{self, Day, NoDay, Tally};
+use crate::policy::PolicyName;
+use crate::scenario::{Scenario, ScenarioError};
+use crate::sim::{self, Day, DayError, RunSummary};
 use rayon::prelude::*;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
 /// Runs each policy with each seed; the order of the results is that of the arguments, whichever run ends first.
 /// `ended` is called after each run.
-pub fn runs(scenario: &Scenario, policies: &[Named], seeds: &[u64], ended: impl Fn() + Sync) -> Vec<Tally> {
+pub fn runs(
+    scenario: &Scenario,
+    policies: &[PolicyName],
+    seeds: &[u64],
+    ended: impl Fn() + Sync,
+) -> Vec<RunSummary> {
     each(policies, seeds, |policy, seed| {
         let tally = sim::run(scenario, policy, seed);
         ended();
@@ -17,12 +22,20 @@
 }
 
 /// Plays a day of the bench with each policy and seed. The second part names the troubles without a model.
-pub fn days(text: &str, policies: &[Named], seeds: &[u64]) -> Result<(Vec<Tally>, Vec<String>), NoDay> {
+pub fn days(
+    text: &str,
+    policies: &[PolicyName],
+    seeds: &[u64],
+) -> Result<(Vec<RunSummary>, Vec<String>), DayError> {
     let day = Day::read(text)?;
     Ok((each(policies, seeds, |policy, seed| day.run(policy, seed)), day.unknown))
 }
 
-fn each(policies: &[Named], seeds: &[u64], run: impl Fn(Named, u64) -> Tally + Sync) -> Vec<Tally> {
+fn each(
+    policies: &[PolicyName],
+    seeds: &[u64],
+    run: impl Fn(PolicyName, u64) -> RunSummary + Sync,
+) -> Vec<RunSummary> {
     by_cell(policies, seeds, |policy, seed| run(*policy, seed)).into_iter().flatten().collect()
 }
 
@@ -69,7 +82,7 @@
 }
 
 /// What `b` gains over `a`, seed by seed: the calls are the same, so that their chance cancels out.
-pub fn gain(a: &[Tally], b: &[Tally], figure: fn(&Tally) -> f64) -> Mean {
+pub fn gain(a: &[RunSummary], b: &[RunSummary], figure: fn(&RunSummary) -> f64) -> Mean {
     let differences: Vec<f64> = a.iter().zip(b).map(|(a, b)| figure(b) - figure(a)).collect();
     Mean::of(&differences)
 }
@@ -110,7 +123,7 @@
 
 /// Why a sweep can't be made.
 #[derive(Debug, thiserror::Error)]
-pub enum NoSweep {
+pub enum SweepError {
     /// A key leads nowhere.
     #[error("{0}: the scenario has no such place")]
     Key(String),
@@ -120,7 +133,7 @@
         /// The values.
         cell: String,
         /// What is wrong with it.
-        why: Invalid,
+        why: ScenarioError,
     },
     /// The file is no TOML.
     #[error("{0}")]
@@ -150,7 +163,7 @@
 }
 
 /// All scenarios of a grid, each with the text that tells its values.
-pub fn grid(text: &str, axes: &[Axis]) -> Result<Vec<(String, Scenario)>, NoSweep> {
+pub fn grid(text: &str, axes: &[Axis]) -> Result<Vec<(String, Scenario)>, SweepError> {
     let base: toml::Table = text.parse()?;
     let mut cells = vec![(String::new(), toml::Value::Table(base))];
     for axis in axes {
@@ -158,7 +171,7 @@
         for (name, cell) in &cells {
             for value in &axis.values {
                 let mut cell = cell.clone();
-                set(&mut cell, &axis.key, value).ok_or_else(|| NoSweep::Key(axis.key.clone()))?;
+                set(&mut cell, &axis.key, value).ok_or_else(|| SweepError::Key(axis.key.clone()))?;
                 let space = if name.is_empty() { "" } else { " " };
                 next.push((format!("{name}{space}{}={value}", axis.key), cell));
             }
@@ -170,7 +183,7 @@
             let text = toml::to_string(&cell).unwrap_or_default();
             match Scenario::parse(&text) {
                 Ok(scenario) => Ok((name, scenario)),
-                Err(why) => Err(NoSweep::Scenario { cell: name, why }),
+                Err(why) => Err(SweepError::Scenario { cell: name, why }),
             }
         })
         .collect()
--- a/crates/simulation/src/account.rs
+++ b/crates/simulation/src/fleet_ratio.rs
@@ -2,60 +2,60 @@
 //! What a copy does is harmless alone; what counts is the *fleet ratio*, service with so many copies over service with
 //! one that carries it all.
 
-use crate::experiment::{by_cell, grid, Axis, Mean, NoSweep, LOAD};
-use crate::policy::Named;
-use crate::report::{by_load, lines, markdown, page, NoPlot};
-use crate::sim::{self, Tally};
+use crate::experiment::{by_cell, grid, Axis, Mean, SweepError, LOAD};
+use crate::policy::PolicyName;
+use crate::report::{by_load, lines, markdown, page, PlotError};
+use crate::sim::{self, RunSummary};
 
 /// The key of the number of copies.
 const COPIES: &str = "proxies";
 
 /// Runs of one load with one number of copies.
-pub struct Cell {
+pub struct RatioCell {
     /// The load, as a part of what the servers can do.
     pub load: f64,
     /// Copies before the first tier.
-    pub copies: u32,
+    pub instances: u32,
     /// One run for each seed.
-    pub runs: Vec<Tally>,
+    pub runs: Vec<RunSummary>,
 }
 
 /// The whole account, by load and then by number of copies.
-pub struct Account {
+pub struct FleetRatio {
     /// The cells; those of one load follow each other.
-    pub cells: Vec<Cell>,
+    pub cells: Vec<RatioCell>,
 }
 
 /// Plays a scenario with each load and number of copies. `ended` is called after each run.
-pub fn account(
+pub fn measure(
     text: &str,
     loads: &[f64],
     copies: &[u32],
     seeds: &[u64],
     ended: impl Fn() + Sync,
-) -> Result<Account, NoSweep> {
+) -> Result<FleetRatio, SweepError> {
     let numbers = copies.iter().map(|n| toml::Value::Integer(i64::from(*n))).collect();
     let axes = [Axis::of_numbers(LOAD, loads), Axis { key: COPIES.to_string(), values: numbers }];
     let scenarios = grid(text, &axes)?;
     let places = loads.iter().flat_map(|load| copies.iter().map(move |copies| (*load, *copies)));
     let runs = by_cell(&scenarios, seeds, |(_, scenario), seed| {
-        let tally = sim::run(scenario, Named::Hillstall, seed);
+        let tally = sim::run(scenario, PolicyName::Hillstall, seed);
         ended();
         tally
     });
-    let cells = places.zip(runs).map(|((load, copies), runs)| Cell { load, copies, runs });
-    Ok(Account { cells: cells.collect() })
+    let cells = places.zip(runs).map(|((load, copies), runs)| RatioCell { load, instances: copies, runs });
+    Ok(FleetRatio { cells: cells.collect() })
 }
 
-impl Account {
+impl FleetRatio {
     /// The runs with the fewest copies at a cell's load.
-    fn alone<'a>(&'a self, cell: &'a Cell) -> &'a Cell {
+    fn alone<'a>(&'a self, cell: &'a RatioCell) -> &'a RatioCell {
         let same = self.cells.iter().filter(|other| other.load == cell.load);
-        same.min_by_key(|other| other.copies).unwrap_or(cell)
+        same.min_by_key(|other| other.instances).unwrap_or(cell)
     }
 
     /// Service over that of the fewest copies, seed by seed: the calls are the same, so that their chance cancels out.
-    pub fn ratio(&self, cell: &Cell) -> Mean {
+    pub fn ratio(&self, cell: &RatioCell) -> Mean {
         let pairs = cell.runs.iter().zip(&self.alone(cell).runs);
         Mean::of(&pairs.map(|(many, one)| many.service / one.service.max(1e-9)).collect::<Vec<_>>())
     }
@@ -80,12 +80,12 @@
         .into()];
         for cell in &self.cells {
             let mean =
-                |figure: fn(&Tally) -> f64| Mean::of(&cell.runs.iter().map(figure).collect::<Vec<_>>());
+                |figure: fn(&RunSummary) -> f64| Mean::of(&cell.runs.iter().map(figure).collect::<Vec<_>>());
             let with = |m: Mean, d: usize| format!("{:.d$} ± {:.d$}", m.mean, m.half);
             let bare = |m: Mean, d: usize| format!("{:.d$}", m.mean);
             rows.push(vec![
                 format!("{:.2}", cell.load),
-                cell.copies.to_string(),
+                cell.instances.to_string(),
                 with(mean(|t| 100.0 * t.service), 1),
                 with(self.ratio(cell), 3),
                 bare(mean(|t| t.tries), 2),
@@ -108,12 +108,12 @@
     }
 
     /// One self-contained page: the table, and the figures over the number of copies, a curve for each load.
-    pub fn html(&self, title: &str) -> Result<String, NoPlot> {
-        let curves = |figure: &dyn Fn(&Cell) -> f64| {
-            by_load(self.cells.iter().map(|cell| (cell.load, (f64::from(cell.copies), figure(cell)))))
+    pub fn html(&self, title: &str) -> Result<String, PlotError> {
+        let curves = |figure: &dyn Fn(&RatioCell) -> f64| {
+            by_load(self.cells.iter().map(|cell| (cell.load, (f64::from(cell.instances), figure(cell)))))
         };
-        let mean = |figure: fn(&Tally) -> f64| {
-            move |cell: &Cell| cell.runs.iter().map(figure).sum::<f64>() / cell.runs.len().max(1) as f64
+        let mean = |figure: fn(&RunSummary) -> f64| {
+            move |cell: &RatioCell| cell.runs.iter().map(figure).sum::<f64>() / cell.runs.len().max(1) as f64
         };
         let plots = [
             lines("Fleet ratio", "copies", "", &curves(&|cell| self.ratio(cell).mean))?,
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -3,14 +3,14 @@
 //! limit of what any proxy can do, and callers that measure. In simulated time: servers that crowd, choke, hang and
 //! die, clients that try again, and experiments that hold policies against each other. And what a fleet's logs tell.
 
-pub mod account;
-pub mod callers;
-pub mod calls;
-pub mod chance;
+pub mod access_log_report;
+pub mod closed_loop_clients;
 pub mod discovery;
 pub mod experiment;
+pub mod fleet_ratio;
 pub mod model;
 pub mod policy;
+pub mod random;
 pub mod relay;
 pub mod report;
 pub mod scenario;
@@ -19,4 +19,4 @@
 pub mod sim;
 pub mod site;
 pub mod stability;
-pub mod stand;
+pub mod stand_in_thread;
--- a/crates/simulation/src/model/machine.rs
+++ b/crates/simulation/src/model/machine.rs
@@ -62,7 +62,7 @@
 
 /// Whether a call was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum Admission {
     /// It is in a slot or in the waiting room.
     Yes,
     /// The waiting room is full; it never ran.
@@ -175,10 +175,10 @@
     }
 
     /// Takes a call whose first phase makes so much work, or turns it away.
-    pub fn offer(&mut self, now: Millis, job: Job, work: f64, done: &mut Vec<Job>) -> Taken {
+    pub fn offer(&mut self, now: Millis, job: Job, work: f64, done: &mut Vec<Job>) -> Admission {
         self.advance(now, done);
         if self.held >= self.kind.slots && self.waiting.len() >= self.kind.room {
-            return Taken::Full;
+            return Admission::Full;
         }
         if self.held < self.kind.slots {
             self.held += 1;
@@ -187,7 +187,7 @@
             self.waiting.push_back((job, work));
         }
         self.fill(now);
-        Taken::Yes
+        Admission::Yes
     }
 
     /// A call that kept its slot while it was away has more work.
--- a/crates/simulation/src/model/mod.rs
+++ b/crates/simulation/src/model/mod.rs
@@ -1,6 +1,6 @@
 //! Models of what a proxy stands between, without I/O: time and chance are arguments. The same machine runs in
 //! simulated time ([`crate::sim`]) and can be put behind a clock that is real.
 
-pub mod cold;
 pub mod machine;
+pub mod slow_start;
 pub mod work;
--- a/crates/simulation/src/model/cold.rs
+++ b/crates/simulation/src/model/slow_start.rs
@@ -3,7 +3,7 @@
 
 /// A server's cold start.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdStart {
+pub struct SlowStartModel {
     /// Core milliseconds that it does in a millisecond, warm.
     pub able: f64,
     /// The part of that it has at its start.
@@ -18,7 +18,7 @@
     pub slack: f64,
 }
 
-impl ColdStart {
+impl SlowStartModel {
     /// What it can do from its start to a moment after it, in core milliseconds.
     fn done_by(&self, after: f64) -> f64 {
         let warm = self.warm_after.max(1e-9);
@@ -52,10 +52,16 @@
 
 #[cfg(test)]
 mod tests {
-    use super::ColdStart;
+    use super::SlowStartModel;
 
-    const START: ColdStart =
-        ColdStart { able: 2.0, from: 0.5, warm_after: 8_000.0, multiple: 3.0, over: 2_000.0, slack: 0.0 };
+    const START: SlowStartModel = SlowStartModel {
+        able: 2.0,
+        from: 0.5,
+        warm_after: 8_000.0,
+        multiple: 3.0,
+        over: 2_000.0,
+        slack: 0.0,
+    };
 
     #[test]
     fn what_it_can_do_all_the_time_is_a_third_of_what_it_bears() {
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -11,7 +11,7 @@
 
 /// The policies that can be held against each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Named {
+pub enum PolicyName {
     /// The decision module, as the proxy runs it.
     Hillstall,
     /// Any ready server, by chance.
@@ -27,50 +27,50 @@
     Oracle,
 }
 
-impl Named {
+impl PolicyName {
     /// All of them, in the order of tables.
-    pub const ALL: [Named; 6] = [
-        Named::Hillstall,
-        Named::Random,
-        Named::RoundRobin,
-        Named::LeastOutstanding,
-        Named::TwoChoices,
-        Named::Oracle,
+    pub const ALL: [PolicyName; 6] = [
+        PolicyName::Hillstall,
+        PolicyName::Random,
+        PolicyName::RoundRobin,
+        PolicyName::LeastOutstanding,
+        PolicyName::TwoChoices,
+        PolicyName::Oracle,
     ];
 
     /// The name in tables and on the command line.
     pub fn name(self) -> &'static str {
         match self {
-            Named::Hillstall => "hillstall",
-            Named::Random => "random",
-            Named::RoundRobin => "round-robin",
-            Named::LeastOutstanding => "least-outstanding",
-            Named::TwoChoices => "two-choices",
-            Named::Oracle => "oracle",
+            PolicyName::Hillstall => "hillstall",
+            PolicyName::Random => "random",
+            PolicyName::RoundRobin => "round-robin",
+            PolicyName::LeastOutstanding => "least-outstanding",
+            PolicyName::TwoChoices => "two-choices",
+            PolicyName::Oracle => "oracle",
         }
     }
 
     /// A policy for one proxy.
     pub fn start(self, settings: Settings, seed: u64) -> Box<dyn Policy> {
         match self {
-            Named::Hillstall => Box::new(Module(Balancer::new(settings, seed))),
+            PolicyName::Hillstall => Box::new(Module(Balancer::new(settings, seed))),
             _ => Box::new(Textbook::new(self, &settings, seed)),
         }
     }
 }
 
-impl std::fmt::Display for Named {
+impl std::fmt::Display for PolicyName {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         out.write_str(self.name())
     }
 }
 
-impl std::str::FromStr for Named {
+impl std::str::FromStr for PolicyName {
     type Err = String;
 
-    fn from_str(name: &str) -> Result<Named, String> {
-        Named::ALL.into_iter().find(|n| n.name() == name).ok_or_else(|| {
-            let names = Named::ALL.map(Named::name).join(", ");
+    fn from_str(name: &str) -> Result<PolicyName, String> {
+        PolicyName::ALL.into_iter().find(|n| n.name() == name).ok_or_else(|| {
+            let names = PolicyName::ALL.map(PolicyName::name).join(", ");
             format!("no policy is called {name}; there are {names}")
         })
     }
@@ -106,7 +106,7 @@
 
 /// The textbook rules: a server by the rule, and another one at once where the first never ran the call.
 struct Textbook {
-    rule: Named,
+    rule: PolicyName,
     rng: Xoshiro256PlusPlus,
     servers: Vec<(BackendInfo, f64)>,
     truth: HashMap<BackendId, f64>,
@@ -116,7 +116,7 @@
 }
 
 impl Textbook {
-    fn new(rule: Named, settings: &Settings, seed: u64) -> Textbook {
+    fn new(rule: PolicyName, settings: &Settings, seed: u64) -> Textbook {
         Textbook {
             rule,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
@@ -146,17 +146,17 @@
         let out = |i: &usize| self.servers[*i].1;
         let true_load = |i: &usize| self.truth.get(&self.servers[*i].0.id).copied().unwrap_or(f64::MAX);
         match self.rule {
-            Named::RoundRobin => {
+            PolicyName::RoundRobin => {
                 self.turn += 1;
                 Some(able[self.turn % able.len()])
             }
-            Named::LeastOutstanding => able.iter().copied().min_by(|a, b| out(a).total_cmp(&out(b))),
-            Named::Oracle => able.iter().copied().min_by(|a, b| true_load(a).total_cmp(&true_load(b))),
-            Named::TwoChoices => {
+            PolicyName::LeastOutstanding => able.iter().copied().min_by(|a, b| out(a).total_cmp(&out(b))),
+            PolicyName::Oracle => able.iter().copied().min_by(|a, b| true_load(a).total_cmp(&true_load(b))),
+            PolicyName::TwoChoices => {
                 let (a, b) = (able[self.below(able.len())], able[self.below(able.len())]);
                 Some(if self.servers[a].1 <= self.servers[b].1 { a } else { b })
             }
-            Named::Random | Named::Hillstall => Some(able[self.below(able.len())]),
+            PolicyName::Random | PolicyName::Hillstall => Some(able[self.below(able.len())]),
         }
     }
 
@@ -212,7 +212,7 @@
     }
 
     fn sees(&self) -> bool {
-        self.rule == Named::Oracle
+        self.rule == PolicyName::Oracle
     }
 
     fn show(&mut self, truth: &[(BackendId, f64)]) {
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -1,15 +1,15 @@
 //! What people look at: a table for the terminal, and one HTML file with its plots inside.
 
 use crate::experiment::Mean;
-use crate::sim::{Second, Tally};
+use crate::sim::{RunSummary, Second};
 use plotters::prelude::*;
 
 /// Why a report can't be drawn.
 #[derive(Debug, thiserror::Error)]
 #[error("plot: {0}")]
-pub struct NoPlot(String);
+pub struct PlotError(String);
 
-type Figure = (&'static str, fn(&Tally) -> f64, usize);
+type Figure = (&'static str, fn(&RunSummary) -> f64, usize);
 
 /// The columns: heading, figure, decimals.
 const COLUMNS: [Figure; 12] = [
@@ -28,8 +28,8 @@
 ];
 
 /// Runs by their groups, in the order of their first runs.
-pub fn groups(runs: Vec<Tally>) -> Vec<(String, Vec<Tally>)> {
-    let mut groups: Vec<(String, Vec<Tally>)> = Vec::new();
+pub fn groups(runs: Vec<RunSummary>) -> Vec<(String, Vec<RunSummary>)> {
+    let mut groups: Vec<(String, Vec<RunSummary>)> = Vec::new();
     for run in runs {
         let name = run.group();
         match groups.iter_mut().find(|(group, _)| *group == name) {
@@ -41,7 +41,7 @@
 }
 
 /// The heading and one line for each group of runs: means over the seeds, for the service with its 95% interval.
-fn rows(groups: &[(String, Vec<Tally>)]) -> Vec<Vec<String>> {
+fn rows(groups: &[(String, Vec<RunSummary>)]) -> Vec<Vec<String>> {
     let named = COLUMNS.iter().map(|c| c.0);
     let heading = ["runs", "seeds"].into_iter().chain(named).chain(["broken rules"]).map(String::from);
     let mut rows = vec![heading.collect()];
@@ -61,7 +61,7 @@
 }
 
 /// A table for the terminal, in Markdown.
-pub fn table(groups: &[(String, Vec<Tally>)]) -> String {
+pub fn table(groups: &[(String, Vec<RunSummary>)]) -> String {
     markdown(&rows(groups))
 }
 
@@ -77,7 +77,7 @@
 type Curve = (String, Vec<f64>);
 
 /// A plot over the seconds of a run.
-fn plot(title: &str, unit: &str, curves: &[Curve]) -> Result<String, NoPlot> {
+fn plot(title: &str, unit: &str, curves: &[Curve]) -> Result<String, PlotError> {
     let over_time = |(name, values): &Curve| {
         let points = values.iter().enumerate().map(|(s, v)| (s as f64 + 0.5, *v));
         (name.clone(), points.collect())
@@ -102,8 +102,8 @@
 }
 
 /// A plot of curves over any axis.
-pub(crate) fn lines(title: &str, axis: &str, unit: &str, curves: &[Points]) -> Result<String, NoPlot> {
-    let wrong = |why: &dyn std::fmt::Display| NoPlot(why.to_string());
+pub(crate) fn lines(title: &str, axis: &str, unit: &str, curves: &[Points]) -> Result<String, PlotError> {
+    let wrong = |why: &dyn std::fmt::Display| PlotError(why.to_string());
     let points = || curves.iter().flat_map(|c| c.1.iter());
     let widest = points().map(|p| p.0).fold(0.0, f64::max).max(1e-9);
     let most = points().map(|p| p.1).fold(0.0, f64::max).max(1e-9) * 1.05;
@@ -134,7 +134,7 @@
 }
 
 /// The mean over runs, second by second.
-fn curve(runs: &[Tally], figure: impl Fn(&Second) -> f64) -> Vec<f64> {
+fn curve(runs: &[RunSummary], figure: impl Fn(&Second) -> f64) -> Vec<f64> {
     let seconds = runs.iter().map(|t| t.seconds.len()).min().unwrap_or(0);
     let mean = |s: usize| runs.iter().map(|t| figure(&t.seconds[s])).sum::<f64>() / runs.len().max(1) as f64;
     (0..seconds).map(mean).collect()
@@ -154,7 +154,7 @@
 }
 
 /// One self-contained page: the table, and plots over time of the groups.
-pub fn html(title: &str, groups: &[(String, Vec<Tally>)]) -> Result<String, NoPlot> {
+pub fn html(title: &str, groups: &[(String, Vec<RunSummary>)]) -> Result<String, PlotError> {
     let of = |figure: fn(&Second) -> f64| -> Vec<Curve> {
         groups.iter().map(|(name, runs)| (name.clone(), curve(runs, figure))).collect()
     };
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,15 +1,15 @@
 //! An experiment as a TOML file: tiers, load, clients, discovery, and what goes wrong when. Any time or number may
 //! be a range `[low, high]`, of which each seed draws one value. Unknown keys and bad values are told with the line.
 
-use crate::chance::part;
 use crate::model::machine::{Choke, Kind};
 use crate::model::work::Shape;
+use crate::random::part;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde::{Deserialize, Deserializer};
 
 /// Why a file is no scenario.
 #[derive(Debug, thiserror::Error)]
-pub enum Invalid {
+pub enum ScenarioError {
     /// TOML, a key or a value is wrong; the text names line, column and key.
     #[error("{0}")]
     Form(#[from] toml::de::Error),
@@ -198,7 +198,7 @@
 /// Whether a class's calls may run again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Repeats {
+pub enum ClassRetrySafety {
     /// At any time.
     #[default]
     Safe,
@@ -234,7 +234,7 @@
     pub worth: Number,
     /// May it run again?
     #[serde(default)]
-    pub repeats: Repeats,
+    pub repeats: ClassRetrySafety,
 }
 
 /// How many calls come, and when. Arrivals wait for nothing (open loop) and are a Poisson process.
@@ -337,7 +337,7 @@
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum FailureKind {
     /// All machines of a zone are silent, and come back cold; its proxies answer nothing meanwhile.
     LoseZone,
     /// A part of a tier's machines die (connections are reset) and start again cold.
@@ -371,7 +371,7 @@
 /// Which links a cut is about.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Between {
+pub enum LinkKind {
     /// Those of a tier's proxies to its machines.
     #[default]
     ProxyServer,
@@ -384,7 +384,7 @@
 /// What a cut does to a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Mode {
+pub enum CutMode {
     /// Nothing passes, and nobody says so.
     #[default]
     Silent,
@@ -407,7 +407,7 @@
     /// When.
     pub at: Span,
     /// What.
-    pub what: What,
+    pub what: FailureKind,
     /// For how long.
     #[serde(rename = "for")]
     pub lasts: Span,
@@ -425,14 +425,14 @@
     pub times: Number,
     /// Of a cut: which links; those of `part` of the proxies ...
     #[serde(default)]
-    pub link: Between,
+    pub link: LinkKind,
     /// ... in this zone alone, if it is given, ...
     pub from_zone: Option<usize>,
     /// ... to the machines of this zone alone, if it is given.
     pub to_zone: Option<usize>,
     /// Of a cut: what it does.
     #[serde(default)]
-    pub mode: Mode,
+    pub mode: CutMode,
     /// Of a cut that delays: by how much.
     #[serde(default = "warm")]
     pub delay: Span,
@@ -441,7 +441,7 @@
 /// A tenant: who calls, and how much of the service is its own.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Sharer {
+pub struct TenantSpec {
     /// For people.
     pub name: String,
     /// Its part of the calls, against the other tenants' parts.
@@ -454,7 +454,7 @@
 /// Proxies before the first tier that get more calls than the others.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Hot {
+pub struct DemandSkewSpec {
     /// How many.
     pub proxies: Number,
     /// How many times the calls of a common one each of them gets; drawn for each.
@@ -479,10 +479,10 @@
     /// Proxies before the first tier.
     pub proxies: Number,
     /// Of these, the ones that get more calls than the others.
-    pub hot: Option<Hot>,
+    pub hot: Option<DemandSkewSpec>,
     /// Who calls; without any, nobody has a share.
     #[serde(rename = "tenant", default)]
-    pub tenants: Vec<Sharer>,
+    pub tenants: Vec<TenantSpec>,
     /// What worth beyond a tenant's share counts, as a part of it.
     #[serde(default = "one")]
     pub over_share_worth: Number,
@@ -513,14 +513,14 @@
 
 impl Scenario {
     /// Reads a scenario.
-    pub fn parse(text: &str) -> Result<Scenario, Invalid> {
+    pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario = toml::from_str(text)?;
         scenario.check()?;
         Ok(scenario)
     }
 
-    fn check(&self) -> Result<(), Invalid> {
-        let wrong = |key: String, why: &str| Err(Invalid::Sense { key, why: why.to_string() });
+    fn check(&self) -> Result<(), ScenarioError> {
+        let wrong = |key: String, why: &str| Err(ScenarioError::Sense { key, why: why.to_string() });
         if self.tiers.is_empty() {
             return wrong("tier".into(), "at least one is needed");
         }
--- a/crates/simulation/src/scenarios.rs
+++ b/crates/simulation/src/scenarios.rs
@@ -1,6 +1,6 @@
 //! Scenarios that come with the program.
 
-use crate::scenario::{Invalid, Scenario};
+use crate::scenario::{Scenario, ScenarioError};
 
 /// A drill: what is its own, and the small fleet that all drills share.
 macro_rules! drill {
@@ -42,8 +42,8 @@
 }
 
 /// One of them, read. An error would be a fault of this package: the tests read them all.
-pub fn find(name: &str) -> Result<Scenario, Invalid> {
-    let text =
-        text(name).ok_or_else(|| Invalid::Sense { key: name.into(), why: "no such scenario".into() })?;
+pub fn find(name: &str) -> Result<Scenario, ScenarioError> {
+    let text = text(name)
+        .ok_or_else(|| ScenarioError::Sense { key: name.into(), why: "no such scenario".into() })?;
     Scenario::parse(text)
 }
