--- a/crates/simulation/src/sim/tally.rs
+++ b/crates/simulation/src/sim/accounting.rs
@@ -1,7 +1,7 @@
 //! What a run measured. Latency counts from the intended start of a client's first try, so that no wait is left out
 //! (no coordinated omission); a call belongs to the second in which it was to start.
 
-use super::harm::Harm;
+use super::side_effects::SideEffects;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
@@ -16,14 +16,14 @@
 /// The tenants' shares. Worth that a tenant asks for, or is served, beyond its share counts as a part of it only; it
 /// is not single calls that lie beyond.
 #[derive(Clone, Debug, Default)]
-pub struct Shares {
+pub struct TenantQuotas {
     /// Worth a second; empty where there are no tenants.
     pub quotas: Vec<f64>,
     /// The part that counts of what goes beyond.
     pub beyond: f64,
 }
 
-impl Shares {
+impl TenantQuotas {
     fn counted(&self, tenant: usize, worth: f64, seconds: f64) -> f64 {
         let share = self.quotas.get(tenant).map_or(f64::MAX, |quota| quota * seconds);
         worth.min(share) + self.beyond * (worth - share).max(0.0)
@@ -32,7 +32,7 @@
 
 /// How a call ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ended {
+pub enum RequestOutcome {
     /// Answered; the latency is from the first try's intended start.
     Answered {
         /// In milliseconds.
@@ -86,7 +86,7 @@
 
 /// A run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Tally {
+pub struct RunSummary {
     /// The cell of a sweep it belongs to; empty for a run that stands alone.
     #[serde(default)]
     pub cell: String,
@@ -130,7 +130,7 @@
     pub wrong_answers: u64,
     /// What the proxies did in the sum, where that was counted.
     #[serde(default)]
-    pub harm: Harm,
+    pub harm: SideEffects,
     /// Each second.
     pub seconds: Vec<Second>,
     #[serde(skip)]
@@ -141,10 +141,10 @@
     #[serde(skip)]
     all_attempts: u64,
     #[serde(skip)]
-    shares: Shares,
+    shares: TenantQuotas,
 }
 
-impl Tally {
+impl RunSummary {
     /// The group of runs it belongs to: its policy, and its cell in a sweep.
     pub fn group(&self) -> String {
         match self.cell.is_empty() {
@@ -154,11 +154,11 @@
     }
 }
 
-impl Tally {
+impl RunSummary {
     /// An empty one of a run that is so long.
-    pub fn new(policy: &str, seed: u64, length_ms: f64, shares: Shares) -> Tally {
+    pub fn new(policy: &str, seed: u64, length_ms: f64, shares: TenantQuotas) -> RunSummary {
         let seconds = (length_ms / 1e3).ceil().max(1.0) as usize;
-        Tally {
+        RunSummary {
             cell: String::new(),
             policy: policy.to_string(),
             seed,
@@ -178,7 +178,7 @@
             chokes: 0,
             late_sends: 0,
             wrong_answers: 0,
-            harm: Harm::default(),
+            harm: SideEffects::default(),
             seconds: vec![
                 Second { tenants: vec![[0.0; 2]; shares.quotas.len().max(1)], ..Second::default() };
                 seconds
@@ -259,10 +259,10 @@
     }
 
     /// A call ends, for its client.
-    pub fn ended(&mut self, first_at_ms: f64, (tenant, worth): (usize, f64), ended: Ended) {
+    pub fn ended(&mut self, first_at_ms: f64, (tenant, worth): (usize, f64), ended: RequestOutcome) {
         let second = self.second(first_at_ms);
         match ended {
-            Ended::Answered { latency_ms, in_aim } => {
+            RequestOutcome::Answered { latency_ms, in_aim } => {
                 if in_aim {
                     second.in_aim += 1;
                     second.tenants[tenant][1] += worth;
@@ -274,8 +274,8 @@
                     histogram.saturating_record((latency_ms * 1e3) as u64);
                 }
             }
-            Ended::Refused => second.refused += 1,
-            Ended::Failed => second.failed += 1,
+            RequestOutcome::Refused => second.refused += 1,
+            RequestOutcome::Failed => second.failed += 1,
         }
     }
 
@@ -297,7 +297,7 @@
     }
 
     /// Sums up what was told.
-    pub fn close(mut self, chokes: u64) -> Tally {
+    pub fn close(mut self, chokes: u64) -> RunSummary {
         self.chokes = chokes;
         self.count_worth();
         self.compare_proxies();
--- a/crates/simulation/src/sim/arrivals.rs
+++ b/crates/simulation/src/sim/arrivals.rs
@@ -1,10 +1,10 @@
 //! The calls of a run: a Poisson process whose rate changes, drawn at its highest rate and thinned. It is a stream of
 //! its own, so that one seed gives the same calls whatever the proxies do, in simulated time and on sockets alike.
 
-use super::setup::{chance, FailureOf, Figures, Stream};
-use crate::chance::part;
+use super::setup::{chance, DrawnFailure, DrawnScenario, Stream};
 use crate::model::work;
-use crate::scenario::What;
+use crate::random::part;
+use crate::scenario::FailureKind;
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
@@ -41,20 +41,20 @@
 
 /// The calls of one run, in order.
 pub struct Arrivals {
-    figures: Figures,
+    figures: DrawnScenario,
     rng: Xoshiro256PlusPlus,
     at: f64,
 }
 
 impl Arrivals {
     /// Those of a seed.
-    pub fn new(figures: &Figures, seed: u64) -> Arrivals {
+    pub fn new(figures: &DrawnScenario, seed: u64) -> Arrivals {
         Arrivals { figures: figures.clone(), rng: chance(seed, Stream::Arrivals), at: 0.0 }
     }
 
     /// How many times the usual load bursts make it at a moment.
     fn burst(&self, now: f64) -> f64 {
-        let bursts = |f: &&FailureOf| f.what == What::Burst && f.at <= now && now < f.at + f.lasts;
+        let bursts = |f: &&DrawnFailure| f.what == FailureKind::Burst && f.at <= now && now < f.at + f.lasts;
         self.figures.failures.iter().rfind(bursts).map_or(1.0, |f| f.times)
     }
 
--- a/crates/simulation/src/sim/attempts.rs
+++ b/crates/simulation/src/sim/attempts.rs
@@ -1,12 +1,12 @@
 //! Requests at proxies, their attempts, and the machines that these reach.
 
-use super::cuts::Way;
+use super::link_faults::Way;
 use super::queue::{End, Happening};
 use super::setup::CONNECT_TIMEOUT;
 use super::{Ask, Attempt, Caller, World};
-use crate::chance::part;
-use crate::model::machine::Taken;
+use crate::model::machine::Admission;
 use crate::model::work::{self, Shape};
+use crate::random::part;
 use hillstall_decision::{BackendId, Event, LoadReport, Outcome};
 
 impl World {
@@ -145,8 +145,8 @@
             return self.queue.put(self.now + way, Happening::Back { attempt, outcome });
         }
         match host.machine.offer(self.now, attempt as u64, work, &mut self.done) {
-            Taken::Yes => self.attempts[attempt].held = true,
-            Taken::Full => {
+            Admission::Yes => self.attempts[attempt].held = true,
+            Admission::Full => {
                 let outcome = Outcome::Rejected;
                 self.queue.put(self.now + way, Happening::Back { attempt, outcome });
             }
--- a/crates/simulation/src/sim/clients.rs
+++ b/crates/simulation/src/sim/clients.rs
@@ -1,11 +1,11 @@
 //! The clients: an open loop. A call is to start when the arrival process says so, whatever became of the others.
 
+use super::accounting::RequestOutcome;
 use super::arrivals::{drawn, Arrival};
-use super::cuts::Way;
+use super::link_faults::Way;
 use super::queue::{End, Happening};
-use super::tally::Ended;
 use super::{Call, Caller, World};
-use crate::chance::part;
+use crate::random::part;
 use hillstall_decision::Event;
 
 impl World {
@@ -106,7 +106,7 @@
         if let Some(ask) = self.calls[call].ask {
             self.leave(ask);
         }
-        self.next_try(call, Ended::Failed, 0.0);
+        self.next_try(call, RequestOutcome::Failed, 0.0);
     }
 
     /// Whoever asked has gone: nothing more is owed.
@@ -133,14 +133,14 @@
                 let latency_ms = self.now - of.first_at;
                 let (first_at, tenant, worth) = (of.first_at, of.tenant, of.worth);
                 let in_aim = latency_ms <= self.figures.classes[of.class].aim;
-                self.tally.ended(first_at, (tenant, worth), Ended::Answered { latency_ms, in_aim });
+                self.tally.ended(first_at, (tenant, worth), RequestOutcome::Answered { latency_ms, in_aim });
             }
-            End::Refused => self.next_try(call, Ended::Refused, come_back),
-            End::Failed => self.next_try(call, Ended::Failed, 0.0),
+            End::Refused => self.next_try(call, RequestOutcome::Refused, come_back),
+            End::Failed => self.next_try(call, RequestOutcome::Failed, 0.0),
         }
     }
 
-    fn next_try(&mut self, call: usize, ended: Ended, come_back: f64) {
+    fn next_try(&mut self, call: usize, ended: RequestOutcome, come_back: f64) {
         let follows = come_back > 0.0 && part(&mut self.network) < self.figures.honour;
         let wait = if follows { come_back.max(self.figures.wait) } else { self.figures.wait };
         let of = &mut self.calls[call];
--- a/crates/simulation/src/sim/failures.rs
+++ b/crates/simulation/src/sim/failures.rs
@@ -1,9 +1,9 @@
 //! What goes wrong, and what the proxies learn of it.
 
 use super::queue::{Happening, Step};
-use super::setup::some_of;
+use super::setup::count_of;
 use super::World;
-use crate::scenario::What;
+use crate::scenario::FailureKind;
 use hillstall_decision::{BackendInfo, BackendState, Event, ListKind};
 
 /// How long a drained machine takes to start again.
@@ -18,7 +18,7 @@
             return failure.on.clone();
         }
         let all = &self.tiers[failure.tier];
-        all[..some_of(part, all.len())].to_vec()
+        all[..count_of(part, all.len())].to_vec()
     }
 
     pub(super) fn failure(&mut self, index: usize, begins: bool) {
@@ -26,8 +26,8 @@
         let (what, zone, part, times) = (failure.what, failure.zone, failure.part, failure.times);
         match what {
             // The arrivals know it themselves.
-            What::Burst => {}
-            What::DiscoveryDown => {
+            FailureKind::Burst => {}
+            FailureKind::DiscoveryDown => {
                 self.discovery_down = begins;
                 if !begins {
                     for machine in std::mem::take(&mut self.untold) {
@@ -35,7 +35,7 @@
                     }
                 }
             }
-            What::Slow => {
+            FailureKind::Slow => {
                 // Something that they share: all of the tier, whatever part is given.
                 for machine in self.meant(index, 1.0) {
                     let times = if begins { times.max(1e-3) } else { 1.0 };
@@ -43,18 +43,18 @@
                     self.worked(machine);
                 }
             }
-            What::Hang => {
+            FailureKind::Hang => {
                 for machine in self.meant(index, part) {
                     self.hosts[machine].machine.hang(self.now, begins, &mut self.done);
                     self.worked(machine);
                 }
             }
-            What::TurnAway => {
+            FailureKind::TurnAway => {
                 for machine in self.meant(index, part) {
                     self.hosts[machine].turns_away = begins;
                 }
             }
-            What::Crash => {
+            FailureKind::Crash => {
                 for machine in self.meant(index, part) {
                     if begins {
                         self.die(machine, true)
@@ -63,10 +63,10 @@
                     }
                 }
             }
-            What::Lose => {
+            FailureKind::Lose => {
                 self.meant(index, part).into_iter().for_each(|machine| self.lose(machine, begins));
             }
-            What::LoseZone => {
+            FailureKind::LoseZone => {
                 let machines: Vec<usize> =
                     (0..self.hosts.len()).filter(|h| self.hosts[*h].zone == zone).collect();
                 machines.into_iter().for_each(|machine| self.lose(machine, begins));
@@ -81,7 +81,7 @@
                     }
                 }
             }
-            What::Release if begins => {
+            FailureKind::Release if begins => {
                 let machines = self.meant(index, part);
                 let each = self.figures.failures[index].lasts / machines.len() as f64;
                 for (i, machine) in machines.into_iter().enumerate() {
@@ -90,8 +90,8 @@
                     self.queue.put(at + 0.8 * each, Happening::Release { machine, step: Step::Stop });
                 }
             }
-            What::Release => {}
-            What::KillProxies => {
+            FailureKind::Release => {}
+            FailureKind::KillProxies => {
                 for proxy in self.fronts(part) {
                     if begins {
                         self.kill_front(proxy)
@@ -100,7 +100,7 @@
                     }
                 }
             }
-            What::RollProxies if begins => {
+            FailureKind::RollProxies if begins => {
                 let fronts = self.fronts(part);
                 let each = self.figures.failures[index].lasts / fronts.len() as f64;
                 for (i, proxy) in fronts.into_iter().enumerate() {
@@ -108,8 +108,8 @@
                 }
             }
             // A file that says the same changes nothing; what stands still has no model here.
-            What::RollProxies | What::ReloadProxies | What::StopProxies => {}
-            What::Cut => self.cut(index, begins),
+            FailureKind::RollProxies | FailureKind::ReloadProxies | FailureKind::StopProxies => {}
+            FailureKind::Cut => self.cut(index, begins),
         }
     }
 
--- a/crates/simulation/src/sim/cuts.rs
+++ b/crates/simulation/src/sim/link_faults.rs
@@ -1,7 +1,7 @@
 //! Links that are no longer what they were.
 
 use super::World;
-use crate::scenario::{Between, Mode};
+use crate::scenario::{CutMode, LinkKind};
 
 /// What a cut makes of something that is to pass.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,39 +31,41 @@
     }
 
     /// The links of a kind from a proxy, to a machine of a zone where that matters.
-    fn way_of(&self, link: Between, proxy: usize, to: Option<usize>) -> Way {
+    fn way_of(&self, link: LinkKind, proxy: usize, to: Option<usize>) -> Way {
         let of = &self.proxies[proxy];
         let place = (of.rank, self.before[of.tier].len());
         for index in &self.cuts {
             let failure = &self.figures.failures[*index];
             let cut = &failure.cut;
             let meant = cut.link == link
-                && (link == Between::ClientFront || failure.tier == of.tier)
+                && (link == LinkKind::ClientFront || failure.tier == of.tier)
                 && cut.is_from(failure.part, place, of.zone)
                 && to.is_none_or(|zone| cut.is_to(zone));
             if !meant {
                 continue;
             }
             return match cut.mode {
-                Mode::Delay => Way::Open(cut.delay),
-                Mode::Refuse => Way::Refused,
-                Mode::Reset => Way::Broken,
-                Mode::Silent | Mode::LoseForth | Mode::LoseBack => Way::Held(failure.at + failure.lasts),
+                CutMode::Delay => Way::Open(cut.delay),
+                CutMode::Refuse => Way::Refused,
+                CutMode::Reset => Way::Broken,
+                CutMode::Silent | CutMode::LoseForth | CutMode::LoseBack => {
+                    Way::Held(failure.at + failure.lasts)
+                }
             };
         }
         Way::Open(0.0)
     }
 
     pub(super) fn way_to(&self, proxy: usize, host: usize) -> Way {
-        self.way_of(Between::ProxyServer, proxy, Some(self.hosts[host].zone))
+        self.way_of(LinkKind::ProxyServer, proxy, Some(self.hosts[host].zone))
     }
 
     pub(super) fn way_in(&self, proxy: usize) -> Way {
-        self.way_of(Between::ClientFront, proxy, None)
+        self.way_of(LinkKind::ClientFront, proxy, None)
     }
 
     /// Whether a proxy is cut off from the list of servers.
     pub(super) fn hears_nothing(&self, proxy: usize) -> bool {
-        !matches!(self.way_of(Between::ProxyDiscovery, proxy, None), Way::Open(_))
+        !matches!(self.way_of(LinkKind::ProxyDiscovery, proxy, None), Way::Open(_))
     }
 }
--- a/crates/simulation/src/sim/mod.rs
+++ b/crates/simulation/src/sim/mod.rs
@@ -1,30 +1,30 @@
 //! A scenario in simulated time: clients, proxies that run a policy, machines, and what goes wrong. One seed and one
 //! policy give one run, to the byte.
 
+pub mod accounting;
 pub mod arrivals;
 mod attempts;
 mod clients;
-mod cuts;
-mod day;
 mod failures;
-mod fronts;
-pub mod harm;
+mod link_faults;
+mod proxy_restarts;
 mod queue;
+mod recorded_day;
 pub mod setup;
-pub mod tally;
+pub mod side_effects;
 
-pub use day::NoDay;
-pub use tally::{Second, Tally};
+pub use accounting::{RunSummary, Second};
+pub use recorded_day::DayError;
 
 use crate::model::machine::{Job, Kind, Machine};
-use crate::policy::{Named, Policy};
+use crate::policy::{Policy, PolicyName};
 use crate::scenario::Scenario;
 use arrivals::{Arrival, Arrivals};
 use hillstall_decision::{Action, BackendInfo, BackendState, Event, ListKind};
 use queue::{Happening, Queue};
 use rand_xoshiro::rand_core::RngCore;
 use rand_xoshiro::Xoshiro256PlusPlus;
-use setup::{Figures, Stream};
+use setup::{DrawnScenario, Stream};
 
 /// How often the machines' state is written down.
 const LOOK_MS: f64 = 100.0;
@@ -116,7 +116,7 @@
 
 /// One run.
 struct World {
-    figures: Figures,
+    figures: DrawnScenario,
     now: f64,
     queue: Queue,
     hosts: Vec<Host>,
@@ -136,40 +136,40 @@
     missed: Vec<(usize, usize)>,
     /// Cuts that are in force.
     cuts: Vec<usize>,
-    named: Named,
+    named: PolicyName,
     seeds: Xoshiro256PlusPlus,
     done: Vec<Job>,
-    tally: Tally,
-    account: harm::Account,
+    tally: RunSummary,
+    account: side_effects::Account,
     looked_at: f64,
 }
 
 /// Runs a scenario under a policy in simulated time.
-pub fn run(scenario: &Scenario, policy: Named, seed: u64) -> Tally {
+pub fn run(scenario: &Scenario, policy: PolicyName, seed: u64) -> RunSummary {
     play(setup::draw(scenario, seed), policy, seed)
 }
 
 /// A day of the bench, read.
 pub struct Day {
-    figures: Figures,
+    figures: DrawnScenario,
     /// Troubles that the lab has no model for.
     pub unknown: Vec<String>,
 }
 
 impl Day {
     /// Reads a day file.
-    pub fn read(text: &str) -> Result<Day, NoDay> {
-        let (figures, unknown) = day::figures(text)?;
+    pub fn read(text: &str) -> Result<Day, DayError> {
+        let (figures, unknown) = recorded_day::figures(text)?;
         Ok(Day { figures, unknown })
     }
 
     /// Plays it under a policy in simulated time.
-    pub fn run(&self, policy: Named, seed: u64) -> Tally {
+    pub fn run(&self, policy: PolicyName, seed: u64) -> RunSummary {
         play(self.figures.clone(), policy, seed)
     }
 }
 
-fn play(figures: Figures, policy: Named, seed: u64) -> Tally {
+fn play(figures: DrawnScenario, policy: PolicyName, seed: u64) -> RunSummary {
     let mut world = World::new(figures, policy, seed);
     while let Some((at, what)) = world.queue.next() {
         world.now = at;
@@ -187,7 +187,7 @@
 }
 
 impl World {
-    fn new(figures: Figures, policy: Named, seed: u64) -> World {
+    fn new(figures: DrawnScenario, policy: PolicyName, seed: u64) -> World {
         let mut world = World {
             now: 0.0,
             queue: Queue::default(),
@@ -208,8 +208,8 @@
             named: policy,
             seeds: setup::chance(seed, Stream::Policies),
             done: Vec::new(),
-            account: harm::Account::new(&figures),
-            tally: Tally::new(policy.name(), seed, figures.length, figures.shares()),
+            account: side_effects::Account::new(&figures),
+            tally: RunSummary::new(policy.name(), seed, figures.length, figures.shares()),
             looked_at: f64::MIN,
             figures,
         };
@@ -217,7 +217,7 @@
         world
     }
 
-    fn build(&mut self, policy: Named) {
+    fn build(&mut self, policy: PolicyName) {
         let mut seeds = self.seeds.clone();
         for (tier, of) in self.figures.tiers.iter().enumerate() {
             let first = self.hosts.len();
--- a/crates/simulation/src/sim/fronts.rs
+++ b/crates/simulation/src/sim/proxy_restarts.rs
@@ -1,7 +1,7 @@
 //! Proxies before the first tier that end and start again.
 
 use super::queue::{End, Happening};
-use super::setup::some_of;
+use super::setup::count_of;
 use super::{Caller, Proxy, World};
 use rand_xoshiro::rand_core::RngCore;
 
@@ -12,7 +12,7 @@
     /// This part of the proxies before the first tier, from the first on, and at least one.
     pub(super) fn fronts(&self, part: f64) -> Vec<usize> {
         let all = &self.before[0];
-        all[..some_of(part, all.len())].to_vec()
+        all[..count_of(part, all.len())].to_vec()
     }
 
     /// Its process is gone at once: its connections are reset, and new ones refused.
--- a/crates/simulation/src/sim/day.rs
+++ b/crates/simulation/src/sim/recorded_day.rs
@@ -1,15 +1,17 @@
 //! Reads a day of the bench: one draw of a site, with each machine's speed, the load and the troubles. What the lab
 //! has no model for is passed over (see `docs/measurements/simulation.md`); what it can't be without is an error.
 
-use super::setup::{ClassOf, Cut, FailureOf, Figures, Place, TenantOf, TierOf};
+use super::setup::{
+    DrawnBackend, DrawnClass, DrawnFailure, DrawnScenario, DrawnTenant, DrawnTier, LinkFault,
+};
 use crate::model::machine::{Choke, Kind};
 use crate::model::work::Shape;
-use crate::scenario::{Repeats, What};
+use crate::scenario::{ClassRetrySafety, FailureKind};
 use serde::Deserialize;
 
 /// Why a file is no day.
 #[derive(Debug, thiserror::Error)]
-pub enum NoDay {
+pub enum DayError {
     /// It is no JSON, or a part is missing; the text names the line and the key.
     #[error("{0}")]
     Form(#[from] serde_json::Error),
@@ -161,9 +163,9 @@
 }
 
 /// The figures of a day; troubles that the lab does not know are named in the second part.
-pub(super) fn figures(text: &str) -> Result<(Figures, Vec<String>), NoDay> {
+pub(super) fn figures(text: &str) -> Result<(DrawnScenario, Vec<String>), DayError> {
     let day: Day = serde_json::from_str(text)?;
-    let wrong = |why: &str| Err(NoDay::Sense(why.to_string()));
+    let wrong = |why: &str| Err(DayError::Sense(why.to_string()));
     if day.tiers.is_empty() || day.classes.is_empty() || day.zones.is_empty() {
         return wrong("a day needs tiers, classes and zones");
     }
@@ -176,23 +178,24 @@
     if day.servers.iter().any(|s| s.tier >= day.tiers.len() || s.zone >= day.zones.len()) {
         return wrong("servers: a tier or zone that is not there");
     }
-    let mut places: Vec<Vec<Place>> = day.tiers.iter().map(|_| Vec::new()).collect();
+    let mut places: Vec<Vec<DrawnBackend>> = day.tiers.iter().map(|_| Vec::new()).collect();
     // A number of the file's list of servers, to the lab's: by tiers, in the order of the file.
     let mut within: Vec<(usize, usize)> = Vec::new();
     for server in &day.servers {
         within.push((server.tier, places[server.tier].len()));
-        places[server.tier].push(Place { zone: server.zone, speed: server.speed });
+        places[server.tier].push(DrawnBackend { zone: server.zone, speed: server.speed });
     }
     if places.iter().any(Vec::is_empty) {
         return wrong("servers: a tier has none");
     }
     let starts: Vec<usize> = (0..places.len()).map(|t| places[..t].iter().map(Vec::len).sum()).collect();
-    let tiers: Vec<TierOf> = (day.tiers.iter().enumerate())
+    let tiers: Vec<DrawnTier> = (day.tiers.iter().enumerate())
         .map(|(i, tier)| {
             // The file states the work of one call to a tier; the lab that of all that a client's call makes there.
             let calls: f64 = day.tiers[..=i].iter().map(|t| t.calls).product();
-            let kind = tier.kinds.first().ok_or_else(|| NoDay::Sense(format!("{}: no kinds", tier.name)))?;
-            Ok(TierOf {
+            let kind =
+                tier.kinds.first().ok_or_else(|| DayError::Sense(format!("{}: no kinds", tier.name)))?;
+            Ok(DrawnTier {
                 name: tier.name.clone(),
                 kind: machine(kind, tier.choke.as_ref()),
                 places: std::mem::take(&mut places[i]),
@@ -201,17 +204,17 @@
                 calls: day.tiers.get(i + 1).map_or(0.0, |below| below.calls),
             })
         })
-        .collect::<Result<_, NoDay>>()?;
-    let classes: Vec<ClassOf> = day.classes.iter().map(class).collect();
+        .collect::<Result<_, DayError>>()?;
+    let classes: Vec<DrawnClass> = day.classes.iter().map(class).collect();
     let proxies = day.balancers.iter().filter(|b| b.tier == 0).map(|b| b.zone % day.zones.len()).collect();
     let mut unknown = Vec::new();
     let mut failures = Vec::new();
     for trouble in &day.troubles {
         let what = match trouble.kind.as_str() {
-            "shared_slow" => What::Slow,
-            "crash" => What::Crash,
-            "zone_loss" => What::LoseZone,
-            "burst" => What::Burst,
+            "shared_slow" => FailureKind::Slow,
+            "crash" => FailureKind::Crash,
+            "zone_loss" => FailureKind::LoseZone,
+            "burst" => FailureKind::Burst,
             other => {
                 unknown.push(other.to_string());
                 continue;
@@ -219,7 +222,7 @@
         };
         let on =
             trouble.on.iter().filter_map(|s| within.get(*s)).map(|(tier, n)| starts[*tier] + n).collect();
-        failures.push(FailureOf {
+        failures.push(DrawnFailure {
             what,
             at: ms(trouble.at),
             lasts: ms(trouble.len),
@@ -228,10 +231,10 @@
             part: 1.0,
             times: trouble.size,
             on,
-            cut: Cut::default(),
+            cut: LinkFault::default(),
         });
     }
-    let mut figures = Figures {
+    let mut figures = DrawnScenario {
         length: ms(day.length),
         zones: day.zones.len(),
         zone_share: day.traffic.zone_share,
@@ -263,7 +266,7 @@
     let capacity = figures.capacity();
     figures.rate = day.traffic.load * capacity;
     figures.tenants = (day.tenants.into_iter())
-        .map(|t| TenantOf { name: t.name, traffic: t.traffic, quota: t.quota * capacity })
+        .map(|t| DrawnTenant { name: t.name, traffic: t.traffic, quota: t.quota * capacity })
         .collect();
     Ok((figures, unknown))
 }
@@ -289,8 +292,8 @@
     }
 }
 
-fn class(class: &Class) -> ClassOf {
-    ClassOf {
+fn class(class: &Class) -> DrawnClass {
+    DrawnClass {
         name: class.name.clone(),
         share: class.share,
         work: ms(class.work),
@@ -305,9 +308,9 @@
         deadline: ms(class.deadline),
         worth: class.worth,
         repeats: match class.effect.as_str() {
-            "safe" => Repeats::Safe,
-            "keyed" => Repeats::Keyed,
-            _ => Repeats::Once,
+            "safe" => ClassRetrySafety::Safe,
+            "keyed" => ClassRetrySafety::Keyed,
+            _ => ClassRetrySafety::Once,
         },
     }
 }
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -1,9 +1,9 @@
 //! From a scenario and a seed to the figures of one run, and what each proxy is told of it.
 
-use super::tally::Shares;
+use super::accounting::TenantQuotas;
 use crate::model::machine::Kind;
 use crate::model::work::Shape;
-use crate::scenario::{Between, Mode, Repeats, Scenario, What};
+use crate::scenario::{ClassRetrySafety, CutMode, FailureKind, LinkKind, Scenario};
 use hillstall_decision::{
     Class, DedupScope, Objective, Permissions, Prices, ReportVia, RetrySafety, Rules, Settings, Tenant,
     Weights,
@@ -33,7 +33,7 @@
 
 /// A class of calls.
 #[derive(Clone)]
-pub struct ClassOf {
+pub struct DrawnClass {
     /// For people.
     pub name: String,
     /// Its part of the calls.
@@ -53,12 +53,12 @@
     /// Worth of a call.
     pub worth: f64,
     /// Whether it may run again.
-    pub repeats: Repeats,
+    pub repeats: ClassRetrySafety,
 }
 
 /// Where a machine stands, and how fast it is.
 #[derive(Clone)]
-pub struct Place {
+pub struct DrawnBackend {
     /// Its zone.
     pub zone: usize,
     /// Core milliseconds that a core does in a millisecond.
@@ -67,7 +67,7 @@
 
 /// A tenant.
 #[derive(Clone)]
-pub struct TenantOf {
+pub struct DrawnTenant {
     /// For people.
     pub name: String,
     /// Its part of the calls, against the others' parts.
@@ -78,11 +78,11 @@
 
 /// A tier of machines.
 #[derive(Clone)]
-pub struct TierOf {
+pub struct DrawnTier {
     /// For people.
     pub name: String,
     /// Its machines.
-    pub places: Vec<Place>,
+    pub places: Vec<DrawnBackend>,
     /// What each of them can do.
     pub kind: Kind,
     /// A part: of the work of a call, or of the machines.
@@ -93,9 +93,9 @@
 
 /// A failure.
 #[derive(Clone)]
-pub struct FailureOf {
+pub struct DrawnFailure {
     /// What goes wrong.
-    pub what: What,
+    pub what: FailureKind,
     /// When (ms).
     pub at: f64,
     /// For how long (ms).
@@ -111,33 +111,33 @@
     /// The machines it is about, where they are named one by one.
     pub on: Vec<usize>,
     /// Of a cut.
-    pub cut: Cut,
+    pub cut: LinkFault,
 }
 
 /// Which links a cut is about, and what it does to them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Cut {
+pub struct LinkFault {
     /// Between whom.
-    pub link: Between,
+    pub link: LinkKind,
     /// Proxies of this zone alone.
     pub from_zone: Option<usize>,
     /// Machines of this zone alone.
     pub to_zone: Option<usize>,
     /// What it does.
-    pub mode: Mode,
+    pub mode: CutMode,
     /// By how much it delays (ms).
     pub delay: f64,
 }
 
 /// How many a part of so many is, where at least one is meant.
-pub fn some_of(part: f64, all: usize) -> usize {
+pub fn count_of(part: f64, all: usize) -> usize {
     ((part * all as f64).round() as usize).clamp(1, all)
 }
 
-impl Cut {
+impl LinkFault {
     /// Whether the links from a proxy are meant that is the `rank`th of so many.
     pub fn is_from(&self, part: f64, (rank, copies): (usize, usize), zone: usize) -> bool {
-        rank < some_of(part, copies) && self.from_zone.is_none_or(|from| from == zone)
+        rank < count_of(part, copies) && self.from_zone.is_none_or(|from| from == zone)
     }
 
     /// Whether the links to a machine of a zone are meant.
@@ -148,7 +148,7 @@
 
 /// The figures of one run.
 #[derive(Clone)]
-pub struct Figures {
+pub struct DrawnScenario {
     /// How long calls come (ms).
     pub length: f64,
     /// Zones.
@@ -160,11 +160,11 @@
     /// How many times the calls of a common one each of them gets.
     pub heat: Vec<f64>,
     /// The tiers, from the top.
-    pub tiers: Vec<TierOf>,
+    pub tiers: Vec<DrawnTier>,
     /// The classes.
-    pub classes: Vec<ClassOf>,
+    pub classes: Vec<DrawnClass>,
     /// The tenants.
-    pub tenants: Vec<TenantOf>,
+    pub tenants: Vec<DrawnTenant>,
     /// What worth beyond a share counts, as a part of it.
     pub over_share_worth: f64,
     /// Whether a call's work at a lower tier is drawn anew, or goes by the work of the call that makes it.
@@ -202,24 +202,24 @@
     /// Until clients are sent past proxies that are gone.
     pub front_notice: f64,
     /// What goes wrong.
-    pub failures: Vec<FailureOf>,
+    pub failures: Vec<DrawnFailure>,
 }
 
 /// Draws the figures of a run.
-pub fn draw(scenario: &Scenario, seed: u64) -> Figures {
+pub fn draw(scenario: &Scenario, seed: u64) -> DrawnScenario {
     let rng = &mut chance(seed, Stream::Figures);
-    let tiers: Vec<TierOf> = (scenario.tiers.iter().enumerate())
+    let tiers: Vec<DrawnTier> = (scenario.tiers.iter().enumerate())
         .map(|(i, tier)| {
             let (servers, kind) = tier.draw(rng);
             let last = i + 1 == scenario.tiers.len();
             let calls = if last { 0.0 } else { tier.calls.draw(rng) };
             let places =
-                (0..servers).map(|n| Place { zone: n % scenario.zones, speed: kind.speed }).collect();
-            TierOf { name: tier.name.clone(), places, kind, part: tier.work_part.draw(rng), calls }
+                (0..servers).map(|n| DrawnBackend { zone: n % scenario.zones, speed: kind.speed }).collect();
+            DrawnTier { name: tier.name.clone(), places, kind, part: tier.work_part.draw(rng), calls }
         })
         .collect();
-    let classes: Vec<ClassOf> = (scenario.classes.iter())
-        .map(|class| ClassOf {
+    let classes: Vec<DrawnClass> = (scenario.classes.iter())
+        .map(|class| DrawnClass {
             name: class.name.clone(),
             share: class.share.draw(rng),
             work: class.work.0.draw(rng),
@@ -233,7 +233,7 @@
         })
         .collect();
     let failures = (scenario.failures.iter())
-        .map(|f| FailureOf {
+        .map(|f| DrawnFailure {
             what: f.what,
             at: f.at.0.draw(rng),
             lasts: f.lasts.0.draw(rng),
@@ -242,19 +242,19 @@
             part: f.part.draw(rng).min(1.0),
             times: f.times.draw(rng),
             on: Vec::new(),
-            cut: Cut {
+            cut: LinkFault {
                 link: f.link,
                 from_zone: f.from_zone,
                 to_zone: f.to_zone,
                 mode: f.mode,
                 // Drawn for cuts alone, so that the figures of all else stay as they were.
-                delay: if f.what == What::Cut { f.delay.0.draw(rng) } else { 0.0 },
+                delay: if f.what == FailureKind::Cut { f.delay.0.draw(rng) } else { 0.0 },
             },
         })
         .collect();
     let notice = scenario.discovery.notice.0.draw(rng);
     let proxies = scenario.proxies.draw(rng).round().max(1.0) as usize;
-    let mut figures = Figures {
+    let mut figures = DrawnScenario {
         length: scenario.length.0.draw(rng),
         zones: scenario.zones,
         zone_share: vec![1.0; scenario.zones],
@@ -293,7 +293,7 @@
         figures.heat.iter_mut().take(many).for_each(|heat| *heat = hot.times.draw(rng));
     }
     let able = figures.capacity();
-    let tenants = scenario.tenants.iter().map(|t| TenantOf {
+    let tenants = scenario.tenants.iter().map(|t| DrawnTenant {
         name: t.name.clone(),
         traffic: t.traffic.draw(rng),
         quota: t.share.draw(rng) * able,
@@ -304,16 +304,16 @@
     figures
 }
 
-impl TierOf {
+impl DrawnTier {
     /// Core milliseconds that all its machines do in a millisecond, warm and sound.
     pub fn able(&self) -> f64 {
         self.places.iter().map(|p| p.speed).sum::<f64>() * self.kind.cores as f64
     }
 }
 
-impl Figures {
+impl DrawnScenario {
     /// The mean of a figure over the calls, by the classes' shares.
-    fn mean(&self, figure: fn(&ClassOf) -> f64) -> f64 {
+    fn mean(&self, figure: fn(&DrawnClass) -> f64) -> f64 {
         let shares: f64 = self.classes.iter().map(|c| c.share).sum();
         self.classes.iter().map(|c| c.share / shares.max(1e-9) * figure(c)).sum()
     }
@@ -339,14 +339,14 @@
     /// Calls a second that the fleet can do: the tier that is full first says so.
     pub fn capacity(&self) -> f64 {
         let work = self.mean_work();
-        let able = |tier: &TierOf| tier.able() / (work * tier.part).max(1e-9);
+        let able = |tier: &DrawnTier| tier.able() / (work * tier.part).max(1e-9);
         self.tiers.iter().map(able).fold(f64::MAX, f64::min) * 1e3
     }
 
     /// The tenants' shares in worth a second, and what worth beyond them counts.
-    pub fn shares(&self) -> Shares {
+    pub fn shares(&self) -> TenantQuotas {
         let worth = self.mean(|c| c.worth);
-        Shares {
+        TenantQuotas {
             quotas: self.tenants.iter().map(|t| t.quota * worth).collect(),
             beyond: self.over_share_worth,
         }
@@ -360,7 +360,7 @@
     /// What a proxy is told of the deployment.
     pub fn settings(&self, tier: usize, rank: usize, copies: usize, zone: usize) -> Settings {
         let kind = &self.tiers[tier].kind;
-        let class = |c: &ClassOf| Class {
+        let class = |c: &DrawnClass| Class {
             name: c.name.clone(),
             latency_objective_ms: c.aim,
             objective_per_work_ms: 0.0,
@@ -368,16 +368,16 @@
             priority_weight: c.worth,
             late_weight_fraction: 0.0,
             retry_safety: match c.repeats {
-                Repeats::Safe => RetrySafety::Idempotent,
-                Repeats::Keyed => RetrySafety::IdempotencyKey,
-                Repeats::Once => RetrySafety::NonIdempotent,
+                ClassRetrySafety::Safe => RetrySafety::Idempotent,
+                ClassRetrySafety::Keyed => RetrySafety::IdempotencyKey,
+                ClassRetrySafety::Once => RetrySafety::NonIdempotent,
             },
             dedup_scope: DedupScope::All,
             dedup_window_ms: 2_500.0,
             streaming: false,
         };
         let tenant =
-            |t: &TenantOf| Tenant { name: t.name.clone(), quota_per_s: t.quota, fraction: t.traffic };
+            |t: &DrawnTenant| Tenant { name: t.name.clone(), quota_per_s: t.quota, fraction: t.traffic };
         Settings {
             rank: rank as u32,
             fleet_size: copies as u32,
--- a/crates/simulation/src/sim/harm.rs
+++ b/crates/simulation/src/sim/side_effects.rs
@@ -1,8 +1,8 @@
 //! What the proxies do in the sum, beside service: calls for failing machines, new connections, what cold machines are
 //! sent, and what is refused at one proxy while another lets less worthy calls in.
 
-use super::setup::Figures;
-use crate::model::cold::ColdStart;
+use super::setup::DrawnScenario;
+use crate::model::slow_start::SlowStartModel;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,7 +11,7 @@
 
 /// The account of a run.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub struct Harm {
+pub struct SideEffects {
     /// Attempts a second at a machine that is down, silent or hangs: all proxies' trials together.
     pub trials: f64,
     /// New connections for each machine and second, where each proxy keeps those that are idle.
@@ -54,7 +54,7 @@
 }
 
 impl Account {
-    pub(super) fn new(figures: &Figures) -> Account {
+    pub(super) fn new(figures: &DrawnScenario) -> Account {
         let most = figures.classes.iter().map(|c| c.worth).fold(0.0, f64::max);
         let worthiest = figures.classes.iter().map(|c| c.worth >= most).collect();
         Account { worthiest, ..Account::default() }
@@ -119,10 +119,10 @@
     /// The account, with the tries that came to each proxy and those it refused.
     pub(super) fn close(
         self,
-        figures: &Figures,
+        figures: &DrawnScenario,
         by_proxy: &[[u64; 2]],
-        start: impl Fn(usize) -> ColdStart,
-    ) -> Harm {
+        start: impl Fn(usize) -> SlowStartModel,
+    ) -> SideEffects {
         let machines: usize = figures.tiers.iter().map(|t| t.places.len()).sum();
         let inverted = self.refused.iter().filter(|(second, proxy)| {
             let door = self.doors.get(second).copied().unwrap_or_default();
@@ -136,7 +136,7 @@
         let mean = parts.iter().map(|(came, part)| came * part).sum::<f64>() / all;
         let variance = parts.iter().map(|(came, part)| came * (part - mean).powi(2)).sum::<f64>() / all;
         let overshoots = self.cold.iter().map(|((host, _), sent)| start(*host).overshoot(sent).0);
-        Harm {
+        SideEffects {
             trials: match self.failing_ms > 0.0 {
                 true => self.trials as f64 / (self.failing_ms / 1e3),
                 false => 0.0,
@@ -150,11 +150,11 @@
     }
 }
 
-impl Figures {
+impl DrawnScenario {
     /// The cold start of a machine of a tier, as the rules have it.
-    pub fn cold_start(&self, tier: usize, place: usize) -> ColdStart {
+    pub fn cold_start(&self, tier: usize, place: usize) -> SlowStartModel {
         let (of, rules) = (&self.tiers[tier], self.settings(tier, 0, 1, 0).rules);
-        ColdStart {
+        SlowStartModel {
             able: of.places[place].speed * of.kind.cores as f64,
             from: of.kind.cold_from,
             warm_after: of.kind.cold,
--- a/crates/simulation/src/site.rs
+++ b/crates/simulation/src/site.rs
@@ -6,7 +6,7 @@
 
 /// What a proxy may hold.
 #[derive(Clone, Copy, Debug)]
-pub struct Holds {
+pub struct ProcessLimits {
     /// Descriptors.
     pub sockets: usize,
     /// Memory in MB.
@@ -14,7 +14,12 @@
 }
 
 /// The proxy's configuration: two classes, one safe to repeat and one with a key; no tenants.
-pub fn config(listen: SocketAddr, discovery: SocketAddr, servers: &[SocketAddr], holds: Holds) -> Value {
+pub fn config(
+    listen: SocketAddr,
+    discovery: SocketAddr,
+    servers: &[SocketAddr],
+    holds: ProcessLimits,
+) -> Value {
     json!({
         "name": "n1", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": holds.memory_mb, "sockets": holds.sockets},
--- a/crates/simulation/src/stability.rs
+++ b/crates/simulation/src/stability.rs
@@ -1,10 +1,10 @@
 //! The map of stability: how a load and the part of the servers that is lost go together. A loss is harmless in the end
 //! where service returns by itself soon after its cause has gone; where it does not, load outlives its cause.
 
-use crate::experiment::{by_cell, grid, Axis, Mean, NoSweep, LOAD};
-use crate::policy::Named;
-use crate::report::{by_load, lines, markdown, page, NoPlot};
-use crate::sim::{self, setup, Second, Tally};
+use crate::experiment::{by_cell, grid, Axis, Mean, SweepError, LOAD};
+use crate::policy::PolicyName;
+use crate::report::{by_load, lines, markdown, page, PlotError};
+use crate::sim::{self, setup, RunSummary, Second};
 
 /// The key of the part that is lost, in the first failure.
 const LOST: &str = "failure.0.part";
@@ -19,7 +19,7 @@
 
 /// How one run went, by the loss.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Course {
+pub struct ServiceCourse {
     /// Service before the loss, as a part.
     pub before: f64,
     /// Service while it lasts.
@@ -28,9 +28,9 @@
     pub back_after: Option<f64>,
 }
 
-impl Course {
+impl ServiceCourse {
     /// Of the seconds of a run in which something is lost from a time on and for so long (s).
-    pub fn of(seconds: &[Second], from: f64, lasts: f64) -> Course {
+    pub fn of(seconds: &[Second], from: f64, lasts: f64) -> ServiceCourse {
         let service = |range: std::ops::Range<usize>| {
             let range = range.start.min(seconds.len())..range.end.min(seconds.len());
             let sum = |of: fn(&Second) -> f64| seconds[range.clone()].iter().map(of).sum::<f64>();
@@ -47,30 +47,30 @@
         let before = service(WARM.min(usual)..usual);
         let back = (ends..(seconds.len() + 1).saturating_sub(OVER))
             .find(|s| service(*s..s + OVER) >= RETURNED * before);
-        Course { before, during: service(begins..ends), back_after: back.map(|s| (s - ends) as f64) }
+        ServiceCourse { before, during: service(begins..ends), back_after: back.map(|s| (s - ends) as f64) }
     }
 }
 
 /// Runs with one load and one loss.
-pub struct Cell {
+pub struct StabilityCell {
     /// The load, as a part of what the servers can do.
     pub load: f64,
     /// The part of the servers that is lost.
     pub lost: f64,
     /// One run for each seed.
-    pub runs: Vec<Tally>,
+    pub runs: Vec<RunSummary>,
     /// How each of them went.
-    pub courses: Vec<Course>,
+    pub courses: Vec<ServiceCourse>,
 }
 
-impl Cell {
+impl StabilityCell {
     /// The part of the calls that what is left can serve.
     pub fn bearable(&self) -> f64 {
         ((1.0 - self.lost) / self.load).min(1.0)
     }
 
     /// A figure's mean over the seeds.
-    fn mean(&self, figure: impl Fn(&Course) -> f64) -> Mean {
+    fn mean(&self, figure: impl Fn(&ServiceCourse) -> f64) -> Mean {
         Mean::of(&self.courses.iter().map(figure).collect::<Vec<_>>())
     }
 
@@ -94,17 +94,17 @@
 }
 
 /// The map, by load and then by loss.
-pub struct Map {
+pub struct StabilityMap {
     /// The cells; those of one load follow each other.
-    pub cells: Vec<Cell>,
+    pub cells: Vec<StabilityCell>,
 }
 
 /// Why there is no map.
 #[derive(Debug, thiserror::Error)]
-pub enum NoMap {
+pub enum MapError {
     /// The grid can't be made.
     #[error(transparent)]
-    Grid(#[from] NoSweep),
+    Grid(#[from] SweepError),
     /// Nothing is lost in the scenario.
     #[error("failure.0: the scenario has no failure whose part could be varied")]
     NoFailure,
@@ -114,13 +114,13 @@
 pub fn map(
     text: &str,
     (loads, lost): (&[f64], &[f64]),
-    policy: Named,
+    policy: PolicyName,
     seeds: &[u64],
     ended: impl Fn() + Sync,
-) -> Result<Map, NoMap> {
+) -> Result<StabilityMap, MapError> {
     let scenarios = grid(text, &[Axis::of_numbers(LOAD, loads), Axis::of_numbers(LOST, lost)])?;
     if scenarios.iter().any(|(_, scenario)| scenario.failures.is_empty()) {
-        return Err(NoMap::NoFailure);
+        return Err(MapError::NoFailure);
     }
     let places = loads.iter().flat_map(|load| lost.iter().map(move |lost| (*load, *lost)));
     let places: Vec<_> = places.zip(scenarios).map(|(place, (_, scenario))| (place, scenario)).collect();
@@ -133,20 +133,20 @@
         }
         let tally = sim::run(&scenario, policy, seed);
         ended();
-        let course = Course::of(&tally.seconds, loss.at / 1e3, loss.lasts / 1e3);
+        let course = ServiceCourse::of(&tally.seconds, loss.at / 1e3, loss.lasts / 1e3);
         (tally, course)
     });
     let cells = places.iter().zip(runs).map(|(((load, lost), _), runs)| {
         let (runs, courses) = runs.into_iter().unzip();
-        let mut cell = Cell { load: *load, lost: *lost, runs, courses };
+        let mut cell = StabilityCell { load: *load, lost: *lost, runs, courses };
         let name = cell.name();
         cell.runs.iter_mut().for_each(|tally| tally.cell.clone_from(&name));
         cell
     });
-    Ok(Map { cells: cells.collect() })
+    Ok(StabilityMap { cells: cells.collect() })
 }
 
-impl Map {
+impl StabilityMap {
     fn rows(&self) -> Vec<Vec<String>> {
         let heading = [
             "load",
@@ -159,7 +159,7 @@
             "never back",
             "choked",
         ];
-        let row = |cell: &Cell| {
+        let row = |cell: &StabilityCell| {
             let during = cell.mean(|c| 100.0 * c.during);
             let back: Vec<f64> = cell.courses.iter().filter_map(|c| c.back_after).collect();
             vec![
@@ -185,7 +185,7 @@
 
     /// The cells held against the runs of an earlier map, seed by seed: service of the whole run, in points of 100.
     /// The second part counts the cells that are worse by more than chance allows.
-    pub fn beside(&self, earlier: &[Tally]) -> (String, usize) {
+    pub fn beside(&self, earlier: &[RunSummary]) -> (String, usize) {
         let heading = ["load", "lost", "service before the change", "now", "gain", ""].map(String::from);
         let (mut rows, mut worse) = (vec![heading.to_vec()], 0);
         for cell in &self.cells {
@@ -214,19 +214,19 @@
     }
 
     /// One self-contained page: the table, and the figures over the part that is lost, a curve for each load.
-    pub fn html(&self, title: &str) -> Result<String, NoPlot> {
-        let curves = |figure: &dyn Fn(&Cell) -> f64| {
+    pub fn html(&self, title: &str) -> Result<String, PlotError> {
+        let curves = |figure: &dyn Fn(&StabilityCell) -> f64| {
             by_load(self.cells.iter().map(|cell| (cell.load, (cell.lost, figure(cell)))))
         };
-        let part = |cell: &Cell| 100.0 * cell.stuck() as f64 / cell.courses.len().max(1) as f64;
-        let during = |cell: &Cell| cell.mean(|c| 100.0 * c.during).mean;
+        let part = |cell: &StabilityCell| 100.0 * cell.stuck() as f64 / cell.courses.len().max(1) as f64;
+        let during = |cell: &StabilityCell| cell.mean(|c| 100.0 * c.during).mean;
         let axis = "part of the servers that is lost";
         let plots = [
             lines("Service while the loss lasts", axis, "%", &curves(&during))?,
             lines("... of what is left to serve", axis, "%", &curves(&|c| during(c) / c.bearable()))?,
-            lines("Longest time until service is back", axis, "s", &curves(&Cell::slowest))?,
+            lines("Longest time until service is back", axis, "s", &curves(&StabilityCell::slowest))?,
             lines("Seeds that never come back", axis, "%", &curves(&part))?,
-            lines("Servers that turned slow", axis, "servers", &curves(&Cell::chokes))?,
+            lines("Servers that turned slow", axis, "servers", &curves(&StabilityCell::chokes))?,
         ];
         Ok(page(title, &self.rows(), &plots))
     }
--- a/crates/simulation/src/stand.rs
+++ b/crates/simulation/src/stand_in_thread.rs
@@ -10,7 +10,7 @@
 use tokio::task::{spawn_local, LocalSet};
 
 /// Where stand-ins listen.
-pub struct Stand {
+pub struct StandInThread {
     /// The servers.
     pub servers: Vec<SocketAddr>,
     /// The service that lists them.
@@ -27,9 +27,12 @@
     Ok((listener, address))
 }
 
-impl Stand {
+impl StandInThread {
     /// Starts so many servers; `answers` makes what each of them answers with, by its number.
-    pub fn start(count: usize, answers: impl Fn(usize) -> Rc<Answers> + Send + 'static) -> Result<Stand> {
+    pub fn start(
+        count: usize,
+        answers: impl Fn(usize) -> Rc<Answers> + Send + 'static,
+    ) -> Result<StandInThread> {
         let bound: Vec<_> = (0..count).map(|_| listener()).collect::<Result<_>>()?;
         let (list, discovery) = listener()?;
         let servers: Vec<SocketAddr> = bound.iter().map(|(_, address)| *address).collect();
@@ -47,6 +50,6 @@
                 Result::Ok(())
             })
         })?;
-        Ok(Stand { servers, discovery, connections })
+        Ok(StandInThread { servers, discovery, connections })
     }
 }
--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -1,7 +1,7 @@
 //! Days in the form of the bench, made up here: what is read, what is passed over, what is refused.
 
 use hillstall_simulation::experiment::days;
-use hillstall_simulation::policy::Named;
+use hillstall_simulation::policy::PolicyName;
 use serde_json::{json, Value};
 
 /// One tier of two machines in two zones, one class, two tenants, at 0.4 of what the machines can do.
@@ -24,8 +24,9 @@
     })
 }
 
-fn play(day: &Value) -> (hillstall_simulation::sim::Tally, Vec<String>) {
-    let (mut tallies, unknown) = days(&day.to_string(), &[Named::LeastOutstanding], &[1]).expect("a day");
+fn play(day: &Value) -> (hillstall_simulation::sim::RunSummary, Vec<String>) {
+    let (mut tallies, unknown) =
+        days(&day.to_string(), &[PolicyName::LeastOutstanding], &[1]).expect("a day");
     (tallies.remove(0), unknown)
 }
 
@@ -67,7 +68,8 @@
 
 #[test]
 fn what_is_no_day_is_refused() {
-    let told = |day: &Value| days(&day.to_string(), &[Named::Random], &[1]).expect_err("no day").to_string();
+    let told =
+        |day: &Value| days(&day.to_string(), &[PolicyName::Random], &[1]).expect_err("no day").to_string();
     let mut missing = day();
     missing.as_object_mut().expect("an object").remove("traffic");
     assert!(told(&missing).contains("traffic"), "{}", told(&missing));
@@ -77,5 +79,5 @@
     let mut endless = day();
     endless["length"] = json!(1e300);
     assert!(told(&endless).contains("length"), "{}", told(&endless));
-    assert!(days("{", &[Named::Random], &[1]).is_err());
+    assert!(days("{", &[PolicyName::Random], &[1]).is_err());
 }
--- a/crates/simulation/tests/experiments.rs
+++ b/crates/simulation/tests/experiments.rs
@@ -1,13 +1,13 @@
 //! Whole runs: they repeat to the byte, keep the rules, and hold policies against each other on the same calls.
 
-use hillstall_simulation::experiment::{gain, grid, runs, Axis, Mean, NoSweep};
-use hillstall_simulation::policy::Named;
+use hillstall_simulation::experiment::{gain, grid, runs, Axis, Mean, SweepError};
+use hillstall_simulation::policy::PolicyName;
 use hillstall_simulation::report;
-use hillstall_simulation::scenario::{Invalid, Scenario};
+use hillstall_simulation::scenario::{Scenario, ScenarioError};
 use hillstall_simulation::scenarios;
-use hillstall_simulation::sim::{self, Tally};
+use hillstall_simulation::sim::{self, RunSummary};
 
-fn bytes(tally: &Tally) -> String {
+fn bytes(tally: &RunSummary) -> String {
     serde_json::to_string(tally).expect("plain data")
 }
 
@@ -16,7 +16,7 @@
     // Two proxies, and many of which each refuses a part.
     for name in ["lose-hall", "fleet-sum"] {
         let scenario = scenarios::find(name).expect("embedded");
-        for policy in [Named::Hillstall, Named::TwoChoices] {
+        for policy in [PolicyName::Hillstall, PolicyName::TwoChoices] {
             let (a, b) = (sim::run(&scenario, policy, 3), sim::run(&scenario, policy, 3));
             assert_eq!(bytes(&a), bytes(&b), "{name} {}", policy.name());
             assert_ne!(bytes(&a), bytes(&sim::run(&scenario, policy, 4)));
@@ -28,7 +28,7 @@
 fn hillstall_keeps_the_rules_while_a_hall_is_lost_and_boxes_hang() {
     for name in scenarios::names() {
         let scenario = scenarios::find(name).expect("embedded");
-        let tally = sim::run(&scenario, Named::Hillstall, 1);
+        let tally = sim::run(&scenario, PolicyName::Hillstall, 1);
         assert!(tally.offered > 500, "{name}: {} calls", tally.offered);
         assert_eq!((tally.late_sends, tally.wrong_answers), (0, 0), "{name}");
         let ended: u64 = tally.seconds.iter().map(|s| s.in_aim + s.late + s.refused + s.failed).sum();
@@ -39,11 +39,11 @@
 #[test]
 fn policies_get_the_same_calls_and_the_order_of_results_is_fixed() {
     let scenario = scenarios::find("one-hangs").expect("embedded");
-    let tallies = runs(&scenario, &[Named::Random, Named::Hillstall], &[1, 2], || {});
+    let tallies = runs(&scenario, &[PolicyName::Random, PolicyName::Hillstall], &[1, 2], || {});
     let order: Vec<(&str, u64)> = tallies.iter().map(|t| (t.policy.as_str(), t.seed)).collect();
     assert_eq!(order, [("random", 1), ("random", 2), ("hillstall", 1), ("hillstall", 2)]);
     for seed in 0..2 {
-        let offered = |t: &Tally| t.seconds.iter().map(|s| s.offered).collect::<Vec<_>>();
+        let offered = |t: &RunSummary| t.seconds.iter().map(|s| s.offered).collect::<Vec<_>>();
         assert_eq!(offered(&tallies[seed]), offered(&tallies[seed + 2]));
     }
 }
@@ -51,7 +51,7 @@
 #[test]
 fn losing_a_hall_costs_service_while_it_is_away() {
     let scenario = scenarios::find("lose-hall").expect("embedded");
-    let tally = sim::run(&scenario, Named::Hillstall, 1);
+    let tally = sim::run(&scenario, PolicyName::Hillstall, 1);
     let able = |s: usize| tally.seconds[s].capacity;
     assert!(able(5) > 0.95 && (0.4..0.6).contains(&able(15)), "{} and {}", able(5), able(15));
     assert!(able(22) < 0.95, "the hall comes back cold: {}", able(22));
@@ -61,7 +61,7 @@
 fn copies_with_many_times_the_calls_refuse_no_larger_part_than_the_others() {
     let scenario = scenarios::find("hot-copies").expect("embedded");
     for seed in 1..=3 {
-        let tally = sim::run(&scenario, Named::Hillstall, seed);
+        let tally = sim::run(&scenario, PolicyName::Hillstall, seed);
         let (hot, cool) = (tally.refused_hot, tally.refused_cool);
         assert!(
             hot <= 2.0 * cool + 0.05,
@@ -81,7 +81,7 @@
 #[test]
 fn the_same_policy_gains_nothing_on_itself() {
     let scenario = scenarios::find("one-hangs").expect("embedded");
-    let tallies = runs(&scenario, &[Named::Random], &[1, 2, 3], || {});
+    let tallies = runs(&scenario, &[PolicyName::Random], &[1, 2, 3], || {});
     assert_eq!(gain(&tallies, &tallies, |t| t.service), Mean { mean: 0.0, half: 0.0 });
 }
 
@@ -95,8 +95,8 @@
     assert_eq!(cells.len(), 6);
     assert_eq!(cells[3].0, "load.of_capacity=0.5 tier.0.servers=6 clients.wait=\"10ms\"");
     let wrong = |axis: &str| grid(text, &[axis.parse().expect("an axis")]);
-    assert!(matches!(wrong("tier.7.servers=1"), Err(NoSweep::Key(_))));
-    assert!(matches!(wrong("load.of_kapacity=1"), Err(NoSweep::Scenario { .. })));
+    assert!(matches!(wrong("tier.7.servers=1"), Err(SweepError::Key(_))));
+    assert!(matches!(wrong("load.of_kapacity=1"), Err(SweepError::Scenario { .. })));
 }
 
 #[test]
@@ -124,13 +124,16 @@
     let crowd = told("servers = 12", "servers = 1e12");
     assert!(crowd.contains("tier[0].servers: "), "{crowd}");
     let zone = Scenario::parse(&text.replacen("zone = 1", "zone = 2", 1));
-    assert!(matches!(zone, Err(Invalid::Sense { ref key, .. }) if key == "failure[0].zone"), "{zone:?}");
+    assert!(
+        matches!(zone, Err(ScenarioError::Sense { ref key, .. }) if key == "failure[0].zone"),
+        "{zone:?}"
+    );
 }
 
 #[test]
 fn a_report_holds_its_table_and_plots() {
     let scenario = scenarios::find("one-hangs").expect("embedded");
-    let groups = report::groups(runs(&scenario, &[Named::Random, Named::Oracle], &[1], || {}));
+    let groups = report::groups(runs(&scenario, &[PolicyName::Random, PolicyName::Oracle], &[1], || {}));
     let page = report::html("a <test>", &groups).expect("a page");
     assert_eq!(page.matches("<svg").count(), 6);
     assert!(page.contains("a &lt;test&gt;") && page.contains("<td>oracle</td>"));
--- a/crates/simulation/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -1,8 +1,8 @@
 //! The model against theory where it is exact, and against the failures it is there to cause.
 
 use hillstall_simulation::experiment::{runs, Mean};
-use hillstall_simulation::model::machine::{Choke, Kind, Machine, Taken};
-use hillstall_simulation::policy::Named;
+use hillstall_simulation::model::machine::{Admission, Choke, Kind, Machine};
+use hillstall_simulation::policy::PolicyName;
 use hillstall_simulation::scenario::Scenario;
 
 fn kind() -> Kind {
@@ -41,7 +41,7 @@
         rate = utilisation * f64::from(cores) * 100.0,
     );
     let scenario = Scenario::parse(&text).expect("a scenario");
-    let tallies = runs(&scenario, &[Named::Random], &Vec::from_iter(1..=10), || {});
+    let tallies = runs(&scenario, &[PolicyName::Random], &Vec::from_iter(1..=10), || {});
     Mean::of(&tallies.iter().map(|tally| tally.mean_ms).collect::<Vec<_>>())
 }
 
@@ -81,7 +81,7 @@
     let mut done = Vec::new();
     // Ten jobs of a second each on two cores: eight wait, for as long as it takes to choke.
     for job in 0..11 {
-        assert_eq!(machine.offer(0.0, job, 2_000.0, &mut done), Taken::Yes);
+        assert_eq!(machine.offer(0.0, job, 2_000.0, &mut done), Admission::Yes);
     }
     machine.advance(1_400.0, &mut done);
     assert!(!machine.is_choked());
@@ -111,9 +111,9 @@
     let mut machine = Machine::new(Kind { slots: 2, room: 1, ..kind() });
     let mut done = Vec::new();
     for job in 0..3 {
-        assert_eq!(machine.offer(0.0, job, 10.0, &mut done), Taken::Yes);
+        assert_eq!(machine.offer(0.0, job, 10.0, &mut done), Admission::Yes);
     }
-    assert_eq!(machine.offer(0.0, 3, 10.0, &mut done), Taken::Full);
+    assert_eq!(machine.offer(0.0, 3, 10.0, &mut done), Admission::Full);
     machine.kill(5.0, &mut done);
     machine.advance(100.0, &mut done);
     assert!(done.is_empty(), "what a dead machine held never ends: {done:?}");
--- a/crates/simulation/tests/written_forms.rs
+++ b/crates/simulation/tests/written_forms.rs
@@ -1,9 +1,9 @@
 //! What is written to files and read again: runs kept with `--json`, and the logs of a fleet. The files in `fixtures/` are
 //! of an earlier version of the program; what comes of them stays the same.
 
-use hillstall_simulation::calls::Fleet;
+use hillstall_simulation::access_log_report::AccessLogReport;
 use hillstall_simulation::report;
-use hillstall_simulation::sim::Tally;
+use hillstall_simulation::sim::RunSummary;
 use std::path::PathBuf;
 
 fn fixture(name: &str) -> PathBuf {
@@ -17,7 +17,7 @@
 #[test]
 fn a_run_is_read_key_by_key_and_written_to_the_same_bytes() {
     let line = text("tally.json");
-    let run: Tally = serde_json::from_str(&line).expect("a run");
+    let run: RunSummary = serde_json::from_str(&line).expect("a run");
     assert_eq!((run.cell.as_str(), run.policy.as_str(), run.seed), ("load.of_capacity=0.4", "hillstall", 7));
     assert_eq!((run.service, run.worst, run.offered), (0.91, 0.82, 1_003));
     assert_eq!((run.late, run.refused, run.failed), (0.01, 0.02, 0.03));
@@ -36,12 +36,12 @@
 
 #[test]
 fn the_table_of_a_run_is_this() {
-    let run: Tally = serde_json::from_str(&text("tally.json")).expect("a run");
+    let run: RunSummary = serde_json::from_str(&text("tally.json")).expect("a run");
     assert_eq!(report::table(&report::groups(vec![run])), text("tally.table.txt"));
 }
 
 #[test]
 fn the_logs_of_a_fleet_come_to_these_tables() {
-    let fleet = Fleet::read(&fixture("calls")).expect("logs");
+    let fleet = AccessLogReport::read(&fixture("calls")).expect("logs");
     assert_eq!(fleet.tables(), text("calls.tables.txt"));
 }
