--- a/crates/proxy-core/src/connect_hedging.rs
+++ b/crates/proxy-core/src/connect_hedging.rs
@@ -20,7 +20,7 @@
 /// Times the median after which a connection is late.
 const LATE: u32 = 4;
 /// The least of that, as a hiccup of a machine is no loss.
-const LATE_LEAST: Duration = Duration::from_millis(10);
+pub const MIN_HEDGE_DELAY: Duration = Duration::from_millis(10);
 /// Second connections earned by each first one, and the most that can be saved up.
 const EARNED: f64 = 0.5;
 const SAVED: f64 = 10.0;
@@ -52,7 +52,7 @@
         let mut took: Vec<Duration> = of.took.iter().copied().collect();
         let middle = took.len() / 2;
         let median = *took.select_nth_unstable(middle).1;
-        Some((median * LATE).max(LATE_LEAST))
+        Some((median * LATE).max(MIN_HEDGE_DELAY))
     }
 
     /// Whether a second connection may be asked for now; it is counted as asked for.
@@ -84,44 +84,3 @@
         self.servers.remove(server);
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const MS: Duration = Duration::from_millis(1);
-
-    fn known(took: &[u32]) -> ConnectHedging<u32> {
-        let mut connects = ConnectHedging::default();
-        took.iter().for_each(|ms| connects.on_connected(1, MS * *ms));
-        connects
-    }
-
-    #[test]
-    fn late_connections_do_not_move_the_wait() {
-        let mut connects = known(&[5, 300, 5, 5, 400, 5, 300]);
-        assert_eq!(connects.hedge_delay(&1), Some(MS * 20));
-        assert_eq!(known(&[1, 1, 1]).hedge_delay(&1), Some(LATE_LEAST));
-    }
-
-    #[test]
-    fn an_unknown_server_and_a_gone_one_get_no_second() {
-        let mut connects = known(&[5, 5]);
-        assert_eq!(connects.hedge_delay(&1), None);
-        connects.on_connected(1, MS * 5);
-        assert!(connects.hedge_delay(&1).is_some());
-        connects.on_failed(&1);
-        assert_eq!(connects.hedge_delay(&1), None);
-        connects.on_connected(1, MS * 5);
-        assert!(connects.hedge_delay(&1).is_some());
-        connects.remove(&1);
-        assert_eq!(connects.hedge_delay(&1), None);
-    }
-
-    #[test]
-    fn all_late_connections_earn_half_as_many_seconds() {
-        let mut connects = known(&[5, 5, 5]);
-        let spent = (0..1000).filter(|_| connects.hedge_delay(&1).is_some() && connects.try_hedge()).count();
-        assert!((500..=510).contains(&spent), "{spent}");
-    }
-}
--- a/crates/proxy-core/src/endpoints.rs
+++ b/crates/proxy-core/src/endpoints.rs
@@ -186,101 +186,14 @@
         self.ids.retain(|_, id| self.places.contains_key(id));
     }
 
+    /// Entries in the tables by address, name and id, for tests of what is forgotten.
+    #[doc(hidden)]
+    pub fn table_sizes(&self) -> (usize, usize, usize) {
+        (self.places.len(), self.names.len(), self.ids.len())
+    }
+
     /// Where a backend is, if any list has named it.
     pub fn backend(&self, id: BackendId) -> Option<BackendAddress> {
         self.places.get(&id).copied()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn list(snapshot: bool, entries: &[(&str, &str, &str)]) -> EndpointList {
-        let endpoints = entries.iter().map(|(name, address, status)| {
-            let entry = serde_json::json!({ "name": name, "address": address, "status": status });
-            serde_json::from_value(entry).expect("an entry")
-        });
-        EndpointList { index: 1, snapshot, endpoints: endpoints.collect() }
-    }
-
-    #[test]
-    fn ids_are_fixed_by_the_name_and_outlive_a_restart() {
-        let mut directory = EndpointDirectory::default();
-        let now = Instant::now();
-        let told = directory.apply(&list(true, &[("s-5be2a07c", "127.0.0.1:1", "ready")]), now);
-        let id = told.infos[0].id;
-        // Changing the hash would give backends other ids at proxies of another version.
-        assert_eq!(id, 0x5124_5f7b);
-        directory.apply(&list(true, &[]), now);
-        assert_eq!(directory.backend(id).map(|p| p.state), Some(BackendState::Gone));
-        let told = directory.apply(&list(false, &[("s-5be2a07c", "127.0.0.1:2", "ready")]), now);
-        assert_eq!((told.infos[0].id, told.stale), (id, vec![id]));
-    }
-
-    #[test]
-    fn only_a_server_that_was_ready_takes_new_calls_for_a_while_after_a_drain_was_told() {
-        let (mut directory, now, grace) =
-            (EndpointDirectory::default(), Instant::now(), Duration::from_secs(1));
-        let one = |status| list(false, &[("a", "127.0.0.1:1", status)]);
-        let ready = directory.apply(&one("ready"), now).infos[0].id;
-        let before = directory.backend(ready).expect("it is listed");
-        let told = directory.apply(&one("draining"), now);
-        assert_eq!((told.leaving, told.stale), (vec![ready], vec![]), "its connections are still of use");
-        // Told once more, it leaves no later.
-        let again = directory.apply(&one("draining"), now + grace / 2);
-        assert!(again.leaving.is_empty() && again.stale.is_empty());
-        let place = directory.backend(ready).expect("it is listed");
-        assert!(place.is_same_process(&before) && place.accepts_new(now + grace * 9 / 10, grace));
-        assert!(!place.accepts_new(now + grace, grace));
-        let told = directory.apply(&list(false, &[("b", "127.0.0.1:2", "draining")]), now);
-        let unknown = directory.backend(told.infos[0].id).expect("it is listed");
-        assert!(!unknown.accepts_new(now, grace), "it may drain for long");
-        assert_eq!(directory.apply(&one("gone"), now).stale, vec![ready]);
-        assert!(!directory.backend(ready).expect("it was listed").accepts_new(now, grace));
-    }
-
-    #[test]
-    fn gone_backends_are_forgotten_once_out_of_use() {
-        let mut directory = EndpointDirectory::default();
-        for n in 0..100 {
-            let name = format!("s-{n}");
-            let infos =
-                directory.apply(&list(true, &[(&name, "127.0.0.1:1", "ready")]), Instant::now()).infos;
-            directory.remove_gone(|id| id != infos[0].id && n % 2 == 0);
-        }
-        assert_eq!((directory.places.len(), directory.names.len(), directory.ids.len()), (1, 1, 1));
-        directory.apply(&list(false, &[("s-99", "127.0.0.1:1", "gone")]), Instant::now());
-        directory.remove_gone(|_| true);
-        assert_eq!(directory.places.len(), 1, "an attempt is still out");
-    }
-
-    #[test]
-    fn two_names_with_one_hash_get_two_ids() {
-        let mut directory = EndpointDirectory::default();
-        let id = directory.id("a");
-        directory.ids.clear();
-        assert_eq!(directory.id("a"), id.wrapping_add(1));
-    }
-
-    #[test]
-    fn a_name_told_twice_counts_by_its_last_word_and_an_address_that_changes_hands_drops_connections() {
-        let (mut directory, now) = (EndpointDirectory::default(), Instant::now());
-        let twice = list(true, &[("a", "127.0.0.1:1", "ready"), ("a", "127.0.0.1:1", "draining")]);
-        let a = directory.apply(&twice, now).infos[0].id;
-        assert_eq!(directory.backend(a).map(|p| p.state), Some(BackendState::Draining));
-        let whole = list(true, &[("a", "127.0.0.1:1", "ready"), ("b", "127.0.0.1:2", "ready")]);
-        let b = directory.apply(&whole, now).infos[1].id;
-        let before = directory.backend(a).expect("it is listed");
-        let swapped = list(true, &[("a", "127.0.0.1:2", "ready"), ("b", "127.0.0.1:1", "ready")]);
-        assert_eq!(directory.apply(&swapped, now).stale, vec![a, b], "their connections lead elsewhere");
-        assert!(!directory.backend(a).expect("it is listed").is_same_process(&before));
-    }
-
-    #[test]
-    fn an_unheard_status_is_not_sent_to() {
-        let list = list(true, &[("a", "127.0.0.1:1", "resting")]);
-        let infos = EndpointDirectory::default().apply(&list, Instant::now()).infos;
-        assert_eq!(infos[0].state, BackendState::Draining);
-    }
-}
--- a/crates/proxy-core/src/lifecycle.rs
+++ b/crates/proxy-core/src/lifecycle.rs
@@ -88,24 +88,3 @@
         self.since.get().elapsed() >= notice
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const NOTICE: Duration = Duration::from_millis(400);
-
-    #[test]
-    fn a_drain_can_be_taken_back_and_a_stop_cannot() {
-        let lifecycle = Lifecycle::new();
-        assert!(!lifecycle.drain(), "there is nothing to drain yet");
-        lifecycle.serve();
-        assert!(lifecycle.drain() && lifecycle.phase() == Phase::Draining);
-        assert!(!lifecycle.closes_idle(NOTICE), "callers are first given notice");
-        assert!(lifecycle.rejoin() && lifecycle.phase() == Phase::Serving);
-        lifecycle.stop(Duration::ZERO);
-        assert!(!lifecycle.rejoin() && !lifecycle.drain() && lifecycle.closes_idle(NOTICE));
-        lifecycle.serve();
-        assert_eq!(lifecycle.phase(), Phase::Stopping);
-    }
-}
--- a/crates/proxy-core/src/limits.rs
+++ b/crates/proxy-core/src/limits.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 /// Descriptors kept for the listeners, discovery, the runtime, the standard streams and the second address.
-const RESERVED_SOCKETS: usize = 32;
+pub const RESERVED_SOCKETS: usize = 32;
 /// The most calls open at once at the second address; the descriptors for them are kept free.
 pub const MAX_ADMIN_CONNECTIONS: usize = 12;
 /// Part of the memory that bodies and answers may take. On its way each byte is held up to three times: as it
@@ -20,7 +20,8 @@
 }
 
 impl ResourceQuota {
-    fn new(most: usize) -> Rc<ResourceQuota> {
+    /// A quota of so much, all of it free.
+    pub fn new(most: usize) -> Rc<ResourceQuota> {
         Rc::new(ResourceQuota { most: Cell::new(most), held: Cell::new(0) })
     }
 
@@ -137,36 +138,3 @@
         self.buffered_bytes.most.set(bytes.max(2 * self.tuning().max_buffered_body));
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_share_gives_no_more_than_it_has_and_takes_back_what_is_dropped() {
-        let share = ResourceQuota::new(10);
-        let first = share.reserve(7).expect("there is room");
-        assert!(share.reserve(4).is_none() && share.reserve(usize::MAX).is_none());
-        let _second = share.reserve(3).expect("there is room");
-        drop(first);
-        assert!(share.reserve(7).is_some());
-    }
-
-    #[test]
-    fn two_processes_together_hold_no_more_than_one() {
-        let (alone, shared) = (Limits::new(384, 48), Limits::new(384, 48));
-        let held =
-            |l: &Limits| l.client_connections.limit() + l.backend_connections.limit() + RESERVED_SOCKETS;
-        let taken =
-            shared.client_connections.reserve(alone.client_connections.limit()).expect("there is room");
-        shared.share_with(1);
-        assert!(
-            2 * held(&shared) <= 384 && 2 * shared.buffered_bytes.limit() <= alone.buffered_bytes.limit()
-        );
-        assert!(shared.client_connections.is_exceeded() && shared.client_connections.reserve(1).is_none());
-        drop(taken);
-        assert!(!shared.client_connections.is_exceeded());
-        shared.share_with(0);
-        assert_eq!(held(&shared), held(&alone));
-    }
-}
--- a/crates/proxy-core/src/metrics.rs
+++ b/crates/proxy-core/src/metrics.rs
@@ -137,34 +137,3 @@
         self.metrics.current.set(self.metrics.current.get() - 1);
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn every_request_is_current_until_it_ends_and_counted_as_it_ended() {
-        let metrics = Rc::new(Metrics {
-            classes: vec![OfClass { name: "a\"b".into(), ..OfClass::default() }],
-            current: Cell::new(0),
-        });
-        let [first, second, left] = [0; 3].map(|class| metrics.begin(class));
-        first.end(RequestOutcome::Answered);
-        second.end(RequestOutcome::Errored);
-        metrics.count(0, RequestOutcome::Deferred);
-        raise(&metrics.sends(0));
-        metrics.unserved(0, UnservedReason::TenantQuota);
-        let cluster = ClusterSize { size: 7, unhealthy: 2 };
-        let of = |current: u32| {
-            format!(
-                "svc_answered{{group=\"a\\\"b\"}} 1\nsvc_deferred{{group=\"a\\\"b\"}} 1\n\
-                 svc_errored{{group=\"a\\\"b\"}} 1\nsvc_sends{{group=\"a\\\"b\"}} 1\n\
-                 svc_unserved{{group=\"a\\\"b\",reason=\"borrow\"}} 1\n\
-                 svc_current {current}\nsvc_cluster_size 7\nsvc_cluster_unhealthy 2\n"
-            )
-        };
-        assert_eq!(metrics.render(cluster), of(1));
-        drop(left);
-        assert_eq!(metrics.render(cluster), of(0));
-    }
-}
--- a/crates/proxy-core/src/pool.rs
+++ b/crates/proxy-core/src/pool.rs
@@ -23,12 +23,12 @@
     pub max_idle: Duration,
     /// The most that are kept for one server while they carry nothing.
     pub max_idle_per_backend: usize,
-    /// Waits for a rest within [`WAIT_MEMORY`] that are borne before another connection is opened.
+    /// Waits for a rest within [`WAIT_COUNT_WINDOW`] that are borne before another connection is opened.
     pub max_waits: u32,
 }
 
 /// The time over which waits for a rest are counted.
-pub const WAIT_MEMORY: Duration = Duration::from_millis(250);
+pub const WAIT_COUNT_WINDOW: Duration = Duration::from_millis(250);
 
 /// What is to be done for an attempt.
 #[derive(Debug, PartialEq, Eq)]
@@ -95,7 +95,7 @@
         let Some(next) = of.idle.front() else { return Checkout::Open };
         let left = rest.saturating_sub(age(next));
         if !waited {
-            if now.saturating_duration_since(of.pinched_at) >= WAIT_MEMORY {
+            if now.saturating_duration_since(of.pinched_at) >= WAIT_COUNT_WINDOW {
                 of.pinches = 0;
                 of.pinched_at = now;
             }
@@ -141,7 +141,7 @@
         self.servers.retain(|_, of| {
             of.idle
                 .retain(|idle| now.saturating_duration_since(idle.since) < idle_most && is_alive(&idle.kept));
-            !of.idle.is_empty() || now.saturating_duration_since(of.pinched_at) < WAIT_MEMORY
+            !of.idle.is_empty() || now.saturating_duration_since(of.pinched_at) < WAIT_COUNT_WINDOW
         });
     }
 
@@ -162,113 +162,3 @@
         self.len() == 0
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const LIMITS: PoolLimits = PoolLimits {
-        min_rest: Duration::from_millis(2),
-        max_idle: Duration::from_secs(1),
-        max_idle_per_backend: 3,
-        max_waits: 2,
-    };
-
-    fn at(port: u16) -> SocketAddr {
-        SocketAddr::from(([127, 0, 0, 1], port))
-    }
-
-    fn ms(n: u64) -> Duration {
-        Duration::from_millis(n)
-    }
-
-    fn pool(kept: &[(u32, u64)]) -> (Pool<u8, u32>, Instant) {
-        let (mut pool, start) = (Pool::new(LIMITS), Instant::now());
-        for (n, after) in kept {
-            assert_eq!(pool.check_in(1, at(1), *n, start + ms(*after)), None);
-        }
-        (pool, start)
-    }
-
-    #[test]
-    fn a_connection_rests_before_it_is_used_again_and_the_one_used_last_goes_first() {
-        let (mut pool, start) = pool(&[(10, 0), (11, 1), (12, 3)]);
-        assert_eq!(pool.check_out(1, at(1), start + ms(4), true, false), Checkout::Reuse(11));
-        assert_eq!(pool.check_out(1, at(1), start + ms(4), true, false), Checkout::Reuse(10));
-        assert_eq!(pool.check_out(1, at(1), start + ms(4), true, false), Checkout::Wait(ms(1)));
-        assert_eq!(pool.check_out(1, at(1), start + ms(5), true, true), Checkout::Reuse(12));
-        assert_eq!(pool.check_out(1, at(1), start + ms(5), true, false), Checkout::Open);
-    }
-
-    #[test]
-    fn only_repeated_waits_open_another_and_only_where_there_is_room() {
-        let (mut pool, start) = pool(&[(10, 0)]);
-        for _ in 0..2 {
-            assert_eq!(pool.check_out(1, at(1), start, true, false), Checkout::Wait(ms(2)));
-            // One attempt that asks again is no second sign of want.
-            assert_eq!(pool.check_out(1, at(1), start + ms(1), true, true), Checkout::Wait(ms(1)));
-        }
-        assert_eq!(pool.check_out(1, at(1), start, false, false), Checkout::Wait(ms(2)));
-        assert_eq!(pool.check_out(1, at(1), start, true, false), Checkout::Open);
-        // Old waits are forgotten.
-        let later = start + WAIT_MEMORY;
-        assert_eq!(pool.check_in(1, at(1), 11, later), None);
-        assert_eq!(pool.check_out(1, at(1), later, true, false), Checkout::Reuse(10));
-        assert_eq!(pool.check_out(1, at(1), later, true, false), Checkout::Wait(ms(2)));
-    }
-
-    #[test]
-    fn a_server_has_so_many_kept_and_the_oldest_goes() {
-        let (mut pool, start) = pool(&[(10, 0), (11, 0), (12, 0)]);
-        for _ in 0..9 {
-            assert_eq!(
-                pool.check_out(1, at(1), start, true, false),
-                Checkout::Wait(ms(2)),
-                "no more than three"
-            );
-        }
-        assert_eq!(pool.check_in(1, at(1), 13, start), Some(10));
-        assert_eq!(pool.len(), 3);
-    }
-
-    #[test]
-    fn what_is_old_dead_elsewhere_or_of_a_silent_server_is_let_go_of() {
-        let (mut dead, start) = pool(&[(10, 0), (11, 0), (12, 500)]);
-        dead.expire(start + ms(600), |n| *n != 11);
-        assert_eq!(dead.len(), 2);
-        dead.expire(start + ms(1_000), |_| true);
-        assert_eq!(dead.len(), 1);
-        dead.remove_older_than(1, start + ms(500));
-        assert!(dead.is_empty() && dead.shed().is_none());
-        let (mut moved, start) = pool(&[(10, 0)]);
-        assert_eq!(
-            moved.check_out(1, at(2), start + ms(9), true, false),
-            Checkout::Open,
-            "it listens elsewhere now"
-        );
-        let (mut old, start) = pool(&[(10, 0)]);
-        assert_eq!(
-            old.check_out(1, at(1), start + ms(1_000), true, false),
-            Checkout::Open,
-            "it may be closed by now"
-        );
-    }
-
-    #[test]
-    fn the_one_that_was_idle_longest_gives_way_whatever_its_server() {
-        let (mut pool, start) = pool(&[(10, 5), (11, 6)]);
-        pool.check_in(2, at(2), 20, start);
-        assert_eq!(
-            [pool.shed(), pool.shed(), pool.shed(), pool.shed()],
-            [Some(20), Some(10), Some(11), None]
-        );
-    }
-
-    #[test]
-    fn a_clock_that_goes_back_keeps_the_order() {
-        let (mut pool, start) = pool(&[(10, 5)]);
-        pool.check_in(1, at(1), 11, start);
-        assert_eq!(pool.check_out(1, at(1), start + ms(6), true, false), Checkout::Wait(ms(1)));
-        assert_eq!(pool.check_out(1, at(1), start + ms(7), true, true), Checkout::Reuse(11));
-    }
-}
--- /dev/null
+++ b/crates/proxy-core/tests/endpoints.rs
@@ -0,0 +1,113 @@
+//! The directory of backends: ids, changes from list to list, and what is forgotten.
+
+use hillstall_decision::{BackendId, BackendState};
+use hillstall_proxy_core::endpoints::{hash, EndpointDirectory, EndpointList};
+use std::collections::HashMap;
+use std::time::{Duration, Instant};
+
+/// An endpoint list with these (name, address, status) entries.
+fn list(snapshot: bool, entries: &[(&str, &str, &str)]) -> EndpointList {
+    let endpoints = entries.iter().map(|(name, address, status)| {
+        let entry = serde_json::json!({ "name": name, "address": address, "status": status });
+        serde_json::from_value(entry).expect("an entry")
+    });
+    EndpointList { index: 1, snapshot, endpoints: endpoints.collect() }
+}
+
+/// The id of a name that no other name has taken.
+fn expected_id(name: &str) -> BackendId {
+    let wide = hash(name.as_bytes());
+    (wide ^ (wide >> 32)) as BackendId
+}
+
+/// Two names whose hashes fold to the same id.
+fn colliding_names() -> (String, String) {
+    let mut names_by_id: HashMap<BackendId, String> = HashMap::new();
+    for number in 0..u32::MAX {
+        let name = format!("s-{number:x}");
+        if let Some(earlier) = names_by_id.insert(expected_id(&name), name.clone()) {
+            return (earlier, name);
+        }
+    }
+    unreachable!("more names than ids");
+}
+
+#[test]
+fn ids_are_fixed_by_the_name_and_outlive_a_restart() {
+    let mut directory = EndpointDirectory::default();
+    let now = Instant::now();
+    let changes = directory.apply(&list(true, &[("s-5be2a07c", "127.0.0.1:1", "ready")]), now);
+    let id = changes.infos[0].id;
+    // Changing the hash would give backends other ids at proxies of another version.
+    assert_eq!(id, 0x5124_5f7b);
+    directory.apply(&list(true, &[]), now);
+    assert_eq!(directory.backend(id).map(|backend| backend.state), Some(BackendState::Gone));
+    let changes = directory.apply(&list(false, &[("s-5be2a07c", "127.0.0.1:2", "ready")]), now);
+    assert_eq!((changes.infos[0].id, changes.stale), (id, vec![id]));
+}
+
+#[test]
+fn only_a_backend_that_was_ready_accepts_new_requests_for_a_while_after_its_drain_was_announced() {
+    let (mut directory, now, grace) = (EndpointDirectory::default(), Instant::now(), Duration::from_secs(1));
+    let with_status = |status| list(false, &[("a", "127.0.0.1:1", status)]);
+    let ready = directory.apply(&with_status("ready"), now).infos[0].id;
+    let before = directory.backend(ready).expect("it is listed");
+    let changes = directory.apply(&with_status("draining"), now);
+    assert_eq!((changes.leaving, changes.stale), (vec![ready], vec![]), "its connections are still of use");
+    // A repeated announcement does not extend the grace period.
+    let repeated = directory.apply(&with_status("draining"), now + grace / 2);
+    assert!(repeated.leaving.is_empty() && repeated.stale.is_empty());
+    let draining = directory.backend(ready).expect("it is listed");
+    assert!(draining.is_same_process(&before) && draining.accepts_new(now + grace * 9 / 10, grace));
+    assert!(!draining.accepts_new(now + grace, grace));
+    let changes = directory.apply(&list(false, &[("b", "127.0.0.1:2", "draining")]), now);
+    let unknown = directory.backend(changes.infos[0].id).expect("it is listed");
+    assert!(!unknown.accepts_new(now, grace), "it may have been draining for long");
+    assert_eq!(directory.apply(&with_status("gone"), now).stale, vec![ready]);
+    assert!(!directory.backend(ready).expect("it was listed").accepts_new(now, grace));
+}
+
+#[test]
+fn gone_backends_are_forgotten_once_out_of_use() {
+    let mut directory = EndpointDirectory::default();
+    for n in 0..100 {
+        let name = format!("s-{n}");
+        let infos = directory.apply(&list(true, &[(&name, "127.0.0.1:1", "ready")]), Instant::now()).infos;
+        directory.remove_gone(|id| id != infos[0].id && n % 2 == 0);
+    }
+    assert_eq!(directory.table_sizes(), (1, 1, 1));
+    directory.apply(&list(false, &[("s-99", "127.0.0.1:1", "gone")]), Instant::now());
+    directory.remove_gone(|_| true);
+    assert_eq!(directory.table_sizes().0, 1, "an attempt is still in flight");
+}
+
+#[test]
+fn two_names_with_one_hash_get_two_ids() {
+    let mut directory = EndpointDirectory::default();
+    let (first, second) = colliding_names();
+    let entries = [(first.as_str(), "127.0.0.1:1", "ready"), (second.as_str(), "127.0.0.1:2", "ready")];
+    let infos = directory.apply(&list(true, &entries), Instant::now()).infos;
+    assert_eq!(infos[0].id, expected_id(&first));
+    assert_eq!(infos[1].id, infos[0].id.wrapping_add(1));
+}
+
+#[test]
+fn the_last_entry_of_a_repeated_name_counts_and_an_address_that_changes_hands_drops_connections() {
+    let (mut directory, now) = (EndpointDirectory::default(), Instant::now());
+    let repeated = list(true, &[("a", "127.0.0.1:1", "ready"), ("a", "127.0.0.1:1", "draining")]);
+    let a = directory.apply(&repeated, now).infos[0].id;
+    assert_eq!(directory.backend(a).map(|backend| backend.state), Some(BackendState::Draining));
+    let both = list(true, &[("a", "127.0.0.1:1", "ready"), ("b", "127.0.0.1:2", "ready")]);
+    let b = directory.apply(&both, now).infos[1].id;
+    let before = directory.backend(a).expect("it is listed");
+    let swapped = list(true, &[("a", "127.0.0.1:2", "ready"), ("b", "127.0.0.1:1", "ready")]);
+    assert_eq!(directory.apply(&swapped, now).stale, vec![a, b], "their connections lead elsewhere");
+    assert!(!directory.backend(a).expect("it is listed").is_same_process(&before));
+}
+
+#[test]
+fn an_unknown_status_is_treated_as_draining() {
+    let list = list(true, &[("a", "127.0.0.1:1", "resting")]);
+    let infos = EndpointDirectory::default().apply(&list, Instant::now()).infos;
+    assert_eq!(infos[0].state, BackendState::Draining);
+}
--- a/crates/proxy-core/tests/words.rs
+++ b/crates/proxy-core/tests/words.rs
@@ -1,22 +1,10 @@
 //! The words of reasons and outcomes in figures and records: other programs read them.
 
-use hillstall_decision::{Class, DedupScope, Outcome, RetrySafety, UnservedReason};
-use hillstall_proxy_core::metrics::{ClusterSize, Metrics};
+mod common;
 
-fn class(name: &str) -> Class {
-    Class {
-        name: name.into(),
-        latency_objective_ms: 100.0,
-        objective_per_work_ms: 0.0,
-        deadline_ms: 200.0,
-        priority_weight: 1.0,
-        late_weight_fraction: 0.0,
-        retry_safety: RetrySafety::NonIdempotent,
-        dedup_scope: DedupScope::All,
-        dedup_window_ms: 0.0,
-        streaming: false,
-    }
-}
+use common::class;
+use hillstall_decision::{Outcome, UnservedReason};
+use hillstall_proxy_core::metrics::{ClusterSize, Metrics};
 
 #[test]
 fn each_reason_is_a_figure_in_this_order() {
