--- /dev/null
+++ b/crates/proxy-core/src/driver/attempts.rs
@@ -0,0 +1,170 @@
+//! Attempts and health checks: each runs in a task of its own, and its outcome becomes an event.
+
+use super::dispatch::QueuedEvent;
+use super::{Driver, State};
+use crate::clock::{duration_from_ms, ms_from_duration, MAX_DURATION};
+use crate::endpoints::BackendAddress;
+use crate::permit::{SendCheck, SendPermit};
+use crate::response::FinalResponse;
+use crate::transport::{Attempt, AttemptResult, RequestPayload, Transport};
+use hillstall_decision::{BackendId, Event, LoadReport, Millis, Outcome, RequestId};
+use std::time::{Duration, Instant};
+use tokio::task::spawn_local;
+
+/// The timeout of an attempt; 0 means none.
+fn attempt_timeout(timeout_ms: Millis) -> Duration {
+    if timeout_ms == 0.0 {
+        MAX_DURATION
+    } else {
+        duration_from_ms(timeout_ms)
+    }
+}
+
+impl<C: Transport> SendCheck for Driver<C> {
+    fn is_request_open(&self, request: RequestId) -> bool {
+        self.state.borrow().requests.get(request).is_some_and(|open| !open.has_response())
+    }
+
+    fn is_backend_current(&self, backend: BackendId, address: &BackendAddress) -> bool {
+        self.state.borrow().directory.backend(backend).is_some_and(|current| {
+            current.is_same_process(address) && current.accepts_new(Instant::now(), self.drain_grace)
+        })
+    }
+}
+
+impl<C: Transport> Driver<C> {
+    /// Starts an attempt, if the interface's promises allow it, whatever the decision module says.
+    pub(super) fn send(
+        &self,
+        state: &mut State<C>,
+        request: RequestId,
+        backend: BackendId,
+        timeout_ms: Millis,
+    ) {
+        let address = state.directory.backend(backend);
+        let open = state.requests.get_mut(request).filter(|open| open.may_start_attempt(self.max_attempts));
+        let (Some(open), Some(address)) = (open, address) else {
+            return Self::report_not_sent(state, request, backend);
+        };
+        let sent_at = Instant::now();
+        let cancelled = open.start_attempt(backend, address.address, sent_at);
+        if let Some(zone) = state.zone_traffic.get_mut(usize::from(address.zone)) {
+            zone.sent += 1;
+        }
+        let payload = open.payload.clone();
+        let deadline = open.deadline;
+        let timeout = attempt_timeout(timeout_ms);
+        let sent_counter = self.metrics.sends(open.class);
+        let weak_self = self.weak_self.clone();
+        spawn_local(async move {
+            let Some(driver) = weak_self.upgrade() else { return };
+            let permit = SendPermit::new(driver.clone(), request, backend, address);
+            let attempt = Attempt {
+                request: payload,
+                backend,
+                address: address.address,
+                deadline,
+                timeout,
+                sent_counter,
+                permit,
+            };
+            let attempt = driver.transport.clone().attempt(attempt);
+            let result = tokio::select! {
+                biased;
+                result = attempt => result,
+                // The attempt was dropped, and its connection closed, before this is reported.
+                Ok(()) = cancelled => AttemptResult::now(Outcome::Cancelled),
+            };
+            driver.attempt_ended(request, backend, sent_at, result);
+        });
+    }
+
+    /// Queues the outcome of an attempt that could not start.
+    fn report_not_sent(state: &mut State<C>, request: RequestId, backend: BackendId) {
+        let open = state.requests.get(request);
+        let event = Event::Outcome {
+            request,
+            attempt: open.map_or(0, |open| open.trace.attempts as u8),
+            backend,
+            outcome: Outcome::NotSent,
+            took_ms: 0.0,
+            ended: open.is_none_or(|open| open.has_response()),
+            report: LoadReport::default(),
+        };
+        state.events.push_back(QueuedEvent::Event(event));
+    }
+
+    fn attempt_ended(
+        &self,
+        request: RequestId,
+        backend: BackendId,
+        sent_at: Instant,
+        result: AttemptResult<C>,
+    ) {
+        let state = &mut *self.state.borrow_mut();
+        let Some(open) = state.requests.get_mut(request) else { return };
+        let Some(attempt) = open.in_flight.take() else { return };
+        open.trace.last_outcome = Some(result.outcome);
+        if let Some(response) = result.response {
+            open.respond(FinalResponse::Served(response));
+        } else if let Some(fault) = result.invalid_request {
+            open.respond(FinalResponse::InvalidRequest(fault));
+        }
+        // A backend begins a request with its last byte, which a slow client may send much later.
+        let begun_at = open.payload.completed_at().map_or(sent_at, |completed| completed.max(sent_at));
+        let event = Event::Outcome {
+            request,
+            attempt: attempt.number,
+            backend,
+            outcome: result.outcome,
+            took_ms: ms_from_duration(result.ended_at.saturating_duration_since(begun_at)),
+            ended: open.has_response(),
+            report: result.load_report,
+        };
+        self.record_zone_outcome(state, backend, result.outcome, &result.load_report);
+        self.handle(state, QueuedEvent::Event(event));
+        state.requests.remove_if_finished(request);
+    }
+
+    /// Counts an attempt that ended with the zone of its backend.
+    fn record_zone_outcome(
+        &self,
+        state: &mut State<C>,
+        backend: BackendId,
+        outcome: Outcome,
+        report: &LoadReport,
+    ) {
+        // Most deployments don't count by zone; these pay for no lookup.
+        if state.zone_traffic.is_empty() {
+            return;
+        }
+        let zone = state.directory.backend(backend).map(|address| usize::from(address.zone));
+        if let Some(traffic) = zone.and_then(|zone| state.zone_traffic.get_mut(zone)) {
+            let index = self.cpu_report_index.filter(|index| *index < usize::from(report.len));
+            let cpu = index.and_then(|index| report.values.get(index)).copied();
+            traffic.record(outcome, cpu);
+        }
+    }
+
+    /// Starts a health check.
+    pub(super) fn probe(&self, state: &State<C>, backend: BackendId) {
+        let weak_self = self.weak_self.clone();
+        let transport = self.transport.clone();
+        let with_report = self.probe_load_report;
+        let address = state.directory.backend(backend);
+        let sent_at = Instant::now();
+        spawn_local(async move {
+            let result = match address {
+                Some(address) => transport.probe(address.address, with_report).await,
+                None => AttemptResult::now(Outcome::NotSent),
+            };
+            let Some(driver) = weak_self.upgrade() else { return };
+            driver.handle_event(Event::ProbeResult {
+                backend,
+                outcome: result.outcome,
+                took_ms: ms_from_duration(result.ended_at.saturating_duration_since(sent_at)),
+                report: result.load_report,
+            });
+        });
+    }
+}
--- a/crates/proxy-core/src/lib.rs
+++ b/crates/proxy-core/src/lib.rs
@@ -1,11 +1,12 @@
-//! What hillstall promises of every call, whatever protocol it came by: one final answer, one attempt out at a
-//! time, one outcome for each attempt, and nothing to a server that drains.
+//! The protocol-neutral part of the proxy. It promises of every request, whatever protocol it came by: one final
+//! response, one attempt in flight at a time, one outcome for each attempt, and nothing new to a draining backend.
 //!
-//! A *front* takes calls and hands them to the [`driver::Driver`]; the driver tells the decision module; the
-//! module says which server is to be tried; a [`transport::Transport`] carries the call there and says how that
-//! ended. Fronts and carriers speak a protocol, and bring payloads and answers of its own. Nothing here knows
-//! any of them, and nothing here decides anything about a call.
+//! The server side of a protocol takes requests and hands them to the [`driver::Driver`]. The driver notifies the
+//! decision module, which says which backend to try. A [`transport::Transport`], the client side of the protocol,
+//! carries the request there and says how that ended. Both sides bring payloads and responses of their own;
+//! nothing here knows any protocol, and nothing here decides anything about a request.
 
+mod clock;
 pub mod connect_hedging;
 pub mod discovery;
 pub mod driver;
@@ -13,7 +14,10 @@
 pub mod lifecycle;
 pub mod limits;
 pub mod metrics;
+pub mod permit;
 pub mod pool;
+pub mod request;
+pub mod response;
 pub mod sockets;
 pub mod transport;
 pub mod tuning;
--- a/crates/proxy-core/src/transport.rs
+++ b/crates/proxy-core/src/transport.rs
@@ -1,57 +1,57 @@
-//! What carries a call to a server. One protocol is one implementation.
+//! The interface to a protocol's client side, which carries requests to backends.
 
-use crate::driver::SendPermit;
 use crate::metrics::Counter;
+use crate::permit::SendPermit;
 use hillstall_decision::{BackendId, LoadReport, Outcome};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What a call holds in its protocol's own form, as far as the driver must know it.
+/// What the driver must know of a request in its protocol's own form.
 pub trait RequestPayload {
-    /// Whether a part of it went out and is not held any more, so that it can't be sent again.
+    /// Whether a part of it was sent and is no longer buffered, so that it can't be sent again.
     fn is_consumed(&self) -> bool;
 
-    /// When its last byte came, for a payload that is still being read while it is sent; `None` for one that
-    /// was whole from the start, or is not whole yet.
+    /// When its last byte arrived, for a payload that is read while it is sent; `None` for one that was complete
+    /// from the start, or is not complete yet.
     fn completed_at(&self) -> Option<Instant>;
 }
 
-/// One attempt of a call.
+/// One attempt to have a request served.
 pub struct Attempt<C: Transport> {
-    /// What is to be carried.
+    /// The request's payload.
     pub request: Rc<C::Request>,
-    /// The server.
+    /// The backend to send to.
     pub backend: BackendId,
-    /// Where it listens.
+    /// The address at which the backend listens.
     pub address: SocketAddr,
-    /// When the caller leaves, where the payload was whole from the start.
+    /// When the client stops waiting, where the payload was complete from the start.
     pub deadline: Instant,
-    /// How long the attempt may take, from its last byte where the payload is still being read.
+    /// How long the attempt may take, counted from its last byte where the payload is still being read.
     pub timeout: Duration,
-    /// Raised when the last byte of the attempt is written.
+    /// Incremented when the last byte of the attempt is written.
     pub sent_counter: Counter,
-    /// Asked right before the first byte goes out, and before anything of it is kept.
+    /// To be checked right before the first byte is written, and before a connection is kept for reuse.
     pub permit: SendPermit<C>,
 }
 
-/// How an attempt ended.
+/// How an attempt or a health check ended.
 pub struct AttemptResult<C: Transport> {
     /// The outcome.
     pub outcome: Outcome,
-    /// When: the last read, where an answer came.
+    /// When it ended; the time of the last read, if there was a response.
     pub ended_at: Instant,
-    /// The server's load report.
+    /// The backend's load report; empty if there was none.
     pub load_report: LoadReport,
-    /// The answer, for [`Outcome::Ok`] alone.
+    /// The response, for [`Outcome::Ok`] alone.
     pub response: Option<C::Response>,
-    /// What a server said of the call itself, and another would say again.
+    /// What the backend found at fault with the request itself, which any other would find as well.
     pub invalid_request: Option<C::InvalidRequest>,
 }
 
 impl<C: Transport> AttemptResult<C> {
-    /// An end without an answer.
+    /// An attempt that ends now without a response.
     pub fn now(outcome: Outcome) -> AttemptResult<C> {
         AttemptResult {
             outcome,
@@ -63,25 +63,25 @@
     }
 }
 
-/// Carries calls to servers.
+/// The client side of one protocol.
 ///
-/// An attempt that is dropped must be over on the wire as well: no byte of it may leave, and no open connection
-/// may still await its answer, once the future is gone.
+/// Dropping the future of an attempt must end the attempt on the wire as well: from then on no byte of it is
+/// written, and no open connection awaits its response.
 pub trait Transport: Sized + 'static {
-    /// A call's payload.
+    /// A request's payload.
     type Request: RequestPayload + 'static;
-    /// A server's answer.
+    /// A backend's response.
     type Response: 'static;
-    /// What a server says of a call that is at fault itself.
+    /// What a backend says of a request that is itself at fault.
     type InvalidRequest: 'static;
 
-    /// Carries a call to a server. When this returns, the call is not out on any open connection any more,
-    /// unless a part of its answer is still to come.
+    /// Sends a request to a backend. When the future is ready, the request is in flight on no open connection,
+    /// unless a part of its response is still to come.
     fn attempt(self: Rc<Self>, attempt: Attempt<Self>) -> impl Future<Output = AttemptResult<Self>>;
 
-    /// Checks a server once; `report` asks for its load as well.
+    /// Checks a backend's health once; `report` asks for its load as well.
     fn probe(self: Rc<Self>, address: SocketAddr, report: bool) -> impl Future<Output = AttemptResult<Self>>;
 
-    /// Lets go of what is kept open to a server and carries nothing.
+    /// Closes the idle connections to a backend.
     fn close_idle(&self, backend: BackendId);
 }
