--- a/crates/fault-injection/src/discovery_server.rs
+++ b/crates/fault-injection/src/discovery_server.rs
@@ -83,7 +83,7 @@
 }
 
 impl DiscoveryServer {
-    /// A list; [`DiscoveryServer::serve`](DiscoveryServer::serve) answers for it.
+    /// A list; [`DiscoveryServer::serve`] answers for it.
     pub fn new(
         history: Rc<History>,
         (callers, who): (Callers, WhoCalls),
