--- /dev/null
+++ b/crates/decision/src/balancer.rs
@@ -0,0 +1,382 @@
+//! The balancer: takes events, asks the module of each subject, and writes the actions that follow. Its
+//! interface is `src/event.rs`, `action.rs`, `settings.rs` and `types.rs`.
+//!
+//! It follows the platform's design: a request is checked against learned limits before each send, is
+//! rejected unsent if it would exceed one, and goes to a backend drawn at random by weight. Where a module
+//! departs from the design, its documentation says so.
+
+use crate::admission::{AdmissionControl, TOP_TIER_LATE_RATIO};
+use crate::attempt_sample;
+use crate::demand::{DemandSkew, CROWDED_FACTOR};
+use crate::endpoints::{DiscoveryBackoff, Endpoints};
+use crate::latency::ClassLatency;
+use crate::limiter::Sample;
+use crate::log_limit::LogLimiter;
+use crate::quota::TenantQuotas;
+use crate::random::RandomSource;
+use crate::request::{Attempt, Completion, PendingRequest};
+use crate::retry::{self, RetryBudget};
+use crate::selection::{SelectionContext, Selector};
+use crate::{Action, BackendInfo, Event, ListKind, Millis, Outcome, RequestId, Settings, UnservedReason};
+use hillstall_overload::capacity::OverloadedCapacity;
+use rustc_hash::FxHashMap;
+
+/// The only timer token in use: poll discovery again.
+const POLL_DISCOVERY: u64 = 1;
+
+/// The decisions of one instance: all that it knows, and nothing shared.
+pub struct Balancer {
+    settings: Settings,
+    random: RandomSource,
+    now: Millis,
+    /// This process's part of the instance's slow start budgets, from 0 to 1.
+    budget_share: f64,
+    endpoints: Endpoints,
+    discovery_backoff: DiscoveryBackoff,
+    requests: FxHashMap<RequestId, PendingRequest>,
+    admission: AdmissionControl,
+    /// The part of the tier that still answers: what the limiters admit follows it at once.
+    capacity: OverloadedCapacity,
+    quotas: TenantQuotas,
+    demand: DemandSkew,
+    latencies: Vec<ClassLatency>,
+    selector: Selector,
+    retry_budget: RetryBudget,
+    log: LogLimiter,
+}
+
+/// What a client has said of a new request.
+struct Arrival {
+    id: RequestId,
+    class: usize,
+    tenant: usize,
+    expected_work: Option<Millis>,
+    timeout: Millis,
+    is_retry: bool,
+}
+
+impl Balancer {
+    /// A balancer that knows its settings and nothing else. Equal seeds and events give equal actions.
+    pub fn new(settings: Settings, seed: u64) -> Balancer {
+        let classes = settings.classes.len();
+        let tenants = settings.tenants.len();
+        Balancer {
+            random: RandomSource::new(seed),
+            now: 0.0,
+            budget_share: 1.0,
+            endpoints: Endpoints::default(),
+            discovery_backoff: DiscoveryBackoff::default(),
+            requests: FxHashMap::default(),
+            admission: AdmissionControl::new(classes),
+            capacity: OverloadedCapacity::default(),
+            quotas: TenantQuotas::new(tenants),
+            demand: DemandSkew::new(tenants),
+            latencies: (0..classes).map(|_| ClassLatency::default()).collect(),
+            selector: Selector::default(),
+            retry_budget: RetryBudget::new(),
+            log: LogLimiter::new(),
+            settings,
+        }
+    }
+
+    /// Takes one event at clock time `now` and appends what is to be done about it.
+    pub fn handle(&mut self, now: Millis, event: Event<'_>, actions: &mut Vec<Action>) {
+        // A clock that stands still or is not a number must not run state backwards.
+        self.now = if now > self.now { now } else { self.now };
+        match event {
+            Event::EndpointsChanged { kind, backends, .. } => {
+                self.on_endpoints_changed(kind, backends, actions);
+            }
+            Event::Request { id, class, tenant, expected_work_ms, timeout_ms, is_retry, .. } => {
+                let arrival = Arrival {
+                    id,
+                    class: class.into(),
+                    tenant: tenant.into(),
+                    expected_work: expected_work_ms,
+                    timeout: timeout_ms,
+                    is_retry,
+                };
+                if !is_retry {
+                    self.demand.record(now, arrival.tenant);
+                }
+                self.update_demand();
+                self.on_request(arrival, actions);
+            }
+            Event::Outcome { request, outcome, took_ms, ended, report, .. } => {
+                let headroom = attempt_sample::headroom(&self.settings, &report);
+                self.on_outcome(request, Completion { outcome, took: took_ms, headroom }, ended, actions);
+            }
+            Event::ClientGone { request } => self.on_client_gone(request, actions),
+            Event::ZoneFraction { zone, fraction, age_ms } => {
+                self.selector.set_zone_fraction(self.now, zone, fraction, age_ms);
+            }
+            Event::Timer { token: POLL_DISCOVERY } => actions.push(Action::Subscribe { on: true }),
+            _ => {}
+        }
+    }
+
+    /// So many other balancers send for the same instance, as while one process takes over from another: this
+    /// one keeps to its part of the slow start budgets.
+    pub fn share_with(&mut self, others: usize) {
+        self.budget_share = 1.0 / (others + 1) as f64;
+    }
+
+    /// How many backends are listed, and how many of those the selection avoids: they are not ready, or so
+    /// unhealthy that they get little more than probes.
+    pub fn listed(&self, now: Millis) -> (usize, usize) {
+        self.endpoints.counts(now)
+    }
+
+    fn on_endpoints_changed(&mut self, kind: ListKind, list: &[BackendInfo], actions: &mut Vec<Action>) {
+        match kind {
+            ListKind::Failed => return self.on_discovery_failure(actions),
+            ListKind::Cached if self.settings.must_subscribe => {
+                actions.push(Action::Subscribe { on: true });
+            }
+            ListKind::Cached => {}
+            ListKind::Delta | ListKind::Full => self.discovery_backoff.reset(),
+        }
+        self.endpoints.apply(kind, list, self.now, &self.settings, &mut self.random);
+        let backends = self.endpoints.all().len();
+        // Only at the top: a request rejected further down wastes the work already done for it.
+        if self.settings.stage > 0 || backends == 0 {
+            return;
+        }
+        if self.admission.set_initial_limits(backends, &self.settings) {
+            self.quotas.fill(self.now, &self.settings);
+        }
+    }
+
+    fn on_discovery_failure(&mut self, actions: &mut Vec<Action>) {
+        self.endpoints.on_discovery_failure();
+        let poll_interval = self.settings.rules.poll_interval_ms;
+        let after_ms = self.discovery_backoff.next_delay(poll_interval, self.random.next_unit());
+        actions.push(Action::SetTimer { after_ms, token: POLL_DISCOVERY });
+        self.log.write(self.now, actions, || format!("discovery failing: asking again in {after_ms:.0} ms"));
+    }
+
+    /// Follows the capacity that answers and the demand on this instance, if that is due; at the top tier
+    /// alone.
+    fn update_demand(&mut self) {
+        if self.settings.stage > 0 || !self.demand.is_due(self.now) {
+            return;
+        }
+        self.capacity.update(self.now, self.endpoints.answering_capacity(self.now, &self.settings.rules));
+        let backends_per_instance = self.admission.tier().backends_per_instance();
+        let is_crowded = self.admission.is_crowded(CROWDED_FACTOR);
+        self.demand.evaluate(self.now, &self.settings, backends_per_instance, is_crowded);
+    }
+
+    fn on_request(&mut self, arrival: Arrival, actions: &mut Vec<Action>) {
+        self.retry_budget.earn();
+        let Arrival { id, class, tenant, expected_work, timeout, is_retry } = arrival;
+        let Some(rules) = self.settings.classes.get(class) else {
+            let reason = UnservedReason::UnknownClass;
+            return actions.push(Action::Reject { request: id, retry_after_ms: 0.0, reason });
+        };
+        self.admission.on_request(self.now, class);
+        // Below the top, where deadlines are not passed on, the full one is given though the client has less
+        // left: an answer after the objective that earns nothing is one nobody waits for.
+        let is_timeout_unknown =
+            !self.settings.passes_deadline && self.settings.stage > 0 && rules.late_weight_fraction == 0.0;
+        let timeout = if is_timeout_unknown { timeout.min(rules.latency_objective_ms) } else { timeout };
+        let backends_per_instance = self.admission.tier().backends_per_instance();
+        let skew = self.demand.value();
+        let request = PendingRequest {
+            class,
+            tenant,
+            expected_work: expected_work.filter(|work| *work > 0.0 && work.is_finite()).unwrap_or(0.0),
+            exceeds_quota: self.quotas.is_exceeded(
+                tenant,
+                self.now,
+                &self.settings,
+                backends_per_instance,
+                skew,
+            ),
+            is_client_retry: is_retry,
+            deadline: self.now + timeout.max(0.0),
+            attempts: 0,
+            in_flight: None,
+            tried: Vec::new(),
+            may_have_run: None,
+            client_gone: false,
+        };
+        self.try_send(id, request, actions);
+    }
+
+    /// Checks the limits and draws a backend. Without capacity or backend the request gets its final answer.
+    fn try_send(&mut self, id: RequestId, request: PendingRequest, actions: &mut Vec<Action>) {
+        let time_left = request.deadline - self.now;
+        let rejection = if self.may_attempt(&request, time_left) {
+            self.check_limits(&request)
+        } else {
+            Some(UnservedReason::NoTimeLeft)
+        };
+        if let Some(reason) = rejection {
+            return self.give_up(id, &request, reason, actions);
+        }
+        match self.select_backend(&request) {
+            Some(place) => self.send(id, request, place, time_left, actions),
+            None => self.give_up(id, &request, UnservedReason::NoBackend, actions),
+        }
+    }
+
+    /// Whether attempts and time are left for another attempt.
+    fn may_attempt(&self, request: &PendingRequest, time_left: Millis) -> bool {
+        let is_allowed =
+            request.attempts < self.settings.permissions.max_attempts && time_left > self.settings.tick_ms;
+        let expected = self.latencies[request.class].expected(request.expected_work);
+        is_allowed && (request.attempts > 0 || self.capacity.fits_deadline(time_left, expected))
+    }
+
+    /// The limiter that rejects a request, if one does.
+    fn check_limits(&mut self, request: &PendingRequest) -> Option<UnservedReason> {
+        let scale = self.demand.value()
+            * self.capacity.scale()
+            * self.capacity.admitted_fraction(request.is_client_retry);
+        self.admission.check(request, scale, self.random.next_unit(), self.settings.fleet_size)
+    }
+
+    fn select_backend(&mut self, request: &PendingRequest) -> Option<usize> {
+        let tier = self.admission.tier();
+        let context = SelectionContext {
+            now: self.now,
+            settings: &self.settings,
+            request,
+            mean_latency: self.latencies[request.class].mean,
+            saturation: tier.latency_ratio() / TOP_TIER_LATE_RATIO,
+            peak_in_flight: tier.peak_in_flight(),
+            budget_share: self.budget_share,
+        };
+        self.selector.select(context, &mut self.endpoints, &mut self.random)
+    }
+
+    fn send(
+        &mut self,
+        id: RequestId,
+        mut request: PendingRequest,
+        place: usize,
+        time_left: Millis,
+        actions: &mut Vec<Action>,
+    ) {
+        let class = &self.settings.classes[request.class];
+        let timeout_ms = retry::attempt_timeout(&request, class, &self.latencies[request.class], time_left);
+        let backend = self.endpoints.at_mut(place);
+        backend.on_send(self.now);
+        request.attempts += 1;
+        request.in_flight = Some(Attempt { backend: backend.info, sent_at: self.now });
+        request.tried.push(backend.info.id);
+        actions.push(Action::Send { request: id, backend: backend.info.id, timeout_ms });
+        self.admission.on_send(self.now, &request);
+        if !request.exceeds_quota && request.attempts == 1 {
+            self.quotas.record(request.tenant, self.now, self.demand.value());
+        }
+        self.requests.insert(id, request);
+    }
+
+    /// The final answer for a request with no attempt in flight: a rejection, or a failure where the client
+    /// must not send it again.
+    fn give_up(
+        &mut self,
+        id: RequestId,
+        request: &PendingRequest,
+        reason: UnservedReason,
+        actions: &mut Vec<Action>,
+    ) {
+        self.log.write(self.now, actions, || format!("not sent: {}", reason.text()));
+        let class = &self.settings.classes[request.class];
+        if !retry::may_client_retry(class, request.may_have_run, self.now) {
+            return actions.push(Action::Fail { request: id, reason });
+        }
+        let retry_after_ms = retry::retry_after(
+            &self.settings.permissions,
+            self.settings.stage,
+            &self.latencies[request.class],
+            || self.random.next_unit(),
+        );
+        actions.push(Action::Reject { request: id, retry_after_ms, reason });
+    }
+
+    fn on_client_gone(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.client_gone = true;
+        if self.settings.permissions.cancel && request.in_flight.is_some() {
+            actions.push(Action::Cancel { request: id, attempt: (request.attempts - 1) as u8 });
+        }
+    }
+
+    fn on_outcome(&mut self, id: RequestId, completion: Completion, ended: bool, actions: &mut Vec<Action>) {
+        let Some(mut request) = self.requests.remove(&id) else { return };
+        let Some(attempt) = request.in_flight.take() else { return };
+        if !completion.outcome.never_ran() && request.may_have_run.is_none() {
+            request.may_have_run = Some(attempt);
+        }
+        self.learn(&request, attempt, completion, actions);
+        self.admission.on_attempt_end(&request);
+        if ended || request.client_gone {
+            return;
+        }
+        let class = &self.settings.classes[request.class];
+        if !retry::may_retry(class, request.may_have_run, completion.outcome, self.now) {
+            self.give_up(id, &request, UnservedReason::NotRetryable, actions);
+        } else if !self.retry_budget.try_spend() {
+            self.give_up(id, &request, UnservedReason::RetryBudget, actions);
+        } else {
+            self.try_send(id, request, actions);
+        }
+    }
+
+    /// Learns from the end of an attempt, which still counts as in flight.
+    fn learn(
+        &mut self,
+        request: &PendingRequest,
+        attempt: Attempt,
+        completion: Completion,
+        actions: &mut Vec<Action>,
+    ) {
+        let Completion { outcome, took, headroom } = completion;
+        let took = if took.is_finite() { took.max(0.0) } else { self.now - attempt.sent_at };
+        let is_sound = self.learn_backend(request, attempt, outcome, took);
+        let completion = Completion { outcome, took, headroom };
+        let finished = attempt_sample::latency_ratio(&self.settings, request, attempt, completion, is_sound);
+        let Some(latency_ratio) = finished else { return };
+        let sample = Sample {
+            sent_at: attempt.sent_at,
+            latency_ratio,
+            headroom: if outcome.was_abandoned() { 0.0 } else { headroom },
+            scale: self.demand.value() * self.capacity.scale(),
+            max_rise: self.capacity.rise(),
+        };
+        if self.admission.learn(self.now, sample, &self.settings) {
+            let (tier, baseline) = (self.admission.tier(), self.admission.baseline_ratio());
+            let (limit, ratio) = (tier.limit(), tier.latency_ratio());
+            self.log.write(self.now, actions, || {
+                format!("tier gate cut to {limit:.1} in flight, stress {ratio:.2}, usual {baseline:.2}")
+            });
+        }
+    }
+
+    /// Updates what is known of latencies and of the backend. Returns whether a failure can be put down to
+    /// the tier.
+    fn learn_backend(
+        &mut self,
+        request: &PendingRequest,
+        attempt: Attempt,
+        outcome: Outcome,
+        took: Millis,
+    ) -> bool {
+        let is_served = outcome == Outcome::Ok;
+        let latency = &mut self.latencies[request.class];
+        let expected = latency.expected(request.expected_work);
+        if is_served {
+            self.selector.record_served(self.now);
+            latency.record(took, request.expected_work);
+        }
+        let Some(backend) = self.endpoints.get_mut(attempt.backend.id) else { return true };
+        let is_sound = backend.on_attempt_end(self.now, request.class, attempt.sent_at, outcome);
+        if is_served && expected > 0.0 {
+            backend.record_slowness(took, expected);
+        }
+        is_sound
+    }
+}
--- /dev/null
+++ b/crates/decision/src/endpoints.rs
@@ -0,0 +1,171 @@
+//! The endpoint list: the backends that discovery names, the order in which this instance takes them into its
+//! subset, and the backoff of polls while discovery fails. The platform's design draws over ready servers and
+//! leaves the list open.
+
+use crate::backend::Backend;
+use crate::random::RandomSource;
+use crate::slow_start::SlowStartBudget;
+use crate::{BackendId, BackendInfo, BackendState, ListKind, Millis, Rules, Settings};
+use rustc_hash::FxHashMap;
+
+/// Time before the first new poll after discovery failed, in milliseconds; doubles with each failure.
+const INITIAL_POLL_BACKOFF_MS: Millis = 300.0;
+/// The most times that the backoff doubles.
+const MAX_BACKOFF_DOUBLINGS: i32 = 5;
+/// Part of the rules' poll interval that a backoff stays within.
+const MAX_BACKOFF_FRACTION: f64 = 1.0 / 4.0;
+/// Least part of a backoff that is waited; the rest is random.
+const MIN_JITTER: f64 = 0.5;
+
+/// The backends of the tier.
+#[derive(Default)]
+pub(crate) struct Endpoints {
+    backends: Vec<Backend>,
+    places: FxHashMap<BackendId, usize>,
+    subset_order: Vec<usize>,
+    /// Whether no update can have been missed since the last list: gaps are reported only where the list is
+    /// subscribed to.
+    is_continuous: bool,
+}
+
+impl Endpoints {
+    /// All backends, also those that are gone and have requests in flight.
+    pub(crate) fn all(&self) -> &[Backend] {
+        &self.backends
+    }
+
+    /// The places of all backends, in the order in which this instance takes them into its subset.
+    pub(crate) fn subset_order(&self) -> &[usize] {
+        &self.subset_order
+    }
+
+    /// The backend at a place.
+    pub(crate) fn at(&self, place: usize) -> &Backend {
+        &self.backends[place]
+    }
+
+    /// The backend at a place.
+    pub(crate) fn at_mut(&mut self, place: usize) -> &mut Backend {
+        &mut self.backends[place]
+    }
+
+    /// The backend with an id, if it is listed or has requests in flight.
+    pub(crate) fn get_mut(&mut self, id: BackendId) -> Option<&mut Backend> {
+        self.places.get(&id).map(|place| &mut self.backends[*place])
+    }
+
+    /// How many backends are listed, and how many of those are avoided.
+    pub(crate) fn counts(&self, now: Millis) -> (usize, usize) {
+        let listed = self.backends.iter().filter(|backend| backend.info.state != BackendState::Gone);
+        let avoided = listed.clone().filter(|backend| backend.is_avoided(now));
+        (listed.count(), avoided.count())
+    }
+
+    /// The capacity of the backends that answer, in ratings.
+    pub(crate) fn answering_capacity(&self, now: Millis, rules: &Rules) -> f64 {
+        let answering = self.backends.iter().filter(|backend| backend.is_answering(now));
+        let capacity = |backend: &Backend| {
+            backend.rating() * backend.warm_fraction(now, rules) * backend.drain_fraction(now, rules)
+        };
+        answering.map(capacity).sum()
+    }
+
+    /// Notes that updates may be missed from now on.
+    pub(crate) fn on_discovery_failure(&mut self) {
+        self.is_continuous = false;
+    }
+
+    /// Takes a list or an update.
+    pub(crate) fn apply(
+        &mut self,
+        kind: ListKind,
+        list: &[BackendInfo],
+        now: Millis,
+        settings: &Settings,
+        random: &mut RandomSource,
+    ) {
+        let previous: Vec<BackendState> = self.backends.iter().map(|backend| backend.info.state).collect();
+        if kind != ListKind::Delta {
+            for backend in &mut self.backends {
+                backend.info.state = BackendState::Gone;
+            }
+        }
+        for info in list {
+            // A random first token, so that many instances do not all send to a new backend at once.
+            let budget = SlowStartBudget::new(random.next_unit(), now);
+            self.apply_entry(*info, &previous, || Backend::new(*info, settings.classes.len(), budget), now);
+        }
+        self.is_continuous = settings.must_subscribe && kind != ListKind::Cached;
+        self.backends.retain(|backend| backend.info.state != BackendState::Gone || backend.in_flight > 0.0);
+        self.places = self.backends.iter().enumerate().map(|(i, backend)| (backend.info.id, i)).collect();
+        self.order_subset(settings);
+    }
+
+    /// Takes one entry; `create` makes its backend if that is unknown or has restarted.
+    fn apply_entry(
+        &mut self,
+        info: BackendInfo,
+        previous: &[BackendState],
+        create: impl FnOnce() -> Backend,
+        now: Millis,
+    ) {
+        match self.places.get(&info.id) {
+            Some(&place) if self.backends[place].info.started_at == info.started_at => {
+                let previous = previous.get(place).copied().unwrap_or(BackendState::Gone);
+                self.backends[place].update(info, previous, self.is_continuous, now);
+            }
+            Some(&place) => {
+                let mut restarted = create();
+                restarted.in_flight = self.backends[place].in_flight;
+                self.backends[place] = restarted;
+            }
+            None => {
+                self.places.insert(info.id, self.backends.len());
+                self.backends.push(create());
+            }
+        }
+    }
+
+    /// Orders the backends: own zone first, each zone a ring of hashed ids that instances enter at places set
+    /// apart by their rank, so that all backends are covered alike.
+    fn order_subset(&mut self, settings: &Settings) {
+        let entry = f64::from(settings.rank) / f64::from(settings.fleet_size) % 1.0;
+        let (mut own, mut other): (Vec<usize>, Vec<usize>) =
+            (0..self.backends.len()).partition(|&place| self.backends[place].info.zone == settings.zone);
+        for ring in [&mut own, &mut other] {
+            ring.sort_by_key(|&place| hashed(self.backends[place].info.id));
+            let start = ((entry * ring.len() as f64) as usize).min(ring.len());
+            ring.rotate_left(start);
+        }
+        own.append(&mut other);
+        self.subset_order = own;
+    }
+}
+
+/// Scatters ids evenly (Fibonacci hashing).
+fn hashed(id: BackendId) -> u64 {
+    u64::from(id).wrapping_mul(0x9E37_79B9_7F4A_7C15).rotate_left(32)
+}
+
+/// The backoff of polls while discovery fails.
+#[derive(Default)]
+pub(crate) struct DiscoveryBackoff {
+    failures: i32,
+}
+
+impl DiscoveryBackoff {
+    /// Discovery has answered.
+    pub(crate) fn reset(&mut self) {
+        self.failures = 0;
+    }
+
+    /// The time until the next poll, in milliseconds: it grows, and is random, yet stays well within the
+    /// interval after which a list counts as known.
+    pub(crate) fn next_delay(&mut self, poll_interval: Millis, random: f64) -> Millis {
+        let max_delay = poll_interval * MAX_BACKOFF_FRACTION;
+        let growth = 2f64.powi(self.failures.min(MAX_BACKOFF_DOUBLINGS));
+        let delay = (INITIAL_POLL_BACKOFF_MS * growth).min(max_delay);
+        self.failures += 1;
+        delay * (MIN_JITTER + random)
+    }
+}
--- a/crates/decision/src/event.rs
+++ b/crates/decision/src/event.rs
@@ -26,7 +26,8 @@
         tenant: u16,
         /// Expected work, where the caller knows it.
         expected_work_ms: Option<Millis>,
-        /// A client's repeat, where clients mark them: it makes no heat, and waits while the tier is short of room.
+        /// A client's repeat, where clients mark them: it makes no heat, and waits while the tier is short of
+        /// room.
         is_retry: bool,
         /// It writes. No decision reads it.
         is_write: bool,
@@ -82,8 +83,8 @@
         /// Its load report, if any.
         report: LoadReport,
     },
-    /// The fleet moves traffic: a zone gets this part of its usual load. A hint: where nothing else is left, calls go
-    /// there all the same.
+    /// The fleet moves traffic: a zone gets this part of its usual load. A hint: where nothing else is left,
+    /// calls go there all the same.
     ZoneFraction {
         /// The zone.
         zone: u16,
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -1,7 +1,7 @@
 //! What a balancer is configured with at its start: classes, tenants, rules, permissions and prices.
 //!
-//! All times are milliseconds unless a name says otherwise. A field that no decision reads says so; it is there because
-//! the platform sends it.
+//! All times are milliseconds unless a name says otherwise. A field that no decision reads says so; it is
+//! there because the platform sends it.
 
 use crate::types::Millis;
 
@@ -147,7 +147,8 @@
     pub peer_messages: bool,
     /// Connections close after this long without use. No decision reads it.
     pub idle_close_ms: Millis,
-    /// An attempt without a connection by then ends as [`Outcome::ConnectFailed`](crate::Outcome::ConnectFailed). No decision reads it.
+    /// An attempt without a connection by then ends as
+    /// [`Outcome::ConnectFailed`](crate::Outcome::ConnectFailed). No decision reads it.
     pub connect_timeout_ms: Millis,
     /// Attempts that one connection carries at once. No decision reads it.
     pub streams_per_connection: u32,
--- a/crates/decision/src/types.rs
+++ b/crates/decision/src/types.rs
@@ -9,7 +9,8 @@
 /// Identifies a backend; survives a restart of its process.
 pub type BackendId = u32;
 
-/// A load report: the first `len` values count, in the order of [`Settings::report`](crate::Settings::report).
+/// A load report: the first `len` values count, in the order of
+/// [`Settings::report`](crate::Settings::report).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// How many values there are; 0 where no report came.
@@ -101,6 +102,11 @@
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
+
+    /// Whether the proxy ended the attempt itself, so that it shows nothing of the backend.
+    pub(crate) fn was_abandoned(self) -> bool {
+        matches!(self, Outcome::Cancelled | Outcome::NotSent)
+    }
 }
 
 /// Why a request ends without having been served: the gate that shut, or what else stood in the way.
--- a/crates/decision/tests/module.rs
+++ b/crates/decision/tests/module.rs
@@ -1,45 +1,78 @@
 //! Keeps the decision module readable and general.
 
 use std::fs;
+use std::path::Path;
 
-fn module() -> String {
-    source("choice.rs")
+/// Lines that a source file stays under.
+const MAX_FILE_LINES: usize = 400;
+/// Characters of the longest line.
+const MAX_LINE_WIDTH: usize = 110;
+/// The files without decisions: the module's interface.
+const INTERFACE: [&str; 5] = ["action.rs", "event.rs", "lib.rs", "settings.rs", "types.rs"];
+
+/// A file under this package's folder.
+fn read(path: &str) -> String {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(path);
+    fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
+}
+
+/// Name and text of every source file.
+fn sources() -> Vec<(String, String)> {
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
+    let entries = fs::read_dir(folder).expect("the source folder");
+    let names = entries.map(|entry| entry.expect("an entry").file_name().into_string().expect("a name"));
+    let mut sources: Vec<_> = names.map(|name| (name.clone(), read(&format!("src/{name}")))).collect();
+    sources.sort();
+    assert!(sources.len() > INTERFACE.len());
+    sources
 }
 
-fn source(name: &str) -> String {
-    let path = format!("{}/src/{name}", env!("CARGO_MANIFEST_DIR"));
-    fs::read_to_string(&path).expect(&path)
+/// A line without the visibility that it may begin with.
+fn without_visibility(line: &str) -> &str {
+    line.strip_prefix("pub(crate) ").or_else(|| line.strip_prefix("pub ")).unwrap_or(line)
 }
 
 #[test]
-fn the_decision_module_keeps_its_size_and_width() {
-    let text = module();
-    let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-    assert!(lines <= 1_200, "{lines} lines that are not blank");
-    for (n, line) in text.lines().enumerate() {
-        assert!(line.chars().count() <= 110, "line {} is too long", n + 1);
+fn every_source_file_keeps_its_size_and_width() {
+    for (name, text) in sources() {
+        let lines = text.lines().count();
+        assert!(lines < MAX_FILE_LINES, "{name} has {lines} lines");
+        for (n, line) in text.lines().enumerate() {
+            assert!(line.chars().count() <= MAX_LINE_WIDTH, "line {} of {name} is too long", n + 1);
+        }
     }
-    assert!(
-        text.lines().take(3).any(|line| line.contains("src/event.rs")),
-        "its interface is named at its top"
-    );
+    let top: Vec<String> = read("src/balancer.rs").lines().take(3).map(String::from).collect();
+    assert!(top.iter().any(|line| line.contains("src/event.rs")), "the interface is named at the top");
 }
 
 #[test]
 fn every_constant_says_what_it_guards() {
-    let text = module();
-    let lines: Vec<&str> = text.lines().collect();
-    for (n, line) in lines.iter().enumerate().filter(|(_, line)| line.starts_with("const ")) {
-        let before = lines[n - 1];
-        assert!(before.starts_with("///") || before.starts_with("const "), "{line}");
+    let mut constants = 0;
+    for (name, text) in sources() {
+        let lines: Vec<&str> = text.lines().collect();
+        for (n, line) in lines.iter().enumerate() {
+            if without_visibility(line).starts_with("const ") {
+                constants += 1;
+                assert!(n > 0 && lines[n - 1].starts_with("///"), "{name}: {line}");
+            }
+        }
+    }
+    assert!(constants >= 50, "{constants} constants found");
+}
+
+#[test]
+fn the_deployment_names_every_file_that_holds_decisions() {
+    let deployment = read("../../deploy/balancer.toml");
+    let policy = deployment.lines().find(|line| line.starts_with("policy = ")).expect("a policy");
+    for (name, _) in sources().iter().filter(|(name, _)| !INTERFACE.contains(&name.as_str())) {
+        assert!(policy.contains(&format!("\"crates/decision/src/{name}\"")), "{name} is not named");
     }
 }
 
 #[test]
 fn the_on_call_page_quotes_lines_that_the_module_writes() {
-    let page =
-        fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/ONCALL.md")).expect("the page");
-    let text = module() + &source("types.rs");
+    let page = read("../../docs/ONCALL.md");
+    let text: String = sources().into_iter().map(|(_, text)| text).collect();
     let quoted: Vec<&str> = page.lines().filter_map(|l| l.strip_prefix("- `")?.split('`').next()).collect();
     assert!(quoted.len() >= 6);
     for line in quoted {
