--- a/crates/lease/src/fencing.rs
+++ b/crates/lease/src/fencing.rs
@@ -1,57 +1,60 @@
-//! The check at whatever carries out an order. What must never happen is prevented here, not where orders are given: an
-//! owner that was stopped between its own check and its act can know nothing of what happened meanwhile.
+//! The fencing check of an instance that carries out a lease holder's commands.
+//!
+//! Stale commands are stopped here and not at the sender: a holder that is suspended between its own check and its act
+//! can't know what has happened meanwhile.
 
 use crate::{FencingToken, LeaseName, Millis};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// An order to a copy. `T` is what is to be done.
+/// A command of a lease holder to an instance. `T` is the value that it sets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FencedCommand<T> {
-    /// By which duty it is given.
+    /// The lease under which it is given.
     pub lease: LeaseName,
-    /// By which grant of it.
+    /// The token of the sender's grant.
     pub token: FencingToken,
-    /// Rises with each order of a grant.
+    /// Increases with each command under the same grant.
     pub sequence: u64,
-    /// How long it holds once it was taken, in milliseconds.
+    /// How long `value` applies after it was accepted, in milliseconds.
     pub valid_for: Millis,
-    /// What holds.
+    /// The value that applies.
     pub value: T,
-    /// What holds when that time is over and nothing newer was heard.
+    /// The value that applies once `valid_for` is over and no newer command was accepted.
     pub fallback: T,
 }
 
-/// Why an order is not carried out.
+/// Why a command was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FencingError {
-    /// This copy has not been told yet which orders are old.
+    /// This instance does not know yet which commands are stale.
     #[error("the gate is closed: no floor was told since the start")]
     NoMinimumToken,
-    /// A newer owner has ordered something, or is known of.
+    /// A newer holder has given a command, or is known to exist.
     #[error("the order's token Token({}) is below Token({})", token.0, minimum.0)]
     StaleToken {
-        /// The order's.
+        /// The command's token.
         token: FencingToken,
-        /// The least that is taken.
+        /// The lowest token that is accepted.
         minimum: FencingToken,
     },
-    /// The same owner has ordered something newer, or this is the same order once more.
+    /// A newer command of the same holder was accepted, or this same command.
     #[error("order {sequence} came after {newest}")]
     StaleSequence {
-        /// The order's number.
+        /// The command's sequence number.
         sequence: u64,
-        /// The newest that was taken.
+        /// The highest sequence number accepted so far.
         newest: u64,
     },
 }
 
-/// What a copy without a disk forgets, and one with a disk stores before it acts.
+/// The oldest command that is still accepted under a lease. An instance with a disk stores it before it acts; one without
+/// loses it at a restart and has to learn it from the replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MinimumToken {
-    /// The least token that is taken.
+    /// The lowest token that is accepted.
     pub token: FencingToken,
-    /// Orders of that token up to this number have been taken.
+    /// The highest sequence number that was accepted under that token.
     pub sequence: Option<u64>,
 }
 
@@ -62,7 +65,7 @@
     valid_until: Millis,
 }
 
-/// The gates of one copy, by duty.
+/// The fencing checks of one instance, by lease. A lease without a known minimum token accepts nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct FencingChecks<T> {
     minimums: BTreeMap<LeaseName, MinimumToken>,
@@ -70,56 +73,57 @@
 }
 
 impl<T> Default for FencingChecks<T> {
-    /// All closed.
+    /// No minimum token is known: nothing is accepted.
     fn default() -> FencingChecks<T> {
         FencingChecks { minimums: BTreeMap::new(), accepted: BTreeMap::new() }
     }
 }
 
 impl<T: Clone> FencingChecks<T> {
-    /// A true read of the keepers, or this copy's own disk, has told a floor: the gate is open from then on.
-    pub fn raise_minimum(&mut self, duty: &LeaseName, floor: MinimumToken) {
-        let known = self.minimums.entry(duty.clone()).or_default();
-        if (floor.token, floor.sequence) > (known.token, known.sequence) {
-            *known = floor;
+    /// Raises the minimum token of a lease, after a linearizable read of the replicas or a read of this instance's own
+    /// disk. From then on commands under that lease can be accepted. A lower minimum than the known one is ignored.
+    pub fn raise_minimum(&mut self, lease: &LeaseName, minimum: MinimumToken) {
+        let known = self.minimums.entry(lease.clone()).or_default();
+        if (minimum.token, minimum.sequence) > (known.token, known.sequence) {
+            *known = minimum;
         }
     }
 
-    /// Whether the order may be carried out, without taking it: gives the floor that has to be stored first, where the
-    /// copy has a disk. [`FencingChecks::accept`] takes it then.
-    pub fn check(&self, order: &FencedCommand<T>) -> Result<MinimumToken, FencingError> {
-        let Some(floor) = self.minimums.get(&order.lease) else { return Err(FencingError::NoMinimumToken) };
-        if order.token < floor.token {
-            return Err(FencingError::StaleToken { token: order.token, minimum: floor.token });
+    /// Checks a command without accepting it. Returns the minimum token that an instance with a disk has to store before
+    /// it calls [`FencingChecks::accept`].
+    pub fn check(&self, command: &FencedCommand<T>) -> Result<MinimumToken, FencingError> {
+        let Some(minimum) = self.minimums.get(&command.lease) else {
+            return Err(FencingError::NoMinimumToken);
+        };
+        if command.token < minimum.token {
+            return Err(FencingError::StaleToken { token: command.token, minimum: minimum.token });
         }
-        match floor.sequence.filter(|_| order.token == floor.token) {
-            Some(newest) if order.sequence <= newest => {
-                Err(FencingError::StaleSequence { sequence: order.sequence, newest })
+        match minimum.sequence.filter(|_| command.token == minimum.token) {
+            Some(newest) if command.sequence <= newest => {
+                Err(FencingError::StaleSequence { sequence: command.sequence, newest })
             }
-            _ => Ok(MinimumToken { token: order.token, sequence: Some(order.sequence) }),
+            _ => Ok(MinimumToken { token: command.token, sequence: Some(command.sequence) }),
         }
     }
 
-    /// Takes an order: from now on it holds, and nothing older does.
-    pub fn accept(&mut self, now: Millis, order: FencedCommand<T>) -> Result<(), FencingError> {
-        let floor = self.check(&order)?;
-        let FencedCommand { lease: duty, valid_for: holds_for, value: what, fallback: after, .. } = order;
-        self.minimums.insert(duty.clone(), floor);
-        self.accepted.insert(
-            duty,
-            AcceptedCommand { value: what, fallback: after, valid_until: now.saturating_add(holds_for) },
-        );
+    /// Checks a command and accepts it: it applies from now on, and nothing older is accepted any more.
+    pub fn accept(&mut self, now: Millis, command: FencedCommand<T>) -> Result<(), FencingError> {
+        let minimum = self.check(&command)?;
+        let FencedCommand { lease, valid_for, value, fallback, .. } = command;
+        let valid_until = now.saturating_add(valid_for);
+        self.minimums.insert(lease.clone(), minimum);
+        self.accepted.insert(lease, AcceptedCommand { value, fallback, valid_until });
         Ok(())
     }
 
-    /// What holds for a duty at `now`; `None` if nothing was ever ordered.
-    pub fn effective_value(&self, duty: &LeaseName, now: Millis) -> Option<&T> {
-        let order = self.accepted.get(duty)?;
-        Some(if now < order.valid_until { &order.value } else { &order.fallback })
+    /// The value that applies under a lease at `now`; `None` if no command was ever accepted.
+    pub fn effective_value(&self, lease: &LeaseName, now: Millis) -> Option<&T> {
+        let command = self.accepted.get(lease)?;
+        Some(if now < command.valid_until { &command.value } else { &command.fallback })
     }
 
-    /// What is known of a duty; `None` while its gate is closed.
-    pub fn minimum(&self, duty: &LeaseName) -> Option<MinimumToken> {
-        self.minimums.get(duty).copied()
+    /// The minimum token of a lease; `None` as long as none is known.
+    pub fn minimum(&self, lease: &LeaseName) -> Option<MinimumToken> {
+        self.minimums.get(lease).copied()
     }
 }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,16 +1,15 @@
-//! One owner at a time for work on behalf of the fleet. Decisions without I/O: time comes as an argument, and equal
-//! arguments give equal answers.
+//! Leases: at most one holder at a time for each kind of work that is done on behalf of the fleet.
 //!
-//! Four parts, each where its promise is kept:
+//! Decisions without I/O: the time is an argument, and equal inputs give equal outputs.
 //!
-//! - [`table`]: who holds which duty, as the keepers agree on it. It knows no clock: what lapses is proposed to it.
-//! - [`expiry`]: when a keeper that leads proposes so; all keepers wait by their own monotonic clocks, with [`timers`].
-//! - [`session`]: what a copy knows of a duty that it holds or stands for; it gives up before it could be given away.
-//! - [`fencing`]: what carries out orders. It refuses those of an older owner, whatever that owner believes.
+//! - [`table`]: the replicated table of grants. It reads no clock; expiry is proposed to it.
+//! - [`expiry`]: when the leading replica proposes an expiry, on each replica's monotonic clock and with [`timers`].
+//! - [`session`]: the client side of one lease. It stops acting before the lease can be granted to another instance.
+//! - [`fencing`]: the check where commands are carried out. It rejects those of an earlier holder.
 //!
-//! A lease bounds how long the others wait; the token bounds the harm. Where clocks run apart by more than
-//! [`timing::LeaseTiming`] states, two copies may believe that they hold one duty; the gates still act in the order of the
-//! tokens.
+//! The lease bounds how long a failover takes; the fencing token keeps it safe. If clocks drift by more than
+//! [`timing::LeaseTiming`] states, two instances may believe that they hold a lease; the fencing checks still accept
+//! commands in the order of the tokens.
 
 pub mod expiry;
 pub mod fencing;
@@ -22,28 +21,30 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Milliseconds of a monotonic clock of one process; they mean nothing to another.
+/// A reading of one process's monotonic clock, or a length of time, in milliseconds. Readings mean nothing to another
+/// process.
 pub type Millis = u64;
 
-/// Most bytes of a duty's name.
+/// Maximum length of a lease's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// The name of a duty, such as `shift/north`.
+/// The name of a lease, such as `shift/north`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct LeaseName(String);
 
-/// A name that can be no duty's.
+/// A text that is not a valid [`LeaseName`]; holds its beginning.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a duty's name has 1 to {MAX_NAME_BYTES} of a-z, 0-9, '-', '.', '_' and '/': {0:?}")]
 pub struct InvalidLeaseName(pub String);
 
 impl LeaseName {
-    /// A duty of that name.
+    /// Checks a name: 1 to [`MAX_NAME_BYTES`] of `a`-`z`, `0`-`9`, `-`, `.`, `_` and `/`.
     pub fn new(name: &str) -> Result<LeaseName, InvalidLeaseName> {
-        let fits = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-._/".contains(&b);
-        if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(fits) {
-            // What is told of a name that is too long is cut: it goes into logs.
+        let is_allowed =
+            |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || b"-._/".contains(&byte);
+        if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(is_allowed) {
+            // Truncated, as the error goes into logs.
             return Err(InvalidLeaseName(name.chars().take(MAX_NAME_BYTES).collect()));
         }
         Ok(LeaseName(name.to_owned()))
@@ -59,8 +60,8 @@
 }
 
 impl From<LeaseName> for String {
-    fn from(duty: LeaseName) -> String {
-        duty.0
+    fn from(name: LeaseName) -> String {
+        name.0
     }
 }
 
@@ -70,16 +71,16 @@
     }
 }
 
-/// One life of one copy. During an upgrade two processes share a rank, and only one of them may hold a duty: the life
-/// tells them apart.
+/// One process of the fleet. During an upgrade two processes share a rank, and only one of them may hold a lease: the
+/// incarnation tells them apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Instance {
-    /// The copy's place in the fleet.
+    /// The instance's position in the fleet; the same over restarts.
     pub rank: u32,
-    /// Drawn anew at each start.
+    /// Chosen at random at each start.
     pub life: u64,
 }
 
-/// Rises with each new grant, over all duties and for ever: also over snapshots, restores and new keepers.
+/// Increases with each grant of any lease and never decreases, also across snapshots, restores and changes of replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingToken(pub u64);
--- a/crates/lease/src/session.rs
+++ b/crates/lease/src/session.rs
@@ -1,45 +1,56 @@
-//! What a copy knows of one duty that it stands for or holds.
+//! The client side of one lease, on an instance that is a candidate for it or holds it.
 //!
-//! To be given a duty is not to hold it: the keepers' wait begins when they give it, and this copy may hear of that much
-//! later. It first renews the grant, and acts from the answer on; that answer cannot be older than its own question.
+//! A grant alone does not let an instance act: the replicas' term starts when they grant the lease, and the instance may
+//! learn of that much later. It first renews the grant and acts on the response; the renewal was applied after the
+//! request was sent, so counting from the sending is safe.
 
 use crate::table::{Grant, LeaseCommand};
 use crate::timing::LeaseTiming;
 use crate::{FencingToken, Instance, LeaseName, Millis};
 
+/// The part of the renew interval by which requests are spread at random.
+const REQUEST_JITTER: f64 = 0.2;
+
+/// A grant that was renewed in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ConfirmedGrant {
     token: FencingToken,
-    until: Millis,
+    valid_until: Millis,
 }
 
-/// See the module's text.
+/// What one instance knows of one lease, and when it sends which request.
 #[derive(Clone, Debug)]
 pub struct LeaseSession {
     lease: LeaseName,
     instance: Instance,
     rank: u8,
     timing: LeaseTiming,
-    held: Option<ConfirmedGrant>,
-    /// Given to this copy, and not renewed yet.
+    confirmed: Option<ConfirmedGrant>,
+    /// Granted to this instance and not renewed yet.
     unconfirmed: Option<FencingToken>,
-    /// The renewals of its grant that it has heard of.
+    /// The number of renewals of its grant that it has observed.
     renewals: u64,
-    /// Grants up to this one are over, whatever a late answer says.
+    /// Grants with this token or a lower one are over, whatever a late response says.
     ended_up_to: FencingToken,
     next_request_at: Millis,
     releasing: bool,
 }
 
 impl LeaseSession {
-    /// A copy that stands for a duty from `now` on. `rank`: lower ones come first.
-    pub fn new(duty: LeaseName, copy: Instance, rank: u8, terms: LeaseTiming, now: Millis) -> LeaseSession {
+    /// Creates the session of an instance that is a candidate from `now` on. Candidates with a lower `rank` are preferred.
+    pub fn new(
+        lease: LeaseName,
+        instance: Instance,
+        rank: u8,
+        timing: LeaseTiming,
+        now: Millis,
+    ) -> LeaseSession {
         LeaseSession {
-            lease: duty,
-            instance: copy,
+            lease,
+            instance,
             rank,
-            timing: terms,
-            held: None,
+            timing,
+            confirmed: None,
             unconfirmed: None,
             renewals: 0,
             ended_up_to: FencingToken::default(),
@@ -48,112 +59,116 @@
         }
     }
 
-    /// The token to act by at `now`; `None` if this copy may not act. Asked right before each act.
+    /// The token to act with at `now`; `None` if this instance must not act. To be asked right before each act.
     pub fn token(&self, now: Millis) -> Option<FencingToken> {
-        self.held.filter(|held| now < held.until).map(|held| held.token)
+        self.confirmed.filter(|grant| now < grant.valid_until).map(|grant| grant.token)
     }
 
-    /// What to propose to the keepers, if it is time, and when it was asked for: the answer is to be given back with
-    /// that. `random` is from 0 to 1; it spreads the copies that stand, so that they do not all ask at once.
+    /// The command to propose to the replicas, if one is due. The caller remembers `now` and passes it with the response to
+    /// [`LeaseSession::on_renewed`]. `random`, from 0 to 1, spreads the requests of several instances.
     pub fn acquire(&mut self, now: Millis, random: f64) -> Option<LeaseCommand> {
         self.expire(now);
         if now < self.next_request_at {
             return None;
         }
-        let wait = self.timing.renew_interval();
-        let spread = (wait as f64 * 0.2 * random.clamp(0.0, 1.0)) as Millis;
-        self.next_request_at = now.saturating_add(wait - spread);
-        let (duty, copy) = (self.lease.clone(), self.instance);
-        Some(match self.held {
-            _ if self.releasing => LeaseCommand::Release { lease: duty, instance: copy },
-            Some(held) => LeaseCommand::Renew {
-                lease: duty,
-                instance: copy,
-                token: held.token,
-                known_renewals: self.renewals,
-            },
-            None => match self.unconfirmed {
-                Some(token) => {
-                    LeaseCommand::Renew { lease: duty, instance: copy, token, known_renewals: self.renewals }
-                }
-                None => LeaseCommand::Acquire { lease: duty, instance: copy, rank: self.rank },
-            },
-        })
+        self.next_request_at = now.saturating_add(self.request_interval(random));
+        Some(self.next_command())
+    }
+
+    fn request_interval(&self, random: f64) -> Millis {
+        let interval = self.timing.renew_interval();
+        let jitter = (interval as f64 * REQUEST_JITTER * random.clamp(0.0, 1.0)) as Millis;
+        interval - jitter
+    }
+
+    fn next_command(&self) -> LeaseCommand {
+        let (lease, instance) = (self.lease.clone(), self.instance);
+        if self.releasing {
+            return LeaseCommand::Release { lease, instance };
+        }
+        match self.confirmed.map(|grant| grant.token).or(self.unconfirmed) {
+            Some(token) => LeaseCommand::Renew { lease, instance, token, known_renewals: self.renewals },
+            None => LeaseCommand::Acquire { lease, instance, rank: self.rank },
+        }
     }
 
-    /// The duty's grant as the keepers have it, by an answer or by what they tell all copies.
+    /// Handles the lease's current grant, from a response or from a notification of the replicas.
     pub fn on_update(&mut self, now: Millis, grant: Option<Grant>) {
         self.expire(now);
-        match grant {
-            Some(grant)
-                if grant.holder == self.instance && grant.token > self.ended_up_to && !self.releasing =>
-            {
-                let known = self.held.map(|held| held.token).max(self.unconfirmed);
-                if known.is_none_or(|known| known < grant.token) {
-                    self.renewals = grant.renewals;
-                } else if known == Some(grant.token) {
-                    self.renewals = self.renewals.max(grant.renewals);
-                }
-                if self.held.is_none() && self.unconfirmed.is_none_or(|found| found < grant.token) {
-                    self.unconfirmed = Some(grant.token);
-                    self.next_request_at = now;
-                }
-            }
-            // Somebody else has it: what this copy was given before is over. News of older grants says nothing.
-            Some(grant) => {
-                if self.held.is_some_and(|held| grant.token > held.token) {
-                    self.give_up();
-                }
-                self.unconfirmed = self.unconfirmed.filter(|found| *found > grant.token);
-            }
-            None => {}
+        let Some(grant) = grant else { return };
+        if grant.holder == self.instance && grant.token > self.ended_up_to && !self.releasing {
+            self.on_own_grant(now, grant);
+        } else {
+            self.on_other_grant(grant.token);
+        }
+    }
+
+    fn on_own_grant(&mut self, now: Millis, grant: Grant) {
+        let known = self.confirmed.map(|confirmed| confirmed.token).max(self.unconfirmed);
+        if known.is_none_or(|known| known < grant.token) {
+            self.renewals = grant.renewals;
+        } else if known == Some(grant.token) {
+            self.renewals = self.renewals.max(grant.renewals);
+        }
+        if self.confirmed.is_none() && self.unconfirmed.is_none_or(|known| known < grant.token) {
+            self.unconfirmed = Some(grant.token);
+            self.next_request_at = now;
+        }
+    }
+
+    /// A newer grant to another instance ends this instance's grants. One with a lower token is old news.
+    fn on_other_grant(&mut self, token: FencingToken) {
+        if self.confirmed.is_some_and(|confirmed| token > confirmed.token) {
+            self.end_confirmed_grant();
         }
+        self.unconfirmed = self.unconfirmed.filter(|unconfirmed| *unconfirmed > token);
     }
 
-    /// The keepers have renewed the grant of this token, as was asked at `asked_at`.
-    pub fn on_renewed(&mut self, now: Millis, asked_at: Millis, token: FencingToken) {
+    /// Handles the response to a renewal of the grant with this token that was sent at `sent_at`.
+    pub fn on_renewed(&mut self, now: Millis, sent_at: Millis, token: FencingToken) {
         self.expire(now);
         if token <= self.ended_up_to || self.releasing {
             return;
         }
-        let until = asked_at.saturating_add(self.timing.hold_duration());
-        match &mut self.held {
-            // An older answer that comes late must not shorten what a newer one gave.
-            Some(held) if held.token == token => held.until = held.until.max(until),
-            Some(held) if held.token > token => {}
-            held => *held = Some(ConfirmedGrant { token, until }),
+        let valid_until = sent_at.saturating_add(self.timing.hold_duration());
+        match &mut self.confirmed {
+            // A late response to an older request must not shorten what a newer one gave.
+            Some(grant) if grant.token == token => grant.valid_until = grant.valid_until.max(valid_until),
+            Some(grant) if grant.token > token => {}
+            confirmed => *confirmed = Some(ConfirmedGrant { token, valid_until }),
         }
         self.unconfirmed = None;
         self.expire(now);
     }
 
-    /// The keepers say that the grant is over.
+    /// Handles a rejection: all grants up to the lease's `newest` token are over.
     pub fn on_rejected(&mut self, newest: FencingToken) {
-        if self.held.is_some_and(|held| newest >= held.token) {
-            self.give_up();
+        if self.confirmed.is_some_and(|grant| newest >= grant.token) {
+            self.end_confirmed_grant();
         }
-        self.unconfirmed = self.unconfirmed.filter(|found| *found > newest);
+        self.unconfirmed = self.unconfirmed.filter(|token| *token > newest);
     }
 
-    /// This copy ends: it acts no more from now on, and tells the keepers, who give the duty to the next in line.
+    /// Gives up the lease or the candidacy: this instance stops acting at once and asks the replicas to grant the lease to
+    /// the next candidate.
     pub fn release(&mut self, now: Millis) {
         self.releasing = true;
-        self.give_up();
+        self.end_confirmed_grant();
         self.unconfirmed = None;
         self.next_request_at = now;
     }
 
-    fn give_up(&mut self) {
-        if let Some(held) = self.held.take() {
-            self.ended_up_to = self.ended_up_to.max(held.token);
+    fn end_confirmed_grant(&mut self) {
+        if let Some(grant) = self.confirmed.take() {
+            self.ended_up_to = self.ended_up_to.max(grant.token);
         }
     }
 
-    /// A grant that ran out may still stand in the keepers' book: it is asked for anew, and acted by only once renewed.
+    /// An expired grant may still be valid in the replicas' table: it has to be renewed before this instance acts again.
     fn expire(&mut self, now: Millis) {
-        if let Some(held) = self.held.filter(|held| now >= held.until) {
-            self.held = None;
-            self.unconfirmed = Some(held.token);
+        if let Some(grant) = self.confirmed.filter(|grant| now >= grant.valid_until) {
+            self.confirmed = None;
+            self.unconfirmed = Some(grant.token);
         }
     }
 }
--- a/crates/lease/src/table.rs
+++ b/crates/lease/src/table.rs
@@ -1,143 +1,168 @@
-//! Who holds which duty, as the keepers agree on it. It is the state of a replicated log: each keeper applies the same
-//! commands in the same order, so nothing in here looks at a clock, and each command may come twice.
+//! The replicated table of leases: holders, candidates and tokens.
+//!
+//! Each replica applies the same commands in the same order, so nothing here reads a clock. Each command may be applied
+//! twice.
 
 use crate::{FencingToken, Instance, LeaseName};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Most duties of a fleet, and most copies that stand for one: what a snapshot carries is bounded.
+/// Maximum number of leases in the table, which bounds the size of a snapshot.
 pub const MAX_LEASES: usize = 1_024;
-/// See [`MAX_LEASES`].
+/// Maximum number of candidates for one lease, which bounds the size of a snapshot.
 pub const MAX_CANDIDATES_PER_LEASE: usize = 64;
 
-/// A duty given to a copy.
+/// A lease granted to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
-    /// Who holds it.
+    /// The instance that holds it.
     pub holder: Instance,
-    /// What its orders carry.
+    /// The token that the holder's commands carry.
     pub token: FencingToken,
-    /// Rises with each renewal, so that a lapse that was proposed before one does nothing.
+    /// Increases with each renewal, so that an expiry proposed before a renewal has no effect.
     pub renewals: u64,
 }
 
-/// A copy that would take a duty.
+/// An instance that waits for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Candidate {
-    /// Who.
+    /// The instance.
     pub instance: Instance,
-    /// Lower ones come first: the copy's site seen from the duty's.
+    /// Candidates with a lower rank are preferred: it states how far the instance's site is from the lease's.
     pub rank: u8,
-    /// Rises with each sign of life.
+    /// Increases with each repeated [`LeaseCommand::Acquire`].
     pub heartbeats: u64,
 }
 
-/// All that the book has of one duty.
+/// The table's entry for one lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRecord {
     grant: Option<Grant>,
-    /// The highest token that was ever given out for it.
+    /// The highest token that was ever granted for it.
     highest_token: FencingToken,
-    /// In the order in which they came.
+    /// In the order of arrival.
     candidates: Vec<Candidate>,
 }
 
+impl Candidate {
+    fn is_same_candidate(&self, other: &Candidate) -> bool {
+        (self.instance, self.rank) == (other.instance, other.rank)
+    }
+}
+
 impl LeaseRecord {
-    /// Whether the same copies hold it and stand for it, however often they have said so since.
+    /// Whether holder, token and candidates are the same, whatever the counts of renewals and heartbeats.
     pub fn has_same_parties(&self, other: &LeaseRecord) -> bool {
-        let grant = |of: &LeaseRecord| of.grant.map(|grant| (grant.holder, grant.token));
-        let same = |a: &Candidate, b: &Candidate| (a.instance, a.rank) == (b.instance, b.rank);
-        grant(self) == grant(other)
+        self.holder_and_token() == other.holder_and_token()
             && self.candidates.len() == other.candidates.len()
-            && self.candidates.iter().zip(&other.candidates).all(|(a, b)| same(a, b))
+            && self.candidates.iter().zip(&other.candidates).all(|(a, b)| a.is_same_candidate(b))
+    }
+
+    fn holder_and_token(&self) -> Option<(Instance, FencingToken)> {
+        self.grant.map(|grant| (grant.holder, grant.token))
+    }
+
+    fn remove_candidate(&mut self, instance: Instance) {
+        self.candidates.retain(|candidate| candidate.instance != instance);
+    }
+
+    /// Grants the lease to the preferred candidate, with a token above all earlier ones; leaves it free if there is none.
+    fn grant_next(&mut self, newest_token: &mut FencingToken) {
+        let preferred = (0..self.candidates.len()).min_by_key(|index| self.candidates[*index].rank);
+        self.grant = preferred.map(|index| {
+            let holder = self.candidates.remove(index).instance;
+            newest_token.0 += 1;
+            self.highest_token = *newest_token;
+            Grant { holder, token: *newest_token, renewals: 0 }
+        });
     }
 }
 
-/// What is proposed to the keepers.
+/// A command to the replicated table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LeaseCommand {
-    /// A copy would take the duty, or gives a sign that it still would. It gets it at once if nobody holds it.
+    /// An instance becomes a candidate, or confirms that it still is one. It is granted a free lease at once.
     Acquire {
-        /// Which.
+        /// The lease.
         lease: LeaseName,
-        /// Who.
+        /// The instance.
         instance: Instance,
         /// See [`Candidate::rank`].
         rank: u8,
     },
-    /// The holder goes on.
+    /// The holder renews its grant.
     Renew {
-        /// Which.
+        /// The lease.
         lease: LeaseName,
-        /// Who.
+        /// The instance.
         instance: Instance,
-        /// By which grant.
+        /// The token of its grant.
         token: FencingToken,
-        /// The renewals of it that the holder has heard of. One that is heard and hears nothing renews once more at the
-        /// most: else it would keep for ever what it can't act by.
+        /// The number of renewals that the holder has observed. A holder whose requests arrive while the responses are
+        /// lost renews at most once more: otherwise it would keep a lease that it can't act on.
         known_renewals: u64,
     },
-    /// The holder goes, and the next one in line has it in the same instant; also one that stands and would no more.
+    /// The holder gives up the lease, which is granted to the next candidate at once; or a candidate withdraws.
     Release {
-        /// Which.
+        /// The lease.
         lease: LeaseName,
-        /// Who.
+        /// The instance.
         instance: Instance,
     },
-    /// A keeper has waited for a whole term since this renewal.
+    /// A replica has waited for a whole term since this renewal.
     Expire {
-        /// Which.
+        /// The lease.
         lease: LeaseName,
-        /// The grant it waited for.
+        /// The token of the grant.
         token: FencingToken,
-        /// What it had counted when it began to wait.
+        /// The number of renewals when its timer started.
         renewals: u64,
     },
-    /// A keeper has waited as long for a sign of one that stands.
+    /// A replica has waited for a whole term for a heartbeat of a candidate.
     RemoveCandidate {
-        /// Which.
+        /// The lease.
         lease: LeaseName,
-        /// Who.
+        /// The instance.
         instance: Instance,
-        /// What it had counted when it began to wait.
+        /// The number of heartbeats when its timer started.
         heartbeats: u64,
     },
 }
 
 impl LeaseCommand {
-    /// The duty it is about.
+    /// The lease that it concerns.
     pub fn lease(&self) -> &LeaseName {
         match self {
-            LeaseCommand::Acquire { lease: duty, .. }
-            | LeaseCommand::Renew { lease: duty, .. }
-            | LeaseCommand::Release { lease: duty, .. }
-            | LeaseCommand::Expire { lease: duty, .. }
-            | LeaseCommand::RemoveCandidate { lease: duty, .. } => duty,
+            LeaseCommand::Acquire { lease, .. }
+            | LeaseCommand::Renew { lease, .. }
+            | LeaseCommand::Release { lease, .. }
+            | LeaseCommand::Expire { lease, .. }
+            | LeaseCommand::RemoveCandidate { lease, .. } => lease,
         }
     }
 }
 
-/// Why a command changed nothing.
+/// Why a command had no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LeaseError {
-    /// It goes by a grant that is over.
+    /// It refers to a grant that is over.
     #[error("the grant is over; the duty's newest token is Token({})", newest.0)]
     GrantEnded {
-        /// The highest token given out for the duty.
+        /// The highest token that was granted for the lease.
         newest: FencingToken,
     },
-    /// It was renewed since, and the holder does not know.
+    /// The grant was renewed, and the holder has not observed that.
     #[error("there was a renewal that the holder has not heard of")]
     UnobservedRenewal,
-    /// There are as many duties as a fleet may have.
+    /// The table has [`MAX_LEASES`] leases.
     #[error("a fleet has at most {MAX_LEASES} duties")]
     TooManyLeases,
-    /// As many stand for it as may.
+    /// The lease has [`MAX_CANDIDATES_PER_LEASE`] candidates.
     #[error("at most {MAX_CANDIDATES_PER_LEASE} copies stand for one duty")]
     TooManyCandidates,
 }
 
-/// See the module's text.
+/// The replicated table of leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseTable {
     newest_token: FencingToken,
@@ -145,107 +170,98 @@
 }
 
 impl LeaseTable {
-    /// Applies what the keepers have agreed on; gives the duty's grant as it is then.
+    /// Applies a committed command and returns the lease's grant after it.
     pub fn apply(&mut self, command: &LeaseCommand) -> Result<Option<Grant>, LeaseError> {
-        if let LeaseCommand::Acquire { lease: duty, instance: copy, rank } = command {
-            return self.add_candidate(duty, *copy, *rank);
+        if let LeaseCommand::Acquire { lease, instance, rank } = command {
+            return self.add_candidate(lease, *instance, *rank);
         }
-        let Some(entry) = self.records.get_mut(command.lease()) else {
+        let Some(record) = self.records.get_mut(command.lease()) else {
             return Err(LeaseError::GrantEnded { newest: FencingToken::default() });
         };
-        let over = Err(LeaseError::GrantEnded { newest: entry.highest_token });
-        match (command, &mut entry.grant) {
-            (LeaseCommand::Renew { instance: copy, token, known_renewals: heard, .. }, Some(grant))
-                if grant.holder == *copy && grant.token == *token =>
+        let grant_ended = LeaseError::GrantEnded { newest: record.highest_token };
+        match (command, &mut record.grant) {
+            (LeaseCommand::Renew { instance, token, known_renewals, .. }, Some(grant))
+                if grant.holder == *instance && grant.token == *token =>
             {
-                if *heard != grant.renewals {
+                if *known_renewals != grant.renewals {
                     return Err(LeaseError::UnobservedRenewal);
                 }
                 grant.renewals += 1;
             }
-            (LeaseCommand::Release { instance: copy, .. }, Some(grant)) if grant.holder == *copy => {
-                entry.candidates.retain(|s| s.instance != *copy);
-                LeaseTable::grant_next(&mut self.newest_token, entry);
-            }
-            (LeaseCommand::Release { instance: copy, .. }, _) => {
-                entry.candidates.retain(|s| s.instance != *copy)
+            (LeaseCommand::Release { instance, .. }, Some(grant)) if grant.holder == *instance => {
+                record.remove_candidate(*instance);
+                record.grant_next(&mut self.newest_token);
             }
+            (LeaseCommand::Release { instance, .. }, _) => record.remove_candidate(*instance),
             (LeaseCommand::Expire { token, renewals, .. }, Some(grant))
                 if grant.token == *token && grant.renewals == *renewals =>
             {
-                LeaseTable::grant_next(&mut self.newest_token, entry);
+                record.grant_next(&mut self.newest_token);
             }
-            (LeaseCommand::RemoveCandidate { instance: copy, heartbeats: signs, .. }, _) => {
-                entry.candidates.retain(|s| s.instance != *copy || s.heartbeats != *signs);
+            (LeaseCommand::RemoveCandidate { instance, heartbeats, .. }, _) => {
+                let is_expired = |candidate: &Candidate| {
+                    candidate.instance == *instance && candidate.heartbeats == *heartbeats
+                };
+                record.candidates.retain(|candidate| !is_expired(candidate));
             }
-            _ => return over,
+            _ => return Err(grant_ended),
         }
-        Ok(self.records.get(command.lease()).and_then(|entry| entry.grant))
+        Ok(record.grant)
     }
 
     fn add_candidate(
         &mut self,
-        duty: &LeaseName,
-        copy: Instance,
+        lease: &LeaseName,
+        instance: Instance,
         rank: u8,
     ) -> Result<Option<Grant>, LeaseError> {
-        if self.records.len() >= MAX_LEASES && !self.records.contains_key(duty) {
+        if self.records.len() >= MAX_LEASES && !self.records.contains_key(lease) {
             return Err(LeaseError::TooManyLeases);
         }
-        let entry = self.records.entry(duty.clone()).or_default();
-        // It has not heard that it holds it. That is no renewal, as this may be an old message of a holder that is gone.
-        if entry.grant.is_some_and(|grant| grant.holder == copy) {
-            return Ok(entry.grant);
+        let record = self.records.entry(lease.clone()).or_default();
+        // The holder has not learned of its grant yet. This renews nothing, as it may be a late message of a holder that
+        // is gone.
+        if record.grant.is_some_and(|grant| grant.holder == instance) {
+            return Ok(record.grant);
         }
-        if let Some(known) = entry.candidates.iter_mut().find(|s| s.instance == copy) {
+        if let Some(known) = record.candidates.iter_mut().find(|candidate| candidate.instance == instance) {
             known.rank = rank;
             known.heartbeats += 1;
-        } else if entry.candidates.len() >= MAX_CANDIDATES_PER_LEASE {
+        } else if record.candidates.len() >= MAX_CANDIDATES_PER_LEASE {
             return Err(LeaseError::TooManyCandidates);
         } else {
-            entry.candidates.push(Candidate { instance: copy, rank, heartbeats: 0 });
+            record.candidates.push(Candidate { instance, rank, heartbeats: 0 });
         }
-        // A holder that is well keeps its duty, whoever would be nearer: duties that move are worth less.
-        if entry.grant.is_none() {
-            LeaseTable::grant_next(&mut self.newest_token, entry);
+        // A live holder is not replaced by a preferred candidate: each change of holder costs more than it gains.
+        if record.grant.is_none() {
+            record.grant_next(&mut self.newest_token);
         }
-        Ok(entry.grant)
-    }
-
-    /// Gives the duty to the first in line, with a token above all that there were.
-    fn grant_next(newest: &mut FencingToken, entry: &mut LeaseRecord) {
-        let next = (0..entry.candidates.len()).min_by_key(|i| entry.candidates[*i].rank);
-        entry.grant = next.map(|next| {
-            let holder = entry.candidates.remove(next).instance;
-            newest.0 += 1;
-            entry.highest_token = *newest;
-            Grant { holder, token: *newest, renewals: 0 }
-        });
+        Ok(record.grant)
     }
 
-    /// Who holds a duty.
-    pub fn grant(&self, duty: &LeaseName) -> Option<Grant> {
-        self.records.get(duty)?.grant
+    /// The current grant of a lease; `None` if nobody holds it.
+    pub fn grant(&self, lease: &LeaseName) -> Option<Grant> {
+        self.records.get(lease)?.grant
     }
 
-    /// The highest token ever given out for a duty: what a gate that knows nothing begins with.
-    pub fn highest_token(&self, duty: &LeaseName) -> FencingToken {
-        self.records.get(duty).map_or(FencingToken::default(), |entry| entry.highest_token)
+    /// The highest token ever granted for a lease: the minimum of a fencing check that knows none. 0 for an unknown lease.
+    pub fn highest_token(&self, lease: &LeaseName) -> FencingToken {
+        self.records.get(lease).map_or(FencingToken::default(), |record| record.highest_token)
     }
 
-    /// What the book has of a duty.
-    pub fn record(&self, duty: &LeaseName) -> Option<&LeaseRecord> {
-        self.records.get(duty)
+    /// The table's entry for a lease.
+    pub fn record(&self, lease: &LeaseName) -> Option<&LeaseRecord> {
+        self.records.get(lease)
     }
 
-    /// Takes over what another book has of a duty: for copies that are told the outcome and not each command.
-    pub fn set_record(&mut self, duty: &LeaseName, entry: LeaseRecord) {
-        self.newest_token = self.newest_token.max(entry.highest_token);
-        self.records.insert(duty.clone(), entry);
+    /// Replaces the entry for a lease, on an instance that is notified of outcomes and does not apply each command.
+    pub fn set_record(&mut self, lease: &LeaseName, record: LeaseRecord) {
+        self.newest_token = self.newest_token.max(record.highest_token);
+        self.records.insert(lease.clone(), record);
     }
 
-    /// All duties, with who holds them and who stands for them.
+    /// All leases by name, each with its grant and its candidates in the order of arrival.
     pub fn leases(&self) -> impl Iterator<Item = (&LeaseName, Option<Grant>, &[Candidate])> {
-        self.records.iter().map(|(duty, entry)| (duty, entry.grant, entry.candidates.as_slice()))
+        self.records.iter().map(|(lease, record)| (lease, record.grant, record.candidates.as_slice()))
     }
 }
