--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -1,183 +1,206 @@
-//! All that can happen, in every order, to a few owners, one place that carries out, and messages that come late, twice or
-//! never: a model check of grants and gates, complete for the bounds stated below. Each planted fault must be found.
+//! A model check of grants and fencing, exhaustive within the bounds below.
+//!
+//! A few holders and one instance that carries out their commands, with messages that arrive late, twice or never, in every
+//! order. Each planted fault must be found.
 
+mod common;
+
+use common::lease_name;
 use hillstall_lease::fencing::{FencedCommand, FencingChecks, MinimumToken};
 use hillstall_lease::table::{LeaseCommand, LeaseTable};
-use hillstall_lease::{FencingToken, Instance, LeaseName};
+use hillstall_lease::{FencingToken, Instance};
 use stateright::{Checker, Model, Property};
 
-/// Owners, grants at the most, and starts of the place that carries out.
-const OWNERS: u32 = 3;
-const GRANTS: u64 = 3;
-const STARTS: u8 = 3;
+const HOLDERS: u32 = 3;
+const MAX_GRANTS: u64 = 3;
+/// How often the instance that carries out commands is started.
+const MAX_STARTS: u8 = 3;
+const NO_STALE_COMMAND: &str = "no command has an effect after one of a later holder";
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fault {
+enum PlantedFault {
     None,
-    /// Orders are carried out whatever their token.
-    NoCheck,
-    /// A start opens the gates before a floor was told.
-    OpenAtStart,
-    /// The floor is what some keeper had, and not a true read.
-    StaleFloor,
+    /// Commands are carried out whatever their token.
+    NoFencingCheck,
+    /// A restarted instance accepts commands before it knows a minimum token.
+    AcceptAtStart,
+    /// The minimum token is read from a replica that lags behind.
+    StaleRead,
 }
 
-struct Fleet(Fault);
+struct FleetModel(PlantedFault);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    book: LeaseTable,
-    /// The book as a keeper had it that was left behind.
-    behind: LeaseTable,
-    /// What each owner last heard that it holds: it may be long over, as owners are stopped and go on.
-    believes: Vec<Option<FencingToken>>,
-    /// Orders under way; they stay, so that each may come late, twice, or never.
+    table: LeaseTable,
+    /// The table of a replica that lags behind.
+    stale_table: LeaseTable,
+    /// The last grant that each holder has learned of. It may be long over, as holders are suspended and go on.
+    known_tokens: Vec<Option<FencingToken>>,
+    /// Commands in flight. They stay, so that each may arrive late, twice or never.
     sent: Vec<FencedCommand<u64>>,
-    gates: FencingChecks<u64>,
+    fencing: FencingChecks<u64>,
     starts: u8,
-    /// The highest token that was ever carried out here, over all starts, and whether one below it was later.
-    highest: FencingToken,
-    fell: bool,
+    /// The highest token ever carried out, over all starts.
+    highest_accepted: FencingToken,
+    /// A command was carried out after one with a higher token.
+    stale_accepted: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Act {
-    Stand(u32),
-    Hear(u32),
-    Lapse,
+enum Action {
+    Acquire(u32),
+    LearnGrant(u32),
+    Expire,
     Send(u32),
     Deliver(usize),
     Restart,
-    Read,
+    ReadMinimum,
 }
 
-fn duty() -> LeaseName {
-    LeaseName::new("shift/north").expect("a name")
+fn holder(rank: u32) -> Instance {
+    Instance { rank, life: 0 }
 }
 
-fn owner(rank: u32) -> Instance {
-    Instance { rank, life: 0 }
+impl State {
+    fn is_candidate(&self, instance: Instance) -> bool {
+        let mut candidates = self.table.leases().flat_map(|(_, _, candidates)| candidates);
+        candidates.any(|candidate| candidate.instance == instance)
+    }
+
+    fn acquire(&mut self, rank: u32) -> Option<()> {
+        if self.is_candidate(holder(rank)) {
+            return None;
+        }
+        self.apply(&LeaseCommand::Acquire { lease: lease_name(), instance: holder(rank), rank: 0 })
+    }
+
+    /// Possible at any time, also while the holder is alive: that covers clocks that drift without bound.
+    fn expire(&mut self) -> Option<()> {
+        let grant = self.table.grant(&lease_name())?;
+        let (token, renewals) = (grant.token, grant.renewals);
+        self.apply(&LeaseCommand::Expire { lease: lease_name(), token, renewals })
+    }
+
+    fn apply(&mut self, command: &LeaseCommand) -> Option<()> {
+        self.stale_table = self.table.clone();
+        self.table.apply(command).ok()?;
+        Some(())
+    }
+
+    fn learn_grant(&mut self, rank: u32) -> Option<()> {
+        let grant = self.table.grant(&lease_name()).filter(|grant| grant.holder == holder(rank))?;
+        self.known_tokens[rank as usize] = Some(grant.token);
+        Some(())
+    }
+
+    fn send(&mut self, rank: u32) -> Option<()> {
+        let token = self.known_tokens[rank as usize]?;
+        let command = FencedCommand {
+            lease: lease_name(),
+            token,
+            sequence: 0,
+            valid_for: 1,
+            value: token.0,
+            fallback: 0,
+        };
+        if self.sent.contains(&command) {
+            return None;
+        }
+        self.sent.push(command);
+        self.sent.sort_by_key(|command| command.token);
+        Some(())
+    }
+
+    fn deliver(&mut self, index: usize, fault: PlantedFault) -> Option<()> {
+        let command = self.sent[index].clone();
+        let token = command.token;
+        if fault != PlantedFault::NoFencingCheck {
+            self.fencing.accept(0, command).ok()?;
+        }
+        self.stale_accepted |= token < self.highest_accepted;
+        self.highest_accepted = self.highest_accepted.max(token);
+        Some(())
+    }
+
+    fn restart(&mut self, fault: PlantedFault) {
+        self.starts += 1;
+        self.fencing = FencingChecks::default();
+        if fault == PlantedFault::AcceptAtStart {
+            self.fencing.raise_minimum(&lease_name(), MinimumToken::default());
+        }
+    }
+
+    fn read_minimum(&mut self, fault: PlantedFault) {
+        let table = if fault == PlantedFault::StaleRead { &self.stale_table } else { &self.table };
+        let minimum = MinimumToken { token: table.highest_token(&lease_name()), sequence: None };
+        self.fencing.raise_minimum(&lease_name(), minimum);
+    }
 }
 
-impl Model for Fleet {
+impl Model for FleetModel {
     type State = State;
-    type Action = Act;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         vec![State {
-            book: LeaseTable::default(),
-            behind: LeaseTable::default(),
-            believes: vec![None; OWNERS as usize],
+            table: LeaseTable::default(),
+            stale_table: LeaseTable::default(),
+            known_tokens: vec![None; HOLDERS as usize],
             sent: Vec::new(),
-            gates: FencingChecks::default(),
+            fencing: FencingChecks::default(),
             starts: 1,
-            highest: FencingToken(0),
-            fell: false,
+            highest_accepted: FencingToken(0),
+            stale_accepted: false,
         }]
     }
 
-    fn actions(&self, state: &State, acts: &mut Vec<Act>) {
-        let newest = state.book.highest_token(&duty());
-        for rank in 0..OWNERS {
-            if newest.0 < GRANTS {
-                acts.push(Act::Stand(rank));
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
+        let can_grant = state.table.highest_token(&lease_name()).0 < MAX_GRANTS;
+        for rank in 0..HOLDERS {
+            if can_grant {
+                actions.push(Action::Acquire(rank));
             }
-            acts.push(Act::Hear(rank));
-            acts.push(Act::Send(rank));
+            actions.push(Action::LearnGrant(rank));
+            actions.push(Action::Send(rank));
         }
-        if newest.0 < GRANTS {
-            acts.push(Act::Lapse);
+        if can_grant {
+            actions.push(Action::Expire);
         }
-        acts.extend((0..state.sent.len()).map(Act::Deliver));
-        if state.starts < STARTS {
-            acts.push(Act::Restart);
+        actions.extend((0..state.sent.len()).map(Action::Deliver));
+        if state.starts < MAX_STARTS {
+            actions.push(Action::Restart);
         }
-        acts.push(Act::Read);
+        actions.push(Action::ReadMinimum);
     }
 
-    fn next_state(&self, last: &State, act: Act) -> Option<State> {
+    fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
-        let grant = state.book.grant(&duty());
-        match act {
-            Act::Stand(rank) => {
-                let signs = state.book.leases().flat_map(|(_, _, standing)| standing);
-                if signs.into_iter().any(|one| one.instance == owner(rank)) {
-                    return None;
-                }
-                state.behind = state.book.clone();
-                state
-                    .book
-                    .apply(&LeaseCommand::Acquire { lease: duty(), instance: owner(rank), rank: 0 })
-                    .ok()?;
-            }
-            // At any time, also while the holder is well: that stands for clocks that run apart without bound.
-            Act::Lapse => {
-                let grant = grant?;
-                state.behind = state.book.clone();
-                let lapse =
-                    LeaseCommand::Expire { lease: duty(), token: grant.token, renewals: grant.renewals };
-                state.book.apply(&lapse).ok()?;
-            }
-            Act::Hear(rank) => {
-                let grant = grant.filter(|grant| grant.holder == owner(rank))?;
-                state.believes[rank as usize] = Some(grant.token);
-            }
-            Act::Send(rank) => {
-                let token = state.believes[rank as usize]?;
-                let order = FencedCommand {
-                    lease: duty(),
-                    token,
-                    sequence: 0,
-                    valid_for: 1,
-                    value: token.0,
-                    fallback: 0,
-                };
-                if state.sent.contains(&order) {
-                    return None;
-                }
-                state.sent.push(order);
-                state.sent.sort_by_key(|order| order.token);
-            }
-            Act::Deliver(i) => {
-                let order = state.sent[i].clone();
-                let token = order.token;
-                if self.0 != Fault::NoCheck {
-                    state.gates.accept(0, order).ok()?;
-                }
-                state.fell |= token < state.highest;
-                state.highest = state.highest.max(token);
-            }
-            Act::Restart => {
-                state.starts += 1;
-                state.gates = FencingChecks::default();
-                if self.0 == Fault::OpenAtStart {
-                    state.gates.raise_minimum(&duty(), MinimumToken::default());
-                }
-            }
-            Act::Read => {
-                let from = if self.0 == Fault::StaleFloor { &state.behind } else { &state.book };
-                state.gates.raise_minimum(
-                    &duty(),
-                    MinimumToken { token: from.highest_token(&duty()), sequence: None },
-                );
-            }
+        match action {
+            Action::Acquire(rank) => state.acquire(rank)?,
+            Action::Expire => state.expire()?,
+            Action::LearnGrant(rank) => state.learn_grant(rank)?,
+            Action::Send(rank) => state.send(rank)?,
+            Action::Deliver(index) => state.deliver(index, self.0)?,
+            Action::Restart => state.restart(self.0),
+            Action::ReadMinimum => state.read_minimum(self.0),
         }
         Some(state).filter(|state| state != last)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no order has an effect after one of a later owner", |_, s: &State| !s.fell),
-            Property::sometimes("the last grant is carried out after a restart", |_, s: &State| {
-                s.highest == FencingToken(GRANTS) && s.starts == STARTS
+            Property::always(NO_STALE_COMMAND, |_, state: &State| !state.stale_accepted),
+            Property::sometimes("the last grant has an effect after a restart", |_, state: &State| {
+                state.highest_accepted == FencingToken(MAX_GRANTS) && state.starts == MAX_STARTS
             }),
         ]
     }
 }
 
 #[test]
-fn no_order_has_an_effect_after_one_of_a_later_owner() {
-    let checker = Fleet(Fault::None).checker().threads(2).spawn_bfs().join();
+fn no_command_has_an_effect_after_one_of_a_later_holder() {
+    let checker = FleetModel(PlantedFault::None).checker().threads(2).spawn_bfs().join();
     checker.assert_properties();
     assert!(checker.is_done());
     println!("{} states, {} unique", checker.state_count(), checker.unique_state_count());
@@ -185,9 +208,8 @@
 
 #[test]
 fn each_planted_fault_is_found() {
-    for fault in [Fault::NoCheck, Fault::OpenAtStart, Fault::StaleFloor] {
-        let checker = Fleet(fault).checker().threads(2).spawn_bfs().join();
-        let found = checker.discovery("no order has an effect after one of a later owner");
-        assert!(found.is_some(), "{fault:?} was not found");
+    for fault in [PlantedFault::NoFencingCheck, PlantedFault::AcceptAtStart, PlantedFault::StaleRead] {
+        let checker = FleetModel(fault).checker().threads(2).spawn_bfs().join();
+        assert!(checker.discovery(NO_STALE_COMMAND).is_some(), "{fault:?} was not found");
     }
 }
