--- a/crates/change-freeze/src/detection.rs
+++ b/crates/change-freeze/src/detection.rs
@@ -1,28 +1,30 @@
-//! What a coordinator makes of the copies' reports: incidents that open when something is bad for long enough, and close
-//! when it was well for longer. It proposes only; the register has the last word.
+//! How a coordinator derives incidents from the instances' reports.
+//!
+//! An incident opens when a level was high for long enough, and closes when it was low for longer. The detector only
+//! proposes commands; the replicated state decides.
 
 use crate::rules::Severity;
 use crate::scope::Scope;
-use crate::state::{FreezeCommand, FreezeState, Requester};
+use crate::state::{FreezeCommand, FreezeState, Incident, Requester};
 use crate::Millis;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// What is watched.
+/// What is observed of a part of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Symptom {
-    /// The part of a site's calls that no server of it answered.
+    /// The fraction of a site's requests that none of its backends answered.
     Unanswered,
-    /// The part of the calls that were refused.
+    /// The fraction of requests that were rejected.
     Rejected,
-    /// The part of the calls that failed.
+    /// The fraction of requests that failed.
     Failed,
-    /// 1 if one more keeper lost would end the quorum.
+    /// 1 if the loss of one more replica would end the quorum.
     QuorumMargin,
 }
 
 impl fmt::Display for Symptom {
-    /// The form that stands in an incident's evidence. It is replicated, so every version has to write the same bytes.
+    /// The word for it in an incident's evidence. It is replicated, so every version has to write the same bytes.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Symptom::Unanswered => "Lost",
@@ -33,33 +35,33 @@
     }
 }
 
-/// A figure of now, from reports that are young enough.
+/// A current level, from reports that are recent enough.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
-    /// Where.
+    /// The part of the fleet that it concerns.
     pub scope: Scope,
-    /// What.
+    /// What was observed.
     pub symptom: Symptom,
-    /// From 0 to 1.
+    /// The level, from 0 to 1.
     pub level: f64,
 }
 
-/// When a sign is an incident.
+/// When a symptom is an incident.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Threshold {
-    /// From this level on it is bad.
+    /// An incident opens at this level or above.
     pub opens_at: f64,
-    /// Below this one it is well; between the two nothing changes.
+    /// An incident closes below this level; between the two nothing changes.
     pub closes_below: f64,
-    /// For how long it must be bad.
+    /// How long the level must stay at or above `opens_at`, in milliseconds.
     pub opens_after: Millis,
-    /// For how long it must be well.
+    /// How long the level must stay below `closes_below`, in milliseconds.
     pub closes_after: Millis,
-    /// How bad it is.
+    /// The severity of the incident.
     pub severity: Severity,
 }
 
-/// The limits of all signs.
+/// The thresholds of all symptoms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
     /// See [`Symptom::Unanswered`].
@@ -72,28 +74,32 @@
     pub quorum_margin: Threshold,
 }
 
+/// How long a level must be low before an incident closes, by default.
+const DEFAULT_CLOSES_AFTER_MS: Millis = 10_000;
+
 impl Default for Thresholds {
-    /// Half of a site's calls lost for a second, a fifth of all refused or a tenth failed for three; well again for ten.
+    /// Opens at half of a site's requests unanswered for 1 s, a fifth rejected or a tenth failed for 3 s, or a quorum
+    /// without margin for 5 s; closes after 10 s at a low level.
     fn default() -> Thresholds {
-        let limit = |bad, well, opens_after, severity| Threshold {
-            opens_at: bad,
-            closes_below: well,
+        let threshold = |opens_at, closes_below, opens_after, severity| Threshold {
+            opens_at,
+            closes_below,
             opens_after,
-            closes_after: 10_000,
+            closes_after: DEFAULT_CLOSES_AFTER_MS,
             severity,
         };
         Thresholds {
-            unanswered: limit(0.5, 0.1, 1_000, Severity::Major),
-            rejected: limit(0.2, 0.05, 3_000, Severity::Major),
-            failed: limit(0.1, 0.03, 3_000, Severity::Major),
-            quorum_margin: limit(1.0, 0.5, 5_000, Severity::Minor),
+            unanswered: threshold(0.5, 0.1, 1_000, Severity::Major),
+            rejected: threshold(0.2, 0.05, 3_000, Severity::Major),
+            failed: threshold(0.1, 0.03, 3_000, Severity::Major),
+            quorum_margin: threshold(1.0, 0.5, 5_000, Severity::Minor),
         }
     }
 }
 
 impl Thresholds {
-    fn get(&self, sign: Symptom) -> Threshold {
-        match sign {
+    fn get(&self, symptom: Symptom) -> Threshold {
+        match symptom {
             Symptom::Unanswered => self.unanswered,
             Symptom::Rejected => self.rejected,
             Symptom::Failed => self.failed,
@@ -102,7 +108,7 @@
     }
 }
 
-/// Since when a sign is bad or well.
+/// The last level of a symptom, and since when it is above or below its threshold.
 #[derive(Clone, Copy, Debug, Default)]
 struct SymptomState {
     above_since: Option<Millis>,
@@ -111,78 +117,118 @@
     observed_at: Millis,
 }
 
-/// What a coordinator remembers; a new one begins with nothing but the register.
+impl SymptomState {
+    fn observe(&mut self, now: Millis, level: f64, threshold: Threshold) {
+        (self.level, self.observed_at) = (level, now);
+        self.above_since = (level >= threshold.opens_at).then(|| self.above_since.unwrap_or(now));
+        self.below_since = (level < threshold.closes_below).then(|| self.below_since.unwrap_or(now));
+    }
+
+    fn opens(&self, now: Millis, threshold: Threshold) -> bool {
+        has_lasted(self.above_since, now, threshold.opens_after)
+    }
+
+    fn closes(&self, now: Millis, threshold: Threshold) -> bool {
+        has_lasted(self.below_since, now, threshold.closes_after)
+    }
+}
+
+fn has_lasted(since: Option<Millis>, now: Millis, duration: Millis) -> bool {
+    since.is_some_and(|since| now.saturating_sub(since) >= duration)
+}
+
+/// The symptoms that a coordinator has observed. A new coordinator starts without any.
 #[derive(Clone, Debug)]
 pub struct Detector {
     thresholds: Thresholds,
     symptoms: BTreeMap<(Scope, Symptom), SymptomState>,
 }
 
-/// A sign that was not heard of for so long says nothing any more.
+/// A symptom that was not observed for this long is dropped.
 const OBSERVATION_TTL_MS: Millis = 10_000;
 
 impl Detector {
-    /// One that has seen nothing yet.
-    pub fn new(limits: Thresholds) -> Detector {
-        Detector { thresholds: limits, symptoms: BTreeMap::new() }
+    /// Creates a detector without observations.
+    pub fn new(thresholds: Thresholds) -> Detector {
+        Detector { thresholds, symptoms: BTreeMap::new() }
     }
 
-    /// Takes the facts of now and gives what is to be proposed, by the coordinator's token.
+    /// Records the current observations and returns the commands to propose with the coordinator's token: first incidents
+    /// to open, then incidents to resolve.
     pub fn poll(
         &mut self,
         now: Millis,
-        facts: &[Observation],
-        register: &FreezeState,
+        observations: &[Observation],
+        state: &FreezeState,
         token: u64,
     ) -> Vec<FreezeCommand> {
-        for fact in facts.iter().filter(|fact| fact.level.is_finite()) {
-            let limit = self.thresholds.get(fact.symptom);
-            let course = self.symptoms.entry((fact.scope.clone(), fact.symptom)).or_default();
-            (course.level, course.observed_at) = (fact.level, now);
-            let since = |was: Option<Millis>, is: bool| is.then(|| was.unwrap_or(now));
-            course.above_since = since(course.above_since, fact.level >= limit.opens_at);
-            course.below_since = since(course.below_since, fact.level < limit.closes_below);
+        self.record(now, observations);
+        let mut commands = self.incidents_to_open(now, state, token);
+        commands.extend(self.incidents_to_resolve(now, state, token));
+        commands
+    }
+
+    fn record(&mut self, now: Millis, observations: &[Observation]) {
+        for observation in observations.iter().filter(|observation| observation.level.is_finite()) {
+            let threshold = self.thresholds.get(observation.symptom);
+            let key = (observation.scope.clone(), observation.symptom);
+            self.symptoms.entry(key).or_default().observe(now, observation.level, threshold);
         }
-        self.symptoms.retain(|_, course| now.saturating_sub(course.observed_at) < OBSERVATION_TTL_MS);
-        let long = |since: Option<Millis>, for_: Millis| since.is_some_and(|s| now.saturating_sub(s) >= for_);
+        self.symptoms.retain(|_, symptom| now.saturating_sub(symptom.observed_at) < OBSERVATION_TTL_MS);
+    }
+
+    /// The symptoms that have been at or above their threshold for long enough.
+    fn open_symptoms(&self, now: Millis) -> impl Iterator<Item = (&Scope, Symptom, &SymptomState)> {
+        self.symptoms
+            .iter()
+            .filter(move |((_, symptom), state)| state.opens(now, self.thresholds.get(*symptom)))
+            .map(|((scope, symptom), state)| (scope, *symptom, state))
+    }
+
+    fn incidents_to_open(&self, now: Millis, state: &FreezeState, token: u64) -> Vec<FreezeCommand> {
         let mut commands = Vec::new();
-        let mut bad = Vec::new();
-        for ((scope, sign), course) in &self.symptoms {
-            let limit = self.thresholds.get(*sign);
-            if !long(course.above_since, limit.opens_after) {
-                continue;
-            }
-            bad.push(scope);
-            let known = register.incidents().values().any(|i| {
-                matches!(i.opened_by, Requester::Rule(_))
-                    && !i.cooling_down
-                    && i.scope == *scope
-                    && i.severity >= limit.severity
-            });
-            if !known {
-                let evidence = format!("{sign} at {:.2}, limit {:.2}", course.level, limit.opens_at);
-                let (severity, scope, by) = (limit.severity, scope.clone(), Requester::Rule(token));
-                commands.push(FreezeCommand::OpenIncident { severity, scope, evidence, opened_by: by });
-            }
-        }
-        for (number, incident) in register.incidents() {
-            if !matches!(incident.opened_by, Requester::Rule(_))
-                || incident.cooling_down
-                || incident.assignee.is_some()
-            {
-                continue;
-            }
-            let mut of = self.symptoms.iter().filter(|((scope, _), _)| *scope == incident.scope).peekable();
-            // A coordinator that hears nothing of a place can't say that it is well.
-            let heard = of.peek().is_some();
-            let well = of.all(|((_, sign), c)| long(c.below_since, self.thresholds.get(*sign).closes_after));
-            if heard && well && !bad.contains(&&incident.scope) {
-                commands.push(FreezeCommand::ResolveIncident {
-                    incident: *number,
-                    resolved_by: Requester::Rule(token),
+        for (scope, symptom, observed) in self.open_symptoms(now) {
+            let threshold = self.thresholds.get(symptom);
+            let is_open = |incident: &Incident| {
+                incident.is_opened_by_rule()
+                    && !incident.cooling_down
+                    && incident.scope == *scope
+                    && incident.severity >= threshold.severity
+            };
+            if !state.incidents().values().any(is_open) {
+                commands.push(FreezeCommand::OpenIncident {
+                    severity: threshold.severity,
+                    scope: scope.clone(),
+                    evidence: format!("{symptom} at {:.2}, limit {:.2}", observed.level, threshold.opens_at),
+                    opened_by: Requester::Rule(token),
                 });
             }
         }
         commands
     }
+
+    fn incidents_to_resolve(&self, now: Millis, state: &FreezeState, token: u64) -> Vec<FreezeCommand> {
+        let open_scopes: BTreeSet<&Scope> = self.open_symptoms(now).map(|(scope, ..)| scope).collect();
+        let is_resolved = |incident: &Incident| {
+            incident.is_resolvable_by_rule()
+                && !incident.cooling_down
+                && self.has_recovered(now, &incident.scope)
+                && !open_scopes.contains(&incident.scope)
+        };
+        let resolved = state.incidents().iter().filter(|(_, incident)| is_resolved(incident));
+        resolved
+            .map(|(number, _)| FreezeCommand::ResolveIncident {
+                incident: *number,
+                resolved_by: Requester::Rule(token),
+            })
+            .collect()
+    }
+
+    /// Whether all symptoms of a scope have been below their threshold for long enough. A scope without observations has
+    /// not recovered: nothing is known of it.
+    fn has_recovered(&self, now: Millis, scope: &Scope) -> bool {
+        let mut observed = self.symptoms.iter().filter(|((other, _), _)| other == scope).peekable();
+        observed.peek().is_some()
+            && observed.all(|((_, symptom), state)| state.closes(now, self.thresholds.get(*symptom)))
+    }
 }
--- a/crates/change-freeze/src/rules.rs
+++ b/crates/change-freeze/src/rules.rs
@@ -1,80 +1,85 @@
-//! Which changes an incident bars. The rules in [`PRECEDENCE`] are asked in this order, and the first that speaks
-//! decides; the operators' page shows the same table, and a test holds the two together.
+//! Which changes an incident blocks.
+//!
+//! The rules in [`PRECEDENCE`] apply in that order, and the first that matches decides. The operators' page shows the same
+//! table, and a test compares the two.
 
 use crate::scope::Scope;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// How bad an incident is.
+/// The severity of an incident.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Severity {
-    /// Bars what takes capacity away from the part it touches.
+    /// Blocks changes that reduce capacity, within its scope.
     Minor,
-    /// Bars every change of the part it touches.
+    /// Blocks all changes within its scope.
     Major,
-    /// Bars every change of the fleet.
+    /// Blocks all changes of the fleet.
     Critical,
 }
 
-/// What alters the fleet on purpose.
+/// A kind of deliberate change to the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ChangeKind {
     /// A new operator file.
     OperatorFile,
     /// A new version of the program.
     Upgrade,
-    /// A copy that is emptied.
+    /// An instance that drains.
     Drain,
-    /// The maintenance of a site.
+    /// Maintenance of a site.
     Window,
-    /// A keeper that is replaced.
+    /// A replica that is replaced.
     Replica,
     /// A roll-out of settings.
     Settings,
 }
 
-/// Defines the words of a type that people write, both ways.
+/// Defines the words for an enum's variants, with conversions both ways.
 macro_rules! words {
-    ($of:ident, $what:literal, $($value:ident = $word:literal),+) => {
-        impl $of {
-            /// All of them, in order.
-            pub const ALL: &'static [$of] = &[$($of::$value),+];
+    ($enum:ident, $noun:literal, $($variant:ident = $word:literal),+) => {
+        impl $enum {
+            /// All variants, in order.
+            pub const ALL: &'static [$enum] = &[$($enum::$variant),+];
 
             /// The word for it.
-            pub fn word(self) -> &'static str {
-                match self { $($of::$value => $word),+ }
+            pub fn as_str(self) -> &'static str {
+                match self { $($enum::$variant => $word),+ }
             }
         }
 
-        impl fmt::Display for $of {
+        impl fmt::Display for $enum {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                f.write_str(self.word())
+                f.write_str(self.as_str())
             }
         }
 
-        impl FromStr for $of {
+        impl FromStr for $enum {
             type Err = ParseWordError;
 
-            fn from_str(text: &str) -> Result<$of, ParseWordError> {
-                let found = $of::ALL.iter().find(|value| value.word() == text).copied();
+            fn from_str(text: &str) -> Result<$enum, ParseWordError> {
+                let found = $enum::ALL.iter().find(|value| value.as_str() == text).copied();
                 found.ok_or_else(|| ParseWordError {
-                    what: $what,
+                    noun: $noun,
                     word: text.chars().take(crate::MAX_NAME_BYTES).collect(),
-                    words: $of::ALL.iter().map(|value| value.word()).collect::<Vec<_>>().join(", "),
+                    expected: $enum::ALL.iter().map(|value| value.as_str()).collect::<Vec<_>>().join(", "),
                 })
             }
         }
     };
 }
 
-/// A word that is not known.
+/// A text that is none of the expected words.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{word:?} is no {what}: {words}")]
+#[error("{word:?} is no {noun}: {expected}")]
 pub struct ParseWordError {
-    what: &'static str,
+    /// What the word stands for.
+    noun: &'static str,
+    /// The text, truncated.
     word: String,
-    words: String,
+    /// The expected words, separated by commas.
+    expected: String,
 }
 
 words!(Severity, "severity", Minor = "minor", Major = "major", Critical = "critical");
@@ -89,72 +94,105 @@
     Settings = "settings"
 );
 
-/// What a change in flight does when an incident opens that bars it.
+/// What a change in flight does when an incident opens that blocks it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Reaction {
-    /// It goes on to its end.
+    /// It continues to its end.
     Finish,
-    /// It stops where it stands.
+    /// It pauses in its current state.
     Pause,
-    /// It takes back what it has done.
+    /// It is rolled back.
     Undo,
 }
 
 words!(Reaction, "reaction", Finish = "finish", Pause = "pause", Undo = "undo");
 
 impl ChangeKind {
-    /// Whether the fleet can bear less while it lasts.
+    /// Whether the fleet has less capacity while the change is in flight.
     pub fn takes_capacity(self) -> bool {
         matches!(self, ChangeKind::Upgrade | ChangeKind::Drain | ChangeKind::Window | ChangeKind::Replica)
     }
 }
 
-/// A rule, by its name in the operators' page.
+/// A rule that decides whether a change gets its permit. It displays as its name on the operators' page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Rule {
-    /// Scopes that meet are never changed by two at once.
+pub enum PrecedenceRule {
+    /// Two changes whose scopes overlap are never in flight at once.
     ExclusiveScope,
-    /// What an incident names as its remedy passes it.
+    /// A change that is linked to an incident as its remedy is not blocked by it.
     Remedy,
-    /// What two people have asked for as an emergency passes incidents.
+    /// An emergency change that two people have requested is not blocked by incidents.
     Emergency,
-    /// A critical incident bars all.
+    /// A critical incident blocks all changes.
     Critical,
-    /// A major incident bars all changes that meet its scope.
+    /// A major incident blocks all changes that overlap its scope.
     Major,
-    /// A minor incident bars what takes capacity from its scope.
+    /// A minor incident blocks changes that reduce capacity in its scope.
     Minor,
-    /// An older or worthier change that waits goes first.
+    /// A queued change that is older or has a higher priority goes first.
     QueueOrder,
 }
 
-/// The rules in the order in which they are asked.
-pub const PRECEDENCE: &[(Rule, &str, &str)] = &[
-    (Rule::ExclusiveScope, "apart", "waits while a change whose scope meets is in flight, incident or none"),
-    (Rule::Remedy, "remedy", "passes an incident that names it"),
-    (Rule::Emergency, "emergency", "passes all incidents, once two people have asked for it within a minute"),
-    (Rule::Critical, "critical", "refused while a critical incident is active anywhere"),
-    (Rule::Major, "major", "refused while a major incident is active whose scope meets"),
-    (
-        Rule::Minor,
+/// A row of the table of precedence.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PrecedenceEntry {
+    /// The rule.
+    pub rule: PrecedenceRule,
+    /// Its name on the operators' page.
+    pub name: &'static str,
+    /// Its text on the operators' page.
+    pub description: &'static str,
+}
+
+const fn entry(rule: PrecedenceRule, name: &'static str, description: &'static str) -> PrecedenceEntry {
+    PrecedenceEntry { rule, name, description }
+}
+
+/// The rules in the order in which they apply.
+pub const PRECEDENCE: &[PrecedenceEntry] = &[
+    entry(
+        PrecedenceRule::ExclusiveScope,
+        "apart",
+        "waits while a change whose scope meets is in flight, incident or none",
+    ),
+    entry(PrecedenceRule::Remedy, "remedy", "passes an incident that names it"),
+    entry(
+        PrecedenceRule::Emergency,
+        "emergency",
+        "passes all incidents, once two people have asked for it within a minute",
+    ),
+    entry(PrecedenceRule::Critical, "critical", "refused while a critical incident is active anywhere"),
+    entry(PrecedenceRule::Major, "major", "refused while a major incident is active whose scope meets"),
+    entry(
+        PrecedenceRule::Minor,
         "minor",
         "refused if it takes capacity, while a minor incident is active whose scope meets",
     ),
-    (Rule::QueueOrder, "turn", "waits for an earlier or worthier change in line whose scope meets"),
+    entry(
+        PrecedenceRule::QueueOrder,
+        "turn",
+        "waits for an earlier or worthier change in line whose scope meets",
+    ),
 ];
 
-/// The rule by which an incident bars a change, remedies and emergencies aside.
-pub fn blocking_rule(severity: Severity, incident: &Scope, kind: ChangeKind, change: &Scope) -> Option<Rule> {
+/// The rule by which an incident blocks a change; remedies and emergencies are not considered.
+pub fn blocking_rule(
+    severity: Severity,
+    incident_scope: &Scope,
+    kind: ChangeKind,
+    change_scope: &Scope,
+) -> Option<PrecedenceRule> {
+    let overlaps = || incident_scope.overlaps(change_scope);
     match severity {
-        Severity::Critical => Some(Rule::Critical),
-        Severity::Major => Some(Rule::Major).filter(|_| incident.overlaps(change)),
-        Severity::Minor => Some(Rule::Minor).filter(|_| incident.overlaps(change) && kind.takes_capacity()),
+        Severity::Critical => Some(PrecedenceRule::Critical),
+        Severity::Major => overlaps().then_some(PrecedenceRule::Major),
+        Severity::Minor => (overlaps() && kind.takes_capacity()).then_some(PrecedenceRule::Minor),
     }
 }
 
-impl fmt::Display for Rule {
+impl fmt::Display for PrecedenceRule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let name = PRECEDENCE.iter().find(|(rule, ..)| rule == self).map_or("", |(_, name, _)| name);
-        f.write_str(name)
+        let entry = PRECEDENCE.iter().find(|entry| entry.rule == *self);
+        f.write_str(entry.map_or("", |entry| entry.name))
     }
 }
--- a/crates/change-freeze/src/scope.rs
+++ b/crates/change-freeze/src/scope.rs
@@ -1,4 +1,4 @@
-//! What a change or an incident touches.
+//! The part of the fleet that a change or an incident concerns.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -7,43 +7,43 @@
 /// A part of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Scope {
-    /// All of it.
+    /// The whole fleet.
     Fleet,
-    /// A site.
+    /// One site.
     Site(String),
-    /// A tier, over all sites.
+    /// One tier, on all sites.
     Tier(String),
-    /// The copies that keep the fleet's state. They carry calls as others do, so this says nothing of any site.
+    /// The instances that hold the replicated state. They serve requests as others do, so this overlaps no site.
     Replicas,
-    /// A class of calls.
+    /// One class of requests.
     Class(String),
-    /// A tenant.
+    /// One tenant.
     Tenant(String),
-    /// One copy, and the site it stands in.
+    /// One instance.
     Instance {
-        /// Its site.
+        /// The site that it runs on.
         site: String,
-        /// Its place in the fleet.
+        /// Its position in the fleet.
         rank: u32,
     },
 }
 
-/// A text that names no part of the fleet.
+/// A text that is not a valid [`Scope`]; holds its beginning.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is no scope: fleet, keepers, site:NAME, tier:NAME, class:NAME, tenant:NAME or copy:SITE/RANK")]
 pub struct ParseScopeError(String);
 
 impl Scope {
-    /// Whether something may lie in both. Two parts are apart only where that is certain: a tier and a site meet, as the
-    /// tier has servers there, and so do a class and a tenant.
+    /// Whether some part of the fleet may belong to both. Only scopes that are certainly disjoint do not overlap: a tier
+    /// and a site overlap, as the tier may have backends there, and so do a class and a tenant.
     pub fn overlaps(&self, other: &Scope) -> bool {
         match (self, other) {
             (Scope::Site(a), Scope::Site(b))
             | (Scope::Tier(a), Scope::Tier(b))
             | (Scope::Class(a), Scope::Class(b))
             | (Scope::Tenant(a), Scope::Tenant(b)) => a == b,
-            (Scope::Site(a), Scope::Instance { site, .. })
-            | (Scope::Instance { site, .. }, Scope::Site(a)) => a == site,
+            (Scope::Site(name), Scope::Instance { site, .. })
+            | (Scope::Instance { site, .. }, Scope::Site(name)) => name == site,
             (Scope::Instance { .. }, Scope::Instance { .. }) => self == other,
             (Scope::Replicas, Scope::Site(_) | Scope::Tier(_) | Scope::Class(_) | Scope::Tenant(_)) => false,
             (Scope::Site(_) | Scope::Tier(_) | Scope::Class(_) | Scope::Tenant(_), Scope::Replicas) => false,
@@ -56,34 +56,35 @@
     type Err = ParseScopeError;
 
     fn from_str(text: &str) -> Result<Scope, ParseScopeError> {
-        let bad = || ParseScopeError(text.chars().take(crate::MAX_NAME_BYTES).collect());
+        let invalid = || ParseScopeError(text.chars().take(crate::MAX_NAME_BYTES).collect());
         match text {
             "fleet" => return Ok(Scope::Fleet),
             "keepers" => return Ok(Scope::Replicas),
             _ => {}
         }
-        let (kind, name) = text.split_once(':').ok_or_else(bad)?;
+        let (kind, name) = text.split_once(':').ok_or_else(invalid)?;
         if !crate::is_valid_name(name) {
-            return Err(bad());
+            return Err(invalid());
         }
-        let own = name.to_owned();
+        let name = name.to_owned();
         match kind {
-            "site" => Ok(Scope::Site(own)),
-            "tier" => Ok(Scope::Tier(own)),
-            "class" => Ok(Scope::Class(own)),
-            "tenant" => Ok(Scope::Tenant(own)),
-            "copy" => {
-                let (site, rank) = name.rsplit_once('/').ok_or_else(bad)?;
-                let rank = rank.parse().map_err(|_| bad())?;
-                Some(Scope::Instance { site: site.to_owned(), rank })
-                    .filter(|_| !site.is_empty())
-                    .ok_or_else(bad)
-            }
-            _ => Err(bad()),
+            "site" => Ok(Scope::Site(name)),
+            "tier" => Ok(Scope::Tier(name)),
+            "class" => Ok(Scope::Class(name)),
+            "tenant" => Ok(Scope::Tenant(name)),
+            "copy" => parse_instance(&name).ok_or_else(invalid),
+            _ => Err(invalid()),
         }
     }
 }
 
+/// Parses the `SITE/RANK` of an instance.
+fn parse_instance(text: &str) -> Option<Scope> {
+    let (site, rank) = text.rsplit_once('/')?;
+    let rank = rank.parse().ok()?;
+    (!site.is_empty()).then(|| Scope::Instance { site: site.to_owned(), rank })
+}
+
 impl fmt::Display for Scope {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
--- /dev/null
+++ b/crates/change-freeze/src/state/incident.rs
@@ -0,0 +1,201 @@
+//! Incidents: opening, assignment, resolution and cooldown.
+
+use super::{
+    check_name, printable_prefix, Change, ChangeRequest, ChangeStatus, FreezeState, Number, RejectReason,
+    Requester, Response,
+};
+use crate::rules::{blocking_rule, ChangeKind, Reaction, Severity};
+use crate::scope::Scope;
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeSet;
+
+/// Maximum number of incidents, which bounds the size of a snapshot.
+pub const MAX_INCIDENTS: usize = 256;
+/// Maximum length of an incident's evidence.
+const MAX_EVIDENCE_CHARS: usize = 200;
+
+/// An incident that is open or cools down.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Incident {
+    /// The highest severity that it had.
+    pub severity: Severity,
+    /// The part of the fleet that it concerns.
+    pub scope: Scope,
+    /// What was observed last.
+    pub evidence: String,
+    /// Who opened it.
+    pub opened_by: Requester,
+    /// The person who has taken responsibility.
+    pub assignee: Option<String>,
+    /// It is resolved and still blocks changes until its cooldown has elapsed.
+    pub cooling_down: bool,
+    /// The changes that are linked to it as its remedies.
+    pub remedies: BTreeSet<Number>,
+    /// Increases with each update, so that a timer that started before one has no effect.
+    pub version: u64,
+}
+
+impl Incident {
+    pub(crate) fn is_opened_by_rule(&self) -> bool {
+        self.opened_by.is_rule()
+    }
+
+    /// Whether the coordinator may resolve it: people have neither opened it nor been assigned to it.
+    pub(crate) fn is_resolvable_by_rule(&self) -> bool {
+        self.is_opened_by_rule() && self.assignee.is_none()
+    }
+
+    /// Whether it blocks a change, with remedies and emergencies considered.
+    pub(super) fn blocks(&self, number: Number, change: &Change) -> bool {
+        let ChangeRequest { kind, scope, .. } = &change.request;
+        !change.emergency
+            && !self.remedies.contains(&number)
+            && blocking_rule(self.severity, &self.scope, *kind, scope).is_some()
+    }
+}
+
+impl FreezeState {
+    pub(super) fn open_incident(
+        &mut self,
+        severity: Severity,
+        scope: &Scope,
+        evidence: &str,
+        opened_by: &Requester,
+    ) -> Result<Response, RejectReason> {
+        if let Requester::Person(person) = opened_by {
+            check_name(person)?;
+        }
+        let evidence = printable_prefix(evidence, MAX_EVIDENCE_CHARS);
+        // An incident that recurs is the same one: it is open again, or more severe than it was.
+        let number = match self.reopen_incident(severity, scope, &evidence, opened_by) {
+            Some(number) => number,
+            None => self.insert_incident(severity, scope.clone(), evidence, opened_by.clone())?,
+        };
+        let description = format!("{severity} incident at {scope} by {opened_by}");
+        let response = self.append_audit(number, description);
+        self.interrupt_blocked_changes(number);
+        Ok(response)
+    }
+
+    /// Updates the incident that the same kind of requester opened for this scope, if there is one.
+    fn reopen_incident(
+        &mut self,
+        severity: Severity,
+        scope: &Scope,
+        evidence: &str,
+        opened_by: &Requester,
+    ) -> Option<Number> {
+        let (number, incident) = self.incidents.iter_mut().find(|(_, incident)| {
+            incident.scope == *scope && incident.is_opened_by_rule() == opened_by.is_rule()
+        })?;
+        incident.severity = incident.severity.max(severity);
+        incident.evidence = evidence.to_owned();
+        incident.cooling_down = false;
+        incident.version += 1;
+        Some(*number)
+    }
+
+    fn insert_incident(
+        &mut self,
+        severity: Severity,
+        scope: Scope,
+        evidence: String,
+        opened_by: Requester,
+    ) -> Result<Number, RejectReason> {
+        if self.incidents.len() >= MAX_INCIDENTS {
+            return Err(RejectReason::CapacityReached);
+        }
+        let number = self.next_number();
+        let incident = Incident {
+            severity,
+            scope,
+            evidence,
+            opened_by,
+            assignee: None,
+            cooling_down: false,
+            remedies: BTreeSet::new(),
+            version: 0,
+        };
+        self.incidents.insert(number, incident);
+        Ok(number)
+    }
+
+    /// Makes the changes in flight that an incident blocks react as they declared. A change that declared to finish keeps
+    /// its permit and its duration.
+    fn interrupt_blocked_changes(&mut self, incident_number: Number) {
+        let Some(incident) = self.incidents.get(&incident_number) else { return };
+        let mut interrupted = Vec::new();
+        for (number, change) in &mut self.changes {
+            let must_react = change.status == ChangeStatus::InFlight
+                && change.request.reaction != Reaction::Finish
+                && incident.blocks(*number, change);
+            if must_react {
+                change.status = ChangeStatus::Reacting;
+                change.version += 1;
+                interrupted.push((*number, change.request.reaction));
+            }
+        }
+        for (number, reaction) in interrupted {
+            self.append_audit(number, format!("has to {reaction} for incident {incident_number}"));
+        }
+    }
+
+    pub(super) fn assign_incident(&mut self, number: Number, person: &str) -> Result<Response, RejectReason> {
+        check_name(person)?;
+        let incident = self.incidents.get_mut(&number).ok_or(RejectReason::NotFound)?;
+        incident.assignee = Some(person.to_owned());
+        incident.version += 1;
+        Ok(self.append_audit(number, format!("taken by {person}")))
+    }
+
+    pub(super) fn resolve_incident(
+        &mut self,
+        number: Number,
+        resolved_by: &Requester,
+    ) -> Result<Response, RejectReason> {
+        let incident = self.incidents.get_mut(&number).ok_or(RejectReason::NotFound)?;
+        match resolved_by {
+            Requester::Person(person) => check_name(person)?,
+            Requester::Rule(_) if !incident.is_resolvable_by_rule() => return Err(RejectReason::NotByRule),
+            Requester::Rule(_) => {}
+        }
+        if incident.cooling_down {
+            return Err(RejectReason::Superseded);
+        }
+        incident.cooling_down = true;
+        incident.version += 1;
+        Ok(self.append_audit(number, format!("resolved by {resolved_by}")))
+    }
+
+    pub(super) fn end_cooldown(&mut self, number: Number, version: u64) -> Result<Response, RejectReason> {
+        let incident = self.incidents.get(&number).ok_or(RejectReason::NotFound)?;
+        if !incident.cooling_down || incident.version != version {
+            return Err(RejectReason::Superseded);
+        }
+        self.incidents.remove(&number);
+        Ok(self.append_audit(number, "over".into()))
+    }
+
+    pub(super) fn link_remedy(
+        &mut self,
+        incident_number: Number,
+        change: Number,
+        person: &str,
+    ) -> Result<Response, RejectReason> {
+        check_name(person)?;
+        if !self.changes.contains_key(&change) {
+            return Err(RejectReason::NotFound);
+        }
+        let incident = self.incidents.get_mut(&incident_number).ok_or(RejectReason::NotFound)?;
+        incident.remedies.insert(change);
+        let description = format!("{person} names change {change} as its remedy");
+        Ok(self.append_audit(incident_number, description))
+    }
+
+    /// The first incident that would block such a change now, if it were neither a remedy nor an emergency.
+    pub fn blocking_incident(&self, kind: ChangeKind, scope: &Scope) -> Option<Number> {
+        let blocks =
+            |incident: &Incident| blocking_rule(incident.severity, &incident.scope, kind, scope).is_some();
+        self.incidents.iter().find(|(_, incident)| blocks(incident)).map(|(number, _)| *number)
+    }
+}
--- /dev/null
+++ b/crates/change-freeze/tests/freeze/common.rs
@@ -0,0 +1,60 @@
+//! Helpers that the tests of this package share.
+
+use hillstall_change_freeze::rules::{ChangeKind, Reaction, Severity};
+use hillstall_change_freeze::state::{
+    ChangeRequest, ChangeStatus, FreezeCommand, FreezeState, Number, Requester, Response,
+};
+
+pub fn request(kind: ChangeKind, scope: &str, requested_by: &str, reaction: Reaction) -> ChangeRequest {
+    ChangeRequest {
+        kind,
+        scope: scope.parse().expect("a valid scope"),
+        requested_by: requested_by.into(),
+        priority: 10,
+        max_duration: 60_000,
+        reaction,
+    }
+}
+
+pub fn request_change(kind: ChangeKind, scope: &str) -> FreezeCommand {
+    FreezeCommand::RequestChange(request(kind, scope, "mira", Reaction::Pause))
+}
+
+pub fn open_incident(severity: Severity, scope: &str, opened_by: Requester) -> FreezeCommand {
+    FreezeCommand::OpenIncident {
+        severity,
+        scope: scope.parse().expect("a valid scope"),
+        evidence: "seen".into(),
+        opened_by,
+    }
+}
+
+pub fn resolve_incident(incident: Number, resolved_by: Requester) -> FreezeCommand {
+    FreezeCommand::ResolveIncident { incident, resolved_by }
+}
+
+pub fn person(name: &str) -> Requester {
+    Requester::Person(name.into())
+}
+
+/// The number of a change that has its permit.
+pub fn permitted(response: Response) -> Number {
+    let Response::Permitted(number) = response else { panic!("no permit: {response:?}") };
+    number
+}
+
+pub fn status(state: &FreezeState, change: Number) -> ChangeStatus {
+    state.changes()[&change].status
+}
+
+/// Expires a change as a replica does that has waited for its current version.
+pub fn expire_change(state: &mut FreezeState, change: Number) -> Response {
+    let version = state.changes()[&change].version;
+    state.apply(&FreezeCommand::ExpireChange { change, version })
+}
+
+/// Ends an incident's cooldown as a replica does that has waited for its current version.
+pub fn end_cooldown(state: &mut FreezeState, incident: Number) -> Response {
+    let version = state.incidents()[&incident].version;
+    state.apply(&FreezeCommand::CooldownElapsed { incident, version })
+}
