--- a/crates/consensus/src/follower_streams.rs
+++ b/crates/consensus/src/follower_streams.rs
@@ -1,5 +1,5 @@
-//! How followers learn the state: a keeper sends each of those that are attached to it the whole state once, and then what
-//! is applied, as long as they keep up.
+//! The streams from a replica to its followers: each attached follower receives the whole state once, and then what is
+//! applied, for as long as it keeps up.
 
 use crate::frame::{Frame, StreamItem};
 use crate::state::{Command, Proposal, State};
@@ -7,136 +7,179 @@
 use hillstall_lease::{Instance, LeaseName, Millis};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Pieces that may be out to a follower that has not said that it got them.
-const OUT_MOST: usize = 128;
-/// Entries that are kept for followers; one that is further behind gets the whole state.
-const KEPT_MOST: usize = 512;
-/// Between two signs to a follower that hears nothing else.
-const BEAT_EACH: Millis = 500;
-/// A follower that has not said anything for so long gets nothing more but signs.
-const SILENT: Millis = 5_000;
-
-struct Follower {
-    /// The next entry for it; `None` if it needs the whole state first.
-    next: Option<u64>,
-    acked: u64,
-    heard_at: Millis,
-    told_at: Millis,
+/// The most items in flight to a follower, sent and not acknowledged.
+const MAX_ITEMS_IN_FLIGHT: usize = 128;
+/// The most items stored for followers. One that is further behind gets the whole state.
+const MAX_STORED_ITEMS: usize = 512;
+/// A follower to which nothing else was sent for this long gets a heartbeat.
+const HEARTBEAT_INTERVAL_MS: Millis = 500;
+/// A follower that has acknowledged nothing for this long gets only heartbeats.
+const FOLLOWER_SILENCE_TIMEOUT_MS: Millis = 5_000;
+/// The acknowledged index by which a follower asks for the whole state, and the heartbeat of a follower that is behind.
+const NO_INDEX: u64 = 0;
+
+/// The stream to one follower.
+struct FollowerStream {
+    /// The index from which on items are to be sent; `None` if the whole state goes first.
+    next_index: Option<u64>,
+    acked_index: u64,
+    last_received_at: Millis,
+    last_sent_at: Millis,
 }
 
-/// The followers that are attached to a keeper.
+impl FollowerStream {
+    fn new(now: Millis) -> FollowerStream {
+        FollowerStream { next_index: None, acked_index: NO_INDEX, last_received_at: now, last_sent_at: now }
+    }
+
+    fn is_silent(&self, now: Millis) -> bool {
+        now.saturating_sub(self.last_received_at) >= FOLLOWER_SILENCE_TIMEOUT_MS
+    }
+
+    /// Whether a state is in flight. No other is sent meanwhile, as the follower may read slowly.
+    fn awaits_state_ack(&self) -> bool {
+        self.next_index.is_some() && self.acked_index == NO_INDEX
+    }
+
+    /// Whether the items that the follower needs are no longer stored.
+    fn needs_state(&self, evicted_index: u64) -> bool {
+        self.next_index.is_none_or(|next| next <= evicted_index)
+    }
+}
+
+/// An item that was applied, for followers.
+struct StoredItem {
+    /// The index of the item before it.
+    previous_index: u64,
+    index: u64,
+    item: StreamItem,
+}
+
+/// The followers that are attached to a replica, and the items stored for them.
 #[derive(Default)]
 pub struct FollowerStreams {
-    followers: BTreeMap<Instance, Follower>,
-    /// Each with the index of the one before it.
-    kept: VecDeque<(u64, u64, StreamItem)>,
-    last: u64,
-    /// Each duty as it was told last.
-    duties: BTreeMap<LeaseName, LeaseRecord>,
+    streams: BTreeMap<Instance, FollowerStream>,
+    items: VecDeque<StoredItem>,
+    last_index: u64,
+    /// Each lease as it was sent last.
+    sent_leases: BTreeMap<LeaseName, LeaseRecord>,
 }
 
 impl FollowerStreams {
-    /// A copy has connected, perhaps once more.
-    pub fn attach(&mut self, now: Millis, copy: Instance) {
-        self.followers.insert(copy, Follower { next: None, acked: 0, heard_at: now, told_at: now });
+    /// Starts the stream to an instance that has connected, perhaps once more.
+    pub fn attach(&mut self, now: Millis, instance: Instance) {
+        self.streams.insert(instance, FollowerStream::new(now));
     }
 
-    /// Its connection is gone.
-    pub fn detach(&mut self, copy: Instance) {
-        self.followers.remove(&copy);
+    /// Ends the stream to an instance whose connection was lost.
+    pub fn detach(&mut self, instance: Instance) {
+        self.streams.remove(&instance);
     }
 
-    /// Those that are attached.
-    pub fn copies(&self) -> impl Iterator<Item = Instance> + '_ {
-        self.followers.keys().copied()
+    /// The instances that are attached.
+    pub fn instances(&self) -> impl Iterator<Item = Instance> + '_ {
+        self.streams.keys().copied()
     }
 
-    /// Whether a copy is attached.
-    pub fn has(&self, copy: Instance) -> bool {
-        self.followers.contains_key(&copy)
+    /// Whether an instance is attached.
+    pub fn is_attached(&self, instance: Instance) -> bool {
+        self.streams.contains_key(&instance)
     }
 
-    /// An entry was applied here, with the duty as it was right after if it was about one. Signs of life are passed over:
-    /// with a few copies that stand for a few duties there are some twenty a second, and no follower needs them.
-    pub fn applied(&mut self, index: u64, proposal: &Proposal, entry: Option<LeaseRecord>) {
-        let piece = match &proposal.command {
+    /// Stores an entry that was applied; with the lease as it was right after, if the entry was about one. Heartbeats and
+    /// renewals are left out: a few instances make some twenty a second, and no follower needs them.
+    pub fn on_applied(&mut self, index: u64, proposal: &Proposal, lease_record: Option<LeaseRecord>) {
+        let item = match &proposal.command {
             Command::Lease(command) => {
-                let duty = command.lease();
-                let Some(entry) = entry else { return };
-                if self.duties.get(duty).is_some_and(|told| told.has_same_parties(&entry)) {
+                let lease = command.lease();
+                let Some(record) = lease_record else { return };
+                if self.sent_leases.get(lease).is_some_and(|sent| sent.has_same_parties(&record)) {
                     return;
                 }
-                self.duties.insert(duty.clone(), entry.clone());
-                StreamItem::Lease(duty.clone(), entry)
+                self.sent_leases.insert(lease.clone(), record.clone());
+                StreamItem::Lease(lease.clone(), record)
             }
             _ => StreamItem::Command(proposal.clone()),
         };
-        self.kept.push_back((self.last, index, piece));
-        self.last = index;
-        if self.kept.len() > KEPT_MOST {
-            self.kept.pop_front();
+        self.items.push_back(StoredItem { previous_index: self.last_index, index, item });
+        self.last_index = index;
+        if self.items.len() > MAX_STORED_ITEMS {
+            self.items.pop_front();
         }
     }
 
-    /// The state was replaced as a whole, and is that of `index` now: what was kept does not lead there.
-    pub fn restored(&mut self, index: u64) {
-        self.last = index;
-        self.duties.clear();
-        self.kept.clear();
-        self.followers.values_mut().for_each(|follower| follower.next = None);
+    /// Drops all items, as the state was replaced as a whole by that of `index`.
+    pub fn on_restored(&mut self, index: u64) {
+        self.last_index = index;
+        self.sent_leases.clear();
+        self.items.clear();
+        for stream in self.streams.values_mut() {
+            stream.next_index = None;
+        }
     }
 
-    /// The last entry that followers are told of.
-    pub fn last(&self) -> u64 {
-        self.last
+    /// The index of the last item stored for followers.
+    pub fn last_index(&self) -> u64 {
+        self.last_index
     }
 
-    /// A follower says how far it is; 0 if it has missed something and needs the whole state.
-    pub fn ack(&mut self, now: Millis, copy: Instance, index: u64) {
-        if let Some(follower) = self.followers.get_mut(&copy) {
-            if index == 0 {
-                follower.next = None;
+    /// Takes a follower's acknowledgement of `index`; 0 if it has missed an item and needs the whole state.
+    pub fn on_ack(&mut self, now: Millis, instance: Instance, index: u64) {
+        if let Some(stream) = self.streams.get_mut(&instance) {
+            if index == NO_INDEX {
+                stream.next_index = None;
             }
-            follower.acked = follower.acked.max(index);
-            follower.heard_at = now;
+            stream.acked_index = stream.acked_index.max(index);
+            stream.last_received_at = now;
         }
     }
 
-    /// What to send to whom now. `state` is applied up to `index`.
-    pub fn feed(&mut self, now: Millis, index: u64, state: &State) -> Vec<(Instance, Frame)> {
-        let mut out = Vec::new();
-        // The newest that is kept no more: whoever has not been told of it can't be led on.
-        let gone = self.kept.front().map_or(0, |(after, ..)| *after);
-        let mut whole = None;
-        for (copy, follower) in &mut self.followers {
-            let before = out.len();
-            let silent = now.saturating_sub(follower.heard_at) >= SILENT;
-            let lost = follower.next.is_none_or(|next| next <= gone);
-            // It was given a state and has not got it yet: that is enough to be out to one that reads slowly.
-            let waits = follower.next.is_some() && follower.acked == 0;
-            if lost && !silent && !waits {
-                let bytes = whole.get_or_insert_with(|| state.to_bytes());
-                out.push((*copy, Frame::State(bytes.clone())));
-                (follower.next, follower.acked) = (Some(index + 1), 0);
-            } else if let (Some(next), false) = (follower.next, silent || waits) {
-                let from = self.kept.partition_point(|(_, at, _)| *at < next);
-                let acked = self.kept.partition_point(|(_, at, _)| *at <= follower.acked);
-                let room = OUT_MOST.saturating_sub(from.saturating_sub(acked));
-                for (after, at, piece) in self.kept.range(from..).take(room) {
-                    let (after, index, piece) = (*after, *at, piece.clone());
-                    out.push((*copy, Frame::Applied { after, index, item: piece }));
-                    follower.next = Some(at + 1);
-                }
+    /// Takes the frames to send now. `state` is the replica's, applied up to `applied_index`.
+    pub fn take_frames(&mut self, now: Millis, applied_index: u64, state: &State) -> Vec<(Instance, Frame)> {
+        let evicted_index = self.items.front().map_or(NO_INDEX, |stored| stored.previous_index);
+        let mut encoded_state = None;
+        let mut frames = Vec::new();
+        for (instance, stream) in &mut self.streams {
+            let is_silent = stream.is_silent(now);
+            let awaits_state_ack = stream.awaits_state_ack();
+            let mut outgoing = Vec::new();
+            if stream.needs_state(evicted_index) && !is_silent && !awaits_state_ack {
+                let bytes = encoded_state.get_or_insert_with(|| state.to_bytes());
+                outgoing.push(Frame::State(bytes.clone()));
+                stream.next_index = Some(applied_index + 1);
+                stream.acked_index = NO_INDEX;
+            } else if !is_silent && !awaits_state_ack {
+                outgoing.extend(next_items(stream, &self.items));
             }
-            if out.len() == before && now.saturating_sub(follower.told_at) >= BEAT_EACH {
-                // What was lost on the way shows here, though nothing else may follow for long.
-                let told = if follower.next.is_some_and(|next| next > self.last) { self.last } else { 0 };
-                out.push((*copy, Frame::Heartbeat(told)));
+            if outgoing.is_empty() && now.saturating_sub(stream.last_sent_at) >= HEARTBEAT_INTERVAL_MS {
+                // By the index in it a follower notices a loss, even if no item follows for long.
+                let is_current = stream.next_index.is_some_and(|next| next > self.last_index);
+                outgoing.push(Frame::Heartbeat(if is_current { self.last_index } else { NO_INDEX }));
             }
-            if out.len() > before {
-                follower.told_at = now;
+            if !outgoing.is_empty() {
+                stream.last_sent_at = now;
             }
+            frames.extend(outgoing.into_iter().map(|frame| (*instance, frame)));
         }
-        out
+        frames
+    }
+}
+
+/// The next items for a follower, as many as may be in flight.
+fn next_items(stream: &mut FollowerStream, items: &VecDeque<StoredItem>) -> Vec<Frame> {
+    let Some(next_index) = stream.next_index else { return Vec::new() };
+    let first = items.partition_point(|stored| stored.index < next_index);
+    let first_unacked = items.partition_point(|stored| stored.index <= stream.acked_index);
+    let in_flight = first.saturating_sub(first_unacked);
+    let window = MAX_ITEMS_IN_FLIGHT.saturating_sub(in_flight);
+    let mut frames = Vec::new();
+    for stored in items.range(first..).take(window) {
+        frames.push(Frame::Applied {
+            after: stored.previous_index,
+            index: stored.index,
+            item: stored.item.clone(),
+        });
+        stream.next_index = Some(stored.index + 1);
     }
+    frames
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,12 +1,19 @@
-//! What the copies of a fleet agree on, and each copy's part in it. Decisions without I/O: time and randomness come as
-//! arguments, frames go in and out, and the disk is asked through a trait; so the same code runs on sockets and in
-//! simulated time.
+//! What the instances of a fleet agree on, and each instance's part in it.
 //!
-//! - [`state`]: the one state that is agreed on: duties, windows, incidents and permits.
-//! - [`replica`]: the part of the three or five copies that agree, by a consensus crate, over a log on a [`storage`].
-//! - [`node`]: what every copy does: it stands for duties, carries out orders, and learns the state.
-//! - [`frame`]: what copies send each other.
+//! Nothing here does I/O: time and randomness are arguments, frames go in and out, and storage is behind a trait. So the
+//! same code runs over sockets and in simulated time.
+//!
+//! - [`state`]: the replicated state: leases, maintenance windows, incidents and change permits.
+//! - [`replica`]: one of the three or five replicas that agree on the state by the Raft protocol, over a [`log`] in a
+//!   [`storage`].
+//! - [`node`]: what every instance does, configured by a [`config`]: it competes for leases, applies fenced commands and
+//!   learns the state.
+//! - [`lease_manager`] and [`load_reports`]: the leases of an instance, and the load of all.
+//! - [`frame`]: what instances send each other.
+//! - [`audit`]: the acts by which a fleet's behaviour is checked afterwards.
 
+pub mod audit;
+pub mod config;
 mod follower_streams;
 pub mod frame;
 pub mod lease_manager;
--- a/crates/consensus/src/load_reports.rs
+++ b/crates/consensus/src/load_reports.rs
@@ -1,4 +1,4 @@
-//! What copies count and tell, with its age, and what is made of it for all.
+//! Load reports: what each instance has counted, how old it is, and what the fleet's lease holders conclude from it.
 
 use hillstall_change_freeze::detection::{Observation, Symptom};
 use hillstall_change_freeze::scope::Scope;
@@ -7,158 +7,219 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A report older than this says nothing of now.
-const YOUNG: Millis = 3_000;
-/// Copies that were not heard of for so long are not counted as missing any more.
-const KNOWN_FOR: Millis = 60_000;
-/// Between two samples of a site's load, and how many are kept.
-const SAMPLE_EACH: Millis = 500;
-const SAMPLES: usize = 10;
-/// Calls that must have ended at a site, over all copies, for a part of them to say anything.
-const CALLS_LEAST: u64 = 5;
-/// Calls that must have come, over all copies, for a part of them to say anything.
-const ASKED_LEAST: u64 = 20;
-
-/// What a copy has counted of one site.
+/// A report older than this is not used.
+const REPORT_TTL_MS: Millis = 3_000;
+/// An instance without a report for this long no longer counts as missing.
+const INSTANCE_TTL_MS: Millis = 60_000;
+/// The time between two samples of a site's load.
+const SAMPLE_INTERVAL_MS: Millis = 500;
+/// The most samples stored of a site's load.
+const MAX_SAMPLES: usize = 10;
+/// The number of latest samples that a site's present load is the mean of.
+const CURRENT_SAMPLES: usize = 2;
+/// The least attempts that must have ended at a site, over all instances, before the share without an answer is used.
+const MIN_ENDED_ATTEMPTS: u64 = 5;
+/// The least requests that must have arrived, over all instances, before the share of rejected ones is used.
+const MIN_REQUESTS: u64 = 20;
+/// [`SiteCounts::utilization_percent`] above this says that the backends don't report it.
+const MAX_UTILIZATION_PERCENT: u8 = 100;
+
+/// What an instance has counted for one site.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SiteCounts {
-    /// Attempts sent there.
+    /// Attempts sent to the site.
     pub sent: u32,
     /// Attempts that were served.
     pub served: u32,
-    /// Attempts that ended without any answer: no connection, a broken one, or silence.
+    /// Attempts that ended without a response: no connection, a broken connection, or a timeout.
     pub unanswered: u32,
-    /// The part of its servers' capacity in use, in hundredths; over 100 if they don't tell.
+    /// The share of its backends' capacity in use, in percent; over 100 if the backends don't report it.
     pub utilization_percent: u8,
-    /// The part of its usual load that this copy gives it, in thousandths.
+    /// The fraction of its usual traffic that this instance sends to the site, in thousandths.
     pub fraction: u16,
 }
 
-/// What a copy has counted over some time.
+/// What an instance has counted over some time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Whose.
+    /// The instance that has counted.
     pub instance: Option<Instance>,
-    /// How old it is when it is sent on, in milliseconds.
+    /// The report's age when it is sent, in milliseconds.
     pub age_ms: u32,
-    /// Over how long it counts, in milliseconds.
+    /// The time over which it counts, in milliseconds.
     pub period_ms: u32,
-    /// Calls of clients that came.
+    /// Client requests that arrived.
     pub requests: u32,
-    /// Calls of clients that were refused.
+    /// Client requests that were rejected.
     pub rejected: u32,
-    /// By site.
+    /// The counts of each site.
     pub sites: BTreeMap<String, SiteCounts>,
 }
 
-/// All that was heard of lately.
+/// A report and the time at which it was made, by the local clock.
+#[derive(Clone, Debug)]
+struct ReceivedReport {
+    report: LoadReport,
+    made_at: Millis,
+}
+
+impl ReceivedReport {
+    fn age(&self, now: Millis) -> Millis {
+        now.saturating_sub(self.made_at)
+    }
+}
+
+/// The latest report of each instance, and recent samples of each site's load.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReports {
-    /// By rank: two processes of one name are one copy here.
-    heard: BTreeMap<u32, (LoadReport, Millis)>,
-    /// What was sent to each site a second, newest last, sampled at the pace of the reports.
+    /// By rank: two processes of one rank count as one instance here.
+    latest: BTreeMap<u32, ReceivedReport>,
+    /// The attempts sent to each site per second, newest last.
     samples: BTreeMap<String, VecDeque<f64>>,
     sampled_at: Millis,
 }
 
+/// The sums of all recent reports about one site.
+#[derive(Default)]
+struct SiteTotals {
+    sent_per_second: f64,
+    served: f64,
+    ended: f64,
+    utilization: f64,
+    utilization_reports: f64,
+    /// The fraction at each instance, in thousandths.
+    fractions: Vec<u16>,
+}
+
+impl SiteTotals {
+    fn add(&mut self, counts: &SiteCounts, period_ms: u32) {
+        let per_second = 1_000.0 / f64::from(period_ms.max(1));
+        self.sent_per_second += f64::from(counts.sent) * per_second;
+        self.served += f64::from(counts.served);
+        self.ended += f64::from(counts.served + counts.unanswered);
+        if counts.utilization_percent <= MAX_UTILIZATION_PERCENT {
+            self.utilization += f64::from(counts.utilization_percent) / 100.0;
+            self.utilization_reports += 1.0;
+        }
+        self.fractions.push(counts.fraction);
+    }
+
+    /// The fraction that three in four instances don't exceed, from 0 to 1.
+    fn upper_quartile_fraction(&mut self) -> f64 {
+        self.fractions.sort_unstable();
+        let upper_quartile = (self.fractions.len() * 3).div_ceil(4).max(1) - 1;
+        self.fractions.get(upper_quartile).map_or(0.0, |fraction| f64::from(*fraction) / 1_000.0)
+    }
+
+    /// The site's load. `samples` are of what was sent per second, newest last.
+    fn into_load(mut self, samples: &VecDeque<f64>) -> SiteLoad {
+        let mean =
+            |latest: usize| samples.iter().rev().take(latest).sum::<f64>() / samples.len().min(latest) as f64;
+        SiteLoad {
+            sent: mean(CURRENT_SAMPLES),
+            baseline: mean(MAX_SAMPLES).max(mean(MAX_SAMPLES / 2)),
+            fraction: self.upper_quartile_fraction(),
+            success_ratio: if self.ended > 0.0 { self.served / self.ended } else { 1.0 },
+            utilization: (self.utilization_reports > 0.0)
+                .then(|| self.utilization / self.utilization_reports),
+        }
+    }
+}
+
 impl LoadReports {
-    /// Takes a report at `now`; what it tells may be older.
-    pub fn take(&mut self, now: Millis, report: LoadReport) {
-        let Some(copy) = report.instance else { return };
-        let from = now.saturating_sub(u64::from(report.age_ms));
-        if self.heard.get(&copy.rank).is_none_or(|(_, at)| *at < from) {
-            self.heard.insert(copy.rank, (report, from));
+    /// Records a report received at `now`, unless a newer one of the same instance is known.
+    pub fn record(&mut self, now: Millis, report: LoadReport) {
+        let Some(instance) = report.instance else { return };
+        let made_at = now.saturating_sub(u64::from(report.age_ms));
+        if self.latest.get(&instance.rank).is_none_or(|known| known.made_at < made_at) {
+            self.latest.insert(instance.rank, ReceivedReport { report, made_at });
         }
     }
 
-    /// What is worth telling another keeper of some copies, with its age.
-    pub fn share(&self, now: Millis, whose: impl Fn(Instance) -> bool) -> Vec<LoadReport> {
-        let young = self.heard.values().filter(|(_, at)| now.saturating_sub(*at) < YOUNG);
-        let own = young.filter(|(report, _)| report.instance.is_some_and(&whose));
-        own.map(|(report, at)| LoadReport { age_ms: now.saturating_sub(*at) as u32, ..report.clone() })
+    /// The recent reports of the selected instances, each with its present age.
+    pub fn recent(&self, now: Millis, is_selected: impl Fn(Instance) -> bool) -> Vec<LoadReport> {
+        let recent = self.recent_entries(now);
+        let selected = recent.filter(|received| received.report.instance.is_some_and(&is_selected));
+        selected
+            .map(|received| LoadReport { age_ms: received.age(now) as u32, ..received.report.clone() })
             .collect()
     }
 
-    /// What the steps of a shift go by. `trouble` is left to whoever knows of incidents.
-    pub fn figures(&mut self, now: Millis) -> FleetLoad {
-        self.heard.retain(|_, (_, at)| now.saturating_sub(*at) < KNOWN_FOR);
-        let young: Vec<&LoadReport> = self.young(now).collect();
-        let heard = young.len() as f64 / self.heard.len().max(1) as f64;
-        let mut sites: BTreeMap<String, SiteLoad> = BTreeMap::new();
-        let mut ended: BTreeMap<String, (f64, f64, f64, f64)> = BTreeMap::new();
-        let mut parts: BTreeMap<String, Vec<u16>> = BTreeMap::new();
-        for report in young {
-            let per_s = 1_000.0 / f64::from(report.period_ms.max(1));
-            for (site, counts) in &report.sites {
-                parts.entry(site.clone()).or_default().push(counts.fraction);
-                let load = sites.entry(site.clone()).or_default();
-                load.sent += f64::from(counts.sent) * per_s;
-                let (served, all, busy, told) = ended.entry(site.clone()).or_default();
-                *served += f64::from(counts.served);
-                *all += f64::from(counts.served + counts.unanswered);
-                if counts.utilization_percent <= 100 {
-                    *busy += f64::from(counts.utilization_percent) / 100.0;
-                    *told += 1.0;
-                }
-            }
+    /// The load of all sites, for the steps of a traffic shift. The caller fills in [`FleetLoad::blocker`].
+    pub fn fleet_load(&mut self, now: Millis) -> FleetLoad {
+        self.latest.retain(|_, received| received.age(now) < INSTANCE_TTL_MS);
+        let known_instances = self.latest.len().max(1);
+        let reporting_instances = self.recent_entries(now).count();
+        let totals = self.site_totals(now);
+        self.sample(now, &totals);
+        let sites = totals.into_iter().map(|(site, totals)| {
+            let load = totals.into_load(&self.samples[&site]);
+            (site, load)
+        });
+        FleetLoad {
+            sites: sites.collect(),
+            reporting_ratio: reporting_instances as f64 / known_instances as f64,
+            blocker: None,
         }
-        for (site, parts) in &mut parts {
-            parts.sort_unstable();
-            let three_in_four = (parts.len() * 3).div_ceil(4).max(1) - 1;
-            if let (Some(load), Some(part)) = (sites.get_mut(site), parts.get(three_in_four)) {
-                load.fraction = f64::from(*part) / 1_000.0;
+    }
+
+    fn site_totals(&self, now: Millis) -> BTreeMap<String, SiteTotals> {
+        let mut totals: BTreeMap<String, SiteTotals> = BTreeMap::new();
+        for received in self.recent_entries(now) {
+            for (site, counts) in &received.report.sites {
+                totals.entry(site.clone()).or_default().add(counts, received.report.period_ms);
             }
         }
-        let sampled = now.saturating_sub(self.sampled_at) >= SAMPLE_EACH;
-        if sampled {
+        totals
+    }
+
+    /// Adds a sample of each site's load if one is due. A site without any gets its first at once.
+    fn sample(&mut self, now: Millis, totals: &BTreeMap<String, SiteTotals>) {
+        let is_due = now.saturating_sub(self.sampled_at) >= SAMPLE_INTERVAL_MS;
+        if is_due {
             self.sampled_at = now;
         }
-        for (site, load) in &mut sites {
+        for (site, totals) in totals {
             let samples = self.samples.entry(site.clone()).or_default();
-            if sampled || samples.is_empty() {
-                samples.push_back(load.sent);
-                if samples.len() > SAMPLES {
-                    samples.pop_front();
-                }
+            if is_due || samples.is_empty() {
+                samples.push_back(totals.sent_per_second);
+            }
+            if samples.len() > MAX_SAMPLES {
+                samples.pop_front();
             }
-            let mean =
-                |last: usize| samples.iter().rev().take(last).sum::<f64>() / samples.len().min(last) as f64;
-            load.baseline = mean(SAMPLES).max(mean(SAMPLES / 2));
-            load.sent = mean(2);
-            let (served, all, busy, told) = ended[site];
-            load.success_ratio = if all > 0.0 { served / all } else { 1.0 };
-            load.utilization = (told > 0.0).then(|| busy / told);
         }
-        FleetLoad { sites, reporting_ratio: heard, blocker: None }
     }
 
-    fn young(&self, now: Millis) -> impl Iterator<Item = &LoadReport> {
-        let young = move |at: Millis| now.saturating_sub(at) < YOUNG;
-        self.heard.values().filter(move |(_, at)| young(*at)).map(|(report, _)| report)
+    fn recent_entries(&self, now: Millis) -> impl Iterator<Item = &ReceivedReport> {
+        self.latest.values().filter(move |received| received.age(now) < REPORT_TTL_MS)
     }
 
-    /// What a coordinator goes by.
-    pub fn facts(&self, now: Millis) -> Vec<Observation> {
-        let (mut asked, mut refused) = (0, 0);
+    /// What the rules of the coordinator evaluate: the share of rejected requests, and each site's share of attempts
+    /// without a response. A share of too few is left out.
+    pub fn observations(&self, now: Millis) -> Vec<Observation> {
+        let (mut requests, mut rejected) = (0, 0);
         let mut sites: BTreeMap<&String, (u64, u64)> = BTreeMap::new();
-        for report in self.young(now) {
-            asked += u64::from(report.requests);
-            refused += u64::from(report.rejected);
+        for ReceivedReport { report, .. } in self.recent_entries(now) {
+            requests += u64::from(report.requests);
+            rejected += u64::from(report.rejected);
             for (site, counts) in &report.sites {
-                let (silent, ended) = sites.entry(site).or_default();
-                *silent += u64::from(counts.unanswered);
+                let (unanswered, ended) = sites.entry(site).or_default();
+                *unanswered += u64::from(counts.unanswered);
                 *ended += u64::from(counts.unanswered + counts.served);
             }
         }
-        let mut facts = Vec::new();
-        if asked >= ASKED_LEAST {
-            let level = refused as f64 / asked as f64;
-            facts.push(Observation { scope: Scope::Fleet, symptom: Symptom::Rejected, level });
+        let mut observations = Vec::new();
+        if requests >= MIN_REQUESTS {
+            let level = rejected as f64 / requests as f64;
+            observations.push(Observation { scope: Scope::Fleet, symptom: Symptom::Rejected, level });
         }
-        for (site, (silent, ended)) in sites.into_iter().filter(|(_, (_, ended))| *ended >= CALLS_LEAST) {
-            let level = silent as f64 / ended as f64;
-            facts.push(Observation { scope: Scope::Site(site.clone()), symptom: Symptom::Unanswered, level });
+        for (site, (unanswered, ended)) in sites {
+            if ended >= MIN_ENDED_ATTEMPTS {
+                let level = unanswered as f64 / ended as f64;
+                let scope = Scope::Site(site.clone());
+                observations.push(Observation { scope, symptom: Symptom::Unanswered, level });
+            }
         }
-        facts
+        observations
     }
 }
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -33,7 +33,7 @@
 
 impl RaftLog {
     /// The log of a keeper that founds a fleet with these members.
-    pub fn founded(members: &[u64], state: Vec<u8>) -> RaftLog {
+    pub fn bootstrapped(members: &[u64], state: Vec<u8>) -> RaftLog {
         let mut log = RaftLog::default();
         log.conf.voters = members.to_vec();
         let mut snapshot = Snapshot { data: state.into(), ..Snapshot::default() };
@@ -109,8 +109,8 @@
     }
 
     /// Takes a term, a vote and what is committed.
-    pub fn set_hard(&mut self, hard: &HardState) {
-        self.hard = hard.clone();
+    pub fn set_hard_state(&mut self, hard_state: &HardState) {
+        self.hard = hard_state.clone();
         self.unsaved.hard_state = Some(bytes(&self.hard));
     }
 
--- /dev/null
+++ b/crates/consensus/src/node/fenced_commands.rs
@@ -0,0 +1,41 @@
+//! Fenced commands: a lease holder sends them to all instances, and each instance checks the fencing token before it
+//! applies one.
+
+use super::{Node, Output};
+use crate::frame::Frame;
+use crate::storage::ReplicaStorage;
+use hillstall_lease::fencing::FencedCommand;
+use hillstall_lease::{Instance, Millis};
+use hillstall_maintenance::TrafficFraction;
+
+impl<D: ReplicaStorage> Node<D> {
+    /// Sends a command to all instances, this one included. Each decides by its fencing check whether to apply it.
+    pub(super) fn broadcast_command(&mut self, now: Millis, command: FencedCommand<TrafficFraction>) {
+        for slot in self.other_replica_slots() {
+            self.send_to_replica(slot, Frame::FencedCommand(command.clone()));
+        }
+        self.relay_command(&command);
+        self.apply_command(now, command);
+    }
+
+    /// Passes a command on to the instances that are attached here.
+    pub(super) fn relay_command(&mut self, command: &FencedCommand<TrafficFraction>) {
+        let attached: Vec<Instance> = self.followers.instances().collect();
+        for instance in attached {
+            self.send_to_instance(instance, Frame::FencedCommand(command.clone()));
+        }
+    }
+
+    /// Applies a command here, unless its fencing check fails.
+    pub(super) fn apply_command(&mut self, now: Millis, command: FencedCommand<TrafficFraction>) {
+        let audit_event = self.leases.apply_command(now, command);
+        self.output_changed_fractions(now);
+        self.outputs.extend(audit_event.map(Output::Audit));
+    }
+
+    /// Reports the sites whose traffic fraction has changed.
+    pub(super) fn output_changed_fractions(&mut self, now: Millis) {
+        let changed = self.leases.take_changed_fractions(now);
+        self.outputs.extend(changed.into_iter().map(|(site, fraction)| Output::SiteFraction(site, fraction)));
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/node/following.rs
@@ -0,0 +1,152 @@
+//! How a follower learns the state: it is attached to one replica, and turns to another when that one falls silent.
+
+use super::{Node, Output};
+use crate::frame::{Frame, StreamItem};
+use crate::state::State;
+use crate::storage::ReplicaStorage;
+use hillstall_lease::Millis;
+use rand_xoshiro::rand_core::RngCore;
+
+/// A follower that receives nothing for this long turns to another replica. After the first change the wait is drawn at
+/// random from once to twice this.
+const LEADER_SILENCE_TIMEOUT_MS: Millis = 1_500;
+/// The acknowledged index by which a follower asks for the whole state.
+const REQUEST_STATE: u64 = 0;
+
+/// The replica that a follower is attached to, and the state learned from it.
+pub(super) struct FollowedReplica {
+    /// The replica's slot.
+    pub(super) slot: usize,
+    /// Whether the connection to it is up.
+    pub(super) connected: bool,
+    /// The state as last received.
+    pub(super) state: State,
+    state_updated_at: Option<Millis>,
+    last_received_at: Millis,
+    silence_timeout: Millis,
+}
+
+impl FollowedReplica {
+    /// A follower of the replica in `slot` that has received nothing yet.
+    pub(super) fn new(slot: usize, now: Millis) -> FollowedReplica {
+        FollowedReplica {
+            slot,
+            connected: false,
+            state: State::default(),
+            state_updated_at: None,
+            last_received_at: now,
+            silence_timeout: LEADER_SILENCE_TIMEOUT_MS,
+        }
+    }
+
+    /// How long ago the state was known to be current, in milliseconds.
+    pub(super) fn state_age(&self, now: Millis) -> Option<Millis> {
+        self.state_updated_at.map(|at| now.saturating_sub(at))
+    }
+
+    /// Whether the replica has sent nothing for too long.
+    pub(super) fn is_silent(&self, now: Millis) -> bool {
+        now.saturating_sub(self.last_received_at) >= self.silence_timeout
+    }
+
+    /// Replaces the state as a whole. Returns the index to acknowledge.
+    fn replace_state(&mut self, now: Millis, state: State) -> u64 {
+        self.state = state;
+        self.state_updated_at = Some(now);
+        self.state.index()
+    }
+
+    /// Applies the item at `index`, which follows the one at `previous_index`. Returns the index to acknowledge.
+    fn apply_item(&mut self, now: Millis, previous_index: u64, index: u64, item: StreamItem) -> u64 {
+        let known_index = self.state.index();
+        if previous_index > known_index {
+            // Items were lost on the way, so no later one can be applied.
+            return REQUEST_STATE;
+        }
+        if index > known_index {
+            match item {
+                StreamItem::Command(proposal) => {
+                    self.state.apply(index, &proposal);
+                }
+                StreamItem::Lease(lease, record) => self.state.set_lease(index, &lease, record),
+            }
+            self.state_updated_at = Some(now);
+        }
+        index
+    }
+
+    /// Takes the index of the last item that the replica has sent. Returns the index to acknowledge.
+    fn on_heartbeat(&mut self, now: Millis, sent_index: u64) -> u64 {
+        if sent_index > self.state.index() {
+            return REQUEST_STATE;
+        }
+        if self.state_updated_at.is_some() {
+            self.state_updated_at = Some(now);
+        }
+        self.state.index()
+    }
+}
+
+impl<D: ReplicaStorage> Node<D> {
+    /// Takes note that the connection to the replica in `slot` is up or was lost. Ignored unless it is followed.
+    pub fn on_connection(&mut self, slot: usize, is_up: bool) {
+        if self.replica.is_some() || slot != self.followed.slot {
+            return;
+        }
+        self.followed.connected = is_up;
+        // The time of the last message stays: a connection may be accepted by something in front of a dead replica.
+        if is_up {
+            self.read_sent_at = None;
+        }
+    }
+
+    /// Takes a frame of the followed replica.
+    pub(super) fn on_followed_frame(&mut self, now: Millis, frame: Frame) {
+        self.followed.last_received_at = now;
+        self.followed.connected = true;
+        let acknowledged_index = match frame {
+            Frame::State(bytes) => self.on_state_frame(now, &bytes),
+            Frame::Applied { after, index, item } => Some(self.followed.apply_item(now, after, index, item)),
+            Frame::Heartbeat(sent_index) => Some(self.followed.on_heartbeat(now, sent_index)),
+            Frame::Answer { id, outcome } if id.instance == self.config.instance => {
+                self.on_outcome(now, id.number, outcome);
+                None
+            }
+            Frame::ReadIndex { number, index } => {
+                if self.pending_reads.remove(&number).is_some() {
+                    self.fencing_read_index = Some(index);
+                }
+                None
+            }
+            _ => None,
+        };
+        if let Some(index) = acknowledged_index {
+            self.send_to_replica(self.followed.slot, Frame::Ack(index));
+            self.on_state_changed(now);
+        }
+    }
+
+    fn on_state_frame(&mut self, now: Millis, bytes: &[u8]) -> Option<u64> {
+        match State::from_bytes(bytes) {
+            Ok(state) => Some(self.followed.replace_state(now, state)),
+            Err(error) => {
+                self.outputs.push(Output::Log(format!("a state of another version: {error}")));
+                None
+            }
+        }
+    }
+
+    /// Turns to a replica drawn at random among the others.
+    pub(super) fn follow_another_replica(&mut self, now: Millis) {
+        let replicas = self.config.replicas;
+        let others = replicas.max(2) as u64 - 1;
+        let step = 1 + (self.random.next_u64() % others) as usize;
+        self.followed.slot = (self.followed.slot + step) % replicas.max(1);
+        self.followed.connected = false;
+        self.followed.last_received_at = now;
+        // Jitter: followers that lost the same replica must not turn to the next one all at once.
+        let jitter = self.random.next_u64() % LEADER_SILENCE_TIMEOUT_MS;
+        self.followed.silence_timeout = LEADER_SILENCE_TIMEOUT_MS + jitter;
+        self.outputs.push(Output::Follow(self.followed.slot));
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/node/replication.rs
@@ -0,0 +1,158 @@
+//! Frames from replicas and attached instances, the events of the local replica, and what a replica does for the others:
+//! it feeds its followers, shares load reports and proposes expirations.
+
+use super::proposals::PROPOSAL_RETRY_INTERVAL_MS;
+use super::{Destination, Node, Output};
+use crate::frame::Frame;
+use crate::load_reports::LoadReport;
+use crate::replica::{AppliedProposal, ReplicaEvent};
+use crate::state::{Command, Outcome};
+use crate::storage::ReplicaStorage;
+use hillstall_change_freeze::state::FreezeState;
+use hillstall_lease::{Instance, Millis};
+
+/// How often a replica sends the load reports of its instances to the other replicas.
+const REPORT_SHARE_INTERVAL_MS: Millis = 500;
+/// How long an expiration is retried; it is proposed again as long as it is due.
+const EXPIRATION_PROPOSAL_TIMEOUT_MS: Millis = PROPOSAL_RETRY_INTERVAL_MS;
+
+impl<D: ReplicaStorage> Node<D> {
+    /// Takes note that an instance has attached here as a follower.
+    pub fn on_attached(&mut self, now: Millis, instance: Instance) {
+        if self.replica.is_some() {
+            self.followers.attach(now, instance);
+        }
+    }
+
+    /// Takes note that the connection of an attached instance was lost.
+    pub fn on_detached(&mut self, instance: Instance) {
+        self.followers.detach(instance);
+    }
+
+    /// Takes a frame of the replica in `slot`: the followed one, or, on a replica, one of the others.
+    pub fn on_replica_frame(&mut self, now: Millis, slot: usize, frame: Frame) {
+        match frame {
+            Frame::Replica(message) => {
+                if let Some(replica) = &mut self.replica {
+                    replica.on_message(now, slot, &message);
+                    self.process_replica_events(now);
+                }
+            }
+            Frame::Reports { unix, reports } => {
+                self.clocks.record(now, slot, unix);
+                reports.into_iter().for_each(|report| self.reports.record(now, report));
+            }
+            Frame::FencedCommand(command) => {
+                self.relay_command(&command);
+                self.apply_command(now, command);
+            }
+            _ if self.replica.is_some() || slot != self.followed.slot => {}
+            frame => self.on_followed_frame(now, frame),
+        }
+    }
+
+    /// Takes a frame of an instance that is attached here.
+    pub fn on_instance_frame(&mut self, now: Millis, instance: Instance, frame: Frame) {
+        let Some(replica) = &mut self.replica else { return };
+        match frame {
+            Frame::Propose(proposal) if proposal.id.instance == instance => {
+                replica.propose(&proposal);
+                self.process_replica_events(now);
+            }
+            Frame::Read { number } => self.on_read_request(now, instance, number),
+            Frame::Ack(index) => self.followers.on_ack(now, instance, index),
+            Frame::Report(report) if report.instance == Some(instance) => self.reports.record(now, report),
+            _ => {}
+        }
+    }
+
+    /// Takes the load report of this instance.
+    pub fn on_report(&mut self, now: Millis, mut report: LoadReport) {
+        report.instance = Some(self.config.instance);
+        for (site, counts) in &mut report.sites {
+            counts.fraction = (self.leases.site_fraction(site, now) * 1_000.0).round() as u16;
+        }
+        if self.replica.is_some() {
+            self.reports.record(now, report);
+        } else if self.followed.connected {
+            self.send_to_replica(self.followed.slot, Frame::Report(report));
+        }
+    }
+
+    /// Takes the events of the local replica.
+    pub(super) fn process_replica_events(&mut self, now: Millis) {
+        let Some(replica) = &mut self.replica else { return };
+        for event in replica.take_events() {
+            match event {
+                ReplicaEvent::Send { slot, message } => self.send_to_replica(slot, Frame::Replica(message)),
+                ReplicaEvent::Applied(applied) => self.on_applied(now, applied),
+                ReplicaEvent::Restored => {
+                    let index = self.state().index();
+                    self.followers.on_restored(index);
+                }
+                ReplicaEvent::ReadReady { number } => self.on_read_ready(number),
+                ReplicaEvent::Log(line) => self.outputs.push(Output::Log(line)),
+            }
+        }
+        self.on_state_changed(now);
+    }
+
+    /// Takes an entry that the local replica has applied.
+    fn on_applied(&mut self, now: Millis, applied: AppliedProposal) {
+        let AppliedProposal { index, proposal, outcome, lease_record, received_at } = applied;
+        if let (Command::Lease(command), Outcome::Lease(Some(grant))) = (&proposal.command, &outcome) {
+            self.lease_expiry.observe(received_at, command.lease(), *grant);
+        }
+        // Followers remember fewer proposals of an instance, so one that was too late here could be applied there.
+        if outcome != Outcome::TooLate {
+            self.followers.on_applied(index, &proposal, lease_record);
+        }
+        let id = proposal.id;
+        if id.instance == self.config.instance {
+            self.on_outcome(now, id.number, outcome);
+        } else if self.followers.is_attached(id.instance) {
+            self.send_to_instance(id.instance, Frame::Answer { id, outcome });
+        }
+    }
+
+    /// Proposes the leases and change timers that have expired, if the local replica leads. All replicas keep the
+    /// timers, so that the next leader goes on with them.
+    pub(super) fn propose_expirations(&mut self, now: Millis) {
+        let Some(replica) = &self.replica else { return };
+        let is_leader = replica.is_leader();
+        let expired_leases = self.lease_expiry.poll(now, replica.state().leases());
+        let expired_timers = self.change_timers.poll(now, replica.state().freeze().timers());
+        if !is_leader {
+            return;
+        }
+        let lease_commands = expired_leases.into_iter().map(Command::Lease);
+        let timer_commands = expired_timers
+            .into_iter()
+            .map(|(timer, version)| Command::Freeze(FreezeState::expiry_command(timer, version)));
+        for command in lease_commands.chain(timer_commands) {
+            self.propose_once(now, command, EXPIRATION_PROPOSAL_TIMEOUT_MS);
+        }
+    }
+
+    /// Sends the load reports of this instance and its followers, and the system clock, to the other replicas.
+    pub(super) fn share_reports(&mut self, now: Millis, unix: Millis) {
+        if now.saturating_sub(self.reports_shared_at) < REPORT_SHARE_INTERVAL_MS {
+            return;
+        }
+        self.reports_shared_at = now;
+        let (followers, local) = (&self.followers, self.config.instance);
+        let reports =
+            self.reports.recent(now, |instance| instance == local || followers.is_attached(instance));
+        for slot in self.other_replica_slots() {
+            self.send_to_replica(slot, Frame::Reports { unix, reports: reports.clone() });
+        }
+    }
+
+    /// Sends the state, or what was applied since, to the followers of the local replica.
+    pub(super) fn feed_followers(&mut self, now: Millis) {
+        let Some(replica) = &self.replica else { return };
+        let frames = self.followers.take_frames(now, replica.applied(), replica.state());
+        let to_output = |(instance, frame)| Output::Send(Destination::Instance(instance), frame);
+        self.outputs.extend(frames.into_iter().map(to_output));
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/replica/member_changes.rs
@@ -0,0 +1,62 @@
+//! How the leader makes members of the replicas that ask for it: each becomes a learner first, and once its log is nearly
+//! complete a voter, in the place of the slot's previous storage.
+
+use super::membership::ANNOUNCEMENT_TTL_MS;
+use super::{slot_of, Replica};
+use crate::log::RaftLog;
+use crate::storage::ReplicaStorage;
+use hillstall_lease::Millis;
+use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState};
+use raft::{RawNode, StateRole};
+
+/// The most entries that a learner may lack of the leader's committed ones to become a voter.
+const MAX_LEARNER_LAG: u64 = 16;
+
+impl<D: ReplicaStorage> Replica<D> {
+    /// Proposes the next change of members, if this replica leads and no change is pending.
+    pub(super) fn change_members(&mut self, now: Millis) {
+        self.join_requests.retain(|_, at| now.saturating_sub(*at) < ANNOUNCEMENT_TTL_MS);
+        let Some(node) = &mut self.raft else { return };
+        if node.raft.state != StateRole::Leader || node.raft.has_pending_conf() {
+            return;
+        }
+        let members = node.store().members().clone();
+        for id in self.join_requests.keys() {
+            let Some(changes) = next_changes(node, &members, *id) else { continue };
+            let change = ConfChangeV2 { changes: changes.into(), ..ConfChangeV2::default() };
+            if node.propose_conf_change(Vec::new(), change).is_ok() {
+                return;
+            }
+        }
+    }
+}
+
+/// The next changes that lead to a replica's being a voter; `None` if there is nothing to change now.
+fn next_changes(node: &RawNode<RaftLog>, members: &ConfState, id: u64) -> Option<Vec<ConfChangeSingle>> {
+    let (addition, replaced_members) = if members.learners.contains(&id) {
+        if !has_caught_up(node, id) {
+            return None;
+        }
+        (ConfChangeType::AddNode, &members.voters)
+    } else if !members.voters.contains(&id) {
+        // A learner whose storage was replaced before it voted goes when the next one comes.
+        (ConfChangeType::AddLearnerNode, &members.learners)
+    } else {
+        return None;
+    };
+    let of_same_slot = replaced_members.iter().filter(|member| slot_of(**member) == slot_of(id));
+    let mut changes: Vec<_> =
+        of_same_slot.map(|member| single_change(ConfChangeType::RemoveNode, *member)).collect();
+    changes.push(single_change(addition, id));
+    Some(changes)
+}
+
+/// Whether a learner's log is near enough to the leader's committed entries.
+fn has_caught_up(node: &RawNode<RaftLog>, id: u64) -> bool {
+    let matched = node.raft.prs().get(id).map_or(0, |progress| progress.matched);
+    matched + MAX_LEARNER_LAG >= node.raft.raft_log.committed
+}
+
+fn single_change(change_type: ConfChangeType, id: u64) -> ConfChangeSingle {
+    ConfChangeSingle { change_type, node_id: id, ..ConfChangeSingle::default() }
+}
--- /dev/null
+++ b/crates/consensus/src/replica/snapshots.rs
@@ -0,0 +1,53 @@
+//! Snapshots: the log is compacted into one now and then, and one that was lost on the way to a member is sent again.
+
+use super::Replica;
+use crate::storage::ReplicaStorage;
+use hillstall_lease::Millis;
+use raft::{ProgressState, SnapshotStatus, StateRole};
+
+/// Entries applied since the last snapshot after which the next is made.
+const SNAPSHOT_INTERVAL_ENTRIES: u64 = 256;
+/// Entries before a snapshot that stay in the log, for members that are a little behind.
+const ENTRIES_BEFORE_SNAPSHOT: u64 = 64;
+/// A snapshot that is in flight for this long counts as lost.
+const SNAPSHOT_TIMEOUT_MS: Millis = 1_000;
+
+impl<D: ReplicaStorage> Replica<D> {
+    /// Reports snapshots that were lost, so that they are sent again: the raft crate would wait for ever, and keep their
+    /// receivers out.
+    pub(super) fn resend_lost_snapshots(&mut self, now: Millis) {
+        let Some(node) = self.raft.as_mut().filter(|node| node.raft.state == StateRole::Leader) else {
+            return self.snapshots_in_flight.clear();
+        };
+        let progress = node.raft.prs().iter();
+        let receivers: Vec<u64> = progress
+            .filter(|(_, progress)| progress.state == ProgressState::Snapshot)
+            .map(|(id, _)| *id)
+            .collect();
+        self.snapshots_in_flight.retain(|id, _| receivers.contains(id));
+        for id in receivers {
+            let first_seen_at = *self.snapshots_in_flight.entry(id).or_insert(now);
+            if now.saturating_sub(first_seen_at) >= SNAPSHOT_TIMEOUT_MS {
+                node.report_snapshot(id, SnapshotStatus::Failure);
+                self.snapshots_in_flight.remove(&id);
+            }
+        }
+    }
+
+    /// Makes a snapshot of the state, if one is due, and drops the entries that it replaces.
+    pub(super) fn compact_log(&mut self) {
+        let Some(node) = &mut self.raft else { return };
+        let (snapshot_index, _) = node.store().state();
+        let is_due = self.applied_index >= snapshot_index + SNAPSHOT_INTERVAL_ENTRIES;
+        // A new member accepts no snapshot that it isn't a member in, so one is made after each change.
+        if !self.members_changed && !is_due {
+            return;
+        }
+        self.members_changed = false;
+        let state = self.state.to_bytes();
+        let log = node.mut_store();
+        log.compact(self.applied_index, state, ENTRIES_BEFORE_SNAPSHOT);
+        let batch = log.unsaved();
+        self.save(batch);
+    }
+}
