--- a/crates/coordination/src/calendar.rs
+++ b/crates/coordination/src/calendar.rs
@@ -1,28 +1,28 @@
-//! What the operator file and the lines say of times.
+//! Times of the calendar, as written in the operator file and in admin commands.
 
 use jiff::tz::TimeZone;
-use jiff::Span;
-use jiff::ZonedDateTime as Zoned;
+use jiff::{Span, Timestamp, ZonedDateTime};
 
-/// A time zone by its name.
-pub fn zone(name: &str) -> Option<TimeZone> {
+/// Looks a time zone up by its IANA name, such as "Europe/Berlin".
+pub fn parse_time_zone(name: &str) -> Option<TimeZone> {
     TimeZone::get(name).ok()
 }
 
-/// A stretch of the calendar, as "7 days".
-pub fn span(text: &str) -> Option<Span> {
+/// Parses a positive span of the calendar, such as "7 days".
+pub fn parse_span(text: &str) -> Option<Span> {
     text.parse::<Span>().ok().filter(Span::is_positive)
 }
 
-/// A moment, as "2026-05-03T02:00[Europe/Berlin]" or "2026-05-03T00:00Z", in Unix milliseconds.
-pub fn moment(text: &str) -> Option<u64> {
-    let zoned = text.parse::<Zoned>().map(|zoned| zoned.timestamp());
-    let stamp = zoned.or_else(|_| text.parse::<jiff::Timestamp>()).ok()?;
-    u64::try_from(stamp.as_millisecond()).ok()
+/// Parses a point in time, such as "2026-05-03T02:00[Europe/Berlin]" or "2026-05-03T00:00Z", as Unix milliseconds.
+pub fn parse_timestamp(text: &str) -> Option<u64> {
+    let zoned = text.parse::<ZonedDateTime>().map(|zoned| zoned.timestamp());
+    let timestamp = zoned.or_else(|_| text.parse::<Timestamp>()).ok()?;
+    u64::try_from(timestamp.as_millisecond()).ok()
 }
 
-/// A Unix time for people.
-pub fn shown(unix_ms: u64) -> String {
-    let stamp = i64::try_from(unix_ms).ok().and_then(|ms| jiff::Timestamp::from_millisecond(ms).ok());
-    stamp.map_or_else(|| unix_ms.to_string(), |stamp| stamp.to_string())
+/// Formats Unix milliseconds as an RFC 3339 timestamp in UTC; the plain number where it is out of the calendar's range.
+pub fn format_timestamp(unix_ms: u64) -> String {
+    let signed = i64::try_from(unix_ms).ok();
+    let timestamp = signed.and_then(|ms| Timestamp::from_millisecond(ms).ok());
+    timestamp.map_or_else(|| unix_ms.to_string(), |timestamp| timestamp.to_string())
 }
--- a/crates/coordination/src/connections.rs
+++ b/crates/coordination/src/connections.rs
@@ -1,12 +1,15 @@
-//! Connections between copies. Each copy opens its own to the keepers that it needs; what a keeper sends another goes over
-//! the one that it opened itself. A queue that is full loses frames: whoever reads slowly holds up nobody, and all that
-//! matters is asked for again.
+//! Connections between instances.
+//!
+//! Each instance opens connections to the replicas that it needs; what one replica sends another goes over the connection
+//! that the sender opened. Frames are dropped where a queue is full, so that a slow reader holds nobody up: whatever
+//! matters is requested again.
 
-use bytes::Bytes;
-use futures_util::SinkExt;
+use bytes::{Bytes, BytesMut};
+use futures_util::{SinkExt, Stream};
 use hillstall_consensus::frame::{Frame, MAX_FRAME_BYTES};
 use hillstall_lease::Instance;
 use std::net::{IpAddr, SocketAddr};
+use std::pin::Pin;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{channel, unbounded_channel, Receiver, Sender, UnboundedSender};
@@ -15,45 +18,91 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 /// Frames that may wait for one connection.
-const QUEUE: usize = 512;
-/// Longest wait for a connection, and for the frame that says who opened one.
-const OPEN_WITHIN: Duration = Duration::from_millis(800);
-/// Between two tries.
-const AGAIN: Duration = Duration::from_millis(100);
-/// A connection over which nothing could be written for so long is given up.
-const WRITE_WITHIN: Duration = Duration::from_secs(5);
-/// Most connections that others may have open here.
-const OPEN_MOST: usize = 2_048;
+const QUEUE_CAPACITY: usize = 512;
+/// Longest wait for a connection to open, and for the frame that introduces its opener.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Pause between two attempts to open a connection, or to accept one.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// A connection on which one frame could not be written for so long is closed.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Most connections that others may have open to this replica.
+const MAX_INBOUND_CONNECTIONS: usize = 2_048;
+
+type FramedStream = Framed<TcpStream, LengthDelimitedCodec>;
 
 /// What happens on connections.
 pub enum ConnectionEvent {
-    /// A keeper sent a frame: over a connection opened here, or over one that it opened.
-    Keeper(usize, Frame),
-    /// Another copy did, over the connection of this number.
-    Copy(Instance, u64, Frame),
-    /// A copy has connected.
-    Attached(Instance, u64, Sender<Bytes>),
-    /// Its connection is gone.
-    Detached(Instance, u64),
-    /// The connection to a keeper is up, or is gone.
-    Up(usize, bool),
-    /// Something that can't be read, and from whom.
-    Unreadable(String),
+    /// A replica sent a frame, over whichever connection.
+    ReplicaFrame {
+        /// The replica's slot.
+        slot: usize,
+        /// What it sent.
+        frame: Frame,
+    },
+    /// A follower sent a frame over a connection that it opened.
+    InstanceFrame {
+        /// The follower.
+        instance: Instance,
+        /// The connection's number.
+        connection: u64,
+        /// What it sent.
+        frame: Frame,
+    },
+    /// A follower has opened a connection.
+    Attached {
+        /// The follower.
+        instance: Instance,
+        /// The connection's number.
+        connection: u64,
+        /// Takes encoded frames for the follower.
+        queue: Sender<Bytes>,
+    },
+    /// A follower's connection is closed.
+    Detached {
+        /// The follower.
+        instance: Instance,
+        /// The connection's number.
+        connection: u64,
+    },
+    /// The connection that this instance opened to a replica is up, or is closed.
+    ReplicaConnection {
+        /// The replica's slot.
+        slot: usize,
+        /// Whether it is up.
+        is_up: bool,
+    },
+    /// A connection carried something that can't be read.
+    Unreadable {
+        /// Why it can't.
+        error: String,
+    },
+    /// A connection was refused: its source may not connect, or there are too many.
+    Refused {
+        /// Where it came from.
+        source: IpAddr,
+    },
 }
 
-/// Who opens a connection.
+/// How this instance introduces itself.
 #[derive(Clone)]
 pub struct LocalIdentity {
-    /// Its fleet.
+    /// The name of its fleet.
     pub fleet: String,
     /// Itself.
-    pub copy: Instance,
-    /// Its slot.
-    pub keeper: Option<usize>,
+    pub instance: Instance,
+    /// Its slot, if it is a replica.
+    pub slot: Option<usize>,
 }
 
-fn framed(stream: TcpStream) -> Framed<TcpStream, LengthDelimitedCodec> {
-    // Fails only on a stream that is dead, which the first read tells.
+impl LocalIdentity {
+    fn hello(&self) -> Bytes {
+        let fleet = self.fleet.clone();
+        Frame::Hello { fleet, instance: self.instance, replica: self.slot }.encode().into()
+    }
+}
+
+fn framed(stream: TcpStream) -> FramedStream {
+    // Fails only on a closed connection, which the first read shows.
     let _ = stream.set_nodelay(true);
     Framed::new(stream, LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec())
 }
@@ -65,18 +114,19 @@
 }
 
 impl OutboundConnection {
-    /// Opens one to a keeper.
+    /// Starts to connect to a replica, on the current [`tokio::task::LocalSet`].
     pub fn open(
         slot: usize,
         address: SocketAddr,
-        own: LocalIdentity,
-        tell: UnboundedSender<ConnectionEvent>,
+        identity: LocalIdentity,
+        events: UnboundedSender<ConnectionEvent>,
     ) -> OutboundConnection {
-        let (queue, waiting) = channel(QUEUE);
-        OutboundConnection { queue, task: spawn_local(keep_open(slot, address, own, tell, waiting)) }
+        let (queue, outgoing) = channel(QUEUE_CAPACITY);
+        let task = spawn_local(keep_connected(slot, address, identity, events, outgoing));
+        OutboundConnection { queue, task }
     }
 
-    /// Sends a frame, or loses it.
+    /// Queues an encoded frame; it is dropped if the queue is full.
     pub fn send(&self, frame: Bytes) {
         let _ = self.queue.try_send(frame);
     }
@@ -88,59 +138,56 @@
     }
 }
 
-async fn keep_open(
+async fn keep_connected(
     slot: usize,
     address: SocketAddr,
-    own: LocalIdentity,
-    tell: UnboundedSender<ConnectionEvent>,
-    mut waiting: Receiver<Bytes>,
+    identity: LocalIdentity,
+    events: UnboundedSender<ConnectionEvent>,
+    mut outgoing: Receiver<Bytes>,
 ) {
     loop {
-        if let Ok(Ok(stream)) = timeout(OPEN_WITHIN, TcpStream::connect(address)).await {
-            // What was meant for the connection before is of no use to this one.
-            while waiting.try_recv().is_ok() {}
-            let LocalIdentity { fleet, copy, keeper } = own.clone();
-            let mut wire = framed(stream);
-            let hello = Frame::Hello { fleet, instance: copy, replica: keeper }.encode();
-            if matches!(timeout(OPEN_WITHIN, wire.send(Bytes::from(hello))).await, Ok(Ok(()))) {
-                // The loop has ended once nobody hears.
-                let _ = tell.send(ConnectionEvent::Up(slot, true));
-                carry(&mut wire, &mut waiting, |frame| ConnectionEvent::Keeper(slot, frame), &tell).await;
-                let _ = tell.send(ConnectionEvent::Up(slot, false));
+        if let Ok(Ok(stream)) = timeout(HANDSHAKE_TIMEOUT, TcpStream::connect(address)).await {
+            // What was queued for the connection before is outdated.
+            while outgoing.try_recv().is_ok() {}
+            let mut stream = framed(stream);
+            let greeting = timeout(HANDSHAKE_TIMEOUT, stream.send(identity.hello())).await;
+            if matches!(greeting, Ok(Ok(()))) {
+                // Sending fails once the event loop has ended, and with it this task.
+                let _ = events.send(ConnectionEvent::ReplicaConnection { slot, is_up: true });
+                let to_event = |frame| ConnectionEvent::ReplicaFrame { slot, frame };
+                exchange_frames(&mut stream, &mut outgoing, to_event, &events).await;
+                let _ = events.send(ConnectionEvent::ReplicaConnection { slot, is_up: false });
             }
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// Carries frames both ways until the connection ends.
-async fn carry(
-    wire: &mut Framed<TcpStream, LengthDelimitedCodec>,
-    waiting: &mut Receiver<Bytes>,
-    heard: impl Fn(Frame) -> ConnectionEvent,
-    tell: &UnboundedSender<ConnectionEvent>,
+/// Sends and receives frames until the connection ends.
+async fn exchange_frames(
+    stream: &mut FramedStream,
+    outgoing: &mut Receiver<Bytes>,
+    to_event: impl Fn(Frame) -> ConnectionEvent,
+    events: &UnboundedSender<ConnectionEvent>,
 ) {
     loop {
         tokio::select! {
-            read = next(wire) => match read {
+            received = next_frame(stream) => match received {
                 Some(Ok(bytes)) => {
-                    let told = match Frame::decode(&bytes) {
-                        Ok(frame) => heard(frame),
-                        Err(why) => ConnectionEvent::Unreadable(why.to_string()),
-                    };
-                    if tell.send(told).is_err() {
+                    let event = Frame::decode(&bytes).map_or_else(unreadable, &to_event);
+                    if events.send(event).is_err() {
                         return;
                     }
                 }
-                Some(Err(why)) => {
-                    let _ = tell.send(ConnectionEvent::Unreadable(why.to_string()));
+                Some(Err(error)) => {
+                    let _ = events.send(unreadable(error));
                     return;
                 }
                 None => return,
             },
-            frame = waiting.recv() => {
+            frame = outgoing.recv() => {
                 let Some(frame) = frame else { return };
-                if !matches!(timeout(WRITE_WITHIN, wire.send(frame)).await, Ok(Ok(()))) {
+                if !matches!(timeout(WRITE_TIMEOUT, stream.send(frame)).await, Ok(Ok(()))) {
                     return;
                 }
             }
@@ -148,72 +195,76 @@
     }
 }
 
-async fn next(
-    wire: &mut Framed<TcpStream, LengthDelimitedCodec>,
-) -> Option<std::io::Result<bytes::BytesMut>> {
-    std::future::poll_fn(|cx| futures_util::Stream::poll_next(std::pin::Pin::new(&mut *wire), cx)).await
+fn unreadable(error: impl std::error::Error) -> ConnectionEvent {
+    ConnectionEvent::Unreadable { error: error.to_string() }
 }
 
-/// Takes connections for ever, from those that may open one.
+async fn next_frame(stream: &mut FramedStream) -> Option<std::io::Result<BytesMut>> {
+    std::future::poll_fn(|context| Stream::poll_next(Pin::new(&mut *stream), context)).await
+}
+
+/// Accepts connections for ever, from sources that `is_allowed` admits.
 pub async fn accept(
     listener: TcpListener,
-    own: LocalIdentity,
-    may: impl Fn(IpAddr) -> bool + 'static,
-    tell: UnboundedSender<ConnectionEvent>,
+    identity: LocalIdentity,
+    is_allowed: impl Fn(IpAddr) -> bool + 'static,
+    events: UnboundedSender<ConnectionEvent>,
 ) {
-    let mut number = 0;
-    let (closed, mut closings) = unbounded_channel::<()>();
-    let mut open = 0;
+    let (close_sender, mut closed) = unbounded_channel::<()>();
+    let mut open_connections = 0;
+    let mut connection = 0;
     loop {
-        let (stream, from) = match listener.accept().await {
-            Ok(accepted) => accepted,
-            Err(_) => {
-                // Out of descriptors: those that are open go on.
-                sleep(AGAIN).await;
-                continue;
-            }
+        let Ok((stream, source)) = listener.accept().await else {
+            // Out of file descriptors: connections that are open go on.
+            sleep(RETRY_INTERVAL).await;
+            continue;
         };
-        while closings.try_recv().is_ok() {
-            open -= 1;
+        while closed.try_recv().is_ok() {
+            open_connections -= 1;
         }
-        if !may(from.ip()) || open >= OPEN_MOST {
-            let _ = tell
-                .send(ConnectionEvent::Unreadable(format!("a connection from {} is not taken", from.ip())));
+        if !is_allowed(source.ip()) || open_connections >= MAX_INBOUND_CONNECTIONS {
+            let _ = events.send(ConnectionEvent::Refused { source: source.ip() });
             continue;
         }
-        open += 1;
-        number += 1;
-        let (own, tell, closed) = (own.clone(), tell.clone(), closed.clone());
+        open_connections += 1;
+        connection += 1;
+        let (identity, events, close_sender) = (identity.clone(), events.clone(), close_sender.clone());
         spawn_local(async move {
-            answer(stream, own, number, &tell).await;
-            let _ = closed.send(());
+            serve(stream, identity, connection, &events).await;
+            let _ = close_sender.send(());
         });
     }
 }
 
-async fn answer(stream: TcpStream, own: LocalIdentity, number: u64, tell: &UnboundedSender<ConnectionEvent>) {
-    let mut wire = framed(stream);
-    let first = timeout(OPEN_WITHIN, next(&mut wire)).await;
+/// Serves a connection that another instance has opened.
+async fn serve(
+    stream: TcpStream,
+    identity: LocalIdentity,
+    connection: u64,
+    events: &UnboundedSender<ConnectionEvent>,
+) {
+    let mut stream = framed(stream);
+    let first = timeout(HANDSHAKE_TIMEOUT, next_frame(&mut stream)).await;
     let Ok(Some(Ok(bytes))) = first else { return };
-    let (copy, keeper) = match Frame::decode(&bytes) {
-        Ok(Frame::Hello { fleet, instance: copy, replica: keeper }) if fleet == own.fleet => (copy, keeper),
-        // Of another fleet, or no greeting.
+    let (instance, replica) = match Frame::decode(&bytes) {
+        Ok(Frame::Hello { fleet, instance, replica }) if fleet == identity.fleet => (instance, replica),
+        // Another fleet, or no introduction.
         Ok(_) => return,
-        Err(why) => {
-            let _ = tell.send(ConnectionEvent::Unreadable(why.to_string()));
+        Err(error) => {
+            let _ = events.send(unreadable(error));
             return;
         }
     };
-    let (queue, mut waiting) = channel(QUEUE);
-    match keeper {
-        Some(slot) => {
-            carry(&mut wire, &mut waiting, |frame| ConnectionEvent::Keeper(slot, frame), tell).await
-        }
-        None => {
-            let _ = tell.send(ConnectionEvent::Attached(copy, number, queue.clone()));
-            carry(&mut wire, &mut waiting, |frame| ConnectionEvent::Copy(copy, number, frame), tell).await;
-            let _ = tell.send(ConnectionEvent::Detached(copy, number));
-        }
+    // The sender is kept to the end: a closed queue would end the exchange.
+    let (queue, mut outgoing) = channel(QUEUE_CAPACITY);
+    if let Some(slot) = replica {
+        let to_event = |frame| ConnectionEvent::ReplicaFrame { slot, frame };
+        exchange_frames(&mut stream, &mut outgoing, to_event, events).await;
+    } else {
+        let _ = events.send(ConnectionEvent::Attached { instance, connection, queue: queue.clone() });
+        let to_event = |frame| ConnectionEvent::InstanceFrame { instance, connection, frame };
+        exchange_frames(&mut stream, &mut outgoing, to_event, events).await;
+        let _ = events.send(ConnectionEvent::Detached { instance, connection });
     }
     drop(queue);
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,9 +1,15 @@
-//! The fleet's part of a copy on sockets and disk: one loop on one thread of its own, beside the loop that carries calls.
-//! The two speak by messages and neither waits for the other. Whatever is decided is decided in `hillstall-consensus`.
+//! The coordination runtime of one proxy instance: it runs the consensus [`Node`](hillstall_consensus::node::Node) on
+//! sockets and disk, in one event loop on a thread of its own.
 //!
-//! [`settings`] reads the section `[fleet]` of the operator file; [`start`] begins; [`CoordinationHandle`] is what the calls' loop has.
+//! The thread and the proxy's own event loop exchange messages and never wait for each other. All decisions are made in
+//! `hillstall-consensus`; this crate carries them out.
+//!
+//! * [`settings`] reads the section `[fleet]` of the operator file,
+//! * [`start`] starts the thread,
+//! * [`CoordinationHandle`] is the proxy's end of the message channel.
 
-mod admin_commands;
+#[doc(hidden)]
+pub mod admin_commands;
 mod calendar;
 mod connections;
 #[doc(hidden)]
@@ -14,7 +20,7 @@
 pub use hillstall_consensus::load_reports::{LoadReport, SiteCounts};
 pub use runtime::{start, Advisory, CoordinationHandle, InstanceLocation, StartError};
 
-/// A length of time in milliseconds.
-fn millis(time: std::time::Duration) -> u64 {
-    u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
+/// A duration in whole milliseconds.
+fn millis(duration: std::time::Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/coordination/src/redb_storage.rs
+++ b/crates/coordination/src/redb_storage.rs
@@ -1,175 +1,225 @@
-//! A keeper's lasting disk: an embedded store, synced before anything is told to others.
+//! A replica's storage: an embedded `redb` database in one file. Each batch is synced before anything that follows from it
+//! is sent.
 
 use hillstall_consensus::replica::new_id;
 use hillstall_consensus::storage::{PersistentState, ReplicaStorage, StorageFailed, WriteBatch};
-use redb::{Database, Durability, ReadableDatabase, ReadableTable, TableDefinition};
+use redb::{
+    Database, Durability, ReadTransaction, ReadableDatabase, ReadableTable, TableDefinition, WriteTransaction,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
 use std::path::{Path, PathBuf};
 
-const META: TableDefinition<'_, &str, Vec<u8>> = TableDefinition::new("meta");
-const LOG: TableDefinition<'_, u64, Vec<u8>> = TableDefinition::new("log");
-/// The version of what is written.
-const VERSION: u8 = 1;
+const META_TABLE: TableDefinition<'_, &str, Vec<u8>> = TableDefinition::new("meta");
+/// Encoded log entries by index.
+const LOG_TABLE: TableDefinition<'_, u64, Vec<u8>> = TableDefinition::new("log");
 
-/// What changes seldom, as one value.
+/// Keys of [`META_TABLE`].
+const HEADER_KEY: &str = "head";
+const HARD_STATE_KEY: &str = "hard";
+const SNAPSHOT_KEY: &str = "snapshot";
+
+/// Version of the stored form.
+const FORMAT_VERSION: u8 = 1;
+/// Extension of a file that could not be read and was set aside.
+const CORRUPT_EXTENSION: &str = "torn";
+/// Extension of the file of before a reset.
+const REPLACED_EXTENSION: &str = "old";
+
+/// Small values that change seldom, stored as one. The order of the fields is the stored form.
 #[derive(Default, Serialize, Deserialize)]
-struct Head {
+struct StoredHeader {
     version: u8,
     id: u64,
     boot: u64,
     founders: Vec<u64>,
-    takes_part: bool,
-    seen: BTreeMap<u64, u64>,
+    participates: bool,
+    known_boots: BTreeMap<u64, u64>,
 }
 
-/// See the module's text.
+/// The storage of one replica, which no second process can open.
 pub struct RedbStorage {
     slot: usize,
     path: PathBuf,
-    base: Option<Database>,
-    head: Head,
+    /// `None` only while the file is replaced.
+    database: Option<Database>,
+    header: StoredHeader,
 }
 
-/// Why a disk can't be used now.
+/// Why a replica's storage can't be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
-    /// Another process has it, as the older one during an upgrade.
+    /// Another process has it open, as the older one does during an upgrade.
     #[error("another process has the keeper's disk")]
     InUse,
-    /// It fails.
-    #[error("the keeper's disk: {0}")]
-    Failed(String),
+    /// The directory does not exist; it may not be mounted.
+    #[error("the keeper's disk: {}: there is no such folder", path.display())]
+    MissingDirectory {
+        /// The directory.
+        path: PathBuf,
+    },
+    /// A corrupt file could not be set aside.
+    #[error("the keeper's disk: {source}")]
+    SetAside {
+        /// What the operating system said.
+        source: std::io::Error,
+    },
+    /// The database can't be opened.
+    #[error("the keeper's disk: {source}")]
+    Open {
+        /// What the database said.
+        source: redb::DatabaseError,
+    },
 }
 
-fn failed(why: impl std::fmt::Display) -> StorageFailed {
-    StorageFailed(why.to_string())
+fn failed(error: impl std::fmt::Display) -> StorageFailed {
+    StorageFailed(error.to_string())
 }
 
 impl RedbStorage {
-    /// Opens a keeper's file in a folder, which must be there: one that is not mounted must not be taken for a new one.
-    pub fn open(folder: &Path, slot: usize) -> Result<RedbStorage, StorageError> {
-        if !folder.is_dir() {
-            return Err(StorageError::Failed(format!("{}: there is no such folder", folder.display())));
+    /// Opens a replica's file in a directory, or creates it. The directory has to exist: one that is not mounted must not be
+    /// taken for a new one. A corrupt file is set aside for inspection, and the replica begins as a new one.
+    ///
+    /// # Errors
+    /// [`StorageError`]; with [`StorageError::InUse`] a later attempt may succeed.
+    pub fn open(directory: &Path, slot: usize) -> Result<RedbStorage, StorageError> {
+        if !directory.is_dir() {
+            return Err(StorageError::MissingDirectory { path: directory.to_owned() });
         }
-        let path = folder.join(format!("keeper-{slot}.redb"));
+        let path = directory.join(format!("keeper-{slot}.redb"));
         match Database::create(&path) {
-            Ok(base) => Ok(RedbStorage { slot, path, base: Some(base), head: Head::default() }),
+            Ok(database) => {
+                Ok(RedbStorage { slot, path, database: Some(database), header: StoredHeader::default() })
+            }
             Err(redb::DatabaseError::DatabaseAlreadyOpen) => Err(StorageError::InUse),
-            // Whatever is there can't be read: it is put aside, for people to look at, and the keeper is a new one.
-            Err(redb::DatabaseError::Storage(redb::StorageError::Corrupted(why))) => {
-                tracing::warn!("keeper's disk: {why}; it is put aside");
-                std::fs::rename(&path, path.with_extension("torn"))
-                    .map_err(|e| StorageError::Failed(e.to_string()))?;
-                RedbStorage::open(folder, slot)
+            Err(redb::DatabaseError::Storage(redb::StorageError::Corrupted(error))) => {
+                tracing::warn!(error, "coordination: replica storage is corrupt; set aside");
+                std::fs::rename(&path, path.with_extension(CORRUPT_EXTENSION))
+                    .map_err(|source| StorageError::SetAside { source })?;
+                RedbStorage::open(directory, slot)
             }
-            Err(why) => Err(StorageError::Failed(why.to_string())),
+            Err(source) => Err(StorageError::Open { source }),
         }
     }
 
-    fn base(&self) -> Result<&Database, StorageFailed> {
-        self.base.as_ref().ok_or_else(|| failed("it is closed"))
+    fn database(&self) -> Result<&Database, redb::Error> {
+        self.database.as_ref().ok_or_else(|| redb::Error::Io(std::io::Error::other("it is closed")))
     }
 
-    fn write(&self, change: &WriteBatch, head: &Head) -> Result<(), redb::Error> {
-        let base = self.base().map_err(|e| redb::Error::Io(std::io::Error::other(e.0)))?;
-        let mut writing = base.begin_write()?;
-        writing.set_durability(Durability::Immediate)?;
-        {
-            let mut meta = writing.open_table(META)?;
-            meta.insert("head", postcard::to_stdvec(head).unwrap_or_default())?;
-            for (key, value) in [("hard", &change.hard_state), ("snapshot", &change.snapshot)] {
-                if let Some(value) = value {
-                    meta.insert(key, value.clone())?;
-                }
-            }
-            let mut log = writing.open_table(LOG)?;
-            if let Some(from) = change.truncate_from {
-                log.retain_in(from.., |_, _| false)?;
-            }
-            if let Some(to) = change.compact_to {
-                log.retain_in(..=to, |_, _| false)?;
-            }
-            for (index, entry) in &change.entries {
-                log.insert(index, entry.clone())?;
-            }
-        }
-        writing.commit()?;
+    /// Writes a batch and the header in one transaction, and syncs it.
+    fn write(&self, batch: &WriteBatch, header: &StoredHeader) -> Result<(), redb::Error> {
+        let mut transaction = self.database()?.begin_write()?;
+        transaction.set_durability(Durability::Immediate)?;
+        write_meta(&transaction, batch, header)?;
+        write_log(&transaction, batch)?;
+        transaction.commit()?;
         Ok(())
     }
 
+    /// Reads what is stored; `None` in a new file.
     fn read(&self) -> Result<Option<PersistentState>, redb::Error> {
-        let base = self.base().map_err(|e| redb::Error::Io(std::io::Error::other(e.0)))?;
-        let reading = base.begin_read()?;
-        let meta = match reading.open_table(META) {
+        let transaction = self.database()?.begin_read()?;
+        let meta = match transaction.open_table(META_TABLE) {
             Ok(meta) => meta,
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
-            Err(why) => return Err(why.into()),
+            Err(error) => return Err(error.into()),
         };
         let get = |key: &str| Ok::<_, redb::Error>(meta.get(key)?.map(|value| value.value()));
-        let head: Head = match get("head")?.map(|bytes| postcard::from_bytes(&bytes)) {
-            Some(Ok(head)) => head,
-            Some(Err(why)) => return Err(redb::Error::Corrupted(why.to_string())),
-            None => return Ok(None),
-        };
-        let mut entries = BTreeMap::new();
-        for entry in reading.open_table(LOG)?.iter()? {
-            let (index, bytes) = entry?;
-            entries.insert(index.value(), bytes.value());
-        }
-        let Head { id, boot, founders, takes_part, seen, .. } = head;
-        let (hard, snapshot) = (get("hard")?.unwrap_or_default(), get("snapshot")?.unwrap_or_default());
+        let Some(header) = get(HEADER_KEY)? else { return Ok(None) };
+        let header: StoredHeader =
+            postcard::from_bytes(&header).map_err(|error| redb::Error::Corrupted(error.to_string()))?;
         Ok(Some(PersistentState {
-            id,
-            boot,
-            founders,
-            participates: takes_part,
-            hard_state: hard,
-            snapshot,
-            entries,
-            known_boots: seen,
+            entries: read_log(&transaction)?,
+            id: header.id,
+            boot: header.boot,
+            founders: header.founders,
+            participates: header.participates,
+            hard_state: get(HARD_STATE_KEY)?.unwrap_or_default(),
+            snapshot: get(SNAPSHOT_KEY)?.unwrap_or_default(),
+            known_boots: header.known_boots,
         }))
     }
 
-    fn begin_anew(&mut self) -> Result<PersistentState, StorageFailed> {
-        // Hashing nothing with the system's keys gives a number that no other start gets.
+    /// Writes the header of a new replica, with an id that no other start draws.
+    fn initialize(&mut self) -> Result<PersistentState, StorageFailed> {
+        // The system's random hash keys differ at each start.
         let random = RandomState::new().hash_one(std::process::id());
-        self.head = Head { version: VERSION, id: new_id(self.slot, random), ..Head::default() };
-        self.write(&WriteBatch::default(), &self.head).map_err(failed)?;
-        Ok(PersistentState { id: self.head.id, ..PersistentState::default() })
+        let id = new_id(self.slot, random);
+        self.header = StoredHeader { version: FORMAT_VERSION, id, ..StoredHeader::default() };
+        self.write(&WriteBatch::default(), &self.header).map_err(failed)?;
+        Ok(PersistentState { id, ..PersistentState::default() })
     }
 }
 
+fn write_meta(
+    transaction: &WriteTransaction,
+    batch: &WriteBatch,
+    header: &StoredHeader,
+) -> Result<(), redb::Error> {
+    let mut meta = transaction.open_table(META_TABLE)?;
+    meta.insert(HEADER_KEY, postcard::to_stdvec(header).unwrap_or_default())?;
+    for (key, value) in [(HARD_STATE_KEY, &batch.hard_state), (SNAPSHOT_KEY, &batch.snapshot)] {
+        if let Some(value) = value {
+            meta.insert(key, value.clone())?;
+        }
+    }
+    Ok(())
+}
+
+fn write_log(transaction: &WriteTransaction, batch: &WriteBatch) -> Result<(), redb::Error> {
+    let mut log = transaction.open_table(LOG_TABLE)?;
+    if let Some(first) = batch.truncate_from {
+        log.retain_in(first.., |_, _| false)?;
+    }
+    if let Some(last) = batch.compact_to {
+        log.retain_in(..=last, |_, _| false)?;
+    }
+    for (index, entry) in &batch.entries {
+        log.insert(index, entry.clone())?;
+    }
+    Ok(())
+}
+
+fn read_log(transaction: &ReadTransaction) -> Result<BTreeMap<u64, Vec<u8>>, redb::Error> {
+    let mut entries = BTreeMap::new();
+    for entry in transaction.open_table(LOG_TABLE)?.iter()? {
+        let (index, bytes) = entry?;
+        entries.insert(index.value(), bytes.value());
+    }
+    Ok(entries)
+}
+
 impl ReplicaStorage for RedbStorage {
     fn load(&mut self) -> Result<PersistentState, StorageFailed> {
-        match self.read().map_err(failed)? {
-            Some(kept) => {
-                let (id, boot, founders) = (kept.id, kept.boot, kept.founders.clone());
-                let (takes_part, seen) = (kept.participates, kept.known_boots.clone());
-                self.head = Head { version: VERSION, id, boot, founders, takes_part, seen };
-                Ok(kept)
-            }
-            None => self.begin_anew(),
-        }
+        let Some(state) = self.read().map_err(failed)? else { return self.initialize() };
+        self.header = StoredHeader {
+            version: FORMAT_VERSION,
+            id: state.id,
+            boot: state.boot,
+            founders: state.founders.clone(),
+            participates: state.participates,
+            known_boots: state.known_boots.clone(),
+        };
+        Ok(state)
     }
 
-    fn save(&mut self, change: WriteBatch) -> Result<(), StorageFailed> {
-        let head = &mut self.head;
-        head.boot = change.boot.unwrap_or(head.boot);
-        head.takes_part = change.participates.unwrap_or(head.takes_part);
-        head.seen.extend(change.known_boots.iter());
-        if let Some(founders) = &change.founders {
-            head.founders.clone_from(founders);
+    fn save(&mut self, batch: WriteBatch) -> Result<(), StorageFailed> {
+        let header = &mut self.header;
+        header.boot = batch.boot.unwrap_or(header.boot);
+        header.participates = batch.participates.unwrap_or(header.participates);
+        header.known_boots.extend(batch.known_boots.iter());
+        if let Some(founders) = &batch.founders {
+            header.founders.clone_from(founders);
         }
-        self.write(&change, &self.head).map_err(failed)
+        self.write(&batch, &self.header).map_err(failed)
     }
 
     fn reset(&mut self) -> Result<PersistentState, StorageFailed> {
-        self.base = None;
-        // Kept for people to look at; one such copy is enough.
-        std::fs::rename(&self.path, self.path.with_extension("old")).map_err(failed)?;
-        self.base = Some(Database::create(&self.path).map_err(failed)?);
-        self.begin_anew()
+        self.database = None;
+        // The last replaced file is kept for inspection.
+        std::fs::rename(&self.path, self.path.with_extension(REPLACED_EXTENSION)).map_err(failed)?;
+        self.database = Some(Database::create(&self.path).map_err(failed)?);
+        self.initialize()
     }
 }
--- /dev/null
+++ b/crates/coordination/src/runtime/exclusive.rs
@@ -0,0 +1,87 @@
+//! Acquires what only one process can have at a time. During an upgrade the older process keeps the storage and the listen
+//! address until it ends; meanwhile requests are answered here.
+
+use super::handle::RuntimeRequest;
+use crate::redb_storage::{RedbStorage, StorageError};
+use std::net::SocketAddr;
+use std::path::Path;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::mpsc::UnboundedReceiver;
+use tokio::time::sleep;
+
+/// Pause between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Opens a replica's storage, waiting while another process has it. `None` if it fails, or if this process ends first.
+pub async fn open_storage(
+    directory: &Path,
+    slot: usize,
+    requests: &mut UnboundedReceiver<RuntimeRequest>,
+) -> Option<RedbStorage> {
+    let mut is_logged = false;
+    loop {
+        match RedbStorage::open(directory, slot) {
+            Ok(storage) => return Some(storage),
+            Err(StorageError::InUse) => {
+                if !is_logged {
+                    tracing::info!(
+                        slot,
+                        "coordination: replica storage is in use by another process; waiting"
+                    );
+                }
+                is_logged = true;
+            }
+            Err(error) => {
+                tracing::error!(slot, %error, "coordination: replica storage failed; no replica until restarted");
+                return None;
+            }
+        }
+        retry_pause(requests).await?;
+    }
+}
+
+/// Binds a replica's listen address, waiting while it can't be bound. `None` if this process ends first.
+pub async fn bind_listener(
+    address: SocketAddr,
+    requests: &mut UnboundedReceiver<RuntimeRequest>,
+) -> Option<TcpListener> {
+    let mut is_logged = false;
+    loop {
+        match TcpListener::bind(address).await {
+            Ok(listener) => return Some(listener),
+            Err(error) => {
+                if !is_logged {
+                    tracing::warn!(%address, %error, "coordination: fleet.listen can't be bound; retrying");
+                }
+                is_logged = true;
+            }
+        }
+        retry_pause(requests).await?;
+    }
+}
+
+/// Waits for the next attempt and answers requests meanwhile; `None` if the process ends.
+async fn retry_pause(requests: &mut UnboundedReceiver<RuntimeRequest>) -> Option<()> {
+    let pause = sleep(RETRY_INTERVAL);
+    tokio::pin!(pause);
+    loop {
+        tokio::select! {
+            () = &mut pause => return Some(()),
+            request = requests.recv() => answer_before_start(request?),
+        }
+    }
+}
+
+/// Answers a request while this instance does not take part yet.
+fn answer_before_start(request: RuntimeRequest) {
+    match request {
+        RuntimeRequest::AdminCommand { response, .. } => {
+            let _ = response.send("400 this copy does not take part yet\n".into());
+        }
+        RuntimeRequest::ReleaseLeases { released } => {
+            let _ = released.send(());
+        }
+        RuntimeRequest::LoadReport(_) | RuntimeRequest::PlatformSignal(_) => {}
+    }
+}
--- a/crates/hillstall/src/coordination.rs
+++ b/crates/hillstall/src/coordination.rs
@@ -1,7 +1,9 @@
-//! The fleet's part beside the calls' loop: what the loop counts goes there, and hints come back. Without the section
-//! `[fleet]`, or where the platform bars talk among copies, there is none of it: no socket, no thread, no timer.
+//! Connects the proxy's event loop to the coordination runtime: load reports go there, and advisories come back.
+//!
+//! Without the section `[fleet]`, or where the platform does not allow messages between instances, none of it runs: no
+//! socket, no thread, no timer.
 
-use hillstall_coordination::settings::Settings as Section;
+use hillstall_coordination::settings::Settings as CoordinationSettings;
 use hillstall_coordination::{Advisory, CoordinationHandle, InstanceLocation, LoadReport, SiteCounts};
 use hillstall_decision::Settings;
 use hillstall_http1::client::HttpClient;
@@ -11,177 +13,263 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
+use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::task::spawn_local;
 use tokio::time::{interval, sleep};
 
-/// Between two reports.
-const REPORT: Duration = Duration::from_millis(500);
-/// How much later than the tier above it each tier gives less to a site: what still comes from there finds it as it was.
-const TIER_AFTER: Duration = Duration::from_millis(300);
-/// Copies of one tier at most: their numbers over all tiers lie apart by that.
-const TIER_COPIES: u32 = 1_000_000;
+/// Time between two load reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// How much later than the tier above it each tier lowers a site's fraction, so that requests that are still on their way
+/// down find the site as it was.
+const TIER_DELAY: Duration = Duration::from_millis(300);
+/// Time between two repetitions of the fractions to the decision module, which forgets them otherwise.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
+/// Ranks of two tiers are this far apart; no tier has more instances.
+const MAX_INSTANCES_PER_TIER: u32 = 1_000_000;
+/// Multiples of the golden ratio, modulo 1, spread evenly whatever the number of instances.
+const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_75;
+/// The entry-tier instances of a site drain one after the other, the last one at this fraction of the site's load...
+const MIN_DRAIN_FRACTION: f64 = 0.1;
+/// ...and the first one at so much more.
+const DRAIN_FRACTION_SPREAD: f64 = 0.8;
 
-/// Starts it, if the operator wants it and the platform allows it.
+/// Why coordination could not be started.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// The site is neither configured nor known from the platform.
+    #[error("fleet.site: the platform names no zone")]
+    UnknownSite,
+    /// A maintenance window is for a site that the platform does not know.
+    #[error("fleet.window.site: {site:?} is no site of the fleet: {known}")]
+    UnknownWindowSite {
+        /// The window's site.
+        site: String,
+        /// The known sites, separated by commas.
+        known: String,
+    },
+    /// The runtime could not be started.
+    #[error(transparent)]
+    Runtime(#[from] hillstall_coordination::StartError),
+}
+
+impl From<StartError> for String {
+    fn from(error: StartError) -> String {
+        error.to_string()
+    }
+}
+
+/// A running runtime, and the advisories that it sends.
+type Started = (CoordinationHandle, UnboundedReceiver<Advisory>);
+
+/// Starts the coordination runtime, if the operator has configured it and the platform allows it.
+///
+/// # Errors
+/// [`StartError`] if a site is not known, or if the runtime can't be started.
 pub fn start(
-    section: Option<&Section>,
+    section: Option<&CoordinationSettings>,
     settings: &Settings,
-) -> Result<Option<(CoordinationHandle, UnboundedReceiver<Advisory>)>, String> {
+) -> Result<Option<Started>, StartError> {
     let Some(section) = section else { return Ok(None) };
     if !settings.permissions.peer_messages {
         tracing::warn!("fleet: the platform does not allow copies to talk; this copy goes alone");
         return Ok(None);
     }
-    let own = settings.zones.get(usize::from(settings.zone)).cloned();
-    let site = section.site.clone().or(own).ok_or("fleet.site: the platform names no zone")?;
-    let unknown = section.windows.iter().find(|window| !settings.zones.contains(&window.site));
-    if let Some(window) = unknown {
-        let sites = settings.zones.join(", ");
-        return Err(format!("fleet.window.site: {:?} is no site of the fleet: {sites}", window.site));
+    let zone = settings.zones.get(usize::from(settings.zone)).cloned();
+    let site = section.site.clone().or(zone).ok_or(StartError::UnknownSite)?;
+    if let Some(window) = section.windows.iter().find(|window| !settings.zones.contains(&window.site)) {
+        let known = settings.zones.join(", ");
+        return Err(StartError::UnknownWindowSite { site: window.site.clone(), known });
     }
-    let rank = settings.stage.saturating_mul(TIER_COPIES).saturating_add(settings.rank);
-    let place = InstanceLocation { rank, site, sites: settings.zones.clone() };
-    hillstall_coordination::start(section.clone(), place).map(Some).map_err(|why| why.to_string())
+    let rank = settings.stage.saturating_mul(MAX_INSTANCES_PER_TIER).saturating_add(settings.rank);
+    let location = InstanceLocation { rank, site, sites: settings.zones.clone() };
+    Ok(Some(hillstall_coordination::start(section.clone(), location)?))
 }
 
-/// What the calls' loop has for the fleet.
+/// The proxy's parts that coordination reads and steers.
 pub struct Calls {
-    /// Takes hints, and knows what was sent where.
+    /// Counts the attempts to each zone, and takes the zones' fractions.
     pub driver: Rc<Driver<HttpClient>>,
-    /// Knows what was refused.
+    /// Counts requests and rejections.
     pub metrics: Rc<Metrics>,
-    /// Whether this copy takes clients.
+    /// Whether this instance accepts clients.
     pub lifecycle: Rc<Lifecycle>,
-    /// The tier that it sends to, from 0 at the top.
+    /// The tier of this instance, from 0 at the entry.
     pub tier: u32,
 }
 
 impl Calls {
-    /// Reports from now on, and follows hints.
+    /// Reports load and follows advisories from now on, in tasks of the current [`tokio::task::LocalSet`].
     pub fn join(
         self,
-        fleet: Rc<CoordinationHandle>,
-        hints: UnboundedReceiver<Advisory>,
+        runtime: Rc<CoordinationHandle>,
+        advisories: UnboundedReceiver<Advisory>,
         settings: &Settings,
     ) {
         self.driver.track_zones(settings.zones.len());
-        let calls = Rc::new(self);
-        let front = (settings.stage == 0).then(|| Front::new(settings));
-        spawn_local(calls.clone().report(fleet, settings.zones.clone()));
-        spawn_local(calls.follow(hints, settings.zones.clone(), front));
+        let proxy = Rc::new(self);
+        spawn_local(proxy.clone().report_load(runtime, settings.zones.clone()));
+        spawn_local(AdvisoryFollower::new(proxy, settings).run(advisories));
     }
 
-    async fn report(self: Rc<Calls>, fleet: Rc<CoordinationHandle>, zones: Vec<String>) {
-        let mut tick = interval(REPORT);
-        let (mut zones_before, mut before) = (self.driver.zone_traffic(), self.metrics.ended());
-        let mut since = Instant::now();
-        tick.tick().await;
+    async fn report_load(self: Rc<Self>, runtime: Rc<CoordinationHandle>, zones: Vec<String>) {
+        let mut ticks = interval(REPORT_INTERVAL);
+        let mut previous = LoadCounters::read(&self);
+        ticks.tick().await;
         loop {
-            tick.tick().await;
-            let (zones_now, now) = (self.driver.zone_traffic(), self.metrics.ended());
-            let counted = zones.iter().zip(zones_now.iter().zip(&zones_before));
-            let sites: BTreeMap<String, SiteCounts> =
-                counted.map(|(zone, (now, before))| (zone.clone(), counts(now, before))).collect();
-            let over = since.elapsed().as_millis() as u32;
-            since = Instant::now();
-            let (asked, refused) = ((now.0 - before.0) as u32, (now.1 - before.1) as u32);
-            fleet.report(LoadReport {
-                instance: None,
-                age_ms: 0,
-                period_ms: over,
-                requests: asked,
-                rejected: refused,
-                sites,
-            });
-            (zones_before, before) = (zones_now, now);
+            ticks.tick().await;
+            let current = LoadCounters::read(&self);
+            runtime.report(current.report_since(&previous, &zones));
+            previous = current;
         }
     }
+}
 
-    async fn follow(
-        self: Rc<Calls>,
-        mut hints: UnboundedReceiver<Advisory>,
-        zones: Vec<String>,
-        mut front: Option<Front>,
-    ) {
-        let mut parts: BTreeMap<u16, f64> = BTreeMap::new();
-        // What was told last; of hints that wait, only that one comes into force.
-        let mut newest: BTreeMap<u16, f64> = BTreeMap::new();
-        let (later, mut due) = unbounded_channel();
-        let behind = TIER_AFTER * self.tier;
-        let mut again = interval(Duration::from_secs(1));
+/// The proxy's counters at one moment.
+struct LoadCounters {
+    read_at: Instant,
+    zones: Vec<ZoneTraffic>,
+    requests: u64,
+    rejected: u64,
+}
+
+impl LoadCounters {
+    fn read(proxy: &Calls) -> LoadCounters {
+        let (requests, rejected) = proxy.metrics.ended();
+        LoadCounters { read_at: Instant::now(), zones: proxy.driver.zone_traffic(), requests, rejected }
+    }
+
+    /// What was counted since an earlier moment.
+    fn report_since(&self, previous: &LoadCounters, zones: &[String]) -> LoadReport {
+        let counters = self.zones.iter().zip(&previous.zones);
+        let sites: BTreeMap<String, SiteCounts> = zones
+            .iter()
+            .zip(counters)
+            .map(|(zone, (current, previous))| (zone.clone(), site_counts(current, previous)))
+            .collect();
+        LoadReport {
+            instance: None,
+            age_ms: 0,
+            period_ms: self.read_at.duration_since(previous.read_at).as_millis() as u32,
+            requests: (self.requests - previous.requests) as u32,
+            rejected: (self.rejected - previous.rejected) as u32,
+            sites,
+        }
+    }
+}
+
+fn site_counts(current: &ZoneTraffic, previous: &ZoneTraffic) -> SiteCounts {
+    let utilization = current.busy.0 - previous.busy.0;
+    let samples = current.busy.1 - previous.busy.1;
+    let utilization_percent = match samples {
+        0 => u8::MAX,
+        _ => (100.0 * utilization / samples as f64).clamp(0.0, 100.0) as u8,
+    };
+    SiteCounts {
+        sent: (current.sent - previous.sent) as u32,
+        served: (current.answered - previous.answered) as u32,
+        unanswered: (current.unanswered - previous.unanswered) as u32,
+        utilization_percent,
+        // Filled in by the runtime, which knows the fraction in force.
+        fraction: 0,
+    }
+}
+
+/// Passes advisories on to the decision module.
+struct AdvisoryFollower {
+    proxy: Rc<Calls>,
+    zones: Vec<String>,
+    /// How much later than the entry tier this one lowers a fraction.
+    tier_delay: Duration,
+    /// The newest fraction of each zone; of those that wait for the delay, only this one takes effect.
+    newest: BTreeMap<u16, f64>,
+    /// The fractions in force.
+    in_force: BTreeMap<u16, f64>,
+    drain: Option<EntryTierDrain>,
+}
+
+impl AdvisoryFollower {
+    fn new(proxy: Rc<Calls>, settings: &Settings) -> AdvisoryFollower {
+        AdvisoryFollower {
+            zones: settings.zones.clone(),
+            tier_delay: TIER_DELAY * proxy.tier,
+            newest: BTreeMap::new(),
+            in_force: BTreeMap::new(),
+            drain: (settings.stage == 0).then(|| EntryTierDrain::new(settings)),
+            proxy,
+        }
+    }
+
+    /// Runs until the runtime ends; the fractions in the decision module then expire by themselves.
+    async fn run(mut self, mut advisories: UnboundedReceiver<Advisory>) {
+        let (due_sender, mut due) = unbounded_channel();
+        let mut refresh = interval(REFRESH_INTERVAL);
         loop {
             tokio::select! {
-                hint = hints.recv() => {
-                    // The fleet's part has failed: the module's hints wear off by themselves.
-                    let Some(Advisory::SiteFraction(site, part)) = hint else { return };
-                    let Some(zone) = zones.iter().position(|zone| *zone == site) else { continue };
-                    // Down in the order of the tiers, up at once.
-                    let before = newest.insert(zone as u16, part);
-                    let wait = match before.is_none_or(|before| part < before) {
-                        true => behind,
-                        false => Duration::ZERO,
-                    };
-                    let later = later.clone();
-                    spawn_local(async move {
-                        sleep(wait).await;
-                        // Whoever listens goes with the process.
-                        let _ = later.send((zone as u16, part));
-                    });
-                    if let Some(front) = front.as_mut().filter(|front| usize::from(front.zone) == zone) {
-                        front.follow(&self.lifecycle, part);
-                    }
-                }
-                Some((zone, part)) = due.recv() => {
-                    if newest.get(&zone) != Some(&part) {
-                        continue;
+                advisory = advisories.recv() => match advisory {
+                    Some(Advisory::SiteFraction { site, fraction }) => {
+                        self.on_site_fraction(&site, fraction, &due_sender);
                     }
-                    parts.insert(zone, part);
-                    self.driver.set_zone_fraction(zone, part, 0.0);
-                }
-                _ = again.tick() => {
-                    for (zone, part) in parts.iter().filter(|(_, part)| **part < 1.0) {
-                        self.driver.set_zone_fraction(*zone, *part, 0.0);
-                    }
-                }
+                    None => return,
+                },
+                Some((zone, fraction)) = due.recv() => self.apply(zone, fraction),
+                _ = refresh.tick() => self.refresh(),
             }
         }
     }
-}
 
-fn counts(now: &ZoneTraffic, before: &ZoneTraffic) -> SiteCounts {
-    let (used, told) = (now.busy.0 - before.busy.0, now.busy.1 - before.busy.1);
-    let busy = if told > 0 { (100.0 * used / told as f64).clamp(0.0, 100.0) as u8 } else { u8::MAX };
-    SiteCounts {
-        sent: (now.sent - before.sent) as u32,
-        served: (now.answered - before.answered) as u32,
-        unanswered: (now.unanswered - before.unanswered) as u32,
-        utilization_percent: busy,
-        // The fleet's part knows what it has ordered here.
-        fraction: 0,
+    fn on_site_fraction(&mut self, site: &str, fraction: f64, due: &UnboundedSender<(u16, f64)>) {
+        let Some(index) = self.zones.iter().position(|zone| zone == site) else { return };
+        let zone = index as u16;
+        let previous = self.newest.insert(zone, fraction);
+        // Fractions fall tier by tier from the entry down, and rise at once.
+        let falls = previous.is_none_or(|previous| fraction < previous);
+        let delay = if falls { self.tier_delay } else { Duration::ZERO };
+        let due = due.clone();
+        spawn_local(async move {
+            sleep(delay).await;
+            // Fails only once the follower has ended.
+            let _ = due.send((zone, fraction));
+        });
+        if let Some(drain) = self.drain.as_mut().filter(|drain| drain.zone == zone) {
+            drain.on_fraction(&self.proxy.lifecycle, fraction);
+        }
+    }
+
+    fn apply(&mut self, zone: u16, fraction: f64) {
+        if self.newest.get(&zone) == Some(&fraction) {
+            self.in_force.insert(zone, fraction);
+            self.proxy.driver.set_zone_fraction(zone, fraction, 0.0);
+        }
+    }
+
+    fn refresh(&self) {
+        for (zone, fraction) in self.in_force.iter().filter(|(_, fraction)| **fraction < 1.0) {
+            self.proxy.driver.set_zone_fraction(*zone, *fraction, 0.0);
+        }
     }
 }
 
-/// A front of a site that is emptied leaves its layer, each at its own step.
-struct Front {
+/// Drains an entry-tier instance while its own site is emptied, each instance at a fraction of its own.
+struct EntryTierDrain {
     zone: u16,
-    /// It leaves once its site gets this part or less.
-    leaves_at: f64,
-    left: bool,
+    /// It drains once its site gets this fraction or less.
+    drain_at: f64,
+    is_drained: bool,
 }
 
-impl Front {
-    fn new(settings: &Settings) -> Front {
-        // Spread evenly by rank; with nothing left, all have gone.
-        let golden = (f64::from(settings.rank) * 0.618_033_988_75).fract();
-        Front { zone: settings.zone, leaves_at: 0.1 + 0.8 * golden, left: false }
+impl EntryTierDrain {
+    fn new(settings: &Settings) -> EntryTierDrain {
+        let spread = (f64::from(settings.rank) * GOLDEN_RATIO_FRACTION).fract();
+        let drain_at = MIN_DRAIN_FRACTION + DRAIN_FRACTION_SPREAD * spread;
+        EntryTierDrain { zone: settings.zone, drain_at, is_drained: false }
     }
 
-    fn follow(&mut self, lifecycle: &Lifecycle, part: f64) {
-        if !self.left && part <= self.leaves_at && lifecycle.phase() == Phase::Serving {
-            self.left = lifecycle.drain();
-        } else if self.left && part > self.leaves_at {
-            self.left = false;
-            // An operator may have taken it back, or it ends.
+    fn on_fraction(&mut self, lifecycle: &Lifecycle, fraction: f64) {
+        if !self.is_drained && fraction <= self.drain_at && lifecycle.phase() == Phase::Serving {
+            self.is_drained = lifecycle.drain();
+        } else if self.is_drained && fraction > self.drain_at {
+            self.is_drained = false;
+            // It may be serving again by an operator's command, or stopping.
             if lifecycle.phase() == Phase::Draining {
                 lifecycle.rejoin();
             }
