--- a/crates/http1/src/client.rs
+++ b/crates/http1/src/client.rs
@@ -1,10 +1,12 @@
 //! Attempts at backends, and the pool of connections to them.
 
-use crate::backend_connection::{Conn, Exchanged, Gathered};
-use crate::load_report::Reports;
-use crate::message::{Answer, AnswerBody, Inbound, Payload, TIMEOUT_HEADER};
-use crate::request_body::Outgoing;
-use crate::response_body::Download;
+use crate::backend_connection::{BackendConnection, ReceivedBody, ReceivedResponse};
+use crate::load_report::LoadReportParser;
+use crate::message::{
+    BackendResponse, BackendResponseBody, ClientRequest, ClientRequestBody, TIMEOUT_HEADER,
+};
+use crate::request_body::AttemptBody;
+use crate::response_body::StreamingResponseBody;
 use hillstall_decision::{BackendId, Outcome, ReportField};
 use hillstall_proxy_core::connect_hedging::ConnectHedging;
 use hillstall_proxy_core::driver::SendPermit;
@@ -55,12 +57,12 @@
 
 /// Carries calls to backends over HTTP/1.1.
 pub struct HttpClient {
-    pool: RefCell<Pool<BackendId, Conn>>,
+    pool: RefCell<Pool<BackendId, BackendConnection>>,
     connects: RefCell<ConnectHedging<BackendId>>,
     limits: Rc<Limits>,
     idle_most: Duration,
     connect_timeout: Duration,
-    reports: Reports,
+    reports: LoadReportParser,
 }
 
 impl HttpClient {
@@ -81,7 +83,7 @@
             idle_most,
             limits,
             connect_timeout: span(connect_ms),
-            reports: Reports::new(fields),
+            reports: LoadReportParser::new(fields),
         }
     }
 
@@ -92,7 +94,7 @@
 
     /// Drops what has been idle for long, or was closed at the other end.
     pub fn reap(&self) {
-        self.pool.borrow_mut().expire(Instant::now(), |conn| conn.wire().is_quiet());
+        self.pool.borrow_mut().expire(Instant::now(), |conn| conn.stream().is_quiet());
     }
 
     /// Drops the connection that has been idle longest; false if there is none.
@@ -100,20 +102,20 @@
         self.pool.borrow_mut().shed().is_some()
     }
 
-    fn put_back(&self, backend: BackendId, address: SocketAddr, conn: Conn) {
+    fn put_back(&self, backend: BackendId, address: SocketAddr, conn: BackendConnection) {
         // What gives way for it is dropped here.
         let _ = self.pool.borrow_mut().check_in(backend, address, conn, Instant::now());
     }
 
     /// A connection to a backend that has rested and is quiet; `None` if one is to be opened.
-    async fn take_idle(&self, backend: BackendId, address: SocketAddr) -> Option<Conn> {
+    async fn take_idle(&self, backend: BackendId, address: SocketAddr) -> Option<BackendConnection> {
         let mut waited = false;
         loop {
             let room = self.limits.backend_connections.has_capacity();
             let choice = self.pool.borrow_mut().check_out(backend, address, Instant::now(), room, waited);
             match choice {
                 // Asked of the socket itself, at the last moment before the write.
-                Checkout::Reuse(conn) if conn.wire().is_quiet() => return Some(conn),
+                Checkout::Reuse(conn) if conn.stream().is_quiet() => return Some(conn),
                 // It was closed, or more came behind its answer than belongs to it.
                 Checkout::Reuse(_) => {}
                 Checkout::Wait(rest) => {
@@ -133,7 +135,7 @@
         address: SocketAddr,
         until: Instant,
         permit: &Rc<SendPermit<HttpClient>>,
-    ) -> Result<Conn, Outcome> {
+    ) -> Result<BackendConnection, Outcome> {
         let patience = self.connects.borrow_mut().hedge_delay(&backend);
         let (sender, mut ended) = mpsc::unbounded_channel();
         let begin = || {
@@ -185,7 +187,7 @@
     }
 
     /// A new connection. Want of sockets here is told as [`Outcome::Moot`]: it says nothing of the backend.
-    async fn connect(&self, address: SocketAddr, until: Instant) -> Result<Conn, Outcome> {
+    async fn connect(&self, address: SocketAddr, until: Instant) -> Result<BackendConnection, Outcome> {
         let counted = loop {
             match self.limits.backend_connections.reserve(1) {
                 Some(counted) => break counted,
@@ -202,7 +204,9 @@
             }
             _ => return Err(Outcome::ConnectFailed),
         };
-        Conn::open(stream, counted, &self.limits.tuning()).await.map_err(|_| Outcome::ConnectFailed)
+        BackendConnection::open(stream, counted, &self.limits.tuning())
+            .await
+            .map_err(|_| Outcome::ConnectFailed)
     }
 
     /// Checks a backend once, on a connection of its own.
@@ -213,20 +217,21 @@
             Err(outcome) => return AttemptResult::now(outcome),
         };
         let request = Request::get(path).header(header::HOST, address.to_string());
-        let request =
-            request.body(Outgoing::Whole(Full::default())).expect("a fixed path and an address are valid");
+        let request = request
+            .body(AttemptBody::Buffered(Full::default()))
+            .expect("a fixed path and an address are valid");
         match timeout_at(until.into(), conn.exchange(request, &self.limits)).await {
             Err(_) => AttemptResult::now(Outcome::Timeout),
             Ok(Err(())) => AttemptResult::now(Outcome::Reset),
-            Ok(Ok(Exchanged { status, headers, body })) => {
+            Ok(Ok(ReceivedResponse { status, headers, body })) => {
                 let outcome = if status == StatusCode::OK { Outcome::Ok } else { Outcome::Error };
-                let mut report = self.reports.of(&headers);
-                if let (Some(Gathered::Whole(body)), 0) = (body, report.len) {
+                let mut report = self.reports.from_headers(&headers);
+                if let (Some(ReceivedBody::Complete(body)), 0) = (body, report.len) {
                     report = self.reports.parse(std::str::from_utf8(&body.bytes).unwrap_or_default());
                 }
                 AttemptResult {
                     outcome,
-                    ended_at: conn.wire().last_read(),
+                    ended_at: conn.stream().last_read(),
                     load_report: report,
                     response: None,
                     invalid_request: None,
@@ -237,8 +242,8 @@
 }
 
 impl Transport for HttpClient {
-    type Request = Inbound;
-    type Response = Answer;
+    type Request = ClientRequest;
+    type Response = BackendResponse;
     type InvalidRequest = StatusCode;
 
     /// One attempt of a request, which ends at its deadline or after its `most`. When this returns, the
@@ -252,8 +257,8 @@
         let mut idle = self.take_idle(backend, address).await;
         // A rest just now does not count: a time-out may be as short as that.
         let until = match &inbound.body {
-            Payload::Held(_) => deadline.min(Instant::now() + most),
-            Payload::Passing(_) => Instant::now() + self.connect_timeout,
+            ClientRequestBody::Buffered(_) => deadline.min(Instant::now() + most),
+            ClientRequestBody::Streaming(_) => Instant::now() + self.connect_timeout,
         };
         loop {
             let pooled = idle.is_some();
@@ -271,41 +276,41 @@
                 return AttemptResult::now(Outcome::ConnectFailed);
             }
             let left = match &inbound.body {
-                Payload::Held(_) => until.saturating_duration_since(Instant::now()),
-                Payload::Passing(upload) => upload.timeout().min(most),
+                ClientRequestBody::Buffered(_) => until.saturating_duration_since(Instant::now()),
+                ClientRequestBody::Streaming(upload) => upload.timeout().min(most),
             };
             if left.is_zero() {
                 return AttemptResult::now(Outcome::NotSent);
             }
             // Whole milliseconds are all that the header can tell; less than one is still time to be served.
             let left = (left.as_millis() as u64).max(1);
-            conn.wire().begin_request(inbound.length(), sends.clone());
+            conn.stream().begin_request(inbound.body_length(), sends.clone());
             let exchange = conn.exchange(forward(inbound, left), &self.limits);
             let result = tokio::select! {
                 biased;
                 result = exchange => Ok(result),
                 () = overdue(inbound, until, most, self.limits.tuning().stall_timeout) => Err(()),
             };
-            if let Ok(Ok(Exchanged { status, headers, body })) = result {
-                let report = self.reports.of(&headers);
-                let at = conn.wire().last_read();
+            if let Ok(Ok(ReceivedResponse { status, headers, body })) = result {
+                let report = self.reports.from_headers(&headers);
+                let at = conn.stream().last_read();
                 let outcome = outcome(status, &headers);
                 let rejected = Some(status).filter(|_| outcome == Outcome::Cancelled);
                 let body = match body {
-                    Some(Gathered::Whole(body)) => {
+                    Some(ReceivedBody::Complete(body)) => {
                         if conn.settle().await && permit.is_backend_current() {
                             self.put_back(backend, address, conn);
                         }
-                        Some(AnswerBody::Held(body))
+                        Some(BackendResponseBody::Buffered(body))
                     }
-                    Some(Gathered::Begun(rest, room)) if outcome == Outcome::Ok => {
+                    Some(ReceivedBody::Partial(rest, room)) if outcome == Outcome::Ok => {
                         let me = self.clone();
                         let keep = move |conn| {
                             if permit.is_backend_current() {
                                 me.put_back(backend, address, conn);
                             }
                         };
-                        Some(AnswerBody::Passing(Box::new(Download::new(
+                        Some(BackendResponseBody::Streaming(Box::new(StreamingResponseBody::new(
                             rest,
                             conn,
                             room,
@@ -316,7 +321,7 @@
                     _ => None,
                 };
                 let body = body.filter(|_| outcome == Outcome::Ok);
-                let answer = body.map(|body| Answer { headers, body });
+                let answer = body.map(|body| BackendResponse { headers, body });
                 return AttemptResult {
                     outcome,
                     ended_at: at,
@@ -325,7 +330,7 @@
                     invalid_request: rejected,
                 };
             }
-            if pooled && result.is_ok() && !conn.wire().request_begun() {
+            if pooled && result.is_ok() && !conn.stream().has_sent_request_bytes() {
                 // It died in the pool and not a byte of the request went out: a fresh one serves as well.
                 continue;
             }
@@ -335,7 +340,7 @@
             if result.is_err() {
                 self.pool.borrow_mut().remove_older_than(backend, sent);
             }
-            return AttemptResult::now(match (conn.wire().request_whole(), result) {
+            return AttemptResult::now(match (conn.stream().is_request_sent(), result) {
                 // A backend begins a request with its last byte: this one never began.
                 (false, _) => Outcome::ConnectFailed,
                 (true, Ok(_)) => Outcome::Reset,
@@ -366,10 +371,10 @@
     }
 }
 
-fn forward(inbound: &Inbound, left_ms: u64) -> Request<Outgoing> {
+fn forward(inbound: &ClientRequest, left_ms: u64) -> Request<AttemptBody> {
     let mut request = Request::new(match &inbound.body {
-        Payload::Held(body) => Outgoing::Whole(Full::new(body.bytes.clone())),
-        Payload::Passing(upload) => Outgoing::passing(upload),
+        ClientRequestBody::Buffered(body) => AttemptBody::Buffered(Full::new(body.bytes.clone())),
+        ClientRequestBody::Streaming(upload) => AttemptBody::streaming(upload),
     });
     *request.method_mut() = inbound.method.clone();
     *request.uri_mut() = Uri::from(inbound.path.clone());
@@ -385,12 +390,12 @@
 
 /// Ends when an attempt of this request must: at `until`, or where the body passes, as long after its last
 /// byte, or when the backend has stopped taking it.
-async fn overdue(inbound: &Inbound, until: Instant, most: Duration, stall: Duration) {
-    let Payload::Passing(upload) = &inbound.body else { return sleep_until(until.into()).await };
+async fn overdue(inbound: &ClientRequest, until: Instant, most: Duration, stall: Duration) {
+    let ClientRequestBody::Streaming(upload) = &inbound.body else { return sleep_until(until.into()).await };
     let ended = loop {
         match upload.deadline() {
             Some(deadline) => break deadline,
-            None if upload.is_stalled(stall) => return,
+            None if upload.is_backend_stalled(stall) => return,
             None => sleep(LOOK).await,
         }
     };
--- a/crates/http1/src/discovery.rs
+++ b/crates/http1/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery as the platform speaks it: JSON lists over HTTP/1.1, whole or as a watch on changes.
 
-use crate::stream::{Io, Wire};
+use crate::stream::{HyperStream, TrackedStream};
 use bytes::Bytes;
 use hillstall_proxy_core::discovery::{BoxFuture, Discovery, RESPONSE_TIMEOUT};
 use hillstall_proxy_core::endpoints::EndpointList;
@@ -47,7 +47,7 @@
         Err(_) => return Err("no connection".into()),
     };
     let (mut sender, connection) =
-        hyper::client::conn::http1::handshake(Io(Wire::new(stream, &Tuning::default())))
+        hyper::client::conn::http1::handshake(HyperStream(TrackedStream::new(stream, &Tuning::default())))
             .await
             .map_err(|e| e.to_string())?;
     let request = Request::get(path).header(HOST, address.to_string()).body(Empty::<Bytes>::new());
--- a/crates/http1/src/framing.rs
+++ b/crates/http1/src/framing.rs
@@ -2,122 +2,139 @@
 //! head that has both a Content-Length and chunks. Another reader could take such a body for requests.
 
 /// As much of a line as is looked at; names and sizes are shorter.
-const LINE_MOST: usize = 64;
+const MAX_LINE_BYTES: usize = 64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum ParserState {
     Head,
-    Data(u64),
+    Body(u64),
     ChunkSize,
     /// With the line end behind it.
-    Chunk(u64),
+    ChunkData(u64),
     Trailer,
     /// What came can't be followed; the library refuses it as well, or all that comes is suspect.
-    Lost,
+    Unparseable,
 }
 
 /// See the module's text.
-pub struct Framing {
-    state: State,
+pub struct RequestFraming {
+    state: ParserState,
     line: Vec<u8>,
     /// Whether a line of the present head was seen: empty lines before it do not count.
-    begun: bool,
-    length: Option<u64>,
+    head_started: bool,
+    content_length: Option<u64>,
     chunked: bool,
     ambiguous: bool,
 }
 
-impl Default for Framing {
-    fn default() -> Framing {
-        let line = Vec::with_capacity(LINE_MOST);
-        Framing { state: State::Head, line, begun: false, length: None, chunked: false, ambiguous: false }
+impl Default for RequestFraming {
+    fn default() -> RequestFraming {
+        let line = Vec::with_capacity(MAX_LINE_BYTES);
+        RequestFraming {
+            state: ParserState::Head,
+            line,
+            head_started: false,
+            content_length: None,
+            chunked: false,
+            ambiguous: false,
+        }
     }
 }
 
-impl Framing {
+impl RequestFraming {
     /// Whether a head had two lengths, or the bytes can't be followed; from then on for good.
     pub fn is_ambiguous(&self) -> bool {
-        self.ambiguous || self.state == State::Lost
+        self.ambiguous || self.state == ParserState::Unparseable
     }
 
     /// Whether all that was read belongs to whole messages.
-    pub fn is_between(&self) -> bool {
-        self.state == State::Head && !self.begun && self.line.is_empty()
+    pub fn is_between_messages(&self) -> bool {
+        self.state == ParserState::Head && !self.head_started && self.line.is_empty()
     }
 
     /// Takes in what was read.
-    pub fn add(&mut self, mut bytes: &[u8]) {
-        while !bytes.is_empty() && self.state != State::Lost {
+    pub fn advance(&mut self, mut bytes: &[u8]) {
+        while !bytes.is_empty() && self.state != ParserState::Unparseable {
             bytes = match self.state {
-                State::Data(left) => self.skip(bytes, left, State::Head, State::Data),
-                State::Chunk(left) => self.skip(bytes, left, State::ChunkSize, State::Chunk),
-                _ => self.lines(bytes),
+                ParserState::Body(left) => {
+                    self.skip_payload(bytes, left, ParserState::Head, ParserState::Body)
+                }
+                ParserState::ChunkData(left) => {
+                    self.skip_payload(bytes, left, ParserState::ChunkSize, ParserState::ChunkData)
+                }
+                _ => self.read_line(bytes),
             };
         }
     }
 
-    fn skip<'a>(&mut self, bytes: &'a [u8], left: u64, then: State, more: fn(u64) -> State) -> &'a [u8] {
+    fn skip_payload<'a>(
+        &mut self,
+        bytes: &'a [u8],
+        left: u64,
+        then: ParserState,
+        more: fn(u64) -> ParserState,
+    ) -> &'a [u8] {
         let n = left.min(bytes.len() as u64);
         self.state = if n == left { then } else { more(left - n) };
         &bytes[n as usize..]
     }
 
-    fn lines<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+    fn read_line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         let end = bytes.iter().position(|b| *b == b'\n');
         let part = &bytes[..end.unwrap_or(bytes.len())];
-        let room = LINE_MOST - self.line.len();
+        let room = MAX_LINE_BYTES - self.line.len();
         self.line.extend_from_slice(&part[..part.len().min(room)]);
         let Some(end) = end else { return &[] };
         let mut line = std::mem::take(&mut self.line);
-        self.line_ended(line.strip_suffix(b"\r").unwrap_or(&line));
+        self.on_line(line.strip_suffix(b"\r").unwrap_or(&line));
         line.clear();
         self.line = line;
         &bytes[end + 1..]
     }
 
-    fn line_ended(&mut self, line: &[u8]) {
+    fn on_line(&mut self, line: &[u8]) {
         match self.state {
-            State::Head if line.is_empty() && self.begun => self.head_ended(),
-            State::Head => {
-                self.begun |= !line.is_empty();
-                self.header(line);
+            ParserState::Head if line.is_empty() && self.head_started => self.on_head_end(),
+            ParserState::Head => {
+                self.head_started |= !line.is_empty();
+                self.on_header_line(line);
             }
-            State::ChunkSize => {
+            ParserState::ChunkSize => {
                 let digits = line.iter().take_while(|b| b.is_ascii_hexdigit()).count();
                 let size = std::str::from_utf8(&line[..digits]).unwrap_or_default();
                 self.state = match u64::from_str_radix(size, 16) {
-                    Ok(0) => State::Trailer,
-                    Ok(size) => State::Chunk(size.saturating_add(2)),
-                    Err(_) => State::Lost,
+                    Ok(0) => ParserState::Trailer,
+                    Ok(size) => ParserState::ChunkData(size.saturating_add(2)),
+                    Err(_) => ParserState::Unparseable,
                 };
             }
-            State::Trailer if line.is_empty() => self.state = State::Head,
+            ParserState::Trailer if line.is_empty() => self.state = ParserState::Head,
             _ => {}
         }
     }
 
-    fn header(&mut self, line: &[u8]) {
+    fn on_header_line(&mut self, line: &[u8]) {
         let Some(colon) = line.iter().position(|b| *b == b':') else { return };
         let name = &line[..colon];
         if name.eq_ignore_ascii_case(b"content-length") {
             let value = std::str::from_utf8(line[colon + 1..].trim_ascii()).unwrap_or_default();
             match value.parse() {
-                Ok(length) => self.length = Some(length),
-                Err(_) => self.state = State::Lost,
+                Ok(length) => self.content_length = Some(length),
+                Err(_) => self.state = ParserState::Unparseable,
             }
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
             self.chunked = true;
         }
     }
 
-    fn head_ended(&mut self) {
-        let (length, chunked) = (self.length.take(), std::mem::take(&mut self.chunked));
-        self.begun = false;
+    fn on_head_end(&mut self) {
+        let (length, chunked) = (self.content_length.take(), std::mem::take(&mut self.chunked));
+        self.head_started = false;
         self.ambiguous |= chunked && length.is_some();
         self.state = match (chunked, length) {
-            (true, _) => State::ChunkSize,
-            (false, Some(length)) if length > 0 => State::Data(length),
-            _ => State::Head,
+            (true, _) => ParserState::ChunkSize,
+            (false, Some(length)) if length > 0 => ParserState::Body(length),
+            _ => ParserState::Head,
         };
     }
 }
@@ -129,8 +146,8 @@
     /// The same whatever the pieces in which it comes.
     fn is_ambiguous(text: &str) -> bool {
         let by = |size: usize| {
-            let mut framing = Framing::default();
-            text.as_bytes().chunks(size).for_each(|piece| framing.add(piece));
+            let mut framing = RequestFraming::default();
+            text.as_bytes().chunks(size).for_each(|piece| framing.advance(piece));
             framing.is_ambiguous()
         };
         let whole = by(text.len());
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -6,9 +6,12 @@
 pub mod client;
 pub mod discovery;
 pub mod framing;
-pub mod front;
 pub mod load_report;
 pub mod message;
 pub mod request_body;
 pub mod response_body;
+pub mod server;
 pub mod stream;
+
+/// The former name of [`server`], until all packages use the new one.
+pub use server as front;
--- a/crates/http1/src/load_report.rs
+++ b/crates/http1/src/load_report.rs
@@ -6,18 +6,18 @@
 const SERVER_LOAD: HeaderName = HeaderName::from_static("server-load");
 
 /// Reads reports with the fields that the settings name.
-pub struct Reports {
+pub struct LoadReportParser {
     fields: Vec<ReportField>,
 }
 
-impl Reports {
+impl LoadReportParser {
     /// A reader for these fields.
-    pub fn new(fields: Vec<ReportField>) -> Reports {
-        Reports { fields }
+    pub fn new(fields: Vec<ReportField>) -> LoadReportParser {
+        LoadReportParser { fields }
     }
 
     /// The report in the headers of an answer.
-    pub fn of(&self, headers: &HeaderMap) -> LoadReport {
+    pub fn from_headers(&self, headers: &HeaderMap) -> LoadReport {
         let text = headers.get(SERVER_LOAD).and_then(|value| value.to_str().ok());
         self.parse(text.unwrap_or_default())
     }
@@ -28,7 +28,7 @@
         let mut report = LoadReport::default();
         for field in &self.fields {
             let mut values = text.split(',').filter_map(|part| part.split_once('='));
-            let value = values.find(|(name, _)| field_named(name.trim()) == *field);
+            let value = values.find(|(name, _)| report_field(name.trim()) == *field);
             let value = value.and_then(|(_, value)| value.trim().parse::<f32>().ok());
             let Some(value) = value.filter(|value| value.is_finite() && *value >= 0.0) else {
                 return LoadReport::default();
@@ -40,7 +40,7 @@
     }
 }
 
-fn field_named(name: &str) -> ReportField {
+fn report_field(name: &str) -> ReportField {
     match name {
         "inflight" | "active" => ReportField::Active,
         "queue" | "waiting" => ReportField::Waiting,
--- a/crates/http1/src/message.rs
+++ b/crates/http1/src/message.rs
@@ -1,8 +1,8 @@
 //! Calls and answers in the form of HTTP.
 
-use crate::request_body::Upload;
-use crate::response_body::Download;
-use crate::stream::Length;
+use crate::request_body::StreamingRequestBody;
+use crate::response_body::StreamingResponseBody;
+use crate::stream::RequestBodyLength;
 use hillstall_proxy_core::limits::BufferedBody;
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::http::uri::PathAndQuery;
@@ -14,7 +14,7 @@
 pub const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("request-timeout-ms");
 
 /// A caller's request, as it goes on to a backend.
-pub struct Inbound {
+pub struct ClientRequest {
     /// Its method.
     pub method: Method,
     /// Its path and query.
@@ -22,55 +22,55 @@
     /// Its headers.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: Payload,
+    pub body: ClientRequestBody,
 }
 
 /// The body of a caller's request.
-pub enum Payload {
+pub enum ClientRequestBody {
     /// Held whole.
-    Held(BufferedBody),
+    Buffered(BufferedBody),
     /// Too long to be held.
-    Passing(Rc<Upload>),
+    Streaming(Rc<StreamingRequestBody>),
 }
 
-impl Inbound {
+impl ClientRequest {
     /// How long it is.
-    pub fn length(&self) -> Length {
+    pub fn body_length(&self) -> RequestBodyLength {
         match &self.body {
-            Payload::Held(body) => Length::Known(body.bytes.len()),
-            Payload::Passing(upload) => match upload.length() {
-                Some(length) => Length::Known(length as usize),
-                None => Length::Chunks(upload.ended()),
+            ClientRequestBody::Buffered(body) => RequestBodyLength::Known(body.bytes.len()),
+            ClientRequestBody::Streaming(upload) => match upload.length() {
+                Some(length) => RequestBodyLength::Known(length as usize),
+                None => RequestBodyLength::Chunked(upload.ended()),
             },
         }
     }
 }
 
-impl hillstall_proxy_core::transport::RequestPayload for Inbound {
+impl hillstall_proxy_core::transport::RequestPayload for ClientRequest {
     fn is_consumed(&self) -> bool {
-        matches!(&self.body, Payload::Passing(upload) if upload.is_spent())
+        matches!(&self.body, ClientRequestBody::Streaming(upload) if upload.is_consumed())
     }
 
     fn completed_at(&self) -> Option<Instant> {
         match &self.body {
-            Payload::Held(_) => None,
-            Payload::Passing(upload) => Some(upload.deadline()? - upload.timeout()),
+            ClientRequestBody::Buffered(_) => None,
+            ClientRequestBody::Streaming(upload) => Some(upload.deadline()? - upload.timeout()),
         }
     }
 }
 
 /// An answer.
-pub struct Answer {
+pub struct BackendResponse {
     /// Its headers.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: AnswerBody,
+    pub body: BackendResponseBody,
 }
 
 /// The body of an answer.
-pub enum AnswerBody {
+pub enum BackendResponseBody {
     /// Held whole.
-    Held(BufferedBody),
+    Buffered(BufferedBody),
     /// Too long to be held.
-    Passing(Box<Download>),
+    Streaming(Box<StreamingResponseBody>),
 }
--- a/crates/http1/src/response_body.rs
+++ b/crates/http1/src/response_body.rs
@@ -1,8 +1,8 @@
 //! A backend's answer too long to be held, on its way back to the caller: pulled by the caller's side, with the
 //! connection it comes on.
 
-use crate::backend_connection::Conn;
-use crate::request_body::Rest;
+use crate::backend_connection::BackendConnection;
+use crate::request_body::BodyStream;
 use bytes::Bytes;
 use hillstall_proxy_core::limits::Reservation;
 use hyper::body::{Body, Frame, SizeHint};
@@ -15,61 +15,70 @@
 
 /// How far an answer that passes has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Passed {
+pub enum TransferState {
     /// There is more.
-    Partly,
+    InProgress,
     /// All of it.
-    Whole,
+    Complete,
     /// It broke; the caller must see that.
-    Broken,
+    Failed,
 }
 
 /// A backend's answer that is passed on as it comes, with the connection it comes on.
-pub struct Download {
-    rest: Rest,
-    conn: Option<Conn>,
-    keep: Option<Box<dyn FnOnce(Conn)>>,
-    passed: Passed,
-    stall: Option<Pin<Box<Sleep>>>,
-    stall_most: Duration,
-    _room: Reservation,
+pub struct StreamingResponseBody {
+    body: BodyStream,
+    connection: Option<BackendConnection>,
+    return_connection: Option<Box<dyn FnOnce(BackendConnection)>>,
+    state: TransferState,
+    stall_timer: Option<Pin<Box<Sleep>>>,
+    stall_timeout: Duration,
+    _reservation: Reservation,
 }
 
-impl Download {
+impl StreamingResponseBody {
     /// An answer, and what becomes of its connection if that can carry another.
     pub fn new(
-        rest: Rest,
-        conn: Conn,
-        room: Reservation,
-        stall_most: Duration,
-        keep: impl FnOnce(Conn) + 'static,
-    ) -> Download {
-        let (conn, keep) = (Some(conn), Some(Box::new(keep) as Box<dyn FnOnce(Conn)>));
-        Download { rest, conn, keep, passed: Passed::Partly, stall: None, stall_most, _room: room }
+        body: BodyStream,
+        connection: BackendConnection,
+        reservation: Reservation,
+        stall_timeout: Duration,
+        return_connection: impl FnOnce(BackendConnection) + 'static,
+    ) -> StreamingResponseBody {
+        let (connection, return_connection) =
+            (Some(connection), Some(Box::new(return_connection) as Box<dyn FnOnce(BackendConnection)>));
+        StreamingResponseBody {
+            body: body,
+            connection: connection,
+            return_connection: return_connection,
+            state: TransferState::InProgress,
+            stall_timer: None,
+            stall_timeout: stall_timeout,
+            _reservation: reservation,
+        }
     }
 
     /// How far it has come.
-    pub fn passed(&self) -> Passed {
-        self.passed
+    pub fn state(&self) -> TransferState {
+        self.state
     }
 
-    fn finish(&mut self, cx: &mut Context<'_>) {
-        self.passed = Passed::Whole;
-        if let (Some(mut conn), Some(keep)) = (self.conn.take(), self.keep.take()) {
+    fn complete(&mut self, cx: &mut Context<'_>) {
+        self.state = TransferState::Complete;
+        if let (Some(mut conn), Some(keep)) = (self.connection.take(), self.return_connection.take()) {
             if conn.is_settled(cx) {
                 keep(conn);
             }
         }
     }
 
-    fn broken(&mut self, why: Error) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
-        self.passed = Passed::Broken;
-        self.conn = None;
+    fn fail(&mut self, why: Error) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
+        self.state = TransferState::Failed;
+        self.connection = None;
         Poll::Ready(Some(Err(why)))
     }
 }
 
-impl Body for Download {
+impl Body for StreamingResponseBody {
     type Data = Bytes;
     type Error = Error;
 
@@ -78,31 +87,31 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
         let me = &mut *self;
-        if me.passed != Passed::Partly {
+        if me.state != TransferState::InProgress {
             return Poll::Ready(None);
         }
-        if let Some(conn) = &mut me.conn {
+        if let Some(conn) = &mut me.connection {
             conn.drive(cx);
         }
-        match me.rest.poll_data(cx) {
+        match me.body.poll_data(cx) {
             Poll::Ready(Some(Ok(piece))) => {
-                me.stall = None;
-                if me.rest.is_end_stream() {
-                    me.finish(cx);
+                me.stall_timer = None;
+                if me.body.is_end_stream() {
+                    me.complete(cx);
                 }
                 Poll::Ready(Some(Ok(Frame::data(piece))))
             }
-            Poll::Ready(Some(Err(why))) => me.broken(why),
+            Poll::Ready(Some(Err(why))) => me.fail(why),
             Poll::Ready(None) => {
-                me.finish(cx);
+                me.complete(cx);
                 Poll::Ready(None)
             }
             Poll::Pending => {
-                let stall = me.stall.get_or_insert_with(|| Box::pin(sleep(me.stall_most)));
+                let stall = me.stall_timer.get_or_insert_with(|| Box::pin(sleep(me.stall_timeout)));
                 match stall.as_mut().poll(cx) {
                     Poll::Pending => Poll::Pending,
                     Poll::Ready(()) => {
-                        me.broken(Error::new(ErrorKind::TimedOut, "the backend has fallen silent"))
+                        me.fail(Error::new(ErrorKind::TimedOut, "the backend has fallen silent"))
                     }
                 }
             }
@@ -110,10 +119,10 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.passed == Passed::Whole
+        self.state == TransferState::Complete
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.rest.size_hint()
+        self.body.size_hint()
     }
 }
--- a/crates/http1/src/front/mod.rs
+++ b/crates/http1/src/server/mod.rs
@@ -7,7 +7,7 @@
 mod response;
 
 use crate::client::HttpClient;
-use crate::stream::{Io, Wire};
+use crate::stream::{HyperStream, TrackedStream};
 use client_connection::{Caller, Closing};
 use hillstall_decision::{Class, Settings, Tenant};
 use hillstall_proxy_core::driver::Driver;
@@ -170,15 +170,15 @@
         let callers = self.callers.borrow();
         // Those that have said nothing go before those that are in the midst of a request, and of these the ones
         // that have paused longest.
-        let use_of = |c: &&Rc<Caller>| (c.wire.begun().is_some(), c.wire.last_read());
+        let use_of = |c: &&Rc<Caller>| (c.wire.message_started_at().is_some(), c.wire.last_read());
         for tries_left in (0..SHED_LOOKS).rev() {
             let unproven = callers
                 .values()
                 .filter(|c| !c.proven.get() && !c.taken.get() && c.closing.get() != Closing::Now);
             let Some(oldest) = unproven.min_by_key(use_of) else { break };
             // What it has said may only be waiting to be read.
-            if tries_left > 0 && oldest.wire.begun().is_none() && oldest.wire.has_unread() {
-                oldest.wire.begins();
+            if tries_left > 0 && oldest.wire.message_started_at().is_none() && oldest.wire.has_unread() {
+                oldest.wire.mark_message_started();
                 continue;
             }
             oldest.close(Closing::Now);
@@ -205,7 +205,8 @@
             caller.close(Closing::Now);
         }
         // One that does not read its answer is owed no more of it.
-        for caller in self.callers.borrow().values().filter(|c| c.wire.is_stalled(tuning.stall_timeout)) {
+        for caller in self.callers.borrow().values().filter(|c| c.wire.is_write_stalled(tuning.stall_timeout))
+        {
             caller.taken.set(false);
             caller.close(Closing::Now);
         }
@@ -219,7 +220,7 @@
             let tuning = self.limits.tuning();
             let closes = self.lifecycle.closes_idle(tuning.drain_notice);
             self.close_idle(if closes { tuning.drain_idle_timeout } else { tuning.client_idle_timeout });
-            for caller in self.callers.borrow().values().filter(|c| !c.wire.is_stuck()) {
+            for caller in self.callers.borrow().values().filter(|c| !c.wire.is_write_blocked()) {
                 caller.last.take();
             }
             for caller in self
@@ -261,7 +262,7 @@
     /// connections that nobody knows of yet would be taken for callers that can't give way.
     fn enter(&self, stream: TcpStream, counted: Reservation) -> (u64, Rc<Caller>) {
         let caller = Rc::new(Caller {
-            wire: Wire::for_caller(stream, &self.limits.tuning()),
+            wire: TrackedStream::for_client(stream, &self.limits.tuning()),
             taken: Cell::new(false),
             proven: Cell::new(false),
             used: Cell::new(Instant::now()),
@@ -294,7 +295,7 @@
     async fn talk(self: &Rc<Self>, caller: &Rc<Caller>) -> After {
         let service =
             service_fn(|request| async move { Ok::<_, Infallible>(self.serve(caller, request).await) });
-        let io = Io(caller.wire.clone());
+        let io = HyperStream(caller.wire.clone());
         let serving =
             http1::Builder::new().max_buf_size(self.limits.tuning().read_ahead).serve_connection(io, service);
         tokio::pin!(serving);
@@ -313,7 +314,7 @@
                 // Guards against a head that never ends, which a graceful end would await for ever. One that
                 // did end meanwhile is a request taken: it is served.
                 () = sleep(CLOSE_GRACE), if caller.closing.get() != Closing::No => {
-                    if !caller.taken.get() && !caller.wire.is_stuck() {
+                    if !caller.taken.get() && !caller.wire.is_write_blocked() {
                         return After::Over;
                     }
                 }
--- a/crates/http1/src/front/request.rs
+++ b/crates/http1/src/server/request.rs
@@ -5,9 +5,9 @@
 use super::request_head::{single, Bad, OpenId, REQUEST_ID};
 use super::response::{ended, plain, refusal, Reading, Replied, Reply};
 use super::{Server, TIDY};
-use crate::backend_connection::joined;
-use crate::message::{AnswerBody, Inbound, Payload};
-use crate::request_body::{discard, Rest, Upload};
+use crate::backend_connection::concatenate;
+use crate::message::{BackendResponseBody, ClientRequest, ClientRequestBody};
+use crate::request_body::{discard, BodyStream, StreamingRequestBody};
 use bytes::Bytes;
 use hillstall_proxy_core::driver::FinalResponse;
 use hillstall_proxy_core::lifecycle::Phase;
@@ -37,8 +37,12 @@
         let mut cut_short = false;
         if !passes {
             // The caller may still be sending what will not be needed.
-            let rest =
-                caller.upload.borrow().as_ref().filter(|u| u.deadline().is_none()).and_then(|u| u.take());
+            let rest = caller
+                .upload
+                .borrow()
+                .as_ref()
+                .filter(|u| u.deadline().is_none())
+                .and_then(|u| u.take_unsent());
             if let Some(rest) = rest {
                 cut_short = true;
                 spawn_local(discard(rest));
@@ -98,14 +102,14 @@
         }
         let body = match rest {
             None => {
-                let bytes = joined(first);
+                let bytes = concatenate(first);
                 room.shrink_to(bytes.len());
-                Payload::Held(limits::BufferedBody::new(bytes, room))
+                ClientRequestBody::Buffered(limits::BufferedBody::new(bytes, room))
             }
-            Some(body) => Payload::Passing(Upload::new(
+            Some(body) => ClientRequestBody::Streaming(StreamingRequestBody::new(
                 caller.wire.clone(),
                 timeout,
-                Rest::new(first, body, tuning.max_message),
+                BodyStream::new(first, body, tuning.max_message),
                 room,
             )),
         };
@@ -118,15 +122,15 @@
         asked.deadline = caller.wire.last_read() + timeout;
         let due = asked.deadline + OVERDUE;
         let upload = match &body {
-            Payload::Passing(upload) => Some(upload.clone()),
-            Payload::Held(_) => None,
+            ClientRequestBody::Streaming(upload) => Some(upload.clone()),
+            ClientRequestBody::Buffered(_) => None,
         };
         caller.upload.replace(upload.clone());
         let bodiless = head.method == Method::HEAD;
         let id = if tuning.log_requests { id.to_string() } else { String::new() };
         let (class, tenant) = (asked.class, asked.tenant);
-        let begun = caller.wire.begun().unwrap_or_else(Instant::now);
-        let inbound = Inbound { method: head.method, path, headers: head.headers, body };
+        let begun = caller.wire.message_started_at().unwrap_or_else(Instant::now);
+        let inbound = ClientRequest { method: head.method, path, headers: head.headers, body };
         let Some((guard, mut answer)) = self.driver.request(asked, inbound) else {
             return Ok(ended(self.no_room(), open, RequestOutcome::Deferred));
         };
@@ -161,12 +165,14 @@
         let mut reply = match answer.map(|ended| ended.response) {
             Ok(FinalResponse::Served(answer)) => {
                 let (body, busy) = match answer.body {
-                    AnswerBody::Held(body) => {
+                    BackendResponseBody::Buffered(body) => {
                         let bytes = body.bytes.clone();
                         caller.last.replace(Some(body));
                         (Reading::Held(Full::new(bytes)), None)
                     }
-                    AnswerBody::Passing(answer) => (Reading::Passing(answer), Some(caller.clone())),
+                    BackendResponseBody::Streaming(answer) => {
+                        (Reading::Passing(answer), Some(caller.clone()))
+                    }
                 };
                 let mut reply = Response::new(Replied { body, open: None, busy, record: None });
                 let kept = if bodiless { &[CONTENT_TYPE, CONTENT_LENGTH][..] } else { &[CONTENT_TYPE] };
--- a/crates/http1/src/front/response.rs
+++ b/crates/http1/src/server/response.rs
@@ -2,7 +2,7 @@
 
 use super::access_log::Record;
 use super::client_connection::Caller;
-use crate::response_body::{Download, Passed};
+use crate::response_body::{StreamingResponseBody, TransferState};
 use bytes::Bytes;
 use hillstall_proxy_core::metrics::{InProgress, RequestOutcome};
 use http_body_util::Full;
@@ -28,7 +28,7 @@
 /// Where the body of a reply comes from.
 pub(super) enum Reading {
     Held(Full<Bytes>),
-    Passing(Box<Download>),
+    Passing(Box<StreamingResponseBody>),
 }
 
 impl Body for Replied {
@@ -64,10 +64,10 @@
     fn drop(&mut self) {
         let how = match &self.body {
             Reading::Held(body) => body.is_end_stream().then_some(None),
-            Reading::Passing(answer) => match answer.passed() {
-                Passed::Partly => None,
-                Passed::Whole => Some(None),
-                Passed::Broken => Some(Some(RequestOutcome::Errored)),
+            Reading::Passing(answer) => match answer.state() {
+                TransferState::InProgress => None,
+                TransferState::Complete => Some(None),
+                TransferState::Failed => Some(Some(RequestOutcome::Errored)),
             },
         };
         if let (Some((open, usual)), Some(how)) = (self.open.take(), how) {
--- a/crates/http1/src/stream.rs
+++ b/crates/http1/src/stream.rs
@@ -1,7 +1,7 @@
 //! The thin wrapper between hyper and a TCP stream. It stamps the last read, from which deadlines run, and
 //! follows a request on its way out, so that it is known whether the last byte of it was written.
 
-use crate::framing::Framing;
+use crate::framing::RequestFraming;
 use hillstall_proxy_core::metrics::Counter;
 use hillstall_proxy_core::tuning::Tuning;
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -20,51 +20,54 @@
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
 const LAST_CHUNK: &[u8; 5] = b"0\r\n\r\n";
-const CHUNK: usize = 8 * 1024;
+const READ_BUFFER_BYTES: usize = 8 * 1024;
 
 /// How much of one request has been written.
 #[derive(Default)]
-struct Written {
-    bytes: usize,
-    matched: usize,
-    body_left: usize,
+struct RequestWriteProgress {
+    bytes_written: usize,
+    head_end_matched: usize,
+    remaining_body: usize,
     /// For a body in chunks: whether all of it was handed over, and the last bytes written.
-    chunks: Option<Rc<Cell<bool>>>,
-    tail: [u8; LAST_CHUNK.len()],
+    chunked_body_ended: Option<Rc<Cell<bool>>>,
+    last_bytes: [u8; LAST_CHUNK.len()],
     /// Raised once all is written.
-    sends: Option<Counter>,
+    sent_counter: Option<Counter>,
 }
 
-impl Written {
-    fn is_whole(&self) -> bool {
-        let chunks = self.chunks.as_ref().is_none_or(|ended| ended.get() && self.tail == *LAST_CHUNK);
-        self.matched == HEAD_END.len() && self.body_left == 0 && chunks
+impl RequestWriteProgress {
+    fn is_complete(&self) -> bool {
+        let chunks = self
+            .chunked_body_ended
+            .as_ref()
+            .is_none_or(|ended| ended.get() && self.last_bytes == *LAST_CHUNK);
+        self.head_end_matched == HEAD_END.len() && self.remaining_body == 0 && chunks
     }
 
-    fn add(&mut self, bytes: &[u8]) {
-        self.follow(bytes);
-        if self.chunks.is_some() {
-            for byte in &bytes[bytes.len().saturating_sub(self.tail.len())..] {
-                self.tail.rotate_left(1);
-                self.tail[LAST_CHUNK.len() - 1] = *byte;
+    fn record(&mut self, bytes: &[u8]) {
+        self.track_head_and_body(bytes);
+        if self.chunked_body_ended.is_some() {
+            for byte in &bytes[bytes.len().saturating_sub(self.last_bytes.len())..] {
+                self.last_bytes.rotate_left(1);
+                self.last_bytes[LAST_CHUNK.len() - 1] = *byte;
             }
         }
-        if self.is_whole() {
-            if let Some(sends) = self.sends.take() {
+        if self.is_complete() {
+            if let Some(sends) = self.sent_counter.take() {
                 sends.set(sends.get() + 1);
             }
         }
     }
 
-    fn follow(&mut self, bytes: &[u8]) {
-        self.bytes += bytes.len();
+    fn track_head_and_body(&mut self, bytes: &[u8]) {
+        self.bytes_written += bytes.len();
         for (at, byte) in bytes.iter().enumerate() {
-            if self.matched == HEAD_END.len() {
-                self.body_left = self.body_left.saturating_sub(bytes.len() - at);
+            if self.head_end_matched == HEAD_END.len() {
+                self.remaining_body = self.remaining_body.saturating_sub(bytes.len() - at);
                 return;
             }
-            self.matched = match (*byte == HEAD_END[self.matched], *byte) {
-                (true, _) => self.matched + 1,
+            self.head_end_matched = match (*byte == HEAD_END[self.head_end_matched], *byte) {
+                (true, _) => self.head_end_matched + 1,
                 (false, b'\r') => 1,
                 (false, _) => 0,
             };
@@ -73,57 +76,61 @@
 }
 
 /// How long the body of a request is.
-pub enum Length {
+pub enum RequestBodyLength {
     /// So many bytes.
     Known(usize),
     /// It comes in chunks; all are handed over once this is true.
-    Chunks(Rc<Cell<bool>>),
+    Chunked(Rc<Cell<bool>>),
 }
 
 /// A TCP stream with what is known of its traffic.
-pub struct Wire {
+pub struct TrackedStream {
     stream: RefCell<TcpStream>,
     last_read: Cell<Instant>,
-    begun: Cell<Option<Instant>>,
+    message_started_at: Cell<Option<Instant>>,
     had_message: Cell<bool>,
-    stuck: Cell<bool>,
-    moved: Cell<Instant>,
+    write_blocked: Cell<bool>,
+    last_write_progress: Cell<Instant>,
     /// Since when, and how far, the peer is on its way to the next step of its message.
-    step: Cell<(Instant, usize)>,
-    written: RefCell<Written>,
-    framing: Option<RefCell<Framing>>,
-    request_step: usize,
+    read_step: Cell<(Instant, usize)>,
+    request_progress: RefCell<RequestWriteProgress>,
+    framing: Option<RefCell<RequestFraming>>,
+    bytes_per_step: usize,
 }
 
-impl Wire {
+impl TrackedStream {
     /// Takes a stream over; small messages must not wait for the peer's acknowledgement.
-    pub fn new(stream: TcpStream, tuning: &Tuning) -> Rc<Wire> {
-        Wire::with(stream, tuning, None)
+    pub fn new(stream: TcpStream, tuning: &Tuning) -> Rc<TrackedStream> {
+        TrackedStream::with_framing(stream, tuning, None)
     }
 
     /// The same for a caller's stream, whose requests are followed.
-    pub fn for_caller(stream: TcpStream, tuning: &Tuning) -> Rc<Wire> {
-        Wire::with(stream, tuning, Some(RefCell::default()))
+    pub fn for_client(stream: TcpStream, tuning: &Tuning) -> Rc<TrackedStream> {
+        TrackedStream::with_framing(stream, tuning, Some(RefCell::default()))
     }
 
-    fn with(stream: TcpStream, tuning: &Tuning, framing: Option<RefCell<Framing>>) -> Rc<Wire> {
+    fn with_framing(
+        stream: TcpStream,
+        tuning: &Tuning,
+        framing: Option<RefCell<RequestFraming>>,
+    ) -> Rc<TrackedStream> {
         // Fails only on a stream that is already dead, which the first read tells.
         let _ = stream.set_nodelay(true);
         let socket = SockRef::from(&stream);
         let buffer = tuning.socket_buffer;
         let _ = socket.set_send_buffer_size(buffer).and(socket.set_recv_buffer_size(buffer));
         let now = Instant::now();
-        Rc::new(Wire {
+        Rc::new(TrackedStream {
             stream: RefCell::new(stream),
             last_read: Cell::new(now),
-            begun: Cell::new(None),
+            message_started_at: Cell::new(None),
             had_message: Cell::new(false),
-            stuck: Cell::new(false),
-            moved: Cell::new(now),
-            step: Cell::new((now, 0)),
-            written: RefCell::default(),
+            write_blocked: Cell::new(false),
+            last_write_progress: Cell::new(now),
+            read_step: Cell::new((now, 0)),
+            request_progress: RefCell::default(),
             framing,
-            request_step: tuning.request_bytes_per_timeout,
+            bytes_per_step: tuning.request_bytes_per_timeout,
         })
     }
 
@@ -134,8 +141,8 @@
     }
 
     /// Whether the peer stands between two messages: nothing of the next one was read.
-    pub fn is_between(&self) -> bool {
-        self.framing.as_ref().is_none_or(|framing| framing.borrow().is_between())
+    pub fn is_between_messages(&self) -> bool {
+        self.framing.as_ref().is_none_or(|framing| framing.borrow().is_between_messages())
     }
 
     /// When the last bytes were read.
@@ -144,13 +151,13 @@
     }
 
     /// When the first bytes of the message that is being read came; `None` between two messages.
-    pub fn begun(&self) -> Option<Instant> {
-        self.begun.get()
+    pub fn message_started_at(&self) -> Option<Instant> {
+        self.message_started_at.get()
     }
 
     /// The message that was being read is done with.
-    pub fn message_over(&self) {
-        self.begun.set(None);
+    pub fn message_completed(&self) {
+        self.message_started_at.set(None);
         self.had_message.set(true);
     }
 
@@ -160,60 +167,65 @@
     }
 
     /// From now on the peer is expected to go on with its message.
-    pub fn expect_more(&self) {
-        self.step.set((Instant::now(), 0));
+    pub fn restart_read_step(&self) {
+        self.read_step.set((Instant::now(), 0));
     }
 
     /// For how long the peer has been on the present step of its message.
-    pub fn step_time(&self) -> Duration {
-        self.step.get().0.elapsed()
+    pub fn read_step_elapsed(&self) -> Duration {
+        self.read_step.get().0.elapsed()
     }
 
-    fn has_read(&self, bytes: &[u8]) {
+    fn on_read(&self, bytes: &[u8]) {
         let now = Instant::now();
         self.last_read.set(now);
-        if self.begun.get().is_none() {
-            self.begun.set(Some(now));
+        if self.message_started_at.get().is_none() {
+            self.message_started_at.set(Some(now));
             // The first message is awaited from the start: a peer may not rest before it.
             if self.had_message.get() {
-                self.step.set((now, 0));
+                self.read_step.set((now, 0));
             }
         }
-        let (from, read) = self.step.get();
+        let (from, read) = self.read_step.get();
         let read = read + bytes.len();
-        self.step.set(if read >= self.request_step { (now, 0) } else { (from, read) });
+        self.read_step.set(if read >= self.bytes_per_step { (now, 0) } else { (from, read) });
         if let Some(framing) = &self.framing {
-            framing.borrow_mut().add(bytes);
+            framing.borrow_mut().advance(bytes);
         }
     }
 
     /// Whether what is to be written has waited for the peer to read for too long.
-    pub fn is_stalled(&self, stall: Duration) -> bool {
-        self.stuck.get() && self.moved.get().elapsed() >= stall
+    pub fn is_write_stalled(&self, stall: Duration) -> bool {
+        self.write_blocked.get() && self.last_write_progress.get().elapsed() >= stall
     }
 
     /// Whether what is to be written waits for the peer to read.
-    pub fn is_stuck(&self) -> bool {
-        self.stuck.get()
+    pub fn is_write_blocked(&self) -> bool {
+        self.write_blocked.get()
     }
 
     /// A request is about to be written; `sends` is raised once all of it is.
-    pub fn begin_request(&self, body: Length, sends: Counter) {
+    pub fn begin_request(&self, body: RequestBodyLength, sent_counter: Counter) {
         let (body_left, chunks) = match body {
-            Length::Known(bytes) => (bytes, None),
-            Length::Chunks(ended) => (0, Some(ended)),
+            RequestBodyLength::Known(bytes) => (bytes, None),
+            RequestBodyLength::Chunked(ended) => (0, Some(ended)),
+        };
+        *self.request_progress.borrow_mut() = RequestWriteProgress {
+            remaining_body: body_left,
+            chunked_body_ended: chunks,
+            sent_counter: Some(sent_counter),
+            ..RequestWriteProgress::default()
         };
-        *self.written.borrow_mut() = Written { body_left, chunks, sends: Some(sends), ..Written::default() };
     }
 
     /// Whether any byte of the request was written.
-    pub fn request_begun(&self) -> bool {
-        self.written.borrow().bytes > 0
+    pub fn has_sent_request_bytes(&self) -> bool {
+        self.request_progress.borrow().bytes_written > 0
     }
 
     /// Whether the last byte of the request was written.
-    pub fn request_whole(&self) -> bool {
-        self.written.borrow().is_whole()
+    pub fn is_request_sent(&self) -> bool {
+        self.request_progress.borrow().is_complete()
     }
 
     /// How many bytes there are to read, 1 at most: 0 says that the peer has closed.
@@ -227,10 +239,10 @@
     }
 
     /// A message of the peer's was seen to begin, though nothing of it was read yet.
-    pub fn begins(&self) {
+    pub fn mark_message_started(&self) {
         let now = Instant::now();
         self.last_read.set(now);
-        self.begun.set(self.begun.get().or(Some(now)));
+        self.message_started_at.set(self.message_started_at.get().or(Some(now)));
     }
 
     /// Whether the peer holds the connection open and has sent nothing that is still unread. Asks the
@@ -242,23 +254,23 @@
 
 /// A [`Wire`] as hyper reads and writes it. It offers no vectored writes, so hyper puts the head and the
 /// body of a message into one write.
-pub struct Io(pub Rc<Wire>);
+pub struct HyperStream(pub Rc<TrackedStream>);
 
-impl Read for Io {
+impl Read for HyperStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, mut buf: ReadBufCursor<'_>) -> Poll<Result<()>> {
-        let mut chunk = [MaybeUninit::uninit(); CHUNK];
-        let room = buf.remaining().min(CHUNK);
+        let mut chunk = [MaybeUninit::uninit(); READ_BUFFER_BYTES];
+        let room = buf.remaining().min(READ_BUFFER_BYTES);
         let mut read = ReadBuf::uninit(&mut chunk[..room]);
         // A read that does not fill the buffer tells the runtime that there is no more, which saves the call that
         // would only say so.
         ready!(Pin::new(&mut *self.0.stream.borrow_mut()).poll_read(cx, &mut read))?;
-        self.0.has_read(read.filled());
+        self.0.on_read(read.filled());
         buf.put_slice(read.filled());
         Poll::Ready(Ok(()))
     }
 }
 
-impl Write for Io {
+impl Write for HyperStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<Result<usize>> {
         loop {
             let written = {
@@ -268,14 +280,14 @@
             };
             match written {
                 Ok(n) => {
-                    self.0.written.borrow_mut().add(&buf[..n]);
-                    self.0.stuck.set(n < buf.len());
-                    self.0.moved.set(Instant::now());
+                    self.0.request_progress.borrow_mut().record(&buf[..n]);
+                    self.0.write_blocked.set(n < buf.len());
+                    self.0.last_write_progress.set(Instant::now());
                     return Poll::Ready(Ok(n));
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    if !self.0.stuck.replace(true) {
-                        self.0.moved.set(Instant::now());
+                    if !self.0.write_blocked.replace(true) {
+                        self.0.last_write_progress.set(Instant::now());
                     }
                 }
                 Err(e) => return Poll::Ready(Err(e)),
@@ -299,12 +311,16 @@
     #[test]
     fn a_request_is_whole_only_with_its_last_body_byte() {
         let sends = Counter::default();
-        let mut written = Written { body_left: 3, sends: Some(sends.clone()), ..Written::default() };
+        let mut written = RequestWriteProgress {
+            remaining_body: 3,
+            sent_counter: Some(sends.clone()),
+            ..RequestWriteProgress::default()
+        };
         for part in [&b"POST / HTTP/1.1\r\nA: b\r"[..], b"\n\r", b"\nab"] {
-            written.add(part);
-            assert!(!written.is_whole() && sends.get() == 0);
+            written.record(part);
+            assert!(!written.is_complete() && sends.get() == 0);
         }
-        written.add(b"c");
-        assert!(written.is_whole() && sends.get() == 1);
+        written.record(b"c");
+        assert!(written.is_complete() && sends.get() == 1);
     }
 }
