--- a/crates/http1/src/client.rs
+++ b/crates/http1/src/client.rs
@@ -28,7 +28,7 @@
 use tokio::time::{sleep, sleep_until, timeout, timeout_at};
 
 /// Headers that speak of one connection and stay on it, and those that are written anew.
-const OWN_HEADERS: [HeaderName; 8] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHORIZATION,
     header::TE,
@@ -39,7 +39,7 @@
     header::EXPECT,
 ];
 /// How often an attempt whose body passes is looked at.
-const LOOK: Duration = Duration::from_millis(20);
+const STREAMING_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const NOT_STARTED: HeaderName = HeaderName::from_static("not-started");
 
 /// Where a probe asks whether a backend is alive, and where for its load as well.
@@ -58,11 +58,11 @@
 /// Carries calls to backends over HTTP/1.1.
 pub struct HttpClient {
     pool: RefCell<Pool<BackendId, BackendConnection>>,
-    connects: RefCell<ConnectHedging<BackendId>>,
+    connect_hedging: RefCell<ConnectHedging<BackendId>>,
     limits: Rc<Limits>,
-    idle_most: Duration,
+    max_idle: Duration,
     connect_timeout: Duration,
-    reports: LoadReportParser,
+    load_reports: LoadReportParser,
 }
 
 impl HttpClient {
@@ -79,17 +79,17 @@
         let pool = Pool::new(pool_limits(&limits.tuning(), idle_most));
         HttpClient {
             pool: RefCell::new(pool),
-            connects: RefCell::default(),
-            idle_most,
+            connect_hedging: RefCell::default(),
+            max_idle: idle_most,
             limits,
             connect_timeout: span(connect_ms),
-            reports: LoadReportParser::new(fields),
+            load_reports: LoadReportParser::new(fields),
         }
     }
 
     /// Goes by the tuning as it is now.
     pub fn tune(&self) {
-        self.pool.borrow_mut().limit(pool_limits(&self.limits.tuning(), self.idle_most));
+        self.pool.borrow_mut().limit(pool_limits(&self.limits.tuning(), self.max_idle));
     }
 
     /// Drops what has been idle for long, or was closed at the other end.
@@ -102,7 +102,7 @@
         self.pool.borrow_mut().shed().is_some()
     }
 
-    fn put_back(&self, backend: BackendId, address: SocketAddr, conn: BackendConnection) {
+    fn return_to_pool(&self, backend: BackendId, address: SocketAddr, conn: BackendConnection) {
         // What gives way for it is dropped here.
         let _ = self.pool.borrow_mut().check_in(backend, address, conn, Instant::now());
     }
@@ -129,14 +129,14 @@
 
     /// A new connection for an attempt. One that is late gets a second beside it: nothing is written before one of
     /// them is up, and the other is kept for the next call.
-    async fn connect_soon(
+    async fn connect_hedged(
         self: &Rc<Self>,
         backend: BackendId,
         address: SocketAddr,
         until: Instant,
         permit: &Rc<SendPermit<HttpClient>>,
     ) -> Result<BackendConnection, Outcome> {
-        let patience = self.connects.borrow_mut().hedge_delay(&backend);
+        let patience = self.connect_hedging.borrow_mut().hedge_delay(&backend);
         let (sender, mut ended) = mpsc::unbounded_channel();
         let begin = || {
             let (me, sender, permit) = (self.clone(), sender.clone(), permit.clone());
@@ -144,12 +144,12 @@
                 let begun = Instant::now();
                 let conn = me.connect(address, until).await;
                 if conn.is_ok() {
-                    me.connects.borrow_mut().on_connected(backend, begun.elapsed());
+                    me.connect_hedging.borrow_mut().on_connected(backend, begun.elapsed());
                 }
                 // Nobody waits for it any more.
                 if let Err(mpsc::error::SendError(Ok(conn))) = sender.send(conn) {
                     if permit.is_backend_current() {
-                        me.put_back(backend, address, conn);
+                        me.return_to_pool(backend, address, conn);
                     }
                 }
             });
@@ -167,7 +167,7 @@
                     out -= 1;
                     if out == 0 {
                         if outcome == Outcome::ConnectFailed {
-                            self.connects.borrow_mut().on_failed(&backend);
+                            self.connect_hedging.borrow_mut().on_failed(&backend);
                         }
                         return Err(outcome);
                     }
@@ -175,7 +175,7 @@
                 Ok(None) => return Err(Outcome::ConnectFailed),
                 Err(_late) => {
                     if !self.limits.backend_connections.has_capacity()
-                        || !self.connects.borrow_mut().try_hedge()
+                        || !self.connect_hedging.borrow_mut().try_hedge()
                     {
                         return ended.recv().await.unwrap_or(Err(Outcome::ConnectFailed));
                     }
@@ -210,7 +210,7 @@
     }
 
     /// Checks a backend once, on a connection of its own.
-    async fn check(&self, address: SocketAddr, path: &'static str) -> AttemptResult<HttpClient> {
+    async fn health_check(&self, address: SocketAddr, path: &'static str) -> AttemptResult<HttpClient> {
         let until = Instant::now() + self.connect_timeout * 2;
         let mut conn = match self.connect(address, until).await {
             Ok(conn) => conn,
@@ -225,9 +225,9 @@
             Ok(Err(())) => AttemptResult::now(Outcome::Reset),
             Ok(Ok(ReceivedResponse { status, headers, body })) => {
                 let outcome = if status == StatusCode::OK { Outcome::Ok } else { Outcome::Error };
-                let mut report = self.reports.from_headers(&headers);
+                let mut report = self.load_reports.from_headers(&headers);
                 if let (Some(ReceivedBody::Complete(body)), 0) = (body, report.len) {
-                    report = self.reports.parse(std::str::from_utf8(&body.bytes).unwrap_or_default());
+                    report = self.load_reports.parse(std::str::from_utf8(&body.bytes).unwrap_or_default());
                 }
                 AttemptResult {
                     outcome,
@@ -265,7 +265,7 @@
             let conn = match idle.take() {
                 Some(conn) => Ok(conn),
                 // On the heap: it is rare, and every attempt would carry room for it.
-                None => Box::pin(self.connect_soon(backend, address, until, &permit)).await,
+                None => Box::pin(self.connect_hedged(backend, address, until, &permit)).await,
             };
             let mut conn = match conn {
                 Ok(conn) => conn,
@@ -285,21 +285,21 @@
             // Whole milliseconds are all that the header can tell; less than one is still time to be served.
             let left = (left.as_millis() as u64).max(1);
             conn.stream().begin_request(inbound.body_length(), sends.clone());
-            let exchange = conn.exchange(forward(inbound, left), &self.limits);
+            let exchange = conn.exchange(forwarded_request(inbound, left), &self.limits);
             let result = tokio::select! {
                 biased;
                 result = exchange => Ok(result),
-                () = overdue(inbound, until, most, self.limits.tuning().stall_timeout) => Err(()),
+                () = wait_for_attempt_timeout(inbound, until, most, self.limits.tuning().stall_timeout) => Err(()),
             };
             if let Ok(Ok(ReceivedResponse { status, headers, body })) = result {
-                let report = self.reports.from_headers(&headers);
+                let report = self.load_reports.from_headers(&headers);
                 let at = conn.stream().last_read();
-                let outcome = outcome(status, &headers);
+                let outcome = response_outcome(status, &headers);
                 let rejected = Some(status).filter(|_| outcome == Outcome::Cancelled);
                 let body = match body {
                     Some(ReceivedBody::Complete(body)) => {
                         if conn.settle().await && permit.is_backend_current() {
-                            self.put_back(backend, address, conn);
+                            self.return_to_pool(backend, address, conn);
                         }
                         Some(BackendResponseBody::Buffered(body))
                     }
@@ -307,7 +307,7 @@
                         let me = self.clone();
                         let keep = move |conn| {
                             if permit.is_backend_current() {
-                                me.put_back(backend, address, conn);
+                                me.return_to_pool(backend, address, conn);
                             }
                         };
                         Some(BackendResponseBody::Streaming(Box::new(StreamingResponseBody::new(
@@ -350,16 +350,16 @@
     }
 
     async fn probe(self: Rc<Self>, address: SocketAddr, report: bool) -> AttemptResult<HttpClient> {
-        self.check(address, if report { LOAD_PATH } else { ALIVE_PATH }).await
+        self.health_check(address, if report { LOAD_PATH } else { ALIVE_PATH }).await
     }
 
     fn close_idle(&self, backend: BackendId) {
         self.pool.borrow_mut().remove(backend);
-        self.connects.borrow_mut().remove(&backend);
+        self.connect_hedging.borrow_mut().remove(&backend);
     }
 }
 
-fn outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
+fn response_outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let unseen = headers.get(NOT_STARTED).is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Outcome::Ok,
@@ -371,7 +371,7 @@
     }
 }
 
-fn forward(inbound: &ClientRequest, left_ms: u64) -> Request<AttemptBody> {
+fn forwarded_request(inbound: &ClientRequest, left_ms: u64) -> Request<AttemptBody> {
     let mut request = Request::new(match &inbound.body {
         ClientRequestBody::Buffered(body) => AttemptBody::Buffered(Full::new(body.bytes.clone())),
         ClientRequestBody::Streaming(upload) => AttemptBody::streaming(upload),
@@ -379,7 +379,7 @@
     *request.method_mut() = inbound.method.clone();
     *request.uri_mut() = Uri::from(inbound.path.clone());
     let mut headers = inbound.headers.clone();
-    for name in &OWN_HEADERS {
+    for name in &HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
     headers.remove("keep-alive");
@@ -390,13 +390,13 @@
 
 /// Ends when an attempt of this request must: at `until`, or where the body passes, as long after its last
 /// byte, or when the backend has stopped taking it.
-async fn overdue(inbound: &ClientRequest, until: Instant, most: Duration, stall: Duration) {
+async fn wait_for_attempt_timeout(inbound: &ClientRequest, until: Instant, most: Duration, stall: Duration) {
     let ClientRequestBody::Streaming(upload) = &inbound.body else { return sleep_until(until.into()).await };
     let ended = loop {
         match upload.deadline() {
             Some(deadline) => break deadline,
             None if upload.is_backend_stalled(stall) => return,
-            None => sleep(LOOK).await,
+            None => sleep(STREAMING_POLL_INTERVAL).await,
         }
     };
     sleep_until(ended.min(Instant::now() + most).into()).await;
--- a/crates/http1/src/request_body.rs
+++ b/crates/http1/src/request_body.rs
@@ -24,7 +24,7 @@
 impl BodyStream {
     /// A message whose first pieces were read already, and which may have so many bytes in all.
     pub fn new(buffered: VecDeque<Bytes>, body: Incoming, max_bytes: usize) -> BodyStream {
-        BodyStream { buffered: buffered, body, remaining_bytes: max_bytes }
+        BodyStream { buffered, body, remaining_bytes: max_bytes }
     }
 
     /// The next piece of data; other parts of a message stay behind.
@@ -91,7 +91,7 @@
         reservation: Reservation,
     ) -> Rc<StreamingRequestBody> {
         Rc::new(StreamingRequestBody {
-            client_stream: client_stream,
+            client_stream,
             timeout,
             consumed: Cell::new(false),
             waiting_for_client: Cell::new(false),
--- a/crates/http1/src/response_body.rs
+++ b/crates/http1/src/response_body.rs
@@ -47,12 +47,12 @@
         let (connection, return_connection) =
             (Some(connection), Some(Box::new(return_connection) as Box<dyn FnOnce(BackendConnection)>));
         StreamingResponseBody {
-            body: body,
-            connection: connection,
-            return_connection: return_connection,
+            body,
+            connection,
+            return_connection,
             state: TransferState::InProgress,
             stall_timer: None,
-            stall_timeout: stall_timeout,
+            stall_timeout,
             _reservation: reservation,
         }
     }
--- a/crates/http1/src/server/access_log.rs
+++ b/crates/http1/src/server/access_log.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 /// What the log is told of a call.
-pub(super) struct Record {
+pub(super) struct AccessLogRecord {
     pub(super) id: String,
     pub(super) class: String,
     pub(super) tenant: String,
@@ -14,15 +14,15 @@
     pub(super) tier: String,
     pub(super) end: &'static str,
     pub(super) status: u16,
-    pub(super) course: RequestTrace,
+    pub(super) trace: RequestTrace,
     /// When the first bytes of the call were read.
-    pub(super) begun: Instant,
+    pub(super) started_at: Instant,
     /// When its final answer was there.
-    pub(super) ended: Instant,
+    pub(super) completed_at: Instant,
 }
 
 /// Why a call ended as it did, in one word.
-pub(super) fn end(answer: &FinalResponse<HttpClient>) -> &'static str {
+pub(super) fn completion_name(answer: &FinalResponse<HttpClient>) -> &'static str {
     match answer {
         FinalResponse::Served(_) => "served",
         FinalResponse::Rejected(_) => "refused",
@@ -31,18 +31,28 @@
     }
 }
 
-fn ms(time: Duration) -> f64 {
+fn milliseconds(time: Duration) -> f64 {
     (time.as_secs_f64() * 1e6).round() / 1e3
 }
 
-impl Record {
+impl AccessLogRecord {
     /// Writes the record, now that the answer has gone to the connection, or can't. Phases are in milliseconds:
     /// reading the call, deciding on its first attempt, all attempts but the last, the last, and writing.
     pub(super) fn write(self: Box<Self>, whole: bool) {
-        let Record { id, class, tenant, tier, end, status, course, begun, ended } = *self;
+        let AccessLogRecord {
+            id,
+            class,
+            tenant,
+            tier,
+            end,
+            status,
+            trace: course,
+            started_at: begun,
+            completed_at: ended,
+        } = *self;
         let first = course.first_attempt_at.unwrap_or(ended);
         let last = course.last_attempt_at.unwrap_or(ended);
-        let between = |from: Instant, to: Instant| ms(to.saturating_duration_since(from));
+        let between = |from: Instant, to: Instant| milliseconds(to.saturating_duration_since(from));
         let server = course.backend_address.map(|server| server.to_string()).unwrap_or_default();
         let outcome = course.last_outcome.map(Outcome::name).unwrap_or_default();
         let why = course.reason.map(|why| why.name()).unwrap_or_default();
@@ -63,7 +73,7 @@
             decide_ms = between(course.accepted_at, first),
             earlier_ms = between(first, last),
             last_ms = between(last, ended),
-            write_ms = ms(ended.elapsed()),
+            write_ms = milliseconds(ended.elapsed()),
             "call"
         );
     }
--- a/crates/http1/src/server/client_connection.rs
+++ b/crates/http1/src/server/client_connection.rs
@@ -10,73 +10,82 @@
 
 /// How far the end of a caller's connection has come.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Closing {
-    No,
+pub(super) enum CloseMode {
+    Open,
     /// Once what it has begun is done.
-    InOrder,
+    Graceful,
     /// At once: nothing was taken from it that is still open.
-    Now,
+    Immediate,
 }
 
-pub(super) struct Caller {
-    pub(super) wire: Rc<TrackedStream>,
+pub(super) struct ClientConnection {
+    pub(super) stream: Rc<TrackedStream>,
     /// A whole request of its was taken and has no answer yet.
-    pub(super) taken: Cell<bool>,
+    pub(super) request_in_progress: Cell<bool>,
     /// It has brought a good request before.
-    pub(super) proven: Cell<bool>,
+    pub(super) has_sent_valid_request: Cell<bool>,
     /// When it connected, or had its last answer.
-    pub(super) used: Cell<Instant>,
+    pub(super) last_used_at: Cell<Instant>,
     /// Its last answer, which may still wait to be written; let go once it is seen to be out.
-    pub(super) last: RefCell<Option<limits::BufferedBody>>,
+    pub(super) last_response: RefCell<Option<limits::BufferedBody>>,
     /// Its body that passes.
-    pub(super) upload: RefCell<Option<Rc<StreamingRequestBody>>>,
-    pub(super) closing: Cell<Closing>,
+    pub(super) streaming_body: RefCell<Option<Rc<StreamingRequestBody>>>,
+    pub(super) close_mode: Cell<CloseMode>,
     /// Nothing of the protocol is held for it at the moment.
     pub(super) parked: Cell<bool>,
-    pub(super) close: Notify,
-    pub(super) _counted: Reservation,
+    pub(super) wake: Notify,
+    pub(super) _reservation: Reservation,
 }
 
-impl Caller {
+impl ClientConnection {
     /// Whether its connection can be closed without harm: nothing of a request was read or waits to be.
     pub(super) fn is_idle(&self) -> bool {
-        let between =
-            !self.taken.get() && self.wire.message_started_at().is_none() && !self.wire.is_write_blocked();
-        between && self.closing.get() == Closing::No && self.wire.is_quiet()
+        let between = !self.request_in_progress.get()
+            && self.stream.message_started_at().is_none()
+            && !self.stream.is_write_blocked();
+        between && self.close_mode.get() == CloseMode::Open && self.stream.is_quiet()
     }
 
     /// Whether it has kept the proxy waiting for a whole request for too long: it says nothing, its head does
     /// not end, or its body trickles. Between two requests a used connection may rest.
-    pub(super) fn is_overdue(&self, request_time: Duration) -> bool {
-        let from = if self.proven.get() { self.wire.message_started_at() } else { Some(self.used.get()) };
+    pub(super) fn has_request_timed_out(&self, request_time: Duration) -> bool {
+        let from = if self.has_sent_valid_request.get() {
+            self.stream.message_started_at()
+        } else {
+            Some(self.last_used_at.get())
+        };
         // What passes is taken before it is whole, and waits for it only if the backend could take more.
-        let awaited = match &*self.upload.borrow() {
+        let awaited = match &*self.streaming_body.borrow() {
             Some(upload) => upload.is_waiting_for_client(),
-            None => !self.taken.get(),
+            None => !self.request_in_progress.get(),
         };
         let late =
-            |from: Instant| from.elapsed() >= request_time && self.wire.read_step_elapsed() >= request_time;
+            |from: Instant| from.elapsed() >= request_time && self.stream.read_step_elapsed() >= request_time;
         awaited && from.is_some_and(late)
     }
 
     /// Whether nothing needs to be remembered of it but its socket: it stands between two messages, and its last
     /// answer is out.
-    pub(super) fn may_park(&self, after: Duration) -> bool {
-        let between =
-            !self.taken.get() && self.wire.message_started_at().is_none() && self.wire.is_between_messages();
-        between && !self.wire.is_write_blocked() && self.used.get().elapsed() >= after && self.wire.is_quiet()
+    pub(super) fn can_park(&self, after: Duration) -> bool {
+        let between = !self.request_in_progress.get()
+            && self.stream.message_started_at().is_none()
+            && self.stream.is_between_messages();
+        between
+            && !self.stream.is_write_blocked()
+            && self.last_used_at.get().elapsed() >= after
+            && self.stream.is_quiet()
     }
 
     /// The present request is done with.
-    pub(super) fn rests(&self) {
-        self.taken.set(false);
-        self.upload.take();
-        self.used.set(Instant::now());
-        self.wire.message_completed();
+    pub(super) fn finish_request(&self) {
+        self.request_in_progress.set(false);
+        self.streaming_body.take();
+        self.last_used_at.set(Instant::now());
+        self.stream.message_completed();
     }
 
-    pub(super) fn close(&self, how: Closing) {
-        self.closing.set(how);
-        self.close.notify_one();
+    pub(super) fn close(&self, how: CloseMode) {
+        self.close_mode.set(how);
+        self.wake.notify_one();
     }
 }
--- a/crates/http1/src/server/request.rs
+++ b/crates/http1/src/server/request.rs
@@ -1,10 +1,10 @@
 //! One call: from its head to its final answer.
 
-use super::access_log::{self, Record};
-use super::client_connection::Caller;
-use super::request_head::{single, Bad, OpenId, REQUEST_ID};
-use super::response::{ended, plain, refusal, Reading, Replied, Reply};
-use super::{Server, TIDY};
+use super::access_log::{self, AccessLogRecord};
+use super::client_connection::ClientConnection;
+use super::request_head::{single_value, Bad, OpenRequestId, REQUEST_ID};
+use super::response::{rejection, text_response, with_outcome, BodySource, ClientResponse, ResponseBody};
+use super::{Server, MAINTENANCE_INTERVAL};
 use crate::backend_connection::concatenate;
 use crate::message::{BackendResponseBody, ClientRequest, ClientRequestBody};
 use crate::request_body::{discard, BodyStream, StreamingRequestBody};
@@ -24,21 +24,25 @@
 use tokio::time::timeout_at;
 
 /// How long `/up` waits for discovery before it makes do with the known list, or with none at all.
-const UP_KNOWN: Duration = Duration::from_millis(1_000);
-const UP_ANYWAY: Duration = Duration::from_millis(4_000);
+const READY_TIMEOUT_WITH_KNOWN_BACKENDS: Duration = Duration::from_millis(1_000);
+const READY_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// The module answers at the deadline. If it has not so long after, the driver does.
-const OVERDUE: Duration = Duration::from_millis(10);
+const RESPONSE_GRACE_PERIOD: Duration = Duration::from_millis(10);
 
 impl Server {
-    pub(super) async fn serve(&self, caller: &Rc<Caller>, request: Request<Incoming>) -> Reply {
-        caller.last.take();
+    pub(super) async fn serve(
+        &self,
+        caller: &Rc<ClientConnection>,
+        request: Request<Incoming>,
+    ) -> ClientResponse {
+        caller.last_response.take();
         let answered = self.answer(caller, request).await;
-        let passes = answered.as_ref().is_ok_and(|reply| reply.body().busy.is_some());
+        let passes = answered.as_ref().is_ok_and(|reply| reply.body().busy_connection.is_some());
         let mut cut_short = false;
         if !passes {
             // The caller may still be sending what will not be needed.
             let rest = caller
-                .upload
+                .streaming_body
                 .borrow()
                 .as_ref()
                 .filter(|u| u.deadline().is_none())
@@ -47,12 +51,12 @@
                 cut_short = true;
                 spawn_local(discard(rest));
             }
-            caller.rests();
+            caller.finish_request();
         }
         // What follows a bad request on its connection may be part of it, so nothing is read from there.
         let close =
             answered.is_err() || cut_short || self.lifecycle.closes_idle(self.limits.tuning().drain_notice);
-        let mut reply = answered.unwrap_or_else(|(status, why)| plain(status, why));
+        let mut reply = answered.unwrap_or_else(|(status, why)| text_response(status, why));
         if close {
             reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -63,14 +67,18 @@
         reply
     }
 
-    async fn answer(&self, caller: &Rc<Caller>, request: Request<Incoming>) -> Result<Reply, Bad> {
+    async fn answer(
+        &self,
+        caller: &Rc<ClientConnection>,
+        request: Request<Incoming>,
+    ) -> Result<ClientResponse, Bad> {
         let (head, body) = request.into_parts();
         let codings = head.headers.get_all(TRANSFER_ENCODING).iter();
-        if caller.wire.is_ambiguous() || codings.count() > 1 {
+        if caller.stream.is_ambiguous() || codings.count() > 1 {
             // hyper hides a Content-Length that stands beside chunks, and a second request may hide in the body.
             return Err((StatusCode::BAD_REQUEST, "a request's length is told twice"));
         }
-        let coding = single(&head.headers, TRANSFER_ENCODING.as_str());
+        let coding = single_value(&head.headers, TRANSFER_ENCODING.as_str());
         if coding.is_some_and(|coding| !coding.eq_ignore_ascii_case("chunked")) {
             return Err((StatusCode::NOT_IMPLEMENTED, "chunks are the only coding there is"));
         }
@@ -94,7 +102,7 @@
         let timeout = Duration::from_millis(timeout_ms.into());
         let (first, rest) =
             read(body, held_most).await.ok_or((StatusCode::BAD_REQUEST, "the body is cut short"))?;
-        if caller.wire.is_ambiguous() {
+        if caller.stream.is_ambiguous() {
             return Err((StatusCode::BAD_REQUEST, "the body is not in chunks"));
         }
         if head.method != Method::POST && !(first.is_empty() && rest.is_none()) {
@@ -107,39 +115,40 @@
                 ClientRequestBody::Buffered(limits::BufferedBody::new(bytes, room))
             }
             Some(body) => ClientRequestBody::Streaming(StreamingRequestBody::new(
-                caller.wire.clone(),
+                caller.stream.clone(),
                 timeout,
                 BodyStream::new(first, body, tuning.max_message),
                 room,
             )),
         };
-        let id = single(&head.headers, REQUEST_ID).unwrap_or_default();
-        let _open = OpenId::new(&self.open_ids, id).ok_or((StatusCode::CONFLICT, "the id is in use"))?;
-        caller.taken.set(true);
-        caller.proven.set(true);
+        let id = single_value(&head.headers, REQUEST_ID).unwrap_or_default();
+        let _open = OpenRequestId::new(&self.open_request_ids, id)
+            .ok_or((StatusCode::CONFLICT, "the id is in use"))?;
+        caller.request_in_progress.set(true);
+        caller.has_sent_valid_request.set(true);
         let open = self.metrics.begin(asked.class);
         // The time runs from the request's last byte, which was the last thing read unless the body passes.
-        asked.deadline = caller.wire.last_read() + timeout;
-        let due = asked.deadline + OVERDUE;
+        asked.deadline = caller.stream.last_read() + timeout;
+        let due = asked.deadline + RESPONSE_GRACE_PERIOD;
         let upload = match &body {
             ClientRequestBody::Streaming(upload) => Some(upload.clone()),
             ClientRequestBody::Buffered(_) => None,
         };
-        caller.upload.replace(upload.clone());
+        caller.streaming_body.replace(upload.clone());
         let bodiless = head.method == Method::HEAD;
         let id = if tuning.log_requests { id.to_string() } else { String::new() };
         let (class, tenant) = (asked.class, asked.tenant);
-        let begun = caller.wire.message_started_at().unwrap_or_else(Instant::now);
+        let begun = caller.stream.message_started_at().unwrap_or_else(Instant::now);
         let inbound = ClientRequest { method: head.method, path, headers: head.headers, body };
         let Some((guard, mut answer)) = self.driver.request(asked, inbound) else {
-            return Ok(ended(self.no_room(), open, RequestOutcome::Deferred));
+            return Ok(with_outcome(self.no_room(), open, RequestOutcome::Deferred));
         };
         let answer = loop {
             let due = match &upload {
                 None => Some(due),
-                Some(upload) => upload.deadline().map(|deadline| deadline + OVERDUE),
+                Some(upload) => upload.deadline().map(|deadline| deadline + RESPONSE_GRACE_PERIOD),
             };
-            let until = due.unwrap_or_else(|| Instant::now() + TIDY);
+            let until = due.unwrap_or_else(|| Instant::now() + MAINTENANCE_INTERVAL);
             match timeout_at(until.into(), &mut answer).await {
                 Ok(answer) => break answer,
                 Err(_) if due.is_none() => {}
@@ -150,16 +159,16 @@
             }
         };
         let mut record = answer.as_ref().ok().filter(|_| tuning.log_requests).map(|ended| {
-            Box::new(Record {
+            Box::new(AccessLogRecord {
                 id,
                 class: self.classes.get(usize::from(class)).map(|c| c.name.clone()).unwrap_or_default(),
                 tenant: self.tenants.get(usize::from(tenant)).map(|t| t.name.clone()).unwrap_or_default(),
-                tier: self.tier.clone(),
-                end: access_log::end(&ended.response),
+                tier: self.tier_name.clone(),
+                end: access_log::completion_name(&ended.response),
                 status: 0,
-                course: ended.trace,
-                begun,
-                ended: Instant::now(),
+                trace: ended.trace,
+                started_at: begun,
+                completed_at: Instant::now(),
             })
         });
         let mut reply = match answer.map(|ended| ended.response) {
@@ -167,23 +176,30 @@
                 let (body, busy) = match answer.body {
                     BackendResponseBody::Buffered(body) => {
                         let bytes = body.bytes.clone();
-                        caller.last.replace(Some(body));
-                        (Reading::Held(Full::new(bytes)), None)
+                        caller.last_response.replace(Some(body));
+                        (BodySource::Buffered(Full::new(bytes)), None)
                     }
                     BackendResponseBody::Streaming(answer) => {
-                        (Reading::Passing(answer), Some(caller.clone()))
+                        (BodySource::Streaming(answer), Some(caller.clone()))
                     }
                 };
-                let mut reply = Response::new(Replied { body, open: None, busy, record: None });
+                let mut reply = Response::new(ResponseBody {
+                    source: body,
+                    open_request: None,
+                    busy_connection: busy,
+                    access_log_record: None,
+                });
                 let kept = if bodiless { &[CONTENT_TYPE, CONTENT_LENGTH][..] } else { &[CONTENT_TYPE] };
                 for name in kept {
                     if let Some(value) = answer.headers.get(name) {
                         reply.headers_mut().insert(name, value.clone());
                     }
                 }
-                ended(reply, open, RequestOutcome::Answered)
+                with_outcome(reply, open, RequestOutcome::Answered)
+            }
+            Ok(FinalResponse::Rejected(after_ms)) => {
+                with_outcome(rejection(after_ms), open, RequestOutcome::Deferred)
             }
-            Ok(FinalResponse::Rejected(after_ms)) => ended(refusal(after_ms), open, RequestOutcome::Deferred),
             Ok(FinalResponse::InvalidRequest(status)) => {
                 open.end(RequestOutcome::Errored);
                 if let Some(mut record) = record {
@@ -193,34 +209,38 @@
                 return Err((status, "a backend found fault with it"));
             }
             Ok(FinalResponse::Failed) | Err(_) => {
-                ended(plain(StatusCode::BAD_GATEWAY, "failed"), open, RequestOutcome::Errored)
+                with_outcome(text_response(StatusCode::BAD_GATEWAY, "failed"), open, RequestOutcome::Errored)
             }
         };
         if let Some(record) = &mut record {
             record.status = reply.status().as_u16();
         }
-        reply.body_mut().record = record;
+        reply.body_mut().access_log_record = record;
         Ok(reply)
     }
 
     /// A refusal for want of room, which says when to come back where that is allowed.
-    fn no_room(&self) -> Reply {
-        refusal(if self.retry_after { self.limits.tuning().retry_after.as_secs_f64() * 1000.0 } else { 0.0 })
+    fn no_room(&self) -> ClientResponse {
+        rejection(if self.retry_after {
+            self.limits.tuning().retry_after.as_secs_f64() * 1000.0
+        } else {
+            0.0
+        })
     }
 
     /// Whether calls can be served: there is a backend list, or none is to be had.
     pub fn is_ready(&self) -> bool {
-        let most = if self.knows_some { UP_KNOWN } else { UP_ANYWAY };
+        let most = if self.has_known_backends { READY_TIMEOUT_WITH_KNOWN_BACKENDS } else { READY_TIMEOUT };
         self.driver.has_endpoint_list() || self.started.elapsed() >= most
     }
 
-    fn up(&self) -> Reply {
+    fn up(&self) -> ClientResponse {
         match (self.lifecycle.phase(), self.is_ready()) {
-            (Phase::Serving, true) => plain(StatusCode::OK, "ok"),
-            (Phase::Starting, _) => plain(StatusCode::SERVICE_UNAVAILABLE, "starting"),
-            (Phase::Serving, false) => plain(StatusCode::SERVICE_UNAVAILABLE, "no backend list yet"),
-            (Phase::Draining, _) => plain(StatusCode::SERVICE_UNAVAILABLE, "draining"),
-            (Phase::Stopping, _) => plain(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
+            (Phase::Serving, true) => text_response(StatusCode::OK, "ok"),
+            (Phase::Starting, _) => text_response(StatusCode::SERVICE_UNAVAILABLE, "starting"),
+            (Phase::Serving, false) => text_response(StatusCode::SERVICE_UNAVAILABLE, "no backend list yet"),
+            (Phase::Draining, _) => text_response(StatusCode::SERVICE_UNAVAILABLE, "draining"),
+            (Phase::Stopping, _) => text_response(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
         }
     }
 }
--- a/crates/http1/src/server/request_head.rs
+++ b/crates/http1/src/server/request_head.rs
@@ -23,21 +23,21 @@
     /// Checks all that comes before the body.
     pub(super) fn read_head(&self, head: &Parts) -> Result<(RequestMetadata, u32), Bad> {
         let bad = |why| (StatusCode::BAD_REQUEST, why);
-        let id = single(&head.headers, REQUEST_ID).ok_or(bad("no single Request-Id"))?;
+        let id = single_value(&head.headers, REQUEST_ID).ok_or(bad("no single Request-Id"))?;
         if id.is_empty() || id.len() > 128 || !id.bytes().all(|b| b.is_ascii_graphic()) {
             return Err(bad("malformed Request-Id"));
         }
-        let name = single(&head.headers, "request-class").ok_or(bad("no single Request-Class"))?;
+        let name = single_value(&head.headers, "request-class").ok_or(bad("no single Request-Class"))?;
         let class = self.classes.iter().position(|c| c.name == name).ok_or(bad("unknown class"))?;
         let tenant = match self.tenants.is_empty() {
             true => 0,
             false => {
-                let name = single(&head.headers, "tenant").ok_or(bad("no single Tenant"))?;
+                let name = single_value(&head.headers, "tenant").ok_or(bad("no single Tenant"))?;
                 self.tenants.iter().position(|t| t.name == name).ok_or(bad("unknown tenant"))?
             }
         };
-        let text =
-            single(&head.headers, TIMEOUT_HEADER.as_str()).filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
+        let text = single_value(&head.headers, TIMEOUT_HEADER.as_str())
+            .filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
         let timeout_ms: u32 = text.and_then(|t| t.parse().ok()).ok_or(bad("no usable Request-Timeout-Ms"))?;
         // No client waits longer than its class's, whatever it says.
         let most = Some(self.classes[class].deadline_ms).filter(|most| *most >= 1.0).unwrap_or(f64::MAX);
@@ -59,12 +59,12 @@
         let asked = RequestMetadata {
             class: class as u8,
             tenant: tenant as u16,
-            key: key(head.uri.path()),
-            expected_work_ms: single(&head.headers, "work-hint")
+            key: routing_key(head.uri.path()),
+            expected_work_ms: single_value(&head.headers, "work-hint")
                 .and_then(|t| t.parse::<f64>().ok())
                 .filter(|us| us.is_finite() && *us >= 0.0)
                 .map(|us| us / 1000.0),
-            is_retry: single(&head.headers, "client-retry") == Some("1"),
+            is_retry: single_value(&head.headers, "client-retry") == Some("1"),
             is_write: info.split(',').any(|part| part.trim() == "write=1"),
             deadline: Instant::now(),
         };
@@ -73,32 +73,32 @@
 }
 
 /// The value of a header that stands there once.
-pub(super) fn single<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+pub(super) fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?;
     values.next().is_none().then(|| value.to_str().ok()).flatten()
 }
 
 /// What a request is about: the last part of its path.
-fn key(path: &str) -> Option<u64> {
+fn routing_key(path: &str) -> Option<u64> {
     let last = path.rsplit('/').next().filter(|last| !last.is_empty())?;
     Some(u64::from_str_radix(last, 16).unwrap_or_else(|_| hash(last.as_bytes())))
 }
 
 /// Keeps the id of an open request; no second request may have it meanwhile.
-pub(super) struct OpenId {
+pub(super) struct OpenRequestId {
     ids: Rc<RefCell<FxHashSet<String>>>,
     id: String,
 }
 
-impl OpenId {
-    pub(super) fn new(ids: &Rc<RefCell<FxHashSet<String>>>, id: &str) -> Option<OpenId> {
+impl OpenRequestId {
+    pub(super) fn new(ids: &Rc<RefCell<FxHashSet<String>>>, id: &str) -> Option<OpenRequestId> {
         let fresh = ids.borrow_mut().insert(id.to_string());
-        fresh.then(|| OpenId { ids: ids.clone(), id: id.to_string() })
+        fresh.then(|| OpenRequestId { ids: ids.clone(), id: id.to_string() })
     }
 }
 
-impl Drop for OpenId {
+impl Drop for OpenRequestId {
     fn drop(&mut self) {
         self.ids.borrow_mut().remove(&self.id);
     }
--- a/crates/http1/src/server/response.rs
+++ b/crates/http1/src/server/response.rs
@@ -1,7 +1,7 @@
 //! Replies to callers.
 
-use super::access_log::Record;
-use super::client_connection::Caller;
+use super::access_log::AccessLogRecord;
+use super::client_connection::ClientConnection;
 use crate::response_body::{StreamingResponseBody, TransferState};
 use bytes::Bytes;
 use hillstall_proxy_core::metrics::{InProgress, RequestOutcome};
@@ -13,25 +13,25 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-pub(super) type Reply = Response<Replied>;
+pub(super) type ClientResponse = Response<ResponseBody>;
 
 /// The body of a reply. It counts the request as ended once all of it has gone to the connection.
-pub(super) struct Replied {
-    pub(super) body: Reading,
-    pub(super) open: Option<(InProgress, RequestOutcome)>,
+pub(super) struct ResponseBody {
+    pub(super) source: BodySource,
+    pub(super) open_request: Option<(InProgress, RequestOutcome)>,
     /// The caller, which is busy until an answer that passes has ended.
-    pub(super) busy: Option<Rc<Caller>>,
+    pub(super) busy_connection: Option<Rc<ClientConnection>>,
     /// What the log is told of the call, if it is to be told.
-    pub(super) record: Option<Box<Record>>,
+    pub(super) access_log_record: Option<Box<AccessLogRecord>>,
 }
 
 /// Where the body of a reply comes from.
-pub(super) enum Reading {
-    Held(Full<Bytes>),
-    Passing(Box<StreamingResponseBody>),
+pub(super) enum BodySource {
+    Buffered(Full<Bytes>),
+    Streaming(Box<StreamingResponseBody>),
 }
 
-impl Body for Replied {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = std::io::Error;
 
@@ -39,67 +39,76 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
-        match &mut self.body {
-            Reading::Held(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            Reading::Passing(answer) => Pin::new(answer).poll_frame(cx),
+        match &mut self.source {
+            BodySource::Buffered(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
+            BodySource::Streaming(answer) => Pin::new(answer).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        match &self.body {
-            Reading::Held(body) => body.is_end_stream(),
-            Reading::Passing(answer) => answer.is_end_stream(),
+        match &self.source {
+            BodySource::Buffered(body) => body.is_end_stream(),
+            BodySource::Streaming(answer) => answer.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
-        match &self.body {
-            Reading::Held(body) => body.size_hint(),
-            Reading::Passing(answer) => answer.size_hint(),
+        match &self.source {
+            BodySource::Buffered(body) => body.size_hint(),
+            BodySource::Streaming(answer) => answer.size_hint(),
         }
     }
 }
 
-impl Drop for Replied {
+impl Drop for ResponseBody {
     fn drop(&mut self) {
-        let how = match &self.body {
-            Reading::Held(body) => body.is_end_stream().then_some(None),
-            Reading::Passing(answer) => match answer.state() {
+        let how = match &self.source {
+            BodySource::Buffered(body) => body.is_end_stream().then_some(None),
+            BodySource::Streaming(answer) => match answer.state() {
                 TransferState::InProgress => None,
                 TransferState::Complete => Some(None),
                 TransferState::Failed => Some(Some(RequestOutcome::Errored)),
             },
         };
-        if let (Some((open, usual)), Some(how)) = (self.open.take(), how) {
+        if let (Some((open, usual)), Some(how)) = (self.open_request.take(), how) {
             open.end(how.unwrap_or(usual));
         }
-        if let Some(record) = self.record.take() {
+        if let Some(record) = self.access_log_record.take() {
             record.write(how.is_some());
         }
-        if let Some(caller) = self.busy.take() {
-            caller.rests();
+        if let Some(caller) = self.busy_connection.take() {
+            caller.finish_request();
         }
     }
 }
 
-pub(super) fn whole(bytes: Bytes) -> Replied {
-    Replied { body: Reading::Held(Full::new(bytes)), open: None, busy: None, record: None }
+pub(super) fn buffered_body(bytes: Bytes) -> ResponseBody {
+    ResponseBody {
+        source: BodySource::Buffered(Full::new(bytes)),
+        open_request: None,
+        busy_connection: None,
+        access_log_record: None,
+    }
 }
 
 /// A reply with which a request ends.
-pub(super) fn ended(mut reply: Reply, open: InProgress, how: RequestOutcome) -> Reply {
-    reply.body_mut().open = Some((open, how));
+pub(super) fn with_outcome(
+    mut reply: ClientResponse,
+    open: InProgress,
+    how: RequestOutcome,
+) -> ClientResponse {
+    reply.body_mut().open_request = Some((open, how));
     reply
 }
 
-pub(super) fn plain(status: StatusCode, text: &'static str) -> Reply {
-    let mut reply = Response::new(whole(Bytes::from_static(text.as_bytes())));
+pub(super) fn text_response(status: StatusCode, text: &'static str) -> ClientResponse {
+    let mut reply = Response::new(buffered_body(Bytes::from_static(text.as_bytes())));
     *reply.status_mut() = status;
     reply
 }
 
-pub(super) fn refusal(after_ms: f64) -> Reply {
-    let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
+pub(super) fn rejection(after_ms: f64) -> ClientResponse {
+    let mut reply = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
     if after_ms > 0.0 {
         if let Ok(value) = HeaderValue::from_str(&format!("{:.3}", after_ms / 1000.0)) {
             reply.headers_mut().insert(RETRY_AFTER, value);
