--- a/crates/http1/src/server/access_log.rs
+++ b/crates/http1/src/server/access_log.rs
@@ -1,29 +1,35 @@
-//! One record of the log for each call, where the operator asks for it.
+//! The access log: one record for each request, where the operator turns it on.
 
 use crate::client::HttpClient;
 use hillstall_decision::Outcome;
 use hillstall_proxy_core::driver::{FinalResponse, RequestTrace};
 use std::time::{Duration, Instant};
 
-/// What the log is told of a call.
+/// One record of the access log.
 pub(super) struct AccessLogRecord {
+    /// The `Request-Id`.
     pub(super) id: String,
+    /// The name of the request's class.
     pub(super) class: String,
+    /// The name of its tenant; empty where there are none.
     pub(super) tenant: String,
-    /// The tier it was for.
+    /// The name of the tier it was sent to.
     pub(super) tier: String,
+    /// How it ended: see [`completion_name`].
     pub(super) end: &'static str,
+    /// The status of the response.
     pub(super) status: u16,
+    /// Its attempts.
     pub(super) trace: RequestTrace,
-    /// When the first bytes of the call were read.
+    /// When its first bytes were read.
     pub(super) started_at: Instant,
-    /// When its final answer was there.
+    /// When its final response was known.
     pub(super) completed_at: Instant,
 }
 
-/// Why a call ended as it did, in one word.
-pub(super) fn completion_name(answer: &FinalResponse<HttpClient>) -> &'static str {
-    match answer {
+/// How a request ended, in the words of the access log.
+pub(super) fn completion_name(response: &FinalResponse<HttpClient>) -> &'static str {
+    match response {
         FinalResponse::Served(_) => "served",
         FinalResponse::Rejected(_) => "refused",
         FinalResponse::Failed => "failed",
@@ -31,31 +37,25 @@
     }
 }
 
-fn milliseconds(time: Duration) -> f64 {
-    (time.as_secs_f64() * 1e6).round() / 1e3
+/// A duration in milliseconds, rounded to whole microseconds.
+fn milliseconds(duration: Duration) -> f64 {
+    (duration.as_secs_f64() * 1e6).round() / 1e3
+}
+
+/// The milliseconds between two instants; 0 if they are in the wrong order.
+fn milliseconds_between(from: Instant, to: Instant) -> f64 {
+    milliseconds(to.saturating_duration_since(from))
 }
 
 impl AccessLogRecord {
-    /// Writes the record, now that the answer has gone to the connection, or can't. Phases are in milliseconds:
-    /// reading the call, deciding on its first attempt, all attempts but the last, the last, and writing.
-    pub(super) fn write(self: Box<Self>, whole: bool) {
-        let AccessLogRecord {
-            id,
-            class,
-            tenant,
-            tier,
-            end,
-            status,
-            trace: course,
-            started_at: begun,
-            completed_at: ended,
-        } = *self;
-        let first = course.first_attempt_at.unwrap_or(ended);
-        let last = course.last_attempt_at.unwrap_or(ended);
-        let between = |from: Instant, to: Instant| milliseconds(to.saturating_duration_since(from));
-        let server = course.backend_address.map(|server| server.to_string()).unwrap_or_default();
-        let outcome = course.last_outcome.map(Outcome::name).unwrap_or_default();
-        let why = course.reason.map(|why| why.name()).unwrap_or_default();
+    /// Writes the record, once the response has been handed to the connection (`is_complete`) or can't be.
+    /// The phases: reading the request, deciding on its first attempt, all attempts but the last, the last
+    /// attempt, and writing the response.
+    pub(super) fn write(self: Box<Self>, is_complete: bool) {
+        let AccessLogRecord { id, class, tenant, tier, end, status, trace, started_at, completed_at } = *self;
+        let first_attempt_at = trace.first_attempt_at.unwrap_or(completed_at);
+        let last_attempt_at = trace.last_attempt_at.unwrap_or(completed_at);
+        // The field names are read by tools: they stay.
         tracing::info!(
             target: "hillstall::call",
             id,
@@ -64,16 +64,16 @@
             tier,
             end,
             status,
-            whole,
-            attempts = course.attempts,
-            server,
-            outcome,
-            why,
-            read_ms = between(begun, course.accepted_at),
-            decide_ms = between(course.accepted_at, first),
-            earlier_ms = between(first, last),
-            last_ms = between(last, ended),
-            write_ms = milliseconds(ended.elapsed()),
+            whole = is_complete,
+            attempts = trace.attempts,
+            server = trace.backend_address.map(|address| address.to_string()).unwrap_or_default(),
+            outcome = trace.last_outcome.map(Outcome::name).unwrap_or_default(),
+            why = trace.reason.map(|reason| reason.name()).unwrap_or_default(),
+            read_ms = milliseconds_between(started_at, trace.accepted_at),
+            decide_ms = milliseconds_between(trace.accepted_at, first_attempt_at),
+            earlier_ms = milliseconds_between(first_attempt_at, last_attempt_at),
+            last_ms = milliseconds_between(last_attempt_at, completed_at),
+            write_ms = milliseconds(completed_at.elapsed()),
             "call"
         );
     }
--- /dev/null
+++ b/crates/http1/src/server/body_prefix.rs
@@ -0,0 +1,69 @@
+//! The first part of a client's body: all of it, or as much as is buffered before the rest is streamed.
+
+use super::client_connection::ClientConnection;
+use super::request_error::RequestError;
+use crate::backend_connection::concatenate;
+use crate::message::ClientRequestBody;
+use crate::request_body::{BodyStream, StreamingRequestBody};
+use bytes::Bytes;
+use hillstall_proxy_core::limits::{BufferedBody, Reservation};
+use hillstall_proxy_core::tuning::Tuning;
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use hyper::Method;
+use std::collections::VecDeque;
+use std::time::Duration;
+
+/// The part of a body that has been read, and the source of the remainder if there is one.
+pub(super) struct BodyPrefix {
+    pieces: VecDeque<Bytes>,
+    remainder: Option<Incoming>,
+}
+
+impl BodyPrefix {
+    /// Reads a body to its end, or until more than `max_buffered` bytes have come.
+    pub(super) async fn read(mut body: Incoming, max_buffered: usize) -> Result<BodyPrefix, RequestError> {
+        let (mut pieces, mut buffered) = (VecDeque::new(), 0);
+        while buffered <= max_buffered {
+            let Some(frame) = body.frame().await else {
+                return Ok(BodyPrefix { pieces, remainder: None });
+            };
+            let frame = frame.map_err(|_| RequestError::TruncatedBody)?;
+            if let Ok(piece) = frame.into_data() {
+                buffered += piece.len();
+                pieces.push_back(piece);
+            }
+        }
+        Ok(BodyPrefix { pieces, remainder: Some(body) })
+    }
+
+    /// Checks what can only be checked once the body has been read.
+    pub(super) fn check(&self, connection: &ClientConnection, method: &Method) -> Result<(), RequestError> {
+        if connection.stream.is_ambiguous() {
+            return Err(RequestError::InvalidChunks);
+        }
+        let is_empty = self.pieces.is_empty() && self.remainder.is_none();
+        if *method != Method::POST && !is_empty {
+            return Err(RequestError::UnexpectedBody);
+        }
+        Ok(())
+    }
+
+    /// The body as it is forwarded: buffered if it was read to its end, streaming otherwise.
+    pub(super) fn into_request_body(
+        self,
+        connection: &ClientConnection,
+        timeout: Duration,
+        mut reservation: Reservation,
+        tuning: &Tuning,
+    ) -> ClientRequestBody {
+        let Some(remainder) = self.remainder else {
+            let bytes = concatenate(self.pieces);
+            reservation.shrink_to(bytes.len());
+            return ClientRequestBody::Buffered(BufferedBody::new(bytes, reservation));
+        };
+        let stream = BodyStream::new(self.pieces, remainder, tuning.max_message);
+        let client_stream = connection.stream.clone();
+        ClientRequestBody::Streaming(StreamingRequestBody::new(client_stream, timeout, stream, reservation))
+    }
+}
--- a/crates/http1/src/server/client_connection.rs
+++ b/crates/http1/src/server/client_connection.rs
@@ -1,82 +1,111 @@
-//! One caller's connection, and what is known of it.
+//! One client connection and its state.
 
 use crate::request_body::StreamingRequestBody;
 use crate::stream::TrackedStream;
-use hillstall_proxy_core::limits::{self, Reservation};
+use hillstall_proxy_core::limits::{BufferedBody, Reservation};
+use hillstall_proxy_core::tuning::Tuning;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
+use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// How far the end of a caller's connection has come.
+/// Whether and how a connection is being closed.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum CloseMode {
+    /// It stays open.
     Open,
-    /// Once what it has begun is done.
+    /// It closes once the request in progress is answered.
     Graceful,
-    /// At once: nothing was taken from it that is still open.
+    /// It closes at once: no request is in progress.
     Immediate,
 }
 
+/// One client connection.
 pub(super) struct ClientConnection {
     pub(super) stream: Rc<TrackedStream>,
-    /// A whole request of its was taken and has no answer yet.
+    /// A request was accepted and has no response yet.
     pub(super) request_in_progress: Cell<bool>,
-    /// It has brought a good request before.
+    /// A valid request has come on this connection.
     pub(super) has_sent_valid_request: Cell<bool>,
-    /// When it connected, or had its last answer.
+    /// When it connected, or ended its last request.
     pub(super) last_used_at: Cell<Instant>,
-    /// Its last answer, which may still wait to be written; let go once it is seen to be out.
-    pub(super) last_response: RefCell<Option<limits::BufferedBody>>,
-    /// Its body that passes.
+    /// The last response, which may still wait to be written; released once it is seen to be written.
+    pub(super) last_response: RefCell<Option<BufferedBody>>,
+    /// The body of the request in progress, if it is streaming.
     pub(super) streaming_body: RefCell<Option<Rc<StreamingRequestBody>>>,
     pub(super) close_mode: Cell<CloseMode>,
-    /// Nothing of the protocol is held for it at the moment.
+    /// Only the socket is kept; hyper's buffers are released.
     pub(super) parked: Cell<bool>,
+    /// Wakes the task of this connection after `close_mode` has changed, or when it may park.
     pub(super) wake: Notify,
-    pub(super) _reservation: Reservation,
+    _reservation: Reservation,
 }
 
 impl ClientConnection {
-    /// Whether its connection can be closed without harm: nothing of a request was read or waits to be.
+    /// A new connection, counted by `reservation`.
+    pub(super) fn new(stream: TcpStream, reservation: Reservation, tuning: &Tuning) -> ClientConnection {
+        ClientConnection {
+            stream: TrackedStream::for_client(stream, tuning),
+            request_in_progress: Cell::new(false),
+            has_sent_valid_request: Cell::new(false),
+            last_used_at: Cell::new(Instant::now()),
+            last_response: RefCell::default(),
+            streaming_body: RefCell::default(),
+            close_mode: Cell::new(CloseMode::Open),
+            parked: Cell::new(false),
+            wake: Notify::new(),
+            _reservation: reservation,
+        }
+    }
+
+    /// Whether it can be closed without harm: no part of a request was read or waits to be read.
     pub(super) fn is_idle(&self) -> bool {
-        let between = !self.request_in_progress.get()
+        let is_between = !self.request_in_progress.get()
             && self.stream.message_started_at().is_none()
             && !self.stream.is_write_blocked();
-        between && self.close_mode.get() == CloseMode::Open && self.stream.is_quiet()
+        is_between && self.close_mode.get() == CloseMode::Open && self.stream.is_quiet()
     }
 
-    /// Whether it has kept the proxy waiting for a whole request for too long: it says nothing, its head does
-    /// not end, or its body trickles. Between two requests a used connection may rest.
-    pub(super) fn has_request_timed_out(&self, request_time: Duration) -> bool {
-        let from = if self.has_sent_valid_request.get() {
+    /// Whether the client has taken too long to send a complete request: it sends nothing, its head does not end,
+    /// or its body comes too slowly. Between two requests a connection that has been used may stay idle.
+    pub(super) fn has_request_timed_out(&self, request_timeout: Duration) -> bool {
+        let waiting_since = if self.has_sent_valid_request.get() {
             self.stream.message_started_at()
         } else {
             Some(self.last_used_at.get())
         };
-        // What passes is taken before it is whole, and waits for it only if the backend could take more.
-        let awaited = match &*self.streaming_body.borrow() {
-            Some(upload) => upload.is_waiting_for_client(),
+        // A streaming request is accepted before it is complete. It waits for the client only while the backend
+        // could take more.
+        let is_waiting = match &*self.streaming_body.borrow() {
+            Some(body) => body.is_waiting_for_client(),
             None => !self.request_in_progress.get(),
         };
-        let late =
-            |from: Instant| from.elapsed() >= request_time && self.stream.read_step_elapsed() >= request_time;
-        awaited && from.is_some_and(late)
+        let is_late = |since: Instant| {
+            since.elapsed() >= request_timeout && self.stream.read_step_elapsed() >= request_timeout
+        };
+        is_waiting && waiting_since.is_some_and(is_late)
     }
 
-    /// Whether nothing needs to be remembered of it but its socket: it stands between two messages, and its last
-    /// answer is out.
-    pub(super) fn can_park(&self, after: Duration) -> bool {
-        let between = !self.request_in_progress.get()
+    /// Whether only the socket needs to be kept: it is between two messages, and its last response is written.
+    pub(super) fn can_park(&self, min_idle: Duration) -> bool {
+        let is_between = !self.request_in_progress.get()
             && self.stream.message_started_at().is_none()
             && self.stream.is_between_messages();
-        between
+        is_between
             && !self.stream.is_write_blocked()
-            && self.last_used_at.get().elapsed() >= after
+            && self.last_used_at.get().elapsed() >= min_idle
             && self.stream.is_quiet()
     }
 
-    /// The present request is done with.
+    /// A valid request has been read; its body may still be coming.
+    pub(super) fn start_request(&self, streaming_body: Option<Rc<StreamingRequestBody>>) {
+        self.request_in_progress.set(true);
+        self.has_sent_valid_request.set(true);
+        self.streaming_body.replace(streaming_body);
+    }
+
+    /// The request in progress has ended.
     pub(super) fn finish_request(&self) {
         self.request_in_progress.set(false);
         self.streaming_body.take();
@@ -84,8 +113,9 @@
         self.stream.message_completed();
     }
 
-    pub(super) fn close(&self, how: CloseMode) {
-        self.close_mode.set(how);
+    /// Asks the task of this connection to close it.
+    pub(super) fn close(&self, mode: CloseMode) {
+        self.close_mode.set(mode);
         self.wake.notify_one();
     }
 }
--- /dev/null
+++ b/crates/http1/src/server/connection_task.rs
@@ -0,0 +1,93 @@
+//! The task of one client connection: serving HTTP on it, and parking it while it is idle.
+
+use super::client_connection::{ClientConnection, CloseMode};
+use super::Server;
+use crate::stream::HyperStream;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use std::convert::Infallible;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// How long a connection that is being closed may take to send the request it has begun.
+const CLOSE_GRACE_PERIOD: Duration = Duration::from_secs(2);
+
+/// The state in which serving leaves a connection.
+#[derive(PartialEq)]
+enum ConnectionState {
+    Closed,
+    /// Idle: only its socket is kept until more can be read.
+    Parked,
+}
+
+impl Server {
+    /// Runs a connection to its end.
+    pub(super) async fn run_connection(self: Rc<Self>, id: u64, connection: Rc<ClientConnection>) {
+        // The future is boxed so that a parked connection does not keep memory for it. A new connection is read
+        // at once: until then it looks like one that sends nothing, and would be the first to be shed.
+        while Box::pin(self.serve_connection(&connection)).await == ConnectionState::Parked {
+            connection.parked.set(true);
+            if !wait_until_readable(&connection).await {
+                break;
+            }
+            connection.parked.set(false);
+        }
+        self.connections.borrow_mut().remove(&id);
+    }
+
+    /// Serves HTTP on a connection until it is closed, or idle and ready to be parked.
+    async fn serve_connection(self: &Rc<Self>, connection: &Rc<ClientConnection>) -> ConnectionState {
+        let service =
+            service_fn(|request| async move { Ok::<_, Infallible>(self.serve(connection, request).await) });
+        let io = HyperStream(connection.stream.clone());
+        let http =
+            http1::Builder::new().max_buf_size(self.limits.tuning().read_ahead).serve_connection(io, service);
+        tokio::pin!(http);
+        loop {
+            tokio::select! {
+                biased;
+                // An error means that the client has left or sent something that is not HTTP. Either way the
+                // connection ends, and an open request with its guard.
+                _ = &mut http => return ConnectionState::Closed,
+                () = connection.wake.notified() => match connection.close_mode.get() {
+                    CloseMode::Open if connection.can_park(self.limits.tuning().buffer_release_after) => {
+                        return ConnectionState::Parked;
+                    }
+                    CloseMode::Open => {}
+                    CloseMode::Immediate if !connection.request_in_progress.get() => {
+                        return ConnectionState::Closed;
+                    }
+                    _ => http.as_mut().graceful_shutdown(),
+                },
+                // A graceful shutdown would wait for ever for a head that never ends. If the head did end
+                // meanwhile, the request was accepted and is served.
+                () = sleep(CLOSE_GRACE_PERIOD), if connection.close_mode.get() != CloseMode::Open => {
+                    if !connection.request_in_progress.get() && !connection.stream.is_write_blocked() {
+                        return ConnectionState::Closed;
+                    }
+                }
+            }
+        }
+    }
+}
+
+/// Waits until there is something to read on a parked connection; false if it is to be closed instead.
+async fn wait_until_readable(connection: &ClientConnection) -> bool {
+    loop {
+        tokio::select! {
+            biased;
+            () = connection.stream.readable() => return true,
+            () = connection.wake.notified() => match connection.close_mode.get() {
+                CloseMode::Open => {}
+                CloseMode::Immediate => return false,
+                CloseMode::Graceful if connection.stream.is_quiet() => return false,
+                CloseMode::Graceful => {
+                    // A request has just come: it is served, and then the connection is closed.
+                    connection.wake.notify_one();
+                    return true;
+                }
+            },
+        }
+    }
+}
--- a/crates/http1/src/server/request_head.rs
+++ b/crates/http1/src/server/request_head.rs
@@ -1,97 +1,152 @@
-//! The heads of calls: what a call is, in the module's terms, or why it can't be one.
+//! The heads of requests: a request in the decision module's terms, or why it is invalid.
 
+use super::client_connection::ClientConnection;
+use super::request_error::RequestError;
 use super::Server;
 use crate::message::TIMEOUT_HEADER;
 use hillstall_decision::RetrySafety;
 use hillstall_proxy_core::driver::RequestMetadata;
 use hillstall_proxy_core::endpoints::hash;
-use hyper::header::HeaderMap;
+use hyper::header::{HeaderMap, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
-use hyper::{Method, StatusCode};
+use hyper::Method;
 use rustc_hash::FxHashSet;
 use std::cell::RefCell;
 use std::rc::Rc;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
-/// Names a call; no two that are open may have the same.
+/// Identifies a request; no two open requests may have the same.
 pub(super) const REQUEST_ID: &str = "request-id";
+const CLASS: &str = "request-class";
+const TENANT: &str = "tenant";
+const IDEMPOTENCY_KEY: &str = "idempotency-key";
+const REQUEST_INFO: &str = "request-info";
+const CLIENT_RETRY: &str = "client-retry";
+/// The expected work of a request, in microseconds.
+const WORK_HINT: &str = "work-hint";
 
-/// An error that the caller itself is at fault for.
-pub(super) type Bad = (StatusCode, &'static str);
+const MAX_REQUEST_ID_BYTES: usize = 128;
+const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
 impl Server {
-    /// Checks all that comes before the body.
-    pub(super) fn read_head(&self, head: &Parts) -> Result<(RequestMetadata, u32), Bad> {
-        let bad = |why| (StatusCode::BAD_REQUEST, why);
-        let id = single_value(&head.headers, REQUEST_ID).ok_or(bad("no single Request-Id"))?;
-        if id.is_empty() || id.len() > 128 || !id.bytes().all(|b| b.is_ascii_graphic()) {
-            return Err(bad("malformed Request-Id"));
-        }
-        let name = single_value(&head.headers, "request-class").ok_or(bad("no single Request-Class"))?;
-        let class = self.classes.iter().position(|c| c.name == name).ok_or(bad("unknown class"))?;
-        let tenant = match self.tenants.is_empty() {
-            true => 0,
-            false => {
-                let name = single_value(&head.headers, "tenant").ok_or(bad("no single Tenant"))?;
-                self.tenants.iter().position(|t| t.name == name).ok_or(bad("unknown tenant"))?
-            }
+    /// Reads and checks everything before the body: what the request is, and how long its client waits.
+    pub(super) fn read_head(&self, head: &Parts) -> Result<(RequestMetadata, Duration), RequestError> {
+        check_request_id(&head.headers)?;
+        let class = self.class_of(&head.headers)?;
+        let tenant = self.tenant_of(&head.headers)?;
+        let timeout_ms = self.timeout_ms(&head.headers, class)?;
+        self.check_method(head, class)?;
+        let info = head.headers.get(REQUEST_INFO).and_then(|v| v.to_str().ok()).unwrap_or_default();
+        let metadata = RequestMetadata {
+            class: class as u8,
+            tenant: tenant as u16,
+            key: routing_key(head.uri.path()),
+            expected_work_ms: expected_work_ms(&head.headers),
+            is_retry: single_value(&head.headers, CLIENT_RETRY) == Some("1"),
+            is_write: info.split(',').any(|part| part.trim() == "write=1"),
+            // Set once the last byte has been read.
+            deadline: Instant::now(),
         };
-        let text = single_value(&head.headers, TIMEOUT_HEADER.as_str())
-            .filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
-        let timeout_ms: u32 = text.and_then(|t| t.parse().ok()).ok_or(bad("no usable Request-Timeout-Ms"))?;
-        // No client waits longer than its class's, whatever it says.
-        let most = Some(self.classes[class].deadline_ms).filter(|most| *most >= 1.0).unwrap_or(f64::MAX);
-        let timeout_ms = timeout_ms.min(most as u32);
-        let keys = head.headers.get_all("idempotency-key").iter().count();
-        let (method, needed) = match self.classes[class].retry_safety {
+        Ok((metadata, Duration::from_millis(timeout_ms.into())))
+    }
+
+    /// The index of the request's class in the settings.
+    fn class_of(&self, headers: &HeaderMap) -> Result<usize, RequestError> {
+        let name = single_value(headers, CLASS).ok_or(RequestError::MissingClass)?;
+        self.classes.iter().position(|class| class.name == name).ok_or(RequestError::UnknownClass)
+    }
+
+    /// The index of the request's tenant in the settings; 0 where there are no tenants.
+    fn tenant_of(&self, headers: &HeaderMap) -> Result<usize, RequestError> {
+        if self.tenants.is_empty() {
+            return Ok(0);
+        }
+        let name = single_value(headers, TENANT).ok_or(RequestError::MissingTenant)?;
+        self.tenants.iter().position(|tenant| tenant.name == name).ok_or(RequestError::UnknownTenant)
+    }
+
+    /// How long the client waits, in milliseconds: no longer than the deadline of the class.
+    fn timeout_ms(&self, headers: &HeaderMap, class: usize) -> Result<u32, RequestError> {
+        let text = single_value(headers, TIMEOUT_HEADER.as_str())
+            .filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
+        let timeout_ms: u32 = text.and_then(|text| text.parse().ok()).ok_or(RequestError::InvalidTimeout)?;
+        let deadline_ms = self.classes[class].deadline_ms;
+        let max_ms = if deadline_ms >= 1.0 { deadline_ms } else { f64::MAX };
+        Ok(timeout_ms.min(max_ms as u32))
+    }
+
+    /// Checks the method and the number of idempotency keys against the retry safety of the class.
+    fn check_method(&self, head: &Parts, class: usize) -> Result<(), RequestError> {
+        let (method, required_keys) = match self.classes[class].retry_safety {
             RetrySafety::Idempotent => (Method::GET, None),
             RetrySafety::IdempotencyKey => (Method::POST, Some(1)),
             RetrySafety::NonIdempotent => (Method::POST, Some(0)),
         };
-        let asks_head = head.method == Method::HEAD && method == Method::GET;
-        if head.method != method && !asks_head {
-            return Err((StatusCode::METHOD_NOT_ALLOWED, "not the method of this class"));
+        let is_head_for_get = head.method == Method::HEAD && method == Method::GET;
+        if head.method != method && !is_head_for_get {
+            return Err(RequestError::MethodNotAllowed);
         }
-        if needed.is_some_and(|needed| needed != keys) {
-            return Err(bad("Idempotency-Key does not go with this class"));
+        let keys = head.headers.get_all(IDEMPOTENCY_KEY).iter().count();
+        if required_keys.is_some_and(|required| required != keys) {
+            return Err(RequestError::IdempotencyKeyMismatch);
         }
-        let info = head.headers.get("request-info").and_then(|v| v.to_str().ok()).unwrap_or_default();
-        let asked = RequestMetadata {
-            class: class as u8,
-            tenant: tenant as u16,
-            key: routing_key(head.uri.path()),
-            expected_work_ms: single_value(&head.headers, "work-hint")
-                .and_then(|t| t.parse::<f64>().ok())
-                .filter(|us| us.is_finite() && *us >= 0.0)
-                .map(|us| us / 1000.0),
-            is_retry: single_value(&head.headers, "client-retry") == Some("1"),
-            is_write: info.split(',').any(|part| part.trim() == "write=1"),
-            deadline: Instant::now(),
-        };
-        Ok((asked, timeout_ms))
+        Ok(())
     }
 }
 
-/// The value of a header that stands there once.
+/// Rejects requests whose length could be read in two ways. hyper hides a `Content-Length` beside `chunked`, and a
+/// second request may hide in such a body.
+pub(super) fn check_transfer_coding(
+    connection: &ClientConnection,
+    headers: &HeaderMap,
+) -> Result<(), RequestError> {
+    let codings = headers.get_all(TRANSFER_ENCODING).iter();
+    if connection.stream.is_ambiguous() || codings.count() > 1 {
+        return Err(RequestError::AmbiguousLength);
+    }
+    let coding = single_value(headers, TRANSFER_ENCODING.as_str());
+    if coding.is_some_and(|coding| !coding.eq_ignore_ascii_case("chunked")) {
+        return Err(RequestError::UnsupportedTransferCoding);
+    }
+    Ok(())
+}
+
+fn check_request_id(headers: &HeaderMap) -> Result<(), RequestError> {
+    let id = single_value(headers, REQUEST_ID).ok_or(RequestError::MissingRequestId)?;
+    let is_printable = id.bytes().all(|byte| byte.is_ascii_graphic());
+    if id.is_empty() || id.len() > MAX_REQUEST_ID_BYTES || !is_printable {
+        return Err(RequestError::MalformedRequestId);
+    }
+    Ok(())
+}
+
+fn expected_work_ms(headers: &HeaderMap) -> Option<f64> {
+    let microseconds: f64 = single_value(headers, WORK_HINT)?.parse().ok()?;
+    let is_valid = microseconds.is_finite() && microseconds >= 0.0;
+    is_valid.then_some(microseconds / MICROSECONDS_PER_MILLISECOND)
+}
+
+/// The value of a header that occurs exactly once.
 pub(super) fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?;
     values.next().is_none().then(|| value.to_str().ok()).flatten()
 }
 
-/// What a request is about: the last part of its path.
+/// The key by which a request is routed: the last segment of its path, a hexadecimal number or a name to hash.
 fn routing_key(path: &str) -> Option<u64> {
     let last = path.rsplit('/').next().filter(|last| !last.is_empty())?;
     Some(u64::from_str_radix(last, 16).unwrap_or_else(|_| hash(last.as_bytes())))
 }
 
-/// Keeps the id of an open request; no second request may have it meanwhile.
+/// The id of an open request, free again once this is dropped.
 pub(super) struct OpenRequestId {
     ids: Rc<RefCell<FxHashSet<String>>>,
     id: String,
 }
 
 impl OpenRequestId {
+    /// Registers an id; `None` if an open request has it.
     pub(super) fn new(ids: &Rc<RefCell<FxHashSet<String>>>, id: &str) -> Option<OpenRequestId> {
         let fresh = ids.borrow_mut().insert(id.to_string());
         fresh.then(|| OpenRequestId { ids: ids.clone(), id: id.to_string() })
--- a/crates/http1/src/server/response.rs
+++ b/crates/http1/src/server/response.rs
@@ -1,33 +1,38 @@
-//! Replies to callers.
+//! Responses to clients, and their bodies.
 
 use super::access_log::AccessLogRecord;
 use super::client_connection::ClientConnection;
+use crate::message::{BackendResponse, BackendResponseBody};
 use crate::response_body::{StreamingResponseBody, TransferState};
 use bytes::Bytes;
 use hillstall_proxy_core::metrics::{InProgress, RequestOutcome};
 use http_body_util::Full;
 use hyper::body::{Body, Frame, SizeHint};
-use hyper::header::{HeaderValue, RETRY_AFTER};
+use hyper::header::{HeaderValue, CONTENT_LENGTH, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
+/// A response to a client.
 pub(super) type ClientResponse = Response<ResponseBody>;
 
-/// The body of a reply. It counts the request as ended once all of it has gone to the connection.
+/// The body of a response. When it is dropped, the request is counted as ended and logged.
 pub(super) struct ResponseBody {
-    pub(super) source: BodySource,
-    pub(super) open_request: Option<(InProgress, RequestOutcome)>,
-    /// The caller, which is busy until an answer that passes has ended.
+    source: BodySource,
+    /// The request that ends with this response, and the outcome to count unless sending fails.
+    open_request: Option<(InProgress, RequestOutcome)>,
+    /// The connection that is busy until a streaming response has ended.
     pub(super) busy_connection: Option<Rc<ClientConnection>>,
-    /// What the log is told of the call, if it is to be told.
+    /// The access log record, if requests are logged.
     pub(super) access_log_record: Option<Box<AccessLogRecord>>,
 }
 
-/// Where the body of a reply comes from.
-pub(super) enum BodySource {
+/// Where the body of a response comes from.
+enum BodySource {
+    /// From memory.
     Buffered(Full<Bytes>),
+    /// From a backend, as it arrives.
     Streaming(Box<StreamingResponseBody>),
 }
 
@@ -41,78 +46,103 @@
     ) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
         match &mut self.source {
             BodySource::Buffered(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            BodySource::Streaming(answer) => Pin::new(answer).poll_frame(cx),
+            BodySource::Streaming(body) => Pin::new(body).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match &self.source {
             BodySource::Buffered(body) => body.is_end_stream(),
-            BodySource::Streaming(answer) => answer.is_end_stream(),
+            BodySource::Streaming(body) => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.source {
             BodySource::Buffered(body) => body.size_hint(),
-            BodySource::Streaming(answer) => answer.size_hint(),
+            BodySource::Streaming(body) => body.size_hint(),
         }
     }
 }
 
 impl Drop for ResponseBody {
     fn drop(&mut self) {
-        let how = match &self.source {
-            BodySource::Buffered(body) => body.is_end_stream().then_some(None),
-            BodySource::Streaming(answer) => match answer.state() {
-                TransferState::InProgress => None,
-                TransferState::Complete => Some(None),
-                TransferState::Failed => Some(Some(RequestOutcome::Errored)),
+        // Whether the body was handed to the connection in full, and a failure that replaces the outcome.
+        let (is_complete, failure) = match &self.source {
+            BodySource::Buffered(body) => (body.is_end_stream(), None),
+            BodySource::Streaming(body) => match body.state() {
+                TransferState::InProgress => (false, None),
+                TransferState::Complete => (true, None),
+                TransferState::Failed => (true, Some(RequestOutcome::Errored)),
             },
         };
-        if let (Some((open, usual)), Some(how)) = (self.open_request.take(), how) {
-            open.end(how.unwrap_or(usual));
+        if let (Some((open_request, outcome)), true) = (self.open_request.take(), is_complete) {
+            open_request.end(failure.unwrap_or(outcome));
         }
         if let Some(record) = self.access_log_record.take() {
-            record.write(how.is_some());
+            record.write(is_complete);
         }
-        if let Some(caller) = self.busy_connection.take() {
-            caller.finish_request();
+        if let Some(connection) = self.busy_connection.take() {
+            connection.finish_request();
         }
     }
 }
 
-pub(super) fn buffered_body(bytes: Bytes) -> ResponseBody {
-    ResponseBody {
-        source: BodySource::Buffered(Full::new(bytes)),
-        open_request: None,
-        busy_connection: None,
-        access_log_record: None,
+fn response_with(source: BodySource, busy_connection: Option<Rc<ClientConnection>>) -> ClientResponse {
+    Response::new(ResponseBody { source, open_request: None, busy_connection, access_log_record: None })
+}
+
+/// A backend's response as the client gets it. Of its headers only the content type is forwarded, and the length
+/// where the request was a HEAD.
+pub(super) fn served(
+    connection: &Rc<ClientConnection>,
+    backend_response: BackendResponse,
+    is_head: bool,
+) -> ClientResponse {
+    let mut response = match backend_response.body {
+        BackendResponseBody::Buffered(body) => {
+            let bytes = body.bytes.clone();
+            connection.last_response.replace(Some(body));
+            response_with(BodySource::Buffered(Full::new(bytes)), None)
+        }
+        BackendResponseBody::Streaming(body) => {
+            response_with(BodySource::Streaming(body), Some(connection.clone()))
+        }
+    };
+    let forwarded = if is_head { &[CONTENT_TYPE, CONTENT_LENGTH][..] } else { &[CONTENT_TYPE] };
+    for name in forwarded {
+        if let Some(value) = backend_response.headers.get(name) {
+            response.headers_mut().insert(name, value.clone());
+        }
     }
+    response
 }
 
-/// A reply with which a request ends.
+/// The response with which a request ends, and the outcome to count for it.
 pub(super) fn with_outcome(
-    mut reply: ClientResponse,
-    open: InProgress,
-    how: RequestOutcome,
+    mut response: ClientResponse,
+    open_request: InProgress,
+    outcome: RequestOutcome,
 ) -> ClientResponse {
-    reply.body_mut().open_request = Some((open, how));
-    reply
+    response.body_mut().open_request = Some((open_request, outcome));
+    response
 }
 
+/// A response with a fixed text.
 pub(super) fn text_response(status: StatusCode, text: &'static str) -> ClientResponse {
-    let mut reply = Response::new(buffered_body(Bytes::from_static(text.as_bytes())));
-    *reply.status_mut() = status;
-    reply
+    let body = Full::new(Bytes::from_static(text.as_bytes()));
+    let mut response = response_with(BodySource::Buffered(body), None);
+    *response.status_mut() = status;
+    response
 }
 
-pub(super) fn rejection(after_ms: f64) -> ClientResponse {
-    let mut reply = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
-    if after_ms > 0.0 {
-        if let Ok(value) = HeaderValue::from_str(&format!("{:.3}", after_ms / 1000.0)) {
-            reply.headers_mut().insert(RETRY_AFTER, value);
+/// A rejection for want of capacity; above 0 ms it says when to retry.
+pub(super) fn rejection(retry_after_ms: f64) -> ClientResponse {
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
+    if retry_after_ms > 0.0 {
+        if let Ok(value) = HeaderValue::from_str(&format!("{:.3}", retry_after_ms / 1000.0)) {
+            response.headers_mut().insert(RETRY_AFTER, value);
         }
     }
-    reply
+    response
 }
