--- a/crates/http1/src/backend_connection.rs
+++ b/crates/http1/src/backend_connection.rs
@@ -8,98 +8,141 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{Builder, Connection, SendRequest};
-use hyper::header::{self, HeaderMap};
+use hyper::header::{self, HeaderMap, HeaderName};
 use hyper::{Method, Request, StatusCode};
 use std::collections::VecDeque;
+use std::fmt;
 use std::future::poll_fn;
 use std::future::Future;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
-use std::time::Instant;
+use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 use tokio::time::timeout_at;
 
-/// A connection and its protocol in one piece: dropping it closes the socket at once, also with a request
-/// out, so that no attempt outlives its giving up.
+/// A connection together with its protocol state machine. Dropping it closes the socket at once, also during an
+/// exchange, so that no attempt outlives its cancellation.
 pub struct BackendConnection {
     sender: SendRequest<AttemptBody>,
     protocol: Pin<Box<Connection<HyperStream, AttemptBody>>>,
+    /// The protocol has ended.
     closed: bool,
-    wire: Rc<TrackedStream>,
-    _counted: Reservation,
+    stream: Rc<TrackedStream>,
+    _reservation: Reservation,
 }
 
 impl BackendConnection {
-    /// Opens the protocol on a stream.
+    /// Starts HTTP/1.1 on a connected socket.
     pub async fn open(
-        stream: TcpStream,
-        counted: Reservation,
+        socket: TcpStream,
+        reservation: Reservation,
         tuning: &Tuning,
     ) -> Result<BackendConnection, hyper::Error> {
-        let wire = TrackedStream::new(stream, tuning);
-        let opened =
-            Builder::new().max_buf_size(tuning.read_ahead).handshake(HyperStream(wire.clone())).await;
-        let (sender, protocol) = opened?;
-        Ok(BackendConnection { sender, protocol: Box::pin(protocol), closed: false, wire, _counted: counted })
+        let stream = TrackedStream::new(socket, tuning);
+        let handshake = Builder::new().max_buf_size(tuning.read_ahead).handshake(HyperStream(stream.clone()));
+        let (sender, protocol) = handshake.await?;
+        let protocol = Box::pin(protocol);
+        Ok(BackendConnection { sender, protocol, closed: false, stream, _reservation: reservation })
     }
 
-    /// What is known of its traffic.
+    /// The socket, and what is known of its traffic.
     pub fn stream(&self) -> &TrackedStream {
-        &self.wire
+        &self.stream
     }
 
-    /// Lets the protocol go on.
+    /// Lets the protocol make progress.
     pub fn drive(&mut self, cx: &mut Context<'_>) {
         self.closed = self.closed || self.protocol.as_mut().poll(cx).is_ready();
     }
 
-    /// Lets the protocol see the end of the last exchange; true if the connection can carry
-    /// another, once it has rested and is seen to be quiet.
+    /// Lets the protocol see the end of the last exchange. True if the connection can carry another one, once it
+    /// has rested and nothing unexpected has come.
     pub fn is_settled(&mut self, cx: &mut Context<'_>) -> bool {
         self.drive(cx);
         !self.closed && self.sender.is_ready()
     }
 
-    /// The same at once.
+    /// [`is_settled`](Self::is_settled) for async code; never waits.
     pub async fn settle(&mut self) -> bool {
         poll_fn(|cx| Poll::Ready(self.is_settled(cx))).await
     }
 
-    /// One request and its answer, or as much of it as is held. No answer, if it is not whole by its own word,
-    /// or larger than there is room for; an answer without a body that can be served is complete with its head.
+    /// Sends a request and reads the response, with as much of its body as is buffered.
+    ///
+    /// # Errors
+    /// A response with status 200 is an error if its body can't be had: it is incomplete, ambiguous or too large.
+    /// Any other response is complete with its head.
     pub async fn exchange(
         &mut self,
         request: Request<AttemptBody>,
         limits: &Limits,
-    ) -> Result<ReceivedResponse, ()> {
-        let bodiless = request.method() == Method::HEAD;
-        let answer = async {
-            let response = self.sender.send_request(request).await.map_err(drop)?;
+    ) -> Result<ReceivedResponse, ExchangeError> {
+        let is_head = request.method() == Method::HEAD;
+        let response = async {
+            let response = self.sender.send_request(request).await.map_err(ExchangeError::Connection)?;
             let (head, body) = response.into_parts();
-            let read = async {
-                let length =
-                    if bodiless { BodyLength::Known(0) } else { body_length(&head.headers).ok_or(())? };
-                read_response_body(body, length, limits).await
+            let length = if is_head { Ok(BodyLength::Known(0)) } else { body_length(&head.headers) };
+            let body = match length {
+                Ok(length) => read_response_body(body, length, limits).await,
+                Err(error) => Err(error),
             };
-            let body: Result<_, ()> = read.await;
             match body {
-                Err(()) if head.status == StatusCode::OK => Err(()),
+                Err(error) if head.status == StatusCode::OK => Err(error),
                 body => Ok(ReceivedResponse { status: head.status, headers: head.headers, body: body.ok() }),
             }
         };
-        tokio::pin!(answer);
+        tokio::pin!(response);
         tokio::select! {
             biased;
-            answer = &mut answer => return answer,
-            // What the protocol has read before its end is still to be had.
+            response = &mut response => return response,
+            // What the protocol has read before its end is still delivered below.
             _ = &mut self.protocol, if !self.closed => self.closed = true,
         }
-        answer.await
+        response.await
     }
 }
 
-/// What came back for one request.
+/// Why a request got no usable response.
+#[derive(Debug)]
+pub enum ExchangeError {
+    /// The connection ended before the head of a response came.
+    Connection(hyper::Error),
+    /// The head gives no length, or more than one, that can be relied on.
+    AmbiguousLength,
+    /// The body is longer than this proxy forwards.
+    BodyTooLarge,
+    /// There is no memory left for buffered bodies.
+    OutOfCapacity,
+    /// The body ended early.
+    Body(hyper::Error),
+    /// The body made no progress for the response timeout.
+    TimedOut,
+}
+
+impl fmt::Display for ExchangeError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ExchangeError::Connection(error) => write!(f, "no response: {error}"),
+            ExchangeError::AmbiguousLength => f.write_str("the length of the response is ambiguous"),
+            ExchangeError::BodyTooLarge => f.write_str("the response is too large"),
+            ExchangeError::OutOfCapacity => f.write_str("no memory is left for the response"),
+            ExchangeError::Body(error) => write!(f, "the response ended early: {error}"),
+            ExchangeError::TimedOut => f.write_str("the response timed out"),
+        }
+    }
+}
+
+impl std::error::Error for ExchangeError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            ExchangeError::Connection(error) | ExchangeError::Body(error) => Some(error),
+            _ => None,
+        }
+    }
+}
+
+/// The response to one request.
 pub struct ReceivedResponse {
     /// The status.
     pub status: StatusCode,
@@ -109,57 +152,58 @@
     pub body: Option<ReceivedBody>,
 }
 
-/// What was read of an answer's body.
+/// What was read of a response's body.
 pub enum ReceivedBody {
     /// All of it.
     Complete(BufferedBody),
-    /// The first pieces of a long one.
+    /// The first pieces and the source of the rest, with the memory reserved for them.
     Partial(BodyStream, Reservation),
 }
 
-/// Reads a body, until it is whole or begins to pass. What tells no length may be long: after a short while
-/// its first bytes matter more than a second try.
+/// Reads a body until it is complete, or is to be streamed: because it is too long to buffer, or because its length
+/// is unknown and it has been buffered for long enough. A client then gains more from its first bytes than from a
+/// retry.
 async fn read_response_body(
     mut body: Incoming,
     length: BodyLength,
     limits: &Limits,
-) -> Result<ReceivedBody, ()> {
+) -> Result<ReceivedBody, ExchangeError> {
     let tuning = limits.tuning();
-    let held_most = tuning.max_buffered_body;
-    let (most, long) = match length {
-        BodyLength::Known(bytes) if bytes > tuning.max_message as u64 => return Err(()),
-        BodyLength::Known(bytes) => ((bytes as usize).min(held_most), bytes > held_most as u64),
-        BodyLength::Unknown => (held_most, false),
-    };
-    let mut room = limits.buffered_bytes.reserve(most).ok_or(())?;
-    let early = Instant::now()
-        + if length == BodyLength::Unknown { tuning.unsized_response_hold } else { tuning.response_timeout };
-    let (mut first, mut held) = (VecDeque::new(), 0);
+    let max_buffered = tuning.max_buffered_body;
+    let mut reservation = limits
+        .buffered_bytes
+        .reserve(length.bytes_to_reserve(&tuning)?)
+        .ok_or(ExchangeError::OutOfCapacity)?;
+    let is_long = matches!(length, BodyLength::Known(bytes) if bytes > max_buffered as u64);
+    let is_unsized = length == BodyLength::Unknown;
+    let stream_at = Instant::now() + length.max_buffering_time(&tuning);
+    let (mut pieces, mut buffered) = (VecDeque::new(), 0);
     loop {
-        let passes = long || (length == BodyLength::Unknown && Instant::now() >= early);
-        if held > 0 && (passes || held > held_most) {
-            return Ok(ReceivedBody::Partial(BodyStream::new(first, body, tuning.max_message), room));
+        let is_streaming = is_long || (is_unsized && Instant::now() >= stream_at);
+        if buffered > 0 && (is_streaming || buffered > max_buffered) {
+            let stream = BodyStream::new(pieces, body, tuning.max_message);
+            return Ok(ReceivedBody::Partial(stream, reservation));
         }
-        let stalled = Instant::now() + tuning.response_timeout;
-        let until = if length == BodyLength::Unknown && held > 0 { early } else { stalled };
+        let times_out_at = Instant::now() + tuning.response_timeout;
+        let until = if is_unsized && buffered > 0 { stream_at } else { times_out_at };
         match timeout_at(until.into(), body.frame()).await {
             Ok(Some(Ok(frame))) => {
                 if let Ok(piece) = frame.into_data() {
-                    held += piece.len();
-                    first.push_back(piece);
+                    buffered += piece.len();
+                    pieces.push_back(piece);
                 }
             }
-            Ok(Some(Err(_))) => return Err(()),
+            Ok(Some(Err(error))) => return Err(ExchangeError::Body(error)),
             Ok(None) => break,
-            Err(_) if until < stalled => {}
-            Err(_) => return Err(()),
+            Err(_elapsed) if until < times_out_at => {}
+            Err(_elapsed) => return Err(ExchangeError::TimedOut),
         }
     }
-    room.shrink_to(held);
-    Ok(ReceivedBody::Complete(BufferedBody::new(concatenate(first), room)))
+    reservation.shrink_to(buffered);
+    Ok(ReceivedBody::Complete(BufferedBody::new(concatenate(pieces), reservation)))
 }
 
-/// The pieces of a body in one.
+/// The pieces of a body in one; a single piece is not copied.
 pub fn concatenate(mut pieces: VecDeque<Bytes>) -> Bytes {
     match (pieces.len(), pieces.pop_front()) {
         (1, Some(only)) => only,
@@ -167,28 +211,66 @@
     }
 }
 
-/// How long a body is by its head.
+/// How long a body is by the head of its message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyLength {
-    /// So many bytes.
+    /// This many bytes.
     Known(u64),
-    /// Chunks, or the connection's end, will tell.
+    /// Known only at its end: it comes in chunks, or ends with the connection.
     Unknown,
 }
 
-/// How long an answer's body is by its head; `None` if it says so twice, or in a way that nobody knows.
-fn body_length(headers: &HeaderMap) -> Option<BodyLength> {
-    let once = |name| {
-        let mut values = headers.get_all(name).iter();
-        let value = values.next();
-        (value.and_then(|v| v.to_str().ok()), value.is_none(), values.next().is_some())
-    };
-    match (once(header::CONTENT_LENGTH), once(header::TRANSFER_ENCODING)) {
-        ((Some(length), _, false), (_, true, _)) => length.parse().ok().map(BodyLength::Known),
-        ((_, true, _), (Some(how), _, false)) if how.eq_ignore_ascii_case("chunked") => {
-            Some(BodyLength::Unknown)
+impl BodyLength {
+    /// How much memory to reserve for buffering.
+    fn bytes_to_reserve(self, tuning: &Tuning) -> Result<usize, ExchangeError> {
+        match self {
+            BodyLength::Known(bytes) if bytes > tuning.max_message as u64 => Err(ExchangeError::BodyTooLarge),
+            BodyLength::Known(bytes) => Ok((bytes as usize).min(tuning.max_buffered_body)),
+            BodyLength::Unknown => Ok(tuning.max_buffered_body),
+        }
+    }
+
+    /// How long a body is buffered before it is streamed.
+    fn max_buffering_time(self, tuning: &Tuning) -> Duration {
+        match self {
+            BodyLength::Known(_) => tuning.response_timeout,
+            BodyLength::Unknown => tuning.unsized_response_hold,
+        }
+    }
+}
+
+/// The length of a response's body by its head.
+fn body_length(headers: &HeaderMap) -> Result<BodyLength, ExchangeError> {
+    let content_length = HeaderOccurrence::of(headers, header::CONTENT_LENGTH);
+    let transfer_encoding = HeaderOccurrence::of(headers, header::TRANSFER_ENCODING);
+    let length = match (content_length, transfer_encoding) {
+        (HeaderOccurrence::Once(length), HeaderOccurrence::Absent) => {
+            length.parse().ok().map(BodyLength::Known)
+        }
+        (HeaderOccurrence::Absent, HeaderOccurrence::Once(coding)) => {
+            coding.eq_ignore_ascii_case("chunked").then_some(BodyLength::Unknown)
         }
-        ((_, true, _), (_, true, _)) => Some(BodyLength::Unknown),
+        (HeaderOccurrence::Absent, HeaderOccurrence::Absent) => Some(BodyLength::Unknown),
         _ => None,
+    };
+    length.ok_or(ExchangeError::AmbiguousLength)
+}
+
+/// How a header occurs in a message.
+enum HeaderOccurrence<'a> {
+    Absent,
+    Once(&'a str),
+    /// More than once, or not as text.
+    Invalid,
+}
+
+impl HeaderOccurrence<'_> {
+    fn of(headers: &HeaderMap, name: HeaderName) -> HeaderOccurrence<'_> {
+        let mut values = headers.get_all(name).iter();
+        match (values.next(), values.next()) {
+            (None, _) => HeaderOccurrence::Absent,
+            (Some(value), None) => value.to_str().map_or(HeaderOccurrence::Invalid, HeaderOccurrence::Once),
+            (Some(_), Some(_)) => HeaderOccurrence::Invalid,
+        }
     }
 }
--- /dev/null
+++ b/crates/http1/src/client/health_check.rs
@@ -0,0 +1,72 @@
+//! Health checks of backends.
+
+use super::HttpClient;
+use crate::backend_connection::{BackendConnection, ReceivedBody, ReceivedResponse};
+use crate::request_body::AttemptBody;
+use hillstall_decision::{LoadReport, Outcome};
+use hillstall_proxy_core::transport::AttemptResult;
+use http_body_util::Full;
+use hyper::{header, Request, StatusCode};
+use std::net::SocketAddr;
+use std::time::Instant;
+use tokio::time::timeout_at;
+
+/// Where a health check asks whether a backend is alive.
+const ALIVE_PATH: &str = "/alive";
+/// Where a health check asks for the load of a backend as well.
+const LOAD_PATH: &str = "/metrics/load";
+/// How many connect timeouts a health check may take.
+const TIMEOUT_FACTOR: u32 = 2;
+
+impl HttpClient {
+    /// Checks a backend once, on a connection of its own.
+    pub(super) async fn health_check(
+        &self,
+        address: SocketAddr,
+        wants_load_report: bool,
+    ) -> AttemptResult<HttpClient> {
+        let until = Instant::now() + self.connect_timeout * TIMEOUT_FACTOR;
+        let mut connection = match self.connect(address, until).await {
+            Ok(connection) => connection,
+            Err(outcome) => return AttemptResult::now(outcome),
+        };
+        let request = health_check_request(address, if wants_load_report { LOAD_PATH } else { ALIVE_PATH });
+        match timeout_at(until.into(), connection.exchange(request, &self.limits)).await {
+            Err(_elapsed) => AttemptResult::now(Outcome::Timeout),
+            Ok(Err(_)) => AttemptResult::now(Outcome::Reset),
+            Ok(Ok(response)) => self.health_check_result(&connection, response),
+        }
+    }
+
+    fn health_check_result(
+        &self,
+        connection: &BackendConnection,
+        response: ReceivedResponse,
+    ) -> AttemptResult<HttpClient> {
+        AttemptResult {
+            outcome: if response.status == StatusCode::OK { Outcome::Ok } else { Outcome::Error },
+            ended_at: connection.stream().last_read(),
+            load_report: self.load_report(&response),
+            response: None,
+            invalid_request: None,
+        }
+    }
+
+    /// The load report in the headers of a response, or else in its body.
+    fn load_report(&self, response: &ReceivedResponse) -> LoadReport {
+        let report = self.load_reports.from_headers(&response.headers);
+        match &response.body {
+            Some(ReceivedBody::Complete(body)) if report.len == 0 => {
+                self.load_reports.parse(std::str::from_utf8(&body.bytes).unwrap_or_default())
+            }
+            _ => report,
+        }
+    }
+}
+
+fn health_check_request(address: SocketAddr, path: &'static str) -> Request<AttemptBody> {
+    Request::get(path)
+        .header(header::HOST, address.to_string())
+        .body(AttemptBody::Buffered(Full::default()))
+        .expect("a fixed path and an address are valid")
+}
