--- /dev/null
+++ b/crates/http1/src/server/request.rs
@@ -0,0 +1,242 @@
+//! One request: from its head to its final response.
+
+use super::access_log::{self, AccessLogRecord};
+use super::body_prefix::BodyPrefix;
+use super::client_connection::ClientConnection;
+use super::request_error::RequestError;
+use super::request_head::{check_transfer_coding, single_value, OpenRequestId, REQUEST_ID};
+use super::response::{rejection, served, text_response, with_outcome, ClientResponse};
+use super::{Server, MAINTENANCE_INTERVAL};
+use crate::client::HttpClient;
+use crate::message::{ClientRequest, ClientRequestBody};
+use crate::request_body::{discard, StreamingRequestBody};
+use hillstall_proxy_core::driver::{Completion, FinalResponse, RequestGuard, RequestMetadata};
+use hillstall_proxy_core::limits::Reservation;
+use hillstall_proxy_core::metrics::{InProgress, RequestOutcome};
+use hillstall_proxy_core::tuning::Tuning;
+use hyper::body::{Body, Incoming};
+use hyper::header::{HeaderValue, CONNECTION};
+use hyper::{Method, Request, StatusCode};
+use std::future::Future;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::task::{spawn_local, yield_now};
+use tokio::time::timeout_at;
+
+/// The decision module answers at the deadline. If it has not done so this long after, the driver answers.
+const RESPONSE_GRACE_PERIOD: Duration = Duration::from_millis(10);
+
+/// What the access log needs of a request that has been handed to the driver.
+struct AccessLogContext {
+    /// Empty if requests are not logged.
+    request_id: String,
+    class: u8,
+    tenant: u16,
+    started_at: Instant,
+}
+
+impl Server {
+    /// Answers one request of a connection.
+    pub(super) async fn serve(
+        &self,
+        connection: &Rc<ClientConnection>,
+        request: Request<Incoming>,
+    ) -> ClientResponse {
+        connection.last_response.take();
+        let result = self.respond(connection, request).await;
+        let is_streaming = result.as_ref().is_ok_and(|response| response.body().busy_connection.is_some());
+        let discards_body = !is_streaming && finish_request(connection);
+        // What follows an invalid request on its connection may be part of it, so nothing more is read there.
+        let must_close =
+            result.is_err() || discards_body || self.lifecycle.closes_idle(self.limits.tuning().drain_notice);
+        let mut response = result.unwrap_or_else(|error| text_response(error.status(), error.message()));
+        if must_close {
+            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        }
+        if response.status() != StatusCode::OK {
+            // Protects the other clients from one that retries as soon as it is rejected.
+            yield_now().await;
+        }
+        response
+    }
+
+    /// Reads and checks a request, and answers it.
+    async fn respond(
+        &self,
+        connection: &Rc<ClientConnection>,
+        request: Request<Incoming>,
+    ) -> Result<ClientResponse, RequestError> {
+        let (head, body) = request.into_parts();
+        check_transfer_coding(connection, &head.headers)?;
+        if head.uri.path() == "/up" {
+            // Anybody may ask this, so it is no sign of a valid client.
+            return Ok(self.up());
+        }
+        let (metadata, timeout) = self.read_head(&head)?;
+        let path = head.uri.path_and_query().ok_or(RequestError::MissingPath)?.clone();
+        let tuning = self.limits.tuning();
+        let Some(reservation) = self.reserve_body(&body, &tuning)? else {
+            self.metrics.count(metadata.class, RequestOutcome::Deferred);
+            return Ok(self.capacity_rejection());
+        };
+        let prefix = BodyPrefix::read(body, tuning.max_buffered_body).await?;
+        prefix.check(connection, &head.method)?;
+        let body = prefix.into_request_body(connection, timeout, reservation, &tuning);
+        let request = ClientRequest { method: head.method, path, headers: head.headers, body };
+        self.forward(connection, metadata, timeout, request, &tuning).await
+    }
+
+    /// Hands a request to the driver and answers it with what the driver gives back.
+    async fn forward(
+        &self,
+        connection: &Rc<ClientConnection>,
+        mut metadata: RequestMetadata,
+        timeout: Duration,
+        request: ClientRequest,
+        tuning: &Tuning,
+    ) -> Result<ClientResponse, RequestError> {
+        let id = single_value(&request.headers, REQUEST_ID).unwrap_or_default();
+        let _open_id =
+            OpenRequestId::new(&self.open_request_ids, id).ok_or(RequestError::DuplicateRequestId)?;
+        let streaming_body = match &request.body {
+            ClientRequestBody::Streaming(body) => Some(body.clone()),
+            ClientRequestBody::Buffered(_) => None,
+        };
+        connection.start_request(streaming_body.clone());
+        let open_request = self.metrics.begin(metadata.class);
+        // The timeout runs from the last byte of the request: the last one read, unless the body is streaming.
+        metadata.deadline = connection.stream.last_read() + timeout;
+        let deadline = metadata.deadline;
+        let context = AccessLogContext {
+            request_id: if tuning.log_requests { id.to_string() } else { String::new() },
+            class: metadata.class,
+            tenant: metadata.tenant,
+            started_at: connection.stream.message_started_at().unwrap_or_else(Instant::now),
+        };
+        let is_head = request.method == Method::HEAD;
+        let Some((guard, receiver)) = self.driver.request(metadata, request) else {
+            return Ok(with_outcome(self.capacity_rejection(), open_request, RequestOutcome::Deferred));
+        };
+        let completion = wait_for_completion(&guard, receiver, deadline, streaming_body).await;
+        let logged = completion.as_ref().filter(|_| tuning.log_requests);
+        let record = logged.map(|completion| self.access_log_record(context, completion));
+        let response = completion.map(|completion| completion.response);
+        final_response(connection, response, is_head, open_request, record)
+    }
+
+    /// Reserves memory for the part of a body that may be buffered; `None` if there is not enough.
+    fn reserve_body(&self, body: &Incoming, tuning: &Tuning) -> Result<Option<Reservation>, RequestError> {
+        let length = body.size_hint().exact();
+        if length.is_some_and(|length| length > tuning.max_message as u64) {
+            return Err(RequestError::BodyTooLarge);
+        }
+        let max_buffered = tuning.max_buffered_body;
+        let needed = length.map_or(max_buffered, |length| (length as usize).min(max_buffered));
+        Ok(self.limits.buffered_bytes.reserve(needed))
+    }
+
+    fn access_log_record(
+        &self,
+        context: AccessLogContext,
+        completion: &Completion<HttpClient>,
+    ) -> Box<AccessLogRecord> {
+        let class = self.classes.get(usize::from(context.class));
+        let tenant = self.tenants.get(usize::from(context.tenant));
+        Box::new(AccessLogRecord {
+            id: context.request_id,
+            class: class.map(|class| class.name.clone()).unwrap_or_default(),
+            tenant: tenant.map(|tenant| tenant.name.clone()).unwrap_or_default(),
+            tier: self.tier_name.clone(),
+            end: access_log::completion_name(&completion.response),
+            status: 0,
+            trace: completion.trace,
+            started_at: context.started_at,
+            completed_at: Instant::now(),
+        })
+    }
+
+    /// A rejection for want of capacity, with a `Retry-After` where the settings permit it.
+    fn capacity_rejection(&self) -> ClientResponse {
+        let retry_after_ms =
+            if self.retry_after { self.limits.tuning().retry_after.as_secs_f64() * 1000.0 } else { 0.0 };
+        rejection(retry_after_ms)
+    }
+}
+
+/// Ends a request whose response does not stream. True if its body was still coming: the client may go on sending
+/// what is no longer needed, so that is read and dropped.
+fn finish_request(connection: &ClientConnection) -> bool {
+    let unsent = connection
+        .streaming_body
+        .borrow()
+        .as_ref()
+        .filter(|body| body.deadline().is_none())
+        .and_then(|body| body.take_unsent());
+    let discards_body = unsent.is_some();
+    if let Some(unsent) = unsent {
+        spawn_local(discard(unsent));
+    }
+    connection.finish_request();
+    discards_body
+}
+
+/// Waits for the driver's response. If none has come shortly after the deadline, the request is closed, which
+/// makes the driver answer. `None` if the driver is gone.
+async fn wait_for_completion<E>(
+    guard: &RequestGuard<HttpClient>,
+    mut receiver: impl Future<Output = Result<Completion<HttpClient>, E>> + Unpin,
+    deadline: Instant,
+    streaming_body: Option<Rc<StreamingRequestBody>>,
+) -> Option<Completion<HttpClient>> {
+    loop {
+        // A streaming body has no deadline before its last byte has come.
+        let deadline = match &streaming_body {
+            None => Some(deadline),
+            Some(body) => body.deadline(),
+        };
+        let due = deadline.map(|deadline| deadline + RESPONSE_GRACE_PERIOD);
+        let until = due.unwrap_or_else(|| Instant::now() + MAINTENANCE_INTERVAL);
+        match timeout_at(until.into(), &mut receiver).await {
+            Ok(completion) => return completion.ok(),
+            Err(_) if due.is_none() => {}
+            Err(_) => {
+                guard.close();
+                return receiver.await.ok();
+            }
+        }
+    }
+}
+
+/// The response to the client, with the outcome that is counted and the record that is written once it is sent.
+fn final_response(
+    connection: &Rc<ClientConnection>,
+    response: Option<FinalResponse<HttpClient>>,
+    is_head: bool,
+    open_request: InProgress,
+    mut record: Option<Box<AccessLogRecord>>,
+) -> Result<ClientResponse, RequestError> {
+    let (mut response, outcome) = match response {
+        Some(FinalResponse::Served(response)) => {
+            (served(connection, response, is_head), RequestOutcome::Answered)
+        }
+        Some(FinalResponse::Rejected(retry_after_ms)) => {
+            (rejection(retry_after_ms), RequestOutcome::Deferred)
+        }
+        Some(FinalResponse::InvalidRequest(status)) => {
+            open_request.end(RequestOutcome::Errored);
+            if let Some(mut record) = record {
+                record.status = status.as_u16();
+                record.write(true);
+            }
+            return Err(RequestError::RejectedByBackend(status));
+        }
+        Some(FinalResponse::Failed) | None => {
+            (text_response(StatusCode::BAD_GATEWAY, "failed"), RequestOutcome::Errored)
+        }
+    };
+    if let Some(record) = &mut record {
+        record.status = response.status().as_u16();
+    }
+    response.body_mut().access_log_record = record;
+    Ok(with_outcome(response, open_request, outcome))
+}
