--- a/crates/change-freeze/src/rules.rs
+++ b/crates/change-freeze/src/rules.rs
@@ -153,25 +153,25 @@
     entry(
         PrecedenceRule::ExclusiveScope,
         "apart",
-        "waits while a change whose scope meets is in flight, incident or none",
+        "waits while a change whose scope overlaps is in flight, incident or none",
     ),
     entry(PrecedenceRule::Remedy, "remedy", "passes an incident that names it"),
     entry(
         PrecedenceRule::Emergency,
         "emergency",
-        "passes all incidents, once two people have asked for it within a minute",
+        "passes all incidents, once two people have requested it within a minute",
     ),
-    entry(PrecedenceRule::Critical, "critical", "refused while a critical incident is active anywhere"),
-    entry(PrecedenceRule::Major, "major", "refused while a major incident is active whose scope meets"),
+    entry(PrecedenceRule::Critical, "critical", "rejected while a critical incident is active anywhere"),
+    entry(PrecedenceRule::Major, "major", "rejected while a major incident is active whose scope overlaps"),
     entry(
         PrecedenceRule::Minor,
         "minor",
-        "refused if it takes capacity, while a minor incident is active whose scope meets",
+        "rejected if it takes capacity, while a minor incident is active whose scope overlaps",
     ),
     entry(
         PrecedenceRule::QueueOrder,
         "turn",
-        "waits for an earlier or worthier change in line whose scope meets",
+        "waits for an earlier queued change, or one of higher priority, whose scope overlaps",
     ),
 ];
 
