--- a/crates/decision/src/balancer.rs
+++ b/crates/decision/src/balancer.rs
@@ -345,7 +345,7 @@
             latency_ratio,
             headroom: if outcome.was_abandoned() { 0.0 } else { headroom },
             scale: self.demand.value() * self.capacity.scale(),
-            max_rise: self.capacity.rise(),
+            max_rise: self.capacity.max_rise(),
         };
         if self.admission.learn(self.now, sample, &self.settings) {
             let (tier, baseline) = (self.admission.tier(), self.admission.baseline_ratio());
--- a/crates/decision/tests/module.rs
+++ b/crates/decision/tests/module.rs
@@ -16,14 +16,26 @@
     fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// Name and text of every source file.
+/// Name and text of every source file of the module.
 fn sources() -> Vec<(String, String)> {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
+    let sources = sources_in("src");
+    assert!(sources.len() > INTERFACE.len());
+    sources
+}
+
+/// The same, with those of the package that the module calls.
+fn all_sources() -> Vec<(String, String)> {
+    let mut sources = sources();
+    sources.extend(sources_in("../overload/src"));
+    sources
+}
+
+fn sources_in(path: &str) -> Vec<(String, String)> {
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join(path);
     let entries = fs::read_dir(folder).expect("the source folder");
     let names = entries.map(|entry| entry.expect("an entry").file_name().into_string().expect("a name"));
-    let mut sources: Vec<_> = names.map(|name| (name.clone(), read(&format!("src/{name}")))).collect();
+    let mut sources: Vec<_> = names.map(|name| (name.clone(), read(&format!("{path}/{name}")))).collect();
     sources.sort();
-    assert!(sources.len() > INTERFACE.len());
     sources
 }
 
@@ -34,7 +46,7 @@
 
 #[test]
 fn every_source_file_keeps_its_size_and_width() {
-    for (name, text) in sources() {
+    for (name, text) in all_sources() {
         let lines = text.lines().count();
         assert!(lines < MAX_FILE_LINES, "{name} has {lines} lines");
         for (n, line) in text.lines().enumerate() {
@@ -48,7 +60,7 @@
 #[test]
 fn every_constant_says_what_it_guards() {
     let mut constants = 0;
-    for (name, text) in sources() {
+    for (name, text) in all_sources() {
         let lines: Vec<&str> = text.lines().collect();
         for (n, line) in lines.iter().enumerate() {
             if without_visibility(line).starts_with("const ") {
--- a/crates/overload/src/capacity.rs
+++ b/crates/overload/src/capacity.rs
@@ -1,89 +1,96 @@
-//! The part of a tier that still answers, and what a copy does while it is short of room.
+//! The part of a tier that still answers, and what an instance does while the tier has lost capacity.
 //!
-//! What a copy may keep in flight is learned over seconds, while a part of the tier is lost in one instant. A count that
-//! was right for all servers then crowds those that are left, long before late answers have cut it; and once cut, it is
-//! too small for the servers that come back. So a count is kept for the tier as it was when whole, and what it admits
-//! goes by the room of the servers that answer now.
+//! What an instance may have in flight is learned over seconds, while a part of the tier is lost in one
+//! instant. A limit that was right for all backends then crowds those that are left, long before late answers
+//! have reduced it; and once reduced, it is too small for the backends that come back. So a limit stands for
+//! the tier at full capacity, and what it admits follows the capacity of the backends that answer now.
 
 use crate::Millis;
 
-/// Milliseconds over which a larger tier is forgotten.
-const FORGET_MS: Millis = 60_000.0;
-/// How steeply the counts go by the part that answers: over 1, so that what is left holds fewer calls each than before.
-/// There are always more calls than it can serve, so that a queue gains nothing, and crowded servers turn slow for good.
-const STEEP: f64 = 1.2;
-/// What is left of the counts under which the tier is short of room.
-const SHORT: f64 = 0.9;
-/// Part of a count that is open to repeats while the tier is short: a first try has all of its time before it.
-const FOR_REPEATS: f64 = 0.5;
+/// Time constant with which a larger tier is forgotten, in milliseconds.
+const FORGET_TIME_CONSTANT_MS: Millis = 60_000.0;
+/// Power of the answering part by which limits scale: over 1, so that each backend that is left gets fewer
+/// requests than before. There are always more requests than it can serve, so that a queue gains nothing, and
+/// crowded backends slow down for good.
+const SCALE_EXPONENT: f64 = 1.2;
+/// Scale under which the tier counts as short of capacity.
+const SHORT_SCALE: f64 = 0.9;
+/// Part of a limit that is open to clients' retries while the tier is short: a first attempt has all of its
+/// time before it.
+const RETRY_FRACTION: f64 = 0.5;
 
-/// The room that answers now, against the most of it that there was of late.
+/// The capacity that answers now, against the most of it that there was of late.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverloadedCapacity {
-    most: f64,
-    at: Millis,
-    part: f64,
-    /// Goes by the part; kept, as every call asks for it and the part changes seldom.
+    max_capacity: f64,
+    updated_at: Millis,
+    fraction: f64,
+    /// Follows from the fraction; stored, as every request reads it and the fraction changes seldom.
     scale: f64,
 }
 
 impl Default for OverloadedCapacity {
     fn default() -> OverloadedCapacity {
-        OverloadedCapacity { most: 0.0, at: 0.0, part: 1.0, scale: 1.0 }
+        OverloadedCapacity { max_capacity: 0.0, updated_at: 0.0, fraction: 1.0, scale: 1.0 }
     }
 }
 
 impl OverloadedCapacity {
-    /// Takes the room of the servers that answer at `now`, in any unit. Where nothing is known, or nothing answers at
-    /// all, the tier counts as whole: one that is silent as a whole gains nothing by fewer trials.
-    pub fn update(&mut self, now: Millis, answers: f64) {
-        let answers = if answers.is_finite() { answers.max(0.0) } else { 0.0 };
-        let passed = (now - self.at).max(0.0);
-        self.at = self.at.max(now);
-        self.part = if answers > 0.0 {
-            let faded = answers + (self.most - answers) * (-passed / FORGET_MS).exp();
-            self.most = faded.max(answers);
-            // So small a part that it is none in this number is still one.
-            (answers / self.most).max(f64::MIN_POSITIVE)
+    /// Takes the capacity of the backends that answer at `now`, in any unit. Where nothing is known, or
+    /// nothing answers at all, the tier counts as complete: one that is silent as a whole gains nothing by
+    /// fewer attempts.
+    pub fn update(&mut self, now: Millis, capacity: f64) {
+        let capacity = if capacity.is_finite() { capacity.max(0.0) } else { 0.0 };
+        let elapsed = (now - self.updated_at).max(0.0);
+        self.updated_at = self.updated_at.max(now);
+        self.fraction = if capacity > 0.0 {
+            let decay = (-elapsed / FORGET_TIME_CONSTANT_MS).exp();
+            let decayed = capacity + (self.max_capacity - capacity) * decay;
+            self.max_capacity = decayed.max(capacity);
+            // A fraction so small that it underflows is still one.
+            (capacity / self.max_capacity).max(f64::MIN_POSITIVE)
         } else {
             1.0
         };
-        self.scale = self.part.powf(STEEP);
+        self.scale = self.fraction.powf(SCALE_EXPONENT);
     }
 
     /// The part of the tier that answers, over 0 and at most 1.
     pub fn fraction(&self) -> f64 {
-        self.part
+        self.fraction
     }
 
-    /// By how much the counts admit less.
+    /// The factor by which limits are scaled, from 0 to 1.
     pub fn scale(&self) -> f64 {
         self.scale
     }
 
-    /// Whether the tier is short of room.
+    /// Whether the tier is short of capacity.
     pub fn is_short(&self) -> bool {
-        self.scale < SHORT
+        self.scale < SHORT_SCALE
     }
 
-    /// How many times what it was when the tier was whole a count may rise to, while that is short: what is left may hold
-    /// somewhat more than it did, but timely answers of few calls justify little for the time when all servers are back.
-    pub fn rise(&self) -> Option<f64> {
-        self.is_short().then_some(2.0 - self.part)
+    /// While the tier is short: how many times its value at full capacity a limit may rise to. What is left
+    /// may serve somewhat more than it did, but timely answers to few requests justify little for the time
+    /// when all backends are back.
+    pub fn max_rise(&self) -> Option<f64> {
+        self.is_short().then_some(2.0 - self.fraction)
     }
 
-    /// The part of a count that is open to a call.
-    pub fn admitted_fraction(&self, repeat: bool) -> f64 {
-        if repeat && self.is_short() {
-            FOR_REPEATS
+    /// The part of a limit that is open to a request, from 0 to 1; `is_retry` says whether its client marked
+    /// it as a retry.
+    pub fn admitted_fraction(&self, is_retry: bool) -> f64 {
+        if is_retry && self.is_short() {
+            RETRY_FRACTION
         } else {
             1.0
         }
     }
 
-    /// Whether a call whose answer is expected after some time may be sent with so much time left: while the tier is
-    /// short, one that would hardly end in time takes the place of one that will.
-    pub fn fits_deadline(&self, left: Millis, expected: Millis) -> bool {
-        !self.is_short() || left > expected
+    /// Whether a request whose answer is expected after `expected` milliseconds may be sent with `time_left`
+    /// milliseconds left: while the tier is short, one that would hardly end in time takes the place of one
+    /// that will.
+    pub fn fits_deadline(&self, time_left: Millis, expected: Millis) -> bool {
+        !self.is_short() || time_left > expected
     }
 }
--- a/crates/overload/src/zone_traffic.rs
+++ b/crates/overload/src/zone_traffic.rs
@@ -1,86 +1,64 @@
-//! The part of its usual load that each site gets, as a hint that ages: it is told again and again while it holds, and
-//! without it a site comes back by itself. It never raises anything: cold budgets, drains and attempts hold as without it.
+//! The part of its usual traffic that each zone gets, as advice that expires: it is repeated while it is in
+//! force, and without it a zone recovers by itself. It never raises anything: budgets of slow start, drains
+//! and limits on attempts apply as without it.
 
 use crate::Millis;
 
-/// How long a hint holds that is not told again, and how long a site then takes to come back from nothing.
-const HOLDS: Millis = 5_000.0;
-const WAY_BACK: Millis = 20_000.0;
+/// How long advice is in force that is not repeated, in milliseconds.
+const ADVICE_LIFETIME_MS: Millis = 5_000.0;
+/// How long a zone then takes to recover from no traffic to all of it, in milliseconds.
+const RECOVERY_RAMP_MS: Millis = 20_000.0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Hint {
-    part: f64,
-    told: Millis,
+struct Advice {
+    fraction: f64,
+    given_at: Millis,
 }
 
-/// The hints, by zone.
+/// The advice for each zone.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneFractions {
-    /// Empty while all sites are whole, as in all but a few hours of a year.
-    hints: Vec<Option<Hint>>,
+    /// By zone; empty while all zones get all of their traffic, as in all but a few hours of a year.
+    advice: Vec<Option<Advice>>,
 }
 
 impl ZoneFractions {
-    /// Takes a hint that is `age` old: a zone gets this part of its usual load, from 0 to 1.
-    pub fn set_fraction(&mut self, now: Millis, zone: u16, part: f64, age: Millis) {
-        if !part.is_finite() || !age.is_finite() {
+    /// Takes advice that is `age` milliseconds old: a zone gets this part of its usual traffic, from 0 to 1.
+    /// What is no number is ignored.
+    pub fn set_fraction(&mut self, now: Millis, zone: u16, fraction: f64, age: Millis) {
+        if !fraction.is_finite() || !age.is_finite() {
             return;
         }
         let place = usize::from(zone);
-        if self.hints.len() <= place {
-            self.hints.resize(place + 1, None);
+        if self.advice.len() <= place {
+            self.advice.resize(place + 1, None);
         }
-        let told = now - age.max(0.0);
-        // Hints that overtake each other don't count backwards.
-        if self.hints[place].is_none_or(|known| known.told <= told) {
-            self.hints[place] =
-                Some(Hint { part: part.clamp(0.0, 1.0), told }).filter(|hint| hint.part < 1.0);
+        let given_at = now - age.max(0.0);
+        // Advice that was overtaken on its way is ignored.
+        if self.advice[place].is_none_or(|known| known.given_at <= given_at) {
+            let advice = Advice { fraction: fraction.clamp(0.0, 1.0), given_at };
+            self.advice[place] = Some(advice).filter(|advice| advice.fraction < 1.0);
         }
-        if self.hints.iter().all(Option::is_none) {
-            self.hints.clear();
+        if self.advice.iter().all(Option::is_none) {
+            self.advice.clear();
         }
     }
 
-    /// The part that a zone gets at `now`.
+    /// The part of its usual traffic that a zone gets at `now`, from 0 to 1.
     pub fn fraction(&self, now: Millis, zone: u16) -> f64 {
-        match self.hints.get(usize::from(zone)) {
-            Some(Some(hint)) => {
-                let alone = (now - hint.told - HOLDS).max(0.0);
-                (hint.part + alone / WAY_BACK).min(1.0)
+        match self.advice.get(usize::from(zone)) {
+            Some(Some(advice)) => {
+                let expired_for = (now - advice.given_at - ADVICE_LIFETIME_MS).max(0.0);
+                (advice.fraction + expired_for / RECOVERY_RAMP_MS).min(1.0)
             }
             _ => 1.0,
         }
     }
 
-    /// Whether a call that was drawn for a zone as usual goes elsewhere, by a random number from 0 to 1.
+    /// Whether a request that was drawn for a zone as usual goes elsewhere, by a random number from 0 to 1.
+    /// None is drawn while no advice is in force, so that runs without advice give the same actions as ever.
     pub fn is_diverted(&self, now: Millis, zone: u16, random: impl FnOnce() -> f64) -> bool {
-        // No random number is drawn while all is as usual, so that runs without hints are what they were.
-        let part = if self.hints.is_empty() { 1.0 } else { self.fraction(now, zone) };
-        part < 1.0 && random() >= part
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_hint_holds_while_it_is_told_and_wears_off_by_itself() {
-        let mut sites = ZoneFractions::default();
-        assert!(!sites.is_diverted(0.0, 0, || unreachable!("nothing was told")));
-        sites.set_fraction(1_000.0, 1, 0.25, 0.0);
-        assert_eq!(
-            (sites.fraction(1_000.0, 0), sites.fraction(1_000.0, 1), sites.fraction(6_000.0, 1)),
-            (1.0, 0.25, 0.25)
-        );
-        assert!(sites.is_diverted(2_000.0, 1, || 0.25) && !sites.is_diverted(2_000.0, 1, || 0.24));
-        assert_eq!((sites.fraction(11_000.0, 1), sites.fraction(30_000.0, 1)), (0.5, 1.0));
-        // An older one that comes late says nothing.
-        sites.set_fraction(2_000.0, 1, 0.9, 1_500.0);
-        assert_eq!(sites.fraction(2_000.0, 1), 0.25);
-        sites.set_fraction(3_000.0, 1, 1.0, 0.0);
-        assert_eq!(sites, ZoneFractions::default());
-        sites.set_fraction(3_000.0, 1, f64::NAN, 0.0);
-        assert_eq!(sites, ZoneFractions::default());
+        let fraction = if self.advice.is_empty() { 1.0 } else { self.fraction(now, zone) };
+        fraction < 1.0 && random() >= fraction
     }
 }
