--- a/crates/decision/src/action.rs
+++ b/crates/decision/src/action.rs
@@ -1,72 +1,72 @@
-//! What a balancer wants done by the embedding proxy, in the order given.
+//! Actions: what the embedding proxy has to carry out for a balancer, in the order given.
 
 use crate::types::{BackendId, Millis, RequestId, UnservedReason};
 
-/// What a balancer wants done, in the order given.
+/// One step for the embedding proxy to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start the next attempt of a request.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The backend that gets it.
         backend: BackendId,
-        /// Its time-out; 0 lasts until the client gives up.
+        /// Its timeout in milliseconds; 0 lasts until the client gives up.
         timeout_ms: Millis,
     },
-    /// Final answer: not served, and trying again is harmless.
+    /// Final answer: not served, and the client may safely send it again.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away; 0 for no advice.
+        /// How long the client should wait before it retries, in milliseconds; 0 for no advice.
         retry_after_ms: Millis,
-        /// Why.
+        /// The reason.
         reason: UnservedReason,
     },
-    /// Final answer: failed; promises nothing.
+    /// Final answer: failed; the request may have run.
     Fail {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// The reason.
         reason: UnservedReason,
     },
-    /// Stop waiting for one attempt.
+    /// Cancel one attempt.
     Cancel {
         /// The request.
         request: RequestId,
         /// The number of the attempt.
         attempt: u8,
     },
-    /// Ask for an [`Event::Timer`](crate::Event::Timer).
+    /// Schedule an [`Event::Timer`](crate::Event::Timer).
     SetTimer {
-        /// From now.
+        /// Time from now, in milliseconds.
         after_ms: Millis,
-        /// Comes back with the event.
+        /// Returned with the event.
         token: u64,
     },
-    /// Check a backend.
+    /// Send a health check to a backend.
     Probe {
-        /// Which.
+        /// The backend.
         backend: BackendId,
     },
     /// Close idle connections to a backend.
     CloseIdle {
-        /// Which.
+        /// The backend.
         backend: BackendId,
     },
-    /// Send bytes to another copy, or to all.
+    /// Send bytes to another instance, or to all.
     Message {
-        /// Rank of the receiver; `None` for all.
+        /// Rank of the receiving instance; `None` for all.
         to: Option<u32>,
         /// At most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// Start or stop following the backend list.
+    /// Subscribe to the endpoint list, or unsubscribe.
     Subscribe {
-        /// Start or stop.
+        /// Whether to subscribe.
         on: bool,
     },
-    /// Ask for the whole backend list once.
+    /// Fetch the complete endpoint list once.
     Fetch,
     /// Write a line to the operators' log.
     Log(String),
--- a/crates/decision/src/admission.rs
+++ b/crates/decision/src/admission.rs
@@ -32,8 +32,8 @@
 const LOWER_TIER_LATE_RATIO: f64 = 0.9;
 /// How far from the lowest ratio to the objective the tier may go before burst capacity is taken back.
 const BURST_LATENESS: f64 = 0.15;
-/// Part of the patience that high priority classes have for lateness that they also have for a crowded tier.
-const HIGH_PRIORITY_CROWDED_FRACTION: f64 = 0.5;
+/// Part of the tolerance of high priority classes for lateness that they also have for crowding.
+const CROWDED_TOLERANCE_FRACTION: f64 = 0.5;
 /// Part of the tier's limit that classes of lower priority leave to the others, in a fleet of very many
 /// instances: were it given to whoever comes first, requests of more weight would be rejected as often as
 /// those of less. Where instances are few, limits are large, the last of them is seldom wanted, and stays
@@ -183,11 +183,11 @@
             return (both, both);
         }
         // The more of the traffic has a lower priority, and can be shed first, the longer the rest may go on.
-        let patience = (HIGH_PRIORITY_LATE_RATIO - TOP_TIER_LATE_RATIO) * self.priorities.lower_fraction();
+        let tolerance = (HIGH_PRIORITY_LATE_RATIO - TOP_TIER_LATE_RATIO) * self.priorities.lower_fraction();
         let low_priority = Thresholds { late: TOP_TIER_LATE_RATIO.max(idle), crowded };
         let high_priority = Thresholds {
-            late: (TOP_TIER_LATE_RATIO + patience).max(idle),
-            crowded: crowded + HIGH_PRIORITY_CROWDED_FRACTION * patience,
+            late: (TOP_TIER_LATE_RATIO + tolerance).max(idle),
+            crowded: crowded + CROWDED_TOLERANCE_FRACTION * tolerance,
         };
         (low_priority, high_priority)
     }
--- a/crates/decision/src/attempt_sample.rs
+++ b/crates/decision/src/attempt_sample.rs
@@ -11,7 +11,7 @@
 /// Latency ratio of a failed attempt, at least.
 const FAILED_LATENCY_RATIO: f64 = 1.5;
 /// The shortest time, in milliseconds, that a client counts as having waited for.
-const MIN_PATIENCE_MS: Millis = 1.0;
+const MIN_CLIENT_WAIT_MS: Millis = 1.0;
 
 /// The part of a full rise of the limits that a load report permits, from 0 to 1; all of it where none says.
 pub(crate) fn headroom(settings: &Settings, report: &LoadReport) -> f64 {
@@ -36,9 +36,9 @@
         // A client that left: late for it by as much of its time as it waited. One that leaves early does so
         // for reasons of its own. More would close the limiters where an idle tier is too slow.
         Outcome::Cancelled | Outcome::NotSent => {
-            let patience = objective.min(request.deadline - attempt.sent_at).max(MIN_PATIENCE_MS);
+            let client_wait = objective.min(request.deadline - attempt.sent_at).max(MIN_CLIENT_WAIT_MS);
             let is_client_late = request.client_gone && settings.stage == 0;
-            is_client_late.then(|| (took / patience).min(1.0))
+            is_client_late.then(|| (took / client_wait).min(1.0))
         }
         Outcome::Ok => Some(took / objective),
         // A connection that does not come about shows nothing of the tier, as while a zone is cut off; nor do
--- a/crates/decision/src/backend.rs
+++ b/crates/decision/src/backend.rs
@@ -2,7 +2,7 @@
 //! against others, its slow start and its drain.
 
 use crate::health::{Health, ANSWERING_HEALTH, EJECTED_HEALTH, SOUND_HEALTH};
-use crate::slow_start::{warm_fraction, SlowStartBudget};
+use crate::slow_start::{ready_fraction, SlowStartBudget};
 use crate::{BackendInfo, BackendState, Millis, Outcome, Rules};
 
 /// Part of the drain grace over which a backend that was ready leaves the draw. It serves on for a while
@@ -82,11 +82,11 @@
     }
 
     /// The part of its capacity that it has for certain by now.
-    pub(crate) fn warm_fraction(&self, now: Millis, rules: &Rules) -> f64 {
-        warm_fraction(self.info.started_at, now, rules)
+    pub(crate) fn ready_fraction(&self, now: Millis, rules: &Rules) -> f64 {
+        ready_fraction(self.info.started_at, now, rules)
     }
 
-    /// The part of its usual weight that its state leaves it: less and less while it drains.
+    /// The part of its normal weight that its state leaves it: less and less while it drains.
     pub(crate) fn drain_fraction(&self, now: Millis, rules: &Rules) -> f64 {
         match (self.info.state, self.draining_since) {
             (BackendState::Ready, _) => 1.0,
--- a/crates/decision/src/balancer.rs
+++ b/crates/decision/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The balancer: takes events, asks the module of each subject, and writes the actions that follow. Its
+//! The balancer: takes events, consults the module of each subject, and writes the actions that follow. Its
 //! interface is `src/event.rs`, `action.rs`, `settings.rs` and `types.rs`.
 //!
 //! It follows the platform's design: a request is checked against learned limits before each send, is
@@ -30,7 +30,7 @@
     random: RandomSource,
     now: Millis,
     /// This process's part of the instance's slow start budgets, from 0 to 1.
-    budget_share: f64,
+    process_fraction: f64,
     endpoints: Endpoints,
     discovery_backoff: DiscoveryBackoff,
     requests: FxHashMap<RequestId, PendingRequest>,
@@ -63,7 +63,7 @@
         Balancer {
             random: RandomSource::new(seed),
             now: 0.0,
-            budget_share: 1.0,
+            process_fraction: 1.0,
             endpoints: Endpoints::default(),
             discovery_backoff: DiscoveryBackoff::default(),
             requests: FxHashMap::default(),
@@ -118,7 +118,7 @@
     /// So many other balancers send for the same instance, as while one process takes over from another: this
     /// one keeps to its part of the slow start budgets.
     pub fn share_with(&mut self, others: usize) {
-        self.budget_share = 1.0 / (others + 1) as f64;
+        self.process_fraction = 1.0 / (others + 1) as f64;
     }
 
     /// How many backends are listed, and how many of those the selection avoids: they are not ready, or so
@@ -246,7 +246,7 @@
             mean_latency: self.latencies[request.class].mean,
             saturation: tier.latency_ratio() / TOP_TIER_LATE_RATIO,
             peak_in_flight: tier.peak_in_flight(),
-            budget_share: self.budget_share,
+            process_fraction: self.process_fraction,
         };
         self.selector.select(context, &mut self.endpoints, &mut self.random)
     }
--- a/crates/decision/src/class_priority.rs
+++ b/crates/decision/src/class_priority.rs
@@ -57,7 +57,7 @@
         self.lower_fraction
     }
 
-    /// Finds the classes that are worth less to the objective than another, where the worst-served class
+    /// Finds the classes that weigh less in the objective than another, where the worst-served class
     /// counts double: classes of like weight are kept alike, and one of far greater weight comes first.
     pub(crate) fn evaluate(&mut self, now: Millis, settings: &Settings) {
         if now - self.evaluated_at < EVALUATION_INTERVAL_MS {
--- a/crates/decision/src/demand.rs
+++ b/crates/decision/src/demand.rs
@@ -90,7 +90,8 @@
         let mut demands = self.tenant_demands(now, settings);
         demands.sort_by(|a, b| a.ratio.total_cmp(&b.ratio));
         let total: f64 = demands.iter().map(|demand| demand.even_part).sum();
-        // Nor must one tenant's flood raise the limits: what it asks beyond the other tenants does not count.
+        // Nor must one tenant's flood raise the limits: what it demands beyond the other tenants does not
+        // count.
         let max_ratio = median_ratio(&demands, total).map_or(0.0, |ratio| MAX_TENANT_DEMAND * ratio);
         let offered: f64 = demands.iter().map(|demand| demand.ratio.min(max_ratio) * demand.even_part).sum();
         let ratio = Some(offered / total).filter(|ratio| ratio.is_finite()).unwrap_or(1.0);
--- a/crates/decision/src/endpoints.rs
+++ b/crates/decision/src/endpoints.rs
@@ -65,7 +65,7 @@
     pub(crate) fn answering_capacity(&self, now: Millis, rules: &Rules) -> f64 {
         let answering = self.backends.iter().filter(|backend| backend.is_answering(now));
         let capacity = |backend: &Backend| {
-            backend.rating() * backend.warm_fraction(now, rules) * backend.drain_fraction(now, rules)
+            backend.rating() * backend.ready_fraction(now, rules) * backend.drain_fraction(now, rules)
         };
         answering.map(capacity).sum()
     }
--- a/crates/decision/src/event.rs
+++ b/crates/decision/src/event.rs
@@ -1,48 +1,48 @@
-//! What the embedding proxy tells a balancer.
+//! Events: what the embedding proxy reports to a balancer.
 
 use crate::types::{BackendId, BackendInfo, ListKind, LoadReport, Millis, Outcome, RequestId};
 
-/// What happens to a balancer.
+/// One thing that happened.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// News of the backends. A `Cached` list comes first in a balancer's life.
+    /// The endpoint list or an update of it. A `Cached` list comes first in a balancer's life.
     EndpointsChanged {
         /// How to read `backends`.
         kind: ListKind,
-        /// The version of the list. No decision reads it: news is ordered and complete.
+        /// The version of the list. No decision reads it: updates are ordered and complete.
         version: u32,
         /// The entries.
         backends: &'a [BackendInfo],
     },
-    /// A request arrived; one final answer is owed within `ttl_ms`.
+    /// A request arrived; it gets one final answer within `timeout_ms`.
     Request {
         /// Its id.
         id: RequestId,
-        /// What it is about; equal keys go together. No decision reads it.
+        /// Its routing key; requests with equal keys concern the same data. No decision reads it.
         key: Option<u64>,
         /// Its class.
         class: u8,
         /// Its tenant.
         tenant: u16,
-        /// Expected work, where the caller knows it.
+        /// Expected work in milliseconds, where the client states it.
         expected_work_ms: Option<Millis>,
-        /// A client's repeat, where clients mark them: it makes no heat, and waits while the tier is short of
-        /// room.
+        /// The client marked it as a retry, where clients do so: it adds no demand skew, and is admitted
+        /// less while the tier is short of capacity.
         is_retry: bool,
         /// It writes. No decision reads it.
         is_write: bool,
-        /// How long the client waits for this try.
+        /// How long the client waits for this attempt, in milliseconds.
         timeout_ms: Millis,
     },
-    /// A streamed answer has begun; the attempt now belongs to the client. No decision reads it.
+    /// A streamed response has begun, so that the request can't be retried. No decision reads it.
     FirstByte {
         /// The request.
         request: RequestId,
         /// The number of the attempt.
         attempt: u8,
-        /// Where from.
+        /// The backend.
         backend: BackendId,
-        /// Time since the send.
+        /// Time since the send, in milliseconds.
         took_ms: Millis,
     },
     /// An attempt ended. Every send gets exactly one of these.
@@ -51,51 +51,51 @@
         request: RequestId,
         /// The number of the attempt, from 0 in the order of the sends.
         attempt: u8,
-        /// Where it went.
+        /// The backend that it was sent to.
         backend: BackendId,
         /// How it ended.
         outcome: Outcome,
-        /// Time since the send.
+        /// Time since the send, in milliseconds.
         took_ms: Millis,
-        /// The request is over; no final answer is owed any more.
+        /// Whether the request is over, so that it needs no final answer.
         ended: bool,
-        /// The backend's load report, if one came along.
+        /// The backend's load report, if the response carried one.
         report: LoadReport,
     },
-    /// The client has left; nothing more is owed.
+    /// The client has disconnected; the request needs no final answer.
     ClientGone {
         /// The request.
         request: RequestId,
     },
-    /// A timer of this balancer fell due.
+    /// A timer of this balancer expired.
     Timer {
         /// The token given with [`Action::SetTimer`](crate::Action::SetTimer).
         token: u64,
     },
-    /// A probe ended. No decision reads it: the module sends none.
+    /// A health check ended. No decision reads it: the module sends none.
     ProbeResult {
         /// The backend.
         backend: BackendId,
         /// `Ok`, or why not.
         outcome: Outcome,
-        /// Time since the probe was sent.
+        /// Time since the probe was sent, in milliseconds.
         took_ms: Millis,
         /// Its load report, if any.
         report: LoadReport,
     },
-    /// The fleet moves traffic: a zone gets this part of its usual load. A hint: where nothing else is left,
-    /// calls go there all the same.
+    /// Traffic is moved between zones: a zone is to get this part of its usual traffic. Advice: where no
+    /// other backend is left, requests go there all the same.
     ZoneFraction {
         /// The zone.
         zone: u16,
         /// From 0 to 1.
         fraction: f64,
-        /// How old this is.
+        /// Age of the advice, in milliseconds.
         age_ms: Millis,
     },
-    /// Bytes from another copy. This design shares nothing, so it is passed over.
+    /// Bytes from another instance. Instances share nothing in this design, so it is ignored.
     Message {
-        /// Rank of the sender.
+        /// Rank of the sending instance.
         from: u16,
         /// The bytes.
         bytes: &'a [u8],
--- a/crates/decision/src/selection.rs
+++ b/crates/decision/src/selection.rs
@@ -57,7 +57,7 @@
     /// The recent peak of the requests in flight.
     pub(crate) peak_in_flight: f64,
     /// This process's part of the instance's slow start budgets.
-    pub(crate) budget_share: f64,
+    pub(crate) process_fraction: f64,
 }
 
 /// A backend that may be drawn.
@@ -194,7 +194,7 @@
         drain_fraction: f64,
     ) -> Candidate {
         let SelectionContext { now, settings, request, .. } = context;
-        let capacity = backend.rating() * backend.warm_fraction(now, &settings.rules) * drain_fraction;
+        let capacity = backend.rating() * backend.ready_fraction(now, &settings.rules) * drain_fraction;
         let health = backend.class_health(now, request.class);
         self.capacity += capacity;
         self.in_flight += backend.in_flight;
@@ -226,13 +226,13 @@
     rate_per_capacity: f64,
 ) -> bool {
     let rules = &context.settings.rules;
-    let warm_fraction = backend.warm_fraction(context.now, rules);
-    if warm_fraction >= 1.0 {
+    let ready_fraction = backend.ready_fraction(context.now, rules);
+    if ready_fraction >= 1.0 {
         return true;
     }
-    let capacity_rate = warm_fraction * backend.rating() * rate_per_capacity;
+    let capacity_rate = ready_fraction * backend.rating() * rate_per_capacity;
     let instances = f64::from(context.settings.fleet_size);
-    backend.slow_start.refill(context.now, rules, capacity_rate, instances, context.budget_share)
+    backend.slow_start.refill(context.now, rules, capacity_rate, instances, context.process_fraction)
 }
 
 /// Factor on the weight of backends in other zones: those are for the overflow, and take over as the own zone
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -1,22 +1,23 @@
-//! What a balancer is configured with at its start: classes, tenants, rules, permissions and prices.
+//! The settings of a balancer: classes, tenants, rules, permissions, prices and the objective.
 //!
 //! All times are milliseconds unless a name says otherwise. A field that no decision reads says so; it is
 //! there because the platform sends it.
 
 use crate::types::Millis;
 
-/// Whether, and where, a request that may have run can be sent again.
+/// Whether, and where, a request that may have run can be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// Safe to repeat anywhere, at any time.
+    /// Safe to retry anywhere, at any time.
     Idempotent,
-    /// Carries a key: a [`DedupScope`] of backends drops repeats for [`Class::dedup_window_ms`].
+    /// Carries an idempotency key: a [`DedupScope`] of backends drops retries for
+    /// [`Class::dedup_window_ms`].
     IdempotencyKey,
     /// Must never run twice.
     NonIdempotent,
 }
 
-/// The backends that drop the repeats of one keyed request.
+/// The backends that drop retries of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All backends of the tier.
@@ -27,38 +28,38 @@
     Cell,
 }
 
-/// A class of requests. Classes are named by their place in [`Settings::classes`].
+/// A class of requests. Classes are identified by their place in [`Settings::classes`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Its name, for people; no decision reads it.
     pub name: String,
-    /// An answer within this time earns the full worth.
+    /// An answer within this time earns the full priority weight.
     pub latency_objective_ms: Millis,
-    /// How much the aim grows for each millisecond of the request's work; 0 where it does not. No decision
-    /// reads it.
+    /// How much the objective grows for each millisecond of the request's work; 0 where it does not. No
+    /// decision reads it.
     pub objective_per_work_ms: f64,
-    /// How long a client waits in all, over its tries. No decision reads it.
+    /// How long a client waits in all, over its attempts. No decision reads it.
     pub deadline_ms: Millis,
-    /// Worth of one request.
+    /// The weight of one request in the objective.
     pub priority_weight: f64,
-    /// Part of the worth that an answer after the aim still earns.
+    /// Part of the weight that an answer after the latency objective still earns.
     pub late_weight_fraction: f64,
-    /// May it run again?
+    /// Whether a request may run again.
     pub retry_safety: RetrySafety,
-    /// For keyed classes: who drops repeats.
+    /// With idempotency keys: which backends drop retries.
     pub dedup_scope: DedupScope,
-    /// For keyed classes: for how long, from the send of the first attempt that may have run.
+    /// With idempotency keys: for how long, from the send of the first attempt that may have run.
     pub dedup_window_ms: Millis,
-    /// Its answers are streams: [`Event::FirstByte`](crate::Event::FirstByte) comes. No decision reads it.
+    /// Its responses are streams: [`Event::FirstByte`](crate::Event::FirstByte) comes. No decision reads it.
     pub streaming: bool,
 }
 
-/// A tenant, named by its place in [`Settings::tenants`].
+/// A tenant, identified by its place in [`Settings::tenants`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Its name, for people; no decision reads it.
     pub name: String,
-    /// Requests a second, over all copies together, that are within its share.
+    /// Requests a second, over all instances together, that are within its quota.
     pub quota_per_s: f64,
     /// Its part of the service. No decision reads it.
     pub fraction: f64,
@@ -79,7 +80,7 @@
     PerSecond,
     /// Errors a second.
     ErrorsPerSecond,
-    /// A value this version does not know; it is passed over.
+    /// A value that this version does not know; it is ignored.
     Unknown,
 }
 
@@ -107,22 +108,22 @@
     Live,
 }
 
-/// The figures of the rules.
+/// Limits and times that the platform prescribes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     /// A final answer may come this long after the client's deadline. No decision reads it.
     pub response_grace_ms: Millis,
     /// Sends to a draining or gone backend must stop within this time. No decision reads it.
     pub drain_grace_ms: Millis,
-    /// Without a subscription, a copy that has not asked for this long counts as told.
+    /// Without a subscription, an instance counts as notified of a change after this time.
     pub poll_interval_ms: Millis,
-    /// A backend starts with this part of its capacity or more.
+    /// A backend starts with at least this part of its capacity.
     pub warmup_start_fraction: f64,
-    /// And is warm after this time at the latest.
+    /// The longest slow start of a backend, from its start to its full capacity.
     pub warmup_ms: Millis,
-    /// A cold backend that gets more than this multiple of its present capacity ...
+    /// A backend in slow start that gets more than this multiple of its present capacity ...
     pub overload_multiple: f64,
-    /// ... for this long falls over.
+    /// ... for this long fails.
     pub overload_window_ms: Millis,
 }
 
@@ -135,53 +136,54 @@
     pub probe: bool,
     /// Two attempts of one request may be out at once. No decision reads it.
     pub parallel: bool,
-    /// Clients are told [`Action::Reject::retry_after_ms`](crate::Action::Reject::retry_after_ms).
+    /// Clients get [`Action::Reject::retry_after_ms`](crate::Action::Reject::retry_after_ms).
     pub retry_after: bool,
-    /// The longest such wait that a client follows.
+    /// The longest such wait that a client observes.
     pub max_retry_after_ms: Millis,
     /// The most attempts for one request.
     pub max_attempts: u32,
-    /// The most requests a copy holds at once. No decision reads it: more never reach the copy.
+    /// The most requests open at an instance. No decision reads it: more never reach the instance.
     pub max_open: u32,
-    /// [`Action::Message`](crate::Action::Message) may be used. No decision reads it: copies share nothing.
+    /// [`Action::Message`](crate::Action::Message) may be used. No decision reads it: instances share
+    /// nothing.
     pub peer_messages: bool,
     /// Connections close after this long without use. No decision reads it.
     pub idle_close_ms: Millis,
     /// An attempt without a connection by then ends as
     /// [`Outcome::ConnectFailed`](crate::Outcome::ConnectFailed). No decision reads it.
     pub connect_timeout_ms: Millis,
-    /// Attempts that one connection carries at once. No decision reads it.
+    /// Concurrent attempts on one connection. No decision reads it.
     pub streams_per_connection: u32,
-    /// CPU a copy may use, in microseconds a second. No decision reads it.
+    /// CPU that an instance may use, in microseconds a second. No decision reads it.
     pub cpu_us_per_s: f64,
     /// CPU for a request with its outcomes, in microseconds; 0 for no limit. No decision reads it.
     pub cpu_us_per_request: f64,
 }
 
-/// Points taken off the result, each times its share or rate. Decisions read `cross_zone` alone.
+/// What is deducted from the result, each for its part or rate. Decisions read `cross_zone` alone.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// For attempts that go to another zone, as a part of first tries.
+    /// For attempts that go to another zone, as a part of first attempts.
     pub cross_zone: f64,
-    /// For backend work that served no answer, as a part of the work offered.
+    /// For backend work without a served answer, as a part of the work offered.
     pub waste: f64,
-    /// For worth left unserved after its aim.
+    /// For weight that is not served by its latency objective.
     pub late_fail: f64,
-    /// For probes, each first try.
+    /// For health checks, per first attempt.
     pub probe: f64,
     /// For connections open on average, over 100 times the backends.
     pub connection: f64,
-    /// For new connections, each first try.
+    /// For new connections, per first attempt.
     pub handshake: f64,
-    /// For list lines, over 100 for each first try.
+    /// For lines of the endpoint list, per 100 first attempts.
     pub list_lines: f64,
     /// For backends running or ordered, as a part of those at the start.
     pub fleet: f64,
-    /// For moves, each first try.
+    /// For moves of data, per first attempt.
     pub moves: f64,
-    /// For fetches from the origin, each first try.
+    /// For fetches from the origin, per first attempt.
     pub origin: f64,
-    /// For bytes to other copies, over 256 for each first try.
+    /// For messages of 256 bytes to other instances, per first attempt.
     pub peer: f64,
 }
 
@@ -194,7 +196,7 @@
     pub worst_window: f64,
     /// The worst-served class.
     pub worst_class: f64,
-    /// The worst-served tenant, within its share. No decision reads it.
+    /// The worst-served tenant, within its quota. No decision reads it.
     pub worst_tenant: f64,
     /// The nines served, over spans of five seconds. No decision reads it.
     pub nines: f64,
@@ -202,16 +204,16 @@
     pub full_at_nines: f64,
 }
 
-/// Everything a balancer is told at its start.
+/// The settings that a balancer starts with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The number of this copy, from 0.
+    /// The number of this instance, from 0.
     pub rank: u32,
-    /// How many copies send to this tier; may be out of date later on.
+    /// How many instances send to this tier; may be out of date later on.
     pub fleet_size: u32,
-    /// The zone of this copy.
+    /// The zone of this instance.
     pub zone: u16,
-    /// The tier this copy sends to, from 0 at the top.
+    /// The tier that this instance sends to, from 0 at the top.
     pub stage: u32,
     /// The tiers' names, from the top, for people; no decision reads them.
     pub stages: Vec<String>,
@@ -221,17 +223,17 @@
     pub machine_kinds: Vec<String>,
     /// The kind of service, for people; no decision reads it.
     pub service: String,
-    /// Whether a call between tiers carries the time its caller has left.
+    /// Whether a request between tiers carries the time that its client has left.
     pub passes_deadline: bool,
     /// Whether a backend that served a key lately needs less work for it. No decision reads it.
     pub caches_keys: bool,
-    /// Whether clients mark what they send again. No decision reads it.
+    /// Whether clients mark their retries. No decision reads it.
     pub marks_retry: bool,
     /// Whether list changes come only after [`Action::Subscribe`](crate::Action::Subscribe).
     pub must_subscribe: bool,
-    /// Worth goes by work, as told by the hint, and not by request. No decision reads it.
+    /// Weight is by expected work instead of by request. No decision reads it.
     pub weight_by_work: bool,
-    /// Worth of a request over its tenant's share, as a part of its class's. No decision reads it.
+    /// Weight of a request over its tenant's quota, as a part of its class's. No decision reads it.
     pub over_quota_weight: f64,
     /// The shortest time between two batches of events.
     pub tick_ms: Millis,
@@ -245,12 +247,12 @@
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The figures of the rules.
+    /// Limits and times that the platform prescribes.
     pub rules: Rules,
-    /// What is permitted.
+    /// What the deployment permits.
     pub permissions: Permissions,
-    /// What things cost.
+    /// What is deducted from the result.
     pub prices: Prices,
-    /// What counts.
+    /// How the parts of the result are weighted.
     pub objective: Objective,
 }
--- a/crates/decision/src/types.rs
+++ b/crates/decision/src/types.rs
@@ -3,7 +3,7 @@
 /// A time or a span of time, in milliseconds.
 pub type Millis = f64;
 
-/// Identifies a request for as long as the proxy holds it; never reused within one life of a balancer.
+/// Identifies a request while it is open; never reused within the lifetime of a balancer.
 pub type RequestId = u64;
 
 /// Identifies a backend; survives a restart of its process.
@@ -22,26 +22,26 @@
 /// The state discovery gives for a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendState {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It finishes what it has; send nothing new.
+    /// It finishes the requests that it has and gets no new ones.
     Draining,
     /// It is removed.
     Gone,
 }
 
-/// One line of the backend list.
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendInfo {
-    /// Which backend.
+    /// The backend's id.
     pub id: BackendId,
     /// Its zone.
     pub zone: u16,
     /// Its kind of machine. No decision reads it.
     pub kind: u8,
-    /// Its cell: a group that shares the keys it has seen.
+    /// Its cell: a group of backends that share the idempotency keys that they have seen.
     pub cell: u16,
-    /// May it be sent to?
+    /// Whether it accepts requests.
     pub state: BackendState,
     /// Relative size, as [`Settings::weights`](crate::Settings::weights) says.
     pub rating: f64,
@@ -49,16 +49,16 @@
     pub started_at: Option<Millis>,
 }
 
-/// What a [`Event::EndpointsChanged`](crate::Event::EndpointsChanged) carries.
+/// What an [`Event::EndpointsChanged`](crate::Event::EndpointsChanged) carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the changed entries.
     Delta,
-    /// The whole list: what is not in it is gone.
+    /// The complete list: what is not in it is gone.
     Full,
-    /// The whole list as this copy had it last; may be old.
+    /// The complete list as this instance last had it; may be old.
     Cached,
-    /// A call to discovery failed or the subscription broke; no entries.
+    /// A request to discovery failed or the subscription broke; no entries.
     Failed,
 }
 
@@ -69,7 +69,7 @@
     Ok,
     /// The backend answered with an error; it may have run.
     Error,
-    /// Turned away unseen.
+    /// The backend rejected it; it never ran.
     Rejected,
     /// No answer in time; it may have run, or may yet.
     Timeout,
@@ -77,7 +77,7 @@
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Called off; it may have run.
+    /// The proxy cancelled it; it may have run.
     Cancelled,
     /// Not sent at all.
     NotSent,
@@ -109,29 +109,29 @@
     }
 }
 
-/// Why a request ends without having been served: the gate that shut, or what else stood in the way.
+/// Why a request was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnservedReason {
-    /// The tier holds as many calls as its learned count.
+    /// The tier's learned concurrency limit is reached.
     TierLimit,
-    /// The class does.
+    /// The learned concurrency limit of its class is reached.
     ClassLimit,
-    /// It goes beyond its tenant's share, and there is no room to borrow.
+    /// It goes beyond its tenant's quota, and there is no burst capacity.
     TenantQuota,
-    /// No backend may be sent to.
+    /// There is no backend that may get it.
     NoBackend,
-    /// No time is left, or no attempt.
+    /// No time or no attempt is left.
     NoTimeLeft,
-    /// An attempt failed that may have run, and its class permits no repeat now, or its client gave it up.
+    /// An attempt failed that may have run, and its class permits no retry now, or it was cancelled.
     NotRetryable,
-    /// An attempt failed, and the repeats that were earned are used up.
+    /// An attempt failed, and the retry budget is used up.
     RetryBudget,
     /// The settings have no such class.
     UnknownClass,
 }
 
 impl UnservedReason {
-    /// All of them, in the order of their places.
+    /// All reasons, in the order of their declaration.
     pub const ALL: [UnservedReason; 8] = [
         UnservedReason::TierLimit,
         UnservedReason::ClassLimit,
@@ -143,7 +143,7 @@
         UnservedReason::UnknownClass,
     ];
 
-    /// The word for it in figures and records.
+    /// The word for it in metrics and access log records, which other programs read.
     pub fn name(self) -> &'static str {
         match self {
             UnservedReason::TierLimit => "tier",
@@ -157,7 +157,7 @@
         }
     }
 
-    /// The same for people.
+    /// The reason in the operators' log.
     pub fn text(self) -> &'static str {
         match self {
             UnservedReason::TierLimit => "over a learned count",
