--- a/crates/maintenance/src/calendar.rs
+++ b/crates/maintenance/src/calendar.rs
@@ -1,5 +1,5 @@
-//! When windows occur. A start is a reading of the clock on the wall of a time zone, and stays that reading over changes
-//! to and from summer time.
+//! When windows occur. A start is a local time in a time zone, and stays that local time over changes to and from
+//! daylight saving time.
 
 use crate::windows::{OverrunPolicy, WindowPlan};
 use crate::Millis;
@@ -7,102 +7,116 @@
 use jiff::tz::{AmbiguousOffset, TimeZone};
 use jiff::Span;
 
-/// How far ahead contradictions are looked for.
-const LOOK_AHEAD: Millis = 400 * 86_400_000;
-/// Most occurrences of one rule.
-const OCCURRENCES_MOST: i64 = 100_000;
+/// How far ahead conflicts are looked for: 400 days.
+const CONFLICT_HORIZON_MS: Millis = 400 * 86_400_000;
+/// Maximum number of occurrences of one recurrence.
+const MAX_OCCURRENCES: i64 = 100_000;
 
-/// A window, or a row of them, as the operator file has it.
+/// A window, or a series of them, as the operator file states it.
 #[derive(Clone, Debug)]
 pub struct Recurrence {
     /// The site.
     pub site: String,
-    /// The first start, as the clock on the wall shows it there.
+    /// The first start, in local time.
     pub starts: DateTime,
-    /// Where that clock hangs.
+    /// The time zone of the local time.
     pub time_zone: TimeZone,
-    /// From one start to the next; once if absent.
+    /// The time from one start to the next; `None` for a single window.
     pub interval: Option<Span>,
-    /// See [`WindowPlan`].
+    /// See [`WindowPlan::duration`].
     pub duration: Millis,
-    /// See [`WindowPlan`].
+    /// See [`WindowPlan::lead_time`].
     pub lead_time: Millis,
-    /// See [`WindowPlan`].
+    /// See [`WindowPlan::max_delay`].
     pub max_delay: Millis,
-    /// See [`WindowPlan`].
+    /// See [`WindowPlan::reserve_percent`].
     pub reserve_percent: u8,
-    /// See [`WindowPlan`].
+    /// See [`WindowPlan::overrun_policy`].
     pub overrun_policy: OverrunPolicy,
 }
 
-/// How the clock on the wall showed a start.
+/// How often a local time exists on its day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalTimeKind {
     /// Once.
     Unique,
-    /// Never, as the clock was put forward over it: the window starts as much later.
+    /// Never, as the clock is put forward over it: the window starts later by as much.
     Skipped,
-    /// Twice, as the clock was put back: the window starts the first time.
+    /// Twice, as the clock is put back: the window starts the first time.
     Repeated,
 }
 
-/// A start.
+/// The start of one window of a recurrence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Occurrence {
-    /// In Unix time.
+    /// The start, in Unix time.
     pub starts_at: Millis,
-    /// See there.
+    /// How often the start's local time exists.
     pub local_time: LocalTimeKind,
 }
 
-/// What is wrong with some rules together, or with one of them.
+/// Why a recurrence is invalid, alone or together with others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScheduleConflict {
-    /// Which rule.
+    /// The index of the recurrence.
     pub recurrence: usize,
-    /// The key that says so.
+    /// The key of the operator file that causes it.
     pub key: &'static str,
-    /// Why.
+    /// The reason, for people.
     pub reason: String,
 }
 
+/// The time that a window may take, from the start of its shift to its latest planned end.
+#[derive(Clone, Copy, Debug)]
+struct OccupiedTime {
+    from: Millis,
+    until: Millis,
+}
+
+impl OccupiedTime {
+    fn overlaps(&self, other: &OccupiedTime) -> bool {
+        self.from < other.until && other.from < self.until
+    }
+}
+
 impl Recurrence {
-    fn nth(&self, n: i64) -> Option<Occurrence> {
-        let start = match &self.interval {
-            None if n > 0 => return None,
+    /// The occurrence with this index, counted from 0.
+    fn nth(&self, index: i64) -> Option<Occurrence> {
+        let local_start = match &self.interval {
+            None if index > 0 => return None,
             None => self.starts,
-            Some(every) => self.starts.checked_add(every.checked_mul(n).ok()?).ok()?,
+            Some(interval) => self.starts.checked_add(interval.checked_mul(index).ok()?).ok()?,
         };
-        let there = self.time_zone.to_ambiguous_zoned_datetime(start);
-        let shown = match there.offset() {
+        let zoned = self.time_zone.to_ambiguous_zoned_datetime(local_start);
+        let local_time = match zoned.offset() {
             AmbiguousOffset::Unambiguous { .. } => LocalTimeKind::Unique,
             AmbiguousOffset::Gap { .. } => LocalTimeKind::Skipped,
             AmbiguousOffset::Fold { .. } => LocalTimeKind::Repeated,
         };
-        let begin = there.compatible().ok()?.timestamp().as_millisecond();
-        Some(Occurrence { starts_at: u64::try_from(begin).ok()?, local_time: shown })
+        let starts_at = zoned.compatible().ok()?.timestamp().as_millisecond();
+        Some(Occurrence { starts_at: u64::try_from(starts_at).ok()?, local_time })
     }
 
-    /// The first start at `from` or after it.
+    /// The first start at or after `from`, in Unix time; `None` if there is none.
     pub fn next(&self, from: Millis) -> Option<Occurrence> {
-        // Starts rise with their number, so the first that is late enough is found by halving.
-        let is_early = |n: i64| self.nth(n).is_some_and(|o| o.starts_at < from);
-        let (mut low, mut high) = (0, OCCURRENCES_MOST);
+        // Starts increase with their index: a binary search finds the first one that is late enough.
+        let is_earlier = |index: i64| self.nth(index).is_some_and(|occurrence| occurrence.starts_at < from);
+        let (mut low, mut high) = (0, MAX_OCCURRENCES);
         while low < high {
             let middle = low + (high - low) / 2;
-            match is_early(middle) {
+            match is_earlier(middle) {
                 true => low = middle + 1,
                 false => high = middle,
             }
         }
-        self.nth(low).filter(|o| o.starts_at >= from)
+        self.nth(low).filter(|occurrence| occurrence.starts_at >= from)
     }
 
-    /// The plan of a start.
-    pub fn plan(&self, at: Occurrence) -> WindowPlan {
+    /// The plan of the window that starts with this occurrence.
+    pub fn plan(&self, occurrence: Occurrence) -> WindowPlan {
         WindowPlan {
             site: self.site.clone(),
-            starts_at: at.starts_at,
+            starts_at: occurrence.starts_at,
             duration: self.duration,
             lead_time: self.lead_time,
             max_delay: self.max_delay,
@@ -111,50 +125,69 @@
         }
     }
 
-    /// The longest stretch that a window takes, from the first step to the latest end as it is planned.
-    fn stretch(&self, begin: Millis) -> (Millis, Millis) {
-        (begin.saturating_sub(self.lead_time), begin + self.max_delay + self.duration)
+    fn occupied_time(&self, starts_at: Millis) -> OccupiedTime {
+        OccupiedTime {
+            from: starts_at.saturating_sub(self.lead_time),
+            until: starts_at + self.max_delay + self.duration,
+        }
     }
 
-    fn ahead(&self, now: Millis) -> Vec<(Millis, Millis)> {
+    /// The times that its windows take until the horizon.
+    fn occupied_times(&self, now: Millis) -> Vec<OccupiedTime> {
         let mut from = now;
-        let mut all = Vec::new();
-        while let Some(next) = self.next(from).filter(|o| o.starts_at < now + LOOK_AHEAD) {
-            all.push(self.stretch(next.starts_at));
+        let mut times = Vec::new();
+        while let Some(next) = self.next(from).filter(|next| next.starts_at < now + CONFLICT_HORIZON_MS) {
+            times.push(self.occupied_time(next.starts_at));
             from = next.starts_at + 1;
         }
-        all
+        times
+    }
+
+    fn has_positive_interval(&self) -> bool {
+        self.interval.as_ref().is_none_or(|interval| interval.is_positive())
     }
 }
 
-/// All that is wrong with these rules, seen from `now`. `sites` are those that the fleet has; none are known if empty.
-pub fn find_conflicts(rules: &[Recurrence], sites: &[String], now: Millis) -> Vec<ScheduleConflict> {
-    let mut wrong = Vec::new();
-    let mut say = |rule: usize, key: &'static str, why: String| {
-        wrong.push(ScheduleConflict { recurrence: rule, key, reason: why })
-    };
-    let ahead: Vec<Vec<(Millis, Millis)>> = rules.iter().map(|rule| rule.ahead(now)).collect();
-    for (i, rule) in rules.iter().enumerate() {
-        if !sites.is_empty() && !sites.contains(&rule.site) {
-            say(i, "site", format!("{:?} is no site of the fleet: {}", rule.site, sites.join(", ")));
+/// All conflicts of these recurrences from `now` (Unix time) on. `sites` are the fleet's sites; if it is empty, sites are
+/// not checked.
+pub fn find_conflicts(recurrences: &[Recurrence], sites: &[String], now: Millis) -> Vec<ScheduleConflict> {
+    let occupied: Vec<Vec<OccupiedTime>> =
+        recurrences.iter().map(|recurrence| recurrence.occupied_times(now)).collect();
+    let mut conflicts = Vec::new();
+    for (index, recurrence) in recurrences.iter().enumerate() {
+        let mut add = |key, reason| conflicts.push(ScheduleConflict { recurrence: index, key, reason });
+        if let Some(reason) = unknown_site(recurrence, sites) {
+            add("site", reason);
         }
-        if rule.interval.as_ref().is_some_and(|every| !every.is_positive()) {
-            say(i, "every", "it must be longer than nothing".into());
-        } else if ahead[i].is_empty() {
-            let what =
-                if rule.interval.is_some() { "it never occurs in the next 400 days" } else { "it is past" };
-            say(i, "start", what.into());
+        if !recurrence.has_positive_interval() {
+            add("every", "it must be longer than nothing".into());
+        } else if occupied[index].is_empty() {
+            let is_series = recurrence.interval.is_some();
+            let reason = if is_series { "it never occurs in the next 400 days" } else { "it is past" };
+            add("start", reason.into());
         }
-        let meets_itself = ahead[i].windows(2).find(|pair| pair[1].0 < pair[0].1);
-        if meets_itself.is_some() {
-            say(i, "lead", "it is longer than the gap to the window before".into());
+        if overlaps_itself(&occupied[index]) {
+            add("lead", "it is longer than the gap to the window before".into());
         }
-        for (j, other) in rules.iter().enumerate().take(i).filter(|(_, o)| o.site != rule.site) {
-            let meets = |(from, to): &(Millis, Millis)| ahead[j].iter().any(|(a, b)| from < b && a < to);
-            if ahead[i].iter().any(meets) {
-                say(i, "start", format!("it overlaps window {} of {}", j + 1, other.site));
+        for (other_index, other) in recurrences.iter().enumerate().take(index) {
+            if other.site != recurrence.site && any_overlap(&occupied[index], &occupied[other_index]) {
+                add("start", format!("it overlaps window {} of {}", other_index + 1, other.site));
             }
         }
     }
-    wrong
+    conflicts
+}
+
+fn unknown_site(recurrence: &Recurrence, sites: &[String]) -> Option<String> {
+    let is_known = sites.is_empty() || sites.contains(&recurrence.site);
+    (!is_known).then(|| format!("{:?} is no site of the fleet: {}", recurrence.site, sites.join(", ")))
+}
+
+/// Whether a window of a series starts its shift before the one before it has ended.
+fn overlaps_itself(times: &[OccupiedTime]) -> bool {
+    times.windows(2).any(|pair| pair[1].from < pair[0].until)
+}
+
+fn any_overlap(times: &[OccupiedTime], others: &[OccupiedTime]) -> bool {
+    times.iter().any(|time| others.iter().any(|other| time.overlaps(other)))
 }
--- a/crates/maintenance/src/shift.rs
+++ b/crates/maintenance/src/shift.rs
@@ -1,54 +1,95 @@
-//! What the owner of a site's shift proposes next. Each step waits for what the last one did, and is no larger than the
-//! other sites can bear above their reserve.
+//! What the holder of a site's lease proposes next for its window.
+//!
+//! Each step waits for the effect of the last one, and is no larger than what the other sites can take above their
+//! reserve.
 
 use crate::windows::{OverrunPolicy, Stage, Window, WindowCommand, WindowPlan};
 use crate::{Millis, TrafficFraction, FULL_TRAFFIC};
 use hillstall_change_freeze::state::Number;
 use std::collections::BTreeMap;
 
-/// What the copies report of one site, added up, over the last seconds.
+const LATE_REASON: &str = "it could not begin in time";
+/// By how much the reported traffic fraction may exceed the commanded one.
+const FRACTION_TOLERANCE: f64 = 0.001;
+/// [`Window::baseline_rate`] counts requests per this many seconds.
+const BASELINE_RATE_SECONDS: f64 = 1_000.0;
+
+/// The load of one site, as the instances report it together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SiteLoad {
-    /// Calls sent there, a second, over the last second.
+    /// Requests per second sent there, over the last second.
     pub sent: f64,
-    /// The same over a few seconds: what a step is measured against must not be a moment's chance.
+    /// Requests per second sent there, over a few seconds: steps are measured against it and not against a short peak.
     pub baseline: f64,
-    /// Three in four copies give it no more than this part of its usual load.
+    /// Three in four instances send it no more than this fraction of its usual traffic; from 0 to 1.
     pub fraction: f64,
-    /// The part of those that ended which were served.
+    /// The fraction of completed requests that were served; from 0 to 1.
     pub success_ratio: f64,
-    /// The part of its servers' capacity in use, where they tell.
+    /// The fraction of its backends' capacity in use, if they report it.
     pub utilization: Option<f64>,
 }
 
-/// What is known of all sites.
+impl SiteLoad {
+    /// How many more requests per second the site can take above its reserve; `None` if its utilization is unknown.
+    fn headroom(&self, reserve_percent: u8) -> Option<f64> {
+        let utilization = self.utilization.filter(|utilization| *utilization > 0.0)?;
+        let max_utilization = 1.0 - f64::from(reserve_percent) / 100.0;
+        Some((self.sent * (max_utilization / utilization - 1.0)).max(0.0))
+    }
+
+    fn serves_well(&self, pacing: &ShiftPacing) -> bool {
+        self.sent <= 0.0 || self.success_ratio >= pacing.min_success_ratio
+    }
+}
+
+/// The load of the fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetLoad {
-    /// By site.
+    /// The load of each site.
     pub sites: BTreeMap<String, SiteLoad>,
-    /// The part of the fleet's copies whose reports are young enough.
+    /// The fraction of the fleet's instances whose reports are recent; from 0 to 1.
     pub reporting_ratio: f64,
-    /// An incident is active that a rule or a person has opened about another site.
+    /// Why no site may be shifted, such as an incident at another site; `None` if nothing speaks against it.
     pub blocker: Option<String>,
 }
 
-/// How a shift goes.
+impl FleetLoad {
+    fn sent_to(&self, site: &str) -> f64 {
+        self.sites.get(site).map_or(0.0, |load| load.sent)
+    }
+
+    fn other_sites<'a>(&'a self, site: &'a str) -> impl Iterator<Item = (&'a String, &'a SiteLoad)> {
+        self.sites.iter().filter(move |(other, _)| *other != site)
+    }
+
+    /// How many more requests per second the other sites can take; `None` if that is unknown for one of them.
+    fn other_headroom(&self, plan: &WindowPlan) -> Option<f64> {
+        self.other_sites(&plan.site).map(|(_, load)| load.headroom(plan.reserve_percent)).sum()
+    }
+
+    fn has_enough_reports(&self, pacing: &ShiftPacing) -> bool {
+        self.reporting_ratio >= pacing.min_reporting_ratio
+    }
+}
+
+/// The pace of a shift.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShiftPacing {
-    /// The most that one step takes, in thousandths.
+    /// The largest step, in thousandths of the usual traffic.
     pub max_step: TrafficFraction,
-    /// The least time between two steps, for their effect to be seen.
+    /// The minimum time between two steps, for their effect to be observed; in milliseconds.
     pub step_interval: Millis,
-    /// The part of the usual load under which a site counts as empty.
+    /// A site counts as empty at or below this fraction of its usual traffic.
     pub empty_ratio: f64,
-    /// The part of the copies that must have been heard of.
+    /// The fraction of the instances whose reports must be recent.
     pub min_reporting_ratio: f64,
-    /// The part that must be served at the sites that receive.
+    /// The fraction of requests that the other sites must serve.
     pub min_success_ratio: f64,
 }
 
 impl Default for ShiftPacing {
-    /// Eight steps, a second each; half a percent left; three in four copies heard; nine in ten calls served.
+    /// Eight steps of one second each; half a percent of the traffic left; reports of three in four instances; nine in ten
+    /// requests served.
     fn default() -> ShiftPacing {
         ShiftPacing {
             max_step: 125,
@@ -60,171 +101,276 @@
     }
 }
 
-/// What the owner remembers between two looks; a new owner begins with nothing.
-#[derive(Clone, Debug, Default)]
-pub struct ShiftController {
-    /// The window and the part that were seen last, and since when.
-    seen: Option<(Number, Stage, TrafficFraction, Millis)>,
+/// Why a window is not admitted now. The text may become the reason of a postponed window, which is replicated.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum AdmissionBlocker {
+    /// The reports of too many instances are missing.
+    #[error("only {:.0}% of the copies are heard of", 100.0 * reporting_ratio)]
+    MissingReports {
+        /// See [`FleetLoad::reporting_ratio`].
+        reporting_ratio: f64,
+    },
+    /// See [`FleetLoad::blocker`].
+    #[error("{0}")]
+    Fleet(String),
+    /// No instance reports the site's load.
+    #[error("no copy reports anything of {site}")]
+    UnknownLoad {
+        /// The site of the window.
+        site: String,
+    },
+    /// No site could take over the traffic.
+    #[error("there is no other site")]
+    NoOtherSite,
+    /// Another site does not serve its own traffic well enough.
+    #[error("{site} serves only {:.0}% of its calls", 100.0 * success_ratio)]
+    OtherSiteFailing {
+        /// The other site.
+        site: String,
+        /// See [`SiteLoad::success_ratio`].
+        success_ratio: f64,
+    },
+    /// The other sites can't take over the traffic.
+    #[error("the others can take {headroom:.0} calls a second above their reserve, {site} has {rate:.0}")]
+    InsufficientHeadroom {
+        /// What the other sites can take above their reserve, in requests per second.
+        headroom: f64,
+        /// The site of the window.
+        site: String,
+        /// The site's traffic, in requests per second.
+        rate: f64,
+    },
 }
 
-/// Why a window is not admitted now.
-pub fn admission_blocker(plan: &WindowPlan, figures: &FleetLoad, pace: &ShiftPacing) -> Option<String> {
-    if figures.reporting_ratio < pace.min_reporting_ratio {
-        return Some(format!("only {:.0}% of the copies are heard of", 100.0 * figures.reporting_ratio));
+/// Why a window is not admitted now; `None` if it can be.
+pub fn admission_blocker(
+    plan: &WindowPlan,
+    load: &FleetLoad,
+    pacing: &ShiftPacing,
+) -> Option<AdmissionBlocker> {
+    let reporting_ratio = load.reporting_ratio;
+    if reporting_ratio < pacing.min_reporting_ratio {
+        return Some(AdmissionBlocker::MissingReports { reporting_ratio });
     }
-    if let Some(trouble) = &figures.blocker {
-        return Some(trouble.clone());
+    if let Some(reason) = &load.blocker {
+        return Some(AdmissionBlocker::Fleet(reason.clone()));
     }
-    let Some(own) = figures.sites.get(&plan.site) else {
-        return Some(format!("no copy reports anything of {}", plan.site));
+    let Some(own) = load.sites.get(&plan.site) else {
+        return Some(AdmissionBlocker::UnknownLoad { site: plan.site.clone() });
     };
-    let others: Vec<(&String, &SiteLoad)> =
-        figures.sites.iter().filter(|(site, _)| **site != plan.site).collect();
-    if others.is_empty() {
-        return Some("there is no other site".into());
-    }
-    if let Some((site, load)) =
-        others.iter().find(|(_, l)| l.sent > 0.0 && l.success_ratio < pace.min_success_ratio)
-    {
-        return Some(format!("{site} serves only {:.0}% of its calls", 100.0 * load.success_ratio));
-    }
-    // Where servers tell how busy they are, what they bear is known; else each step is judged by the last.
-    let bear = others.iter().map(|(_, l)| headroom(l, plan.reserve_percent)).sum::<Option<f64>>()?;
-    let usual = own.baseline.max(own.sent);
-    (usual > bear).then(|| {
-        format!(
-            "the others can take {bear:.0} calls a second above their reserve, {} has {:.0}",
-            plan.site, usual
-        )
-    })
+    if load.other_sites(&plan.site).next().is_none() {
+        return Some(AdmissionBlocker::NoOtherSite);
+    }
+    if let Some((site, other)) = load.other_sites(&plan.site).find(|(_, other)| !other.serves_well(pacing)) {
+        let success_ratio = other.success_ratio;
+        return Some(AdmissionBlocker::OtherSiteFailing { site: site.clone(), success_ratio });
+    }
+    // Without utilization the headroom is unknown; each step is then judged by the effect of the last one.
+    let headroom = load.other_headroom(plan)?;
+    let rate = own.baseline.max(own.sent);
+    let site = plan.site.clone();
+    (rate > headroom).then_some(AdmissionBlocker::InsufficientHeadroom { headroom, site, rate })
+}
+
+/// What was last observed of a window, and since when.
+#[derive(Clone, Copy, Debug)]
+struct ObservedStep {
+    window: Number,
+    stage: Stage,
+    fraction: TrafficFraction,
+    since: Millis,
 }
 
-/// How many more calls a second a site can take above its reserve.
-fn headroom(load: &SiteLoad, reserve: u8) -> Option<f64> {
-    let busy = load.utilization.filter(|busy| *busy > 0.0)?;
-    let most = 1.0 - f64::from(reserve) / 100.0;
-    Some((load.sent * (most / busy - 1.0)).max(0.0))
+/// What a lease holder remembers between two calls. A new holder starts without it.
+#[derive(Clone, Debug, Default)]
+pub struct ShiftController {
+    last_step: Option<ObservedStep>,
 }
 
 impl ShiftController {
-    /// What to propose now for a window, if anything. `now` is Unix time; `clock` is monotonic.
+    /// The command to propose now for a window, if any. The first pair is the time as `(Unix time, monotonic clock)`.
     pub fn next_command(
         &mut self,
-        (now, clock): (Millis, Millis),
+        (unix_now, monotonic_now): (Millis, Millis),
         (number, window): (Number, &Window),
-        figures: &FleetLoad,
-        pace: &ShiftPacing,
+        load: &FleetLoad,
+        pacing: &ShiftPacing,
     ) -> Option<WindowCommand> {
-        let plan = &window.plan;
-        let here = (number, window.stage, window.fraction);
-        let since = match self.seen {
-            Some((n, stage, part, since)) if (n, stage, part) == here => since,
-            _ => {
-                self.seen = Some((number, window.stage, window.fraction, clock));
-                clock
-            }
+        let unchanged_for = monotonic_now.saturating_sub(self.unchanged_since(monotonic_now, number, window));
+        let has_waited = unchanged_for >= pacing.step_interval;
+        Decision { now: unix_now, number, window, load, pacing, has_waited }.next_command()
+    }
+
+    /// Since when the window has its stage and its fraction.
+    fn unchanged_since(&mut self, now: Millis, number: Number, window: &Window) -> Millis {
+        let is_same = |step: &ObservedStep| {
+            (step.window, step.stage, step.fraction) == (number, window.stage, window.fraction)
         };
-        let waited = clock.saturating_sub(since) >= pace.step_interval;
-        let late = now > plan.starts_at.saturating_add(plan.max_delay);
-        match window.stage {
-            Stage::Planned if now + plan.lead_time < plan.starts_at => None,
-            Stage::Planned if late => Some(postpone(number, "it could not begin in time")),
-            Stage::Planned => match admission_blocker(plan, figures, pace) {
-                None => {
-                    let usual = figures.sites.get(&plan.site).map_or(0.0, |l| l.baseline * 1_000.0) as u64;
-                    Some(WindowCommand::Admit { window: number, baseline_rate: usual })
-                }
-                Some(why) if now >= plan.starts_at => Some(postpone(number, &why)),
-                Some(_) => None,
-            },
-            Stage::Admitted | Stage::Shifting | Stage::Empty if figures.blocker.is_some() || late => {
-                let why = figures.blocker.clone().unwrap_or_else(|| "it could not begin in time".into());
-                match window.stage {
-                    Stage::Admitted => Some(postpone(number, &why)),
-                    _ => Some(WindowCommand::RestoreTraffic {
-                        window: number,
-                        fraction: window.fraction,
-                        reason: Some(why),
-                    }),
-                }
-            }
-            Stage::Admitted | Stage::Shifting if window.fraction > 0 => {
-                let took = window.stage == Stage::Admitted || (waited && self.took(window, figures, pace));
-                took.then(|| self.step(number, window, figures, pace)).flatten()
-            }
-            Stage::Shifting => {
-                let usual = window.baseline_rate as f64 / 1_000.0;
-                let left = figures.sites.get(&plan.site).map_or(0.0, |load| load.sent);
-                let empty =
-                    figures.reporting_ratio >= pace.min_reporting_ratio && left <= usual * pace.empty_ratio;
-                (waited && empty).then_some(WindowCommand::MarkEmpty { window: number })
-            }
-            Stage::Empty => (now >= plan.starts_at).then_some(WindowCommand::Begin { window: number }),
-            Stage::Running => {
-                if let Some(why) = &figures.blocker {
-                    return Some(WindowCommand::RestoreTraffic {
-                        window: number,
-                        fraction: 0,
-                        reason: Some(why.clone()),
-                    });
-                }
-                let over = now >= plan.starts_at.saturating_add(plan.duration);
-                match plan.overrun_policy {
-                    OverrunPolicy::Return => over.then_some(WindowCommand::RestoreTraffic {
-                        window: number,
-                        fraction: window.fraction,
-                        reason: None,
-                    }),
-                    OverrunPolicy::Hold => {
-                        (over && !window.overrun).then_some(WindowCommand::MarkOverrun { window: number })
-                    }
-                }
-            }
-            Stage::Returning if window.fraction == FULL_TRAFFIC => {
-                waited.then_some(WindowCommand::Finish { window: number })
-            }
-            Stage::Returning => waited.then(|| {
-                let part = window.fraction.saturating_add(pace.max_step).min(FULL_TRAFFIC);
-                WindowCommand::RestoreTraffic { window: number, fraction: part, reason: None }
-            }),
-            Stage::Admitted | Stage::Done | Stage::Postponed | Stage::Cancelled => None,
+        if let Some(step) = self.last_step.filter(is_same) {
+            return step.since;
         }
+        let (stage, fraction) = (window.stage, window.fraction);
+        self.last_step = Some(ObservedStep { window: number, stage, fraction, since: now });
+        now
     }
+}
 
-    /// Whether the last step is carried out by the copies, and the others bear it. What the site is still sent says little
-    /// while it is being emptied: it moves with every front that is lost or comes back. It has to be next to nothing at the end.
-    fn took(&self, window: &Window, figures: &FleetLoad, pace: &ShiftPacing) -> bool {
-        let part = f64::from(window.fraction) / f64::from(FULL_TRAFFIC);
-        let given = figures.sites.get(&window.plan.site).map_or(1.0, |load| load.fraction);
-        let bears = |load: &SiteLoad| load.sent == 0.0 || load.success_ratio >= pace.min_success_ratio;
-        let mut others = figures.sites.iter().filter(|(site, _)| **site != window.plan.site);
-        figures.reporting_ratio >= pace.min_reporting_ratio
-            && given <= part + 0.001
-            && others.all(|(_, load)| bears(load))
-    }
-
-    fn step(
-        &self,
-        number: Number,
-        window: &Window,
-        figures: &FleetLoad,
-        pace: &ShiftPacing,
-    ) -> Option<WindowCommand> {
-        let usual = window.baseline_rate as f64 / 1_000.0;
-        let others = figures.sites.iter().filter(|(site, _)| **site != window.plan.site);
-        let bear = others.map(|(_, load)| headroom(load, window.plan.reserve_percent)).sum::<Option<f64>>();
-        let most = match bear {
-            Some(bear) if usual > 0.0 => (bear / usual * f64::from(FULL_TRAFFIC)) as TrafficFraction,
-            _ => FULL_TRAFFIC,
-        };
-        let step = pace.max_step.min(most);
+/// The inputs of one decision about a window.
+struct Decision<'a> {
+    /// Unix time.
+    now: Millis,
+    number: Number,
+    window: &'a Window,
+    load: &'a FleetLoad,
+    pacing: &'a ShiftPacing,
+    /// The last step is at least [`ShiftPacing::step_interval`] ago.
+    has_waited: bool,
+}
+
+impl Decision<'_> {
+    fn next_command(&self) -> Option<WindowCommand> {
+        match self.window.stage {
+            Stage::Planned => self.when_planned(),
+            Stage::Admitted => self.abort().or_else(|| self.when_admitted()),
+            Stage::Shifting => self.abort().or_else(|| self.when_shifting()),
+            Stage::Empty => self.abort().or_else(|| self.when_empty()),
+            Stage::Running => self.when_running(),
+            Stage::Returning => self.when_returning(),
+            Stage::Done | Stage::Postponed | Stage::Cancelled => None,
+        }
+    }
+
+    fn when_planned(&self) -> Option<WindowCommand> {
+        let plan = &self.window.plan;
+        if self.now + plan.lead_time < plan.starts_at {
+            return None;
+        }
+        if self.is_late() {
+            return Some(self.postpone(LATE_REASON.to_owned()));
+        }
+        match admission_blocker(plan, self.load, self.pacing) {
+            None => Some(self.admit()),
+            Some(blocker) if self.now >= plan.starts_at => Some(self.postpone(blocker.to_string())),
+            Some(_) => None,
+        }
+    }
+
+    fn when_admitted(&self) -> Option<WindowCommand> {
+        if self.window.fraction == 0 {
+            return None;
+        }
+        self.reduce_traffic()
+    }
+
+    fn when_shifting(&self) -> Option<WindowCommand> {
+        if !self.has_waited {
+            None
+        } else if self.window.fraction > 0 {
+            self.last_step_took_effect().then(|| self.reduce_traffic()).flatten()
+        } else {
+            self.is_empty().then_some(WindowCommand::MarkEmpty { window: self.number })
+        }
+    }
+
+    fn when_empty(&self) -> Option<WindowCommand> {
+        let has_come = self.now >= self.window.plan.starts_at;
+        has_come.then_some(WindowCommand::Begin { window: self.number })
+    }
+
+    fn when_running(&self) -> Option<WindowCommand> {
+        if let Some(reason) = &self.load.blocker {
+            return Some(self.restore_traffic(0, Some(reason.clone())));
+        }
+        let plan = &self.window.plan;
+        if self.now < plan.starts_at.saturating_add(plan.duration) {
+            return None;
+        }
+        match plan.overrun_policy {
+            OverrunPolicy::Return => Some(self.restore_traffic(self.window.fraction, None)),
+            OverrunPolicy::Hold if self.window.overrun => None,
+            OverrunPolicy::Hold => Some(WindowCommand::MarkOverrun { window: self.number }),
+        }
+    }
+
+    fn when_returning(&self) -> Option<WindowCommand> {
+        if !self.has_waited {
+            return None;
+        }
+        if self.window.fraction == FULL_TRAFFIC {
+            return Some(WindowCommand::Finish { window: self.number });
+        }
+        let fraction = self.window.fraction.saturating_add(self.pacing.max_step).min(FULL_TRAFFIC);
+        Some(self.restore_traffic(fraction, None))
+    }
+
+    /// Ends a window that has not begun, if it is late or something has come up.
+    fn abort(&self) -> Option<WindowCommand> {
+        let late = || self.is_late().then(|| LATE_REASON.to_owned());
+        let reason = self.load.blocker.clone().or_else(late)?;
+        Some(match self.window.stage {
+            Stage::Admitted => self.postpone(reason),
+            _ => self.restore_traffic(self.window.fraction, Some(reason)),
+        })
+    }
+
+    fn is_late(&self) -> bool {
+        let plan = &self.window.plan;
+        self.now > plan.starts_at.saturating_add(plan.max_delay)
+    }
+
+    /// The site's usual traffic, in requests per second.
+    fn baseline_rate(&self) -> f64 {
+        self.window.baseline_rate as f64 / BASELINE_RATE_SECONDS
+    }
+
+    /// Whether next to nothing is sent to the site any more.
+    fn is_empty(&self) -> bool {
+        let max_rate = self.baseline_rate() * self.pacing.empty_ratio;
+        self.load.has_enough_reports(self.pacing) && self.load.sent_to(&self.window.plan.site) <= max_rate
+    }
+
+    /// Whether the instances carry out the last step and the other sites serve their traffic.
+    ///
+    /// The rate of requests to the site says little before the end: it changes with each instance that is lost or returns.
+    fn last_step_took_effect(&self) -> bool {
+        let site = &self.window.plan.site;
+        let commanded = f64::from(self.window.fraction) / f64::from(FULL_TRAFFIC);
+        let reported = self.load.sites.get(site).map_or(1.0, |load| load.fraction);
+        self.load.has_enough_reports(self.pacing)
+            && reported <= commanded + FRACTION_TOLERANCE
+            && self.load.other_sites(site).all(|(_, other)| other.serves_well(self.pacing))
+    }
+
+    /// The next step down; `None` if the other sites can't take more.
+    fn reduce_traffic(&self) -> Option<WindowCommand> {
+        let step = self.pacing.max_step.min(self.max_step_by_headroom());
         (step > 0).then(|| WindowCommand::ReduceTraffic {
-            window: number,
-            fraction: window.fraction.saturating_sub(step),
+            window: self.number,
+            fraction: self.window.fraction.saturating_sub(step),
         })
     }
-}
 
-fn postpone(window: Number, why: &str) -> WindowCommand {
-    WindowCommand::Postpone { window, reason: why.to_owned() }
+    fn max_step_by_headroom(&self) -> TrafficFraction {
+        let baseline_rate = self.baseline_rate();
+        match self.load.other_headroom(&self.window.plan) {
+            Some(headroom) if baseline_rate > 0.0 => {
+                (headroom / baseline_rate * f64::from(FULL_TRAFFIC)) as TrafficFraction
+            }
+            _ => FULL_TRAFFIC,
+        }
+    }
+
+    fn admit(&self) -> WindowCommand {
+        let own = self.load.sites.get(&self.window.plan.site);
+        let baseline_rate = own.map_or(0.0, |load| load.baseline * BASELINE_RATE_SECONDS) as u64;
+        WindowCommand::Admit { window: self.number, baseline_rate }
+    }
+
+    fn postpone(&self, reason: String) -> WindowCommand {
+        WindowCommand::Postpone { window: self.number, reason }
+    }
+
+    fn restore_traffic(&self, fraction: TrafficFraction, reason: Option<String>) -> WindowCommand {
+        WindowCommand::RestoreTraffic { window: self.number, fraction, reason }
+    }
 }
--- a/crates/maintenance/src/traffic.rs
+++ b/crates/maintenance/src/traffic.rs
@@ -1,44 +1,46 @@
-//! The part of its usual load that a site gets at one copy. Down at once, as the order says; up by a stated pace, so that a
-//! site is not met by all copies in one instant, also where the order has run out and nobody is left to give another.
+//! The fraction of its usual traffic that a site gets from one instance.
+//!
+//! It falls at once and rises at a fixed rate, so that a site does not get all of its traffic back in one instant, also
+//! when a command has expired and nobody is left to give another one.
 
 use crate::{Millis, TrafficFraction, FULL_TRAFFIC};
 
-/// What one copy was last told of a site.
+/// A traffic fraction that rises to its target over time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TrafficRamp {
-    /// The part at `since`.
-    from: f64,
-    since: Millis,
-    /// Where it goes.
-    to: f64,
-    /// How long the whole way from nothing to all takes.
+    /// The fraction at `started_at`, from 0 to 1.
+    start: f64,
+    started_at: Millis,
+    /// The fraction that is reached in the end, from 0 to 1.
+    target: f64,
+    /// How long it takes to rise from 0 to 1.
     ramp_duration: Millis,
 }
 
 impl TrafficRamp {
-    /// A site that gets all of its load.
-    pub fn full(now: Millis, whole_way: Millis) -> TrafficRamp {
-        TrafficRamp { from: 1.0, since: now, to: 1.0, ramp_duration: whole_way.max(1) }
+    /// A site that gets all of its traffic. `ramp_duration` is how long it takes to rise from none to all, in milliseconds.
+    pub fn full(now: Millis, ramp_duration: Millis) -> TrafficRamp {
+        TrafficRamp { start: 1.0, started_at: now, target: 1.0, ramp_duration: ramp_duration.max(1) }
     }
 
-    /// The part at `now`, from 0 to 1.
+    /// The fraction at `now`, from 0 to 1.
     pub fn fraction(&self, now: Millis) -> f64 {
-        let way = now.saturating_sub(self.since) as f64 / self.ramp_duration as f64;
-        (self.from + way).min(self.to).max(0.0)
+        let gained = now.saturating_sub(self.started_at) as f64 / self.ramp_duration as f64;
+        (self.start + gained).min(self.target).max(0.0)
     }
 
-    /// What holds from now on.
-    pub fn set(&mut self, now: Millis, part: TrafficFraction) {
-        let to = f64::from(part.min(FULL_TRAFFIC)) / f64::from(FULL_TRAFFIC);
-        if to == self.to {
+    /// Sets the target from `now` on.
+    pub fn set(&mut self, now: Millis, fraction: TrafficFraction) {
+        let target = f64::from(fraction.min(FULL_TRAFFIC)) / f64::from(FULL_TRAFFIC);
+        if target == self.target {
             return;
         }
-        let at = self.fraction(now);
-        *self = TrafficRamp { from: at.min(to), since: now, to, ramp_duration: self.ramp_duration };
+        let start = self.fraction(now).min(target);
+        *self = TrafficRamp { start, started_at: now, target, ramp_duration: self.ramp_duration };
     }
 
-    /// Whether it is still on its way.
-    pub fn moves(&self, now: Millis) -> bool {
-        self.fraction(now) < self.to
+    /// Whether the target is not reached yet.
+    pub fn is_rising(&self, now: Millis) -> bool {
+        self.fraction(now) < self.target
     }
 }
