--- a/crates/consensus/src/follower_streams.rs
+++ b/crates/consensus/src/follower_streams.rs
@@ -97,7 +97,7 @@
                     return;
                 }
                 self.sent_leases.insert(lease.clone(), record.clone());
-                StreamItem::Lease(lease.clone(), record)
+                StreamItem::Lease { lease: lease.clone(), record }
             }
             _ => StreamItem::Command(proposal.clone()),
         };
--- a/crates/consensus/src/frame.rs
+++ b/crates/consensus/src/frame.rs
@@ -1,4 +1,5 @@
-//! What copies send each other: one frame after another, each with the version of the code that wrote it.
+//! What instances send each other: frames, each with the version of the encoding. A frame is encoded by `postcard`, so the
+//! order of variants and fields must not change.
 
 use crate::load_reports::LoadReport;
 use crate::replica::ReplicaMessage;
@@ -9,109 +10,119 @@
 use hillstall_maintenance::TrafficFraction;
 use serde::{Deserialize, Serialize};
 
-/// The version of these frames. A copy that hears another one passes it over.
-pub const VERSION: u8 = 1;
-/// Most bytes of a frame: the largest state there can be has room.
+/// The version of the encoding. A frame of another version is ignored.
+pub const FRAME_VERSION: u8 = 1;
+/// The most bytes of a frame: enough for the largest state.
 pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
-/// What a follower is told of something that was applied.
+/// What a follower receives of an entry that was applied.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StreamItem {
-    /// The command itself, which acts there as it did here.
+    /// The proposal itself, which the follower applies in turn.
     Command(Proposal),
-    /// Who holds a duty and stands for it now: of most commands about duties only signs of life are left.
-    Lease(LeaseName, LeaseRecord),
+    /// A lease as it is now, in place of the many commands about it, most of which are heartbeats.
+    Lease {
+        /// The lease's name.
+        lease: LeaseName,
+        /// Its holder and candidates.
+        record: LeaseRecord,
+    },
 }
 
 /// A frame.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Comes first on each connection: who opens it.
+    /// The first frame on each connection, from the instance that opens it.
     Hello {
-        /// Which fleet: copies of two fleets never talk.
+        /// The fleet's name: instances of different fleets exchange nothing.
         fleet: String,
-        /// Who.
+        /// The sender.
         instance: Instance,
-        /// Its slot, if it is a keeper.
+        /// The sender's slot, if it is a replica.
         replica: Option<usize>,
     },
-    /// Between keepers.
+    /// A message from one replica to another.
     Replica(ReplicaMessage),
-    /// A copy wants something applied.
+    /// A follower's proposal.
     Propose(Proposal),
-    /// It was.
+    /// The outcome of a proposal.
     Answer {
-        /// What was proposed.
+        /// The proposal.
         id: ProposalId,
-        /// What became of it.
+        /// The outcome of its command.
         outcome: Outcome,
     },
-    /// A copy wants a true read.
+    /// A follower requests a linearizable read.
     Read {
-        /// Its number there.
+        /// The read's number at the follower.
         number: u64,
     },
-    /// The state was as new as that when it was asked.
+    /// The answer to a read: a state of this index is at least as new as the request.
     ReadIndex {
-        /// The read's number.
+        /// The read's number at the follower.
         number: u64,
-        /// The index to wait for.
+        /// The index that the follower's state must reach.
         index: u64,
     },
-    /// The whole state: the stream begins, or begins anew as it was too far behind.
+    /// The whole encoded state: the stream begins, or begins anew for a follower that is too far behind.
     State(Vec<u8>),
-    /// What was applied next.
+    /// The next item of the stream.
     Applied {
-        /// The index of what was applied before it.
+        /// The index of the item before it.
         after: u64,
-        /// Its index.
+        /// The index of its entry.
         index: u64,
-        /// What.
+        /// The item.
         item: StreamItem,
     },
-    /// A follower has got that far.
+    /// A follower acknowledges the stream up to this index; 0 asks for the whole state.
     Ack(u64),
-    /// Nothing happens; that is the last that the follower was told of, or 0 if it is not told all yet.
+    /// A sign of life with the index of the last item that was sent, or 0 if some are still to be sent.
     Heartbeat(u64),
-    /// An order, on its way to all copies.
+    /// A fenced command, on its way to all instances.
     FencedCommand(FencedCommand<TrafficFraction>),
-    /// What a copy has counted.
+    /// A follower's load report.
     Report(LoadReport),
-    /// What a keeper has heard of its copies lately, and its clock.
+    /// The recent load reports of a replica and its followers.
     Reports {
-        /// Unix time in milliseconds, as it reads it.
+        /// The replica's system clock, in Unix milliseconds.
         unix: u64,
         /// The reports.
         reports: Vec<LoadReport>,
     },
 }
 
-/// A frame that can't be read.
+/// Bytes that are not a frame of this version.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// It is of another version.
-    #[error("a frame of version {0}, not {VERSION}")]
+    /// The frame is of another version.
+    #[error("a frame of version {0}, not {FRAME_VERSION}")]
     Version(u8),
-    /// It is no frame.
+    /// There are no bytes.
+    #[error("no frame: it is empty")]
+    Empty,
+    /// The bytes after the version can't be decoded.
     #[error("no frame: {0}")]
-    Garbled(String),
+    Malformed(#[source] postcard::Error),
 }
 
 impl Frame {
-    /// The bytes.
+    /// Encodes the frame, with the version first.
     pub fn encode(&self) -> Vec<u8> {
-        // Only a writer that is full fails, and this one grows.
-        postcard::to_extend(self, vec![VERSION]).unwrap_or_default()
+        // Only a full writer can fail, and this one grows.
+        postcard::to_extend(self, vec![FRAME_VERSION]).unwrap_or_default()
     }
 
-    /// The frame of some bytes.
+    /// Decodes a frame.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the bytes are empty, of another version, or malformed.
     pub fn decode(bytes: &[u8]) -> Result<Frame, DecodeError> {
         match bytes.split_first() {
-            Some((&VERSION, rest)) => {
-                postcard::from_bytes(rest).map_err(|why| DecodeError::Garbled(why.to_string()))
-            }
+            Some((&FRAME_VERSION, rest)) => postcard::from_bytes(rest).map_err(DecodeError::Malformed),
             Some((version, _)) => Err(DecodeError::Version(*version)),
-            None => Err(DecodeError::Garbled("it is empty".into())),
+            None => Err(DecodeError::Empty),
         }
     }
 }
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,91 +1,144 @@
-//! A keeper's log as the consensus crate reads it: in memory, written to the disk before anything is told to others.
+//! The log of a replica as the `raft` crate reads it: in memory, and written to the storage before anything is sent.
 
 use crate::storage::{PersistentState, WriteBatch};
-use protobuf::Message as _;
+use protobuf::{Message as _, ProtobufError};
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 
-/// Index and term of the snapshot that a new fleet begins with. It is no entry, so a keeper that joins later, and has
-/// nothing, is always sent a snapshot, and with it who the members are.
-const FOUNDED_AT: (u64, u64) = (1, 1);
+/// The index of the snapshot that a new fleet begins with. No entry has this index, so a replica that joins later with an
+/// empty log is always sent a snapshot, and with it the members.
+const BOOTSTRAP_INDEX: u64 = 1;
+/// The term of the snapshot that a new fleet begins with.
+const BOOTSTRAP_TERM: u64 = 1;
 
-/// What a keeper knows of the log.
+/// What a replica knows of the log.
 #[derive(Clone, Debug, Default)]
 pub struct RaftLog {
-    hard: HardState,
-    conf: ConfState,
+    hard_state: HardState,
+    members: ConfState,
     snapshot: Snapshot,
-    /// Follow the snapshot without a gap, or reach back before it.
+    /// The entries, without a gap: they follow the snapshot, or begin before its end.
     entries: Vec<Entry>,
-    /// What has to be on the disk before the next message goes out.
+    /// What must be in the storage before the next message is sent.
     unsaved: WriteBatch,
 }
 
-/// What is on the disk can't be a log.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the disk holds no whole log: {0}")]
-pub struct CorruptLog(pub String);
+/// What the storage holds is not a valid log.
+#[derive(Debug, thiserror::Error)]
+pub enum CorruptLog {
+    /// A part of it can't be decoded.
+    #[error("the disk holds no whole log: {part}: {source}")]
+    Decode {
+        /// The part.
+        part: &'static str,
+        /// Why it can't be decoded.
+        source: ProtobufError,
+    },
+    /// An entry is stored under another index than its own, or does not follow the one before it.
+    #[error("the disk holds no whole log: entry {index} is out of its place")]
+    MisplacedEntry {
+        /// The index under which it is stored.
+        index: u64,
+    },
+    /// Entries, snapshot and commit index don't fit together.
+    #[error(
+        "the disk holds no whole log: entries {first} to {last}, snapshot {snapshot}, committed {committed}"
+    )]
+    Inconsistent {
+        /// The index of the first entry.
+        first: u64,
+        /// The index of the last entry.
+        last: u64,
+        /// The index of the snapshot.
+        snapshot: u64,
+        /// The commit index.
+        committed: u64,
+    },
+}
+
+/// Encodes a message. Only a full writer can fail, and this one grows.
+fn encode(message: &impl protobuf::Message) -> Vec<u8> {
+    message.write_to_bytes().unwrap_or_default()
+}
 
-/// Only a writer that is full fails, and this one grows.
-fn bytes(of: &impl protobuf::Message) -> Vec<u8> {
-    of.write_to_bytes().unwrap_or_default()
+/// Turns the error of decoding a part into that of the log.
+fn corrupt(part: &'static str) -> impl Fn(ProtobufError) -> CorruptLog {
+    move |source| CorruptLog::Decode { part, source }
 }
 
 impl RaftLog {
-    /// The log of a keeper that founds a fleet with these members.
+    /// The log of a replica that bootstraps a fleet of these members, with the encoded state that it begins with.
     pub fn bootstrapped(members: &[u64], state: Vec<u8>) -> RaftLog {
         let mut log = RaftLog::default();
-        log.conf.voters = members.to_vec();
+        log.members.voters = members.to_vec();
         let mut snapshot = Snapshot { data: state.into(), ..Snapshot::default() };
-        let meta = snapshot.mut_metadata();
-        (meta.index, meta.term) = FOUNDED_AT;
-        meta.set_conf_state(log.conf.clone());
-        (log.hard.commit, log.hard.term) = FOUNDED_AT;
+        let metadata = snapshot.mut_metadata();
+        metadata.index = BOOTSTRAP_INDEX;
+        metadata.term = BOOTSTRAP_TERM;
+        metadata.set_conf_state(log.members.clone());
+        log.hard_state.commit = BOOTSTRAP_INDEX;
+        log.hard_state.term = BOOTSTRAP_TERM;
         log.snapshot = snapshot;
-        log.note_all();
+        log.mark_unsaved();
         log
     }
 
-    /// The log of a keeper that knows nothing yet and waits to be made a member.
+    /// The log of a replica that knows nothing yet, and waits to be made a member.
     pub fn empty() -> RaftLog {
         let mut log = RaftLog::default();
-        log.note_all();
+        log.mark_unsaved();
         log
     }
 
-    /// The log as the disk has it.
-    pub fn read(kept: &PersistentState) -> Result<RaftLog, CorruptLog> {
-        let torn = |what: &str| {
-            let what = what.to_owned();
-            move |e: protobuf::ProtobufError| CorruptLog(format!("{what}: {e}"))
-        };
-        let hard = HardState::parse_from_bytes(&kept.hard_state).map_err(torn("the vote"))?;
-        let snapshot = Snapshot::parse_from_bytes(&kept.snapshot).map_err(torn("the snapshot"))?;
-        // Who the members are goes with what was applied: what came after the snapshot is applied anew.
-        let conf = snapshot.get_metadata().get_conf_state().clone();
-        let entries = kept.entries.values().map(|bytes| Entry::parse_from_bytes(bytes));
-        let entries = entries.collect::<Result<Vec<_>, _>>().map_err(torn("an entry"))?;
-        let log = RaftLog { hard, conf, snapshot, entries, unsaved: WriteBatch::default() };
-        for (place, (key, entry)) in kept.entries.keys().zip(&log.entries).enumerate() {
-            if *key != entry.index || entry.index != log.entries[0].index + place as u64 {
-                return Err(CorruptLog(format!("entry {key} is out of its place")));
+    /// Decodes the log in the storage.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a part can't be decoded, or the parts don't fit together.
+    pub fn read(persistent: &PersistentState) -> Result<RaftLog, CorruptLog> {
+        let hard_state = HardState::parse_from_bytes(&persistent.hard_state).map_err(corrupt("the vote"))?;
+        let snapshot = Snapshot::parse_from_bytes(&persistent.snapshot).map_err(corrupt("the snapshot"))?;
+        // The members belong to the applied index: changes after the snapshot will be applied once more.
+        let members = snapshot.get_metadata().get_conf_state().clone();
+        let entries = persistent.entries.values().map(|bytes| Entry::parse_from_bytes(bytes));
+        let entries = entries.collect::<Result<Vec<_>, _>>().map_err(corrupt("an entry"))?;
+        let log = RaftLog { hard_state, members, snapshot, entries, unsaved: WriteBatch::default() };
+        log.check_places(persistent.entries.keys())?;
+        log.check_range()?;
+        Ok(log)
+    }
+
+    /// Checks that the entries follow each other, each stored under its own index.
+    fn check_places<'a>(&self, keys: impl Iterator<Item = &'a u64>) -> Result<(), CorruptLog> {
+        let first = self.first();
+        for (offset, (key, entry)) in keys.zip(&self.entries).enumerate() {
+            let expected_index = first.saturating_add(offset as u64);
+            if *key != entry.index || entry.index != expected_index {
+                return Err(CorruptLog::MisplacedEntry { index: *key });
             }
         }
-        let (first, last, at) = (log.first(), log.last(), log.snapshot.get_metadata().index);
-        if first > at + 1 || last < at || log.hard.commit > last || log.hard.commit < at {
-            let commit = log.hard.commit;
-            return Err(CorruptLog(format!("entries {first} to {last}, snapshot {at}, committed {commit}")));
+        Ok(())
+    }
+
+    /// Checks that the entries reach the snapshot, and the commit index lies within what is known.
+    fn check_range(&self) -> Result<(), CorruptLog> {
+        let (first, last) = (self.first(), self.last());
+        let snapshot = self.snapshot.get_metadata().index;
+        let committed = self.hard_state.commit;
+        let reaches_snapshot = first <= snapshot + 1 && last >= snapshot;
+        if reaches_snapshot && (snapshot..=last).contains(&committed) {
+            return Ok(());
         }
-        Ok(log)
+        Err(CorruptLog::Inconsistent { first, last, snapshot, committed })
     }
 
-    fn note_all(&mut self) {
-        self.unsaved.hard_state = Some(bytes(&self.hard));
-        self.unsaved.snapshot = Some(bytes(&self.snapshot));
+    fn mark_unsaved(&mut self) {
+        self.unsaved.hard_state = Some(encode(&self.hard_state));
+        self.unsaved.snapshot = Some(encode(&self.snapshot));
     }
 
-    /// What has to be saved now.
-    pub fn unsaved(&mut self) -> WriteBatch {
+    /// Takes what has to be stored now.
+    pub fn take_unsaved(&mut self) -> WriteBatch {
         std::mem::take(&mut self.unsaved)
     }
 
@@ -93,79 +146,82 @@
         self.entries.first().map_or(self.snapshot.get_metadata().index + 1, |entry| entry.index)
     }
 
-    /// The index of the last entry.
+    /// The index of the last entry, or of the snapshot if no entry follows it.
     pub fn last(&self) -> u64 {
         self.entries.last().map_or(self.snapshot.get_metadata().index, |entry| entry.index)
     }
 
-    /// The snapshot's index and what it holds.
+    /// The index of the snapshot, and the encoded state in it.
     pub fn state(&self) -> (u64, &[u8]) {
         (self.snapshot.get_metadata().index, &self.snapshot.data)
     }
 
     /// The members.
     pub fn members(&self) -> &ConfState {
-        &self.conf
+        &self.members
     }
 
-    /// Takes a term, a vote and what is committed.
+    /// Sets the term, the vote and the commit index.
     pub fn set_hard_state(&mut self, hard_state: &HardState) {
-        self.hard = hard_state.clone();
-        self.unsaved.hard_state = Some(bytes(&self.hard));
+        self.hard_state = hard_state.clone();
+        self.unsaved.hard_state = Some(encode(&self.hard_state));
     }
 
-    /// Takes how far the log is committed. It may be lost: it is learned anew.
+    /// Sets the commit index. It need not be stored: a replica learns it again.
     pub fn set_commit(&mut self, commit: u64) {
-        self.hard.commit = commit;
+        self.hard_state.commit = commit;
     }
 
-    /// Takes who the members are. It is saved with the next snapshot; until then a start applies the change anew.
-    pub fn set_members(&mut self, conf: ConfState) {
-        self.conf = conf;
+    /// Sets the members. They are stored with the next snapshot; a start before that applies the change once more.
+    pub fn set_members(&mut self, members: ConfState) {
+        self.members = members;
     }
 
-    /// Takes entries; what stood from their first place on is replaced.
+    /// Appends entries. They replace those from the index of the first one on.
     pub fn append(&mut self, entries: &[Entry]) {
         let Some(from) = entries.first().map(|entry| entry.index) else { return };
         self.entries.retain(|entry| entry.index < from);
         self.entries.extend_from_slice(entries);
-        self.unsaved.truncate_from = Some(self.unsaved.truncate_from.map_or(from, |cut| cut.min(from)));
+        let truncate_from = self.unsaved.truncate_from.map_or(from, |earlier| earlier.min(from));
+        self.unsaved.truncate_from = Some(truncate_from);
         self.unsaved.entries.retain(|index, _| *index < from);
-        self.unsaved.entries.extend(entries.iter().map(|entry| (entry.index, bytes(entry))));
+        self.unsaved.entries.extend(entries.iter().map(|entry| (entry.index, encode(entry))));
     }
 
-    /// Takes a snapshot that another keeper sent: nothing older counts.
+    /// Replaces the log by a snapshot that another replica sent.
     pub fn restore(&mut self, snapshot: &Snapshot) {
-        let meta = snapshot.get_metadata();
-        self.conf = meta.get_conf_state().clone();
-        self.hard.commit = self.hard.commit.max(meta.index);
-        self.hard.term = self.hard.term.max(meta.term);
+        let metadata = snapshot.get_metadata();
+        self.members = metadata.get_conf_state().clone();
+        self.hard_state.commit = self.hard_state.commit.max(metadata.index);
+        self.hard_state.term = self.hard_state.term.max(metadata.term);
         self.entries.clear();
         self.snapshot = snapshot.clone();
-        self.note_all();
-        (self.unsaved.truncate_from, self.unsaved.entries) = (Some(0), Default::default());
+        self.mark_unsaved();
+        self.unsaved.truncate_from = Some(0);
+        self.unsaved.entries.clear();
     }
 
-    /// Makes a snapshot of what was applied up to `index`, and lets entries go but for the last `keep`: a keeper that is
-    /// a little behind needs them.
-    pub fn compact(&mut self, index: u64, state: Vec<u8>, keep: u64) {
+    /// Makes a snapshot of the encoded state applied up to `index`, and drops the entries before it but for the last
+    /// `retained`, which members that are a little behind need.
+    pub fn compact(&mut self, index: u64, state: Vec<u8>, retained: u64) {
         let Ok(term) = self.term(index) else { return };
         let mut snapshot = Snapshot { data: state.into(), ..Snapshot::default() };
-        let meta = snapshot.mut_metadata();
-        (meta.index, meta.term) = (index, term);
-        meta.set_conf_state(self.conf.clone());
+        let metadata = snapshot.mut_metadata();
+        metadata.index = index;
+        metadata.term = term;
+        metadata.set_conf_state(self.members.clone());
         self.snapshot = snapshot;
-        let from = index.saturating_sub(keep);
-        self.entries.retain(|entry| entry.index > from);
-        self.unsaved.snapshot = Some(bytes(&self.snapshot));
-        self.unsaved.compact_to = Some(from);
-        self.unsaved.entries.retain(|at, _| *at > from);
+        let compact_to = index.saturating_sub(retained);
+        self.entries.retain(|entry| entry.index > compact_to);
+        self.unsaved.snapshot = Some(encode(&self.snapshot));
+        self.unsaved.compact_to = Some(compact_to);
+        self.unsaved.entries.retain(|index, _| *index > compact_to);
     }
 }
 
 impl Storage for RaftLog {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        Ok(RaftState { hard_state: self.hard.clone(), conf_state: self.conf.clone() })
+        Ok(RaftState { hard_state: self.hard_state.clone(), conf_state: self.members.clone() })
     }
 
     fn entries(
@@ -183,21 +239,22 @@
         }
         let from = (low - self.first()) as usize;
         let mut found = self.entries[from..from + (high - low) as usize].to_vec();
-        let most = max_size.into().unwrap_or(u64::MAX);
+        let max_size = max_size.into().unwrap_or(u64::MAX);
         let mut size = 0;
-        let fits = found.iter().take_while(|entry| {
+        let fitting = found.iter().take_while(|entry| {
             size += u64::from(entry.compute_size());
-            size <= most
+            size <= max_size
         });
-        let fits = fits.count().max(1);
-        found.truncate(fits);
+        // One entry is always returned, however large it is.
+        let count = fitting.count().max(1);
+        found.truncate(count);
         Ok(found)
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        let meta = self.snapshot.get_metadata();
-        if index == meta.index {
-            return Ok(meta.term);
+        let metadata = self.snapshot.get_metadata();
+        if index == metadata.index {
+            return Ok(metadata.term);
         }
         if index < self.first() {
             return Err(Error::Store(StorageError::Compacted));
--- a/crates/consensus/src/node/following.rs
+++ b/crates/consensus/src/node/following.rs
@@ -68,7 +68,7 @@
                 StreamItem::Command(proposal) => {
                     self.state.apply(index, &proposal);
                 }
-                StreamItem::Lease(lease, record) => self.state.set_lease(index, &lease, record),
+                StreamItem::Lease { lease, record } => self.state.set_lease(index, &lease, record),
             }
             self.state_updated_at = Some(now);
         }
--- a/crates/consensus/src/replica/membership.rs
+++ b/crates/consensus/src/replica/membership.rs
@@ -158,7 +158,7 @@
             return;
         }
         let Some((mut log, founders)) = self.initial_log(now) else { return };
-        let batch = WriteBatch { participates: Some(true), founders: Some(founders), ..log.unsaved() };
+        let batch = WriteBatch { participates: Some(true), founders: Some(founders), ..log.take_unsaved() };
         if self.save(batch) {
             self.open(log);
             self.announce();
--- a/crates/consensus/src/replica/ready.rs
+++ b/crates/consensus/src/replica/ready.rs
@@ -122,7 +122,7 @@
         if let Some(hard_state) = ready.hs() {
             log.set_hard_state(hard_state);
         }
-        log.unsaved()
+        log.take_unsaved()
     }
 
     fn send(&mut self, messages: Vec<Message>) {
--- a/crates/consensus/src/replica/snapshots.rs
+++ b/crates/consensus/src/replica/snapshots.rs
@@ -47,7 +47,7 @@
         let state = self.state.to_bytes();
         let log = node.mut_store();
         log.compact(self.applied_index, state, ENTRIES_BEFORE_SNAPSHOT);
-        let batch = log.unsaved();
+        let batch = log.take_unsaved();
         self.save(batch);
     }
 }
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -1,91 +1,104 @@
-//! What a keeper must not forget. The disk itself is the shell's; here is what it is asked.
+//! What a replica must not forget. The storage itself is implemented elsewhere; here is what it has to do.
 
 use std::collections::BTreeMap;
 
-/// What the disk holds.
+/// What the storage holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistentState {
-    /// Who this keeper is: drawn when the disk was new.
+    /// The replica's id, drawn when the storage was new; see [`new_id`](crate::replica::new_id).
     pub id: u64,
-    /// How often it was started from this disk.
+    /// The number of starts from this storage.
     pub boot: u64,
-    /// Who founded the fleet; empty before that.
+    /// The ids of the replicas that bootstrapped the fleet; empty before that.
     pub founders: Vec<u64>,
-    /// Whether it takes part: it is a founder, or waits to be made a member.
+    /// Whether the replica takes part: it is a founder, or waits to be made a member.
     pub participates: bool,
-    /// Term, vote and commit.
+    /// The encoded term, vote and commit index.
     pub hard_state: Vec<u8>,
-    /// The highest start that each keeper was seen with, by its id.
+    /// The highest [`boot`](PersistentState::boot) that each replica has announced, by its id.
     pub known_boots: BTreeMap<u64, u64>,
-    /// The newest snapshot.
+    /// The newest snapshot, encoded.
     pub snapshot: Vec<u8>,
-    /// The log.
+    /// The entries of the log, encoded, by their index.
     pub entries: BTreeMap<u64, Vec<u8>>,
 }
 
-/// What changes at once, or not at all.
+/// A change of the storage that is applied as a whole or not at all.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WriteBatch {
-    /// See [`PersistentState::boot`].
+    /// The new [`PersistentState::boot`].
     pub boot: Option<u64>,
-    /// See [`PersistentState::founders`].
+    /// The new [`PersistentState::founders`].
     pub founders: Option<Vec<u64>>,
-    /// See [`PersistentState::participates`].
+    /// The new [`PersistentState::participates`].
     pub participates: Option<bool>,
-    /// See [`PersistentState::hard_state`].
+    /// The new [`PersistentState::hard_state`].
     pub hard_state: Option<Vec<u8>>,
-    /// Adds to [`PersistentState::known_boots`].
+    /// Added to [`PersistentState::known_boots`].
     pub known_boots: BTreeMap<u64, u64>,
-    /// See [`PersistentState::snapshot`].
+    /// The new [`PersistentState::snapshot`].
     pub snapshot: Option<Vec<u8>>,
-    /// Entries from this index on go first,
+    /// Entries from this index on are removed first.
     pub truncate_from: Option<u64>,
-    /// and those up to this one.
+    /// Entries up to this index are removed first.
     pub compact_to: Option<u64>,
-    /// Then these come.
+    /// Added to [`PersistentState::entries`] after that.
     pub entries: BTreeMap<u64, Vec<u8>>,
 }
 
 impl WriteBatch {
-    /// Whether nothing changes.
+    /// Whether the batch changes nothing.
     pub fn is_empty(&self) -> bool {
         *self == WriteBatch::default()
     }
 
-    /// What the disk holds after it.
-    pub fn apply(self, kept: &mut PersistentState) {
-        kept.boot = self.boot.unwrap_or(kept.boot);
-        kept.participates = self.participates.unwrap_or(kept.participates);
-        let set = |to: &mut Vec<u8>, from: Option<Vec<u8>>| {
-            if let Some(from) = from {
-                *to = from;
-            }
-        };
-        set(&mut kept.hard_state, self.hard_state);
-        kept.known_boots.extend(self.known_boots);
-        set(&mut kept.snapshot, self.snapshot);
-        if let Some(founders) = self.founders {
-            kept.founders = founders;
-        }
-        let (from, to) = (self.truncate_from.unwrap_or(u64::MAX), self.compact_to.unwrap_or(0));
-        kept.entries.retain(|index, _| *index < from && *index > to);
-        kept.entries.extend(self.entries);
+    /// Applies the batch to what the storage holds.
+    pub fn apply(self, persistent: &mut PersistentState) {
+        set_if_some(&mut persistent.boot, self.boot);
+        set_if_some(&mut persistent.founders, self.founders);
+        set_if_some(&mut persistent.participates, self.participates);
+        set_if_some(&mut persistent.hard_state, self.hard_state);
+        set_if_some(&mut persistent.snapshot, self.snapshot);
+        persistent.known_boots.extend(self.known_boots);
+        let truncate_from = self.truncate_from.unwrap_or(u64::MAX);
+        let compact_to = self.compact_to.unwrap_or(0);
+        persistent.entries.retain(|index, _| *index < truncate_from && *index > compact_to);
+        persistent.entries.extend(self.entries);
     }
 }
 
-/// The disk failed: full, torn, or gone.
+fn set_if_some<T>(field: &mut T, value: Option<T>) {
+    if let Some(value) = value {
+        *field = value;
+    }
+}
+
+/// The storage has failed: it is full, corrupt or gone.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the keeper's disk: {0}")]
 pub struct StorageFailed(pub String);
 
-/// A lasting disk.
+/// A durable storage.
 pub trait ReplicaStorage {
-    /// What it holds; on a new one, with an id that is drawn then.
+    /// Loads what the storage holds. A new storage draws an id first.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the storage can't be read.
     fn load(&mut self) -> Result<PersistentState, StorageFailed>;
 
-    /// Changes what it holds. Once this returns, the change lasts over a loss of power.
+    /// Applies a batch. Once this returns, the change survives a loss of power.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the batch can't be stored.
     fn save(&mut self, change: WriteBatch) -> Result<(), StorageFailed>;
 
-    /// Forgets all it holds and begins anew, under another id: so a keeper whose disk is older than its word comes back.
+    /// Empties the storage and draws another id, so that a replica whose storage was put back from a backup comes back as a
+    /// new member. Returns what the storage holds then.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the storage can't be written.
     fn reset(&mut self) -> Result<PersistentState, StorageFailed>;
 }
--- a/crates/consensus/tests/frames.rs
+++ b/crates/consensus/tests/frames.rs
@@ -1,6 +1,6 @@
 //! Frames and snapshots from outside: whatever comes is read or refused, and nothing panics.
 
-use hillstall_consensus::frame::{DecodeError, Frame, VERSION};
+use hillstall_consensus::frame::{DecodeError, Frame, FRAME_VERSION};
 use hillstall_consensus::state::State;
 use hillstall_lease::Instance;
 use proptest::prelude::*;
@@ -11,8 +11,8 @@
         Frame::Hello { fleet: "shop".into(), instance: Instance { rank: 3, life: 9 }, replica: Some(1) };
     let mut bytes = frame.encode();
     assert_eq!(Frame::decode(&bytes), Ok(frame));
-    bytes[0] = VERSION + 1;
-    assert_eq!(Frame::decode(&bytes), Err(DecodeError::Version(VERSION + 1)));
+    bytes[0] = FRAME_VERSION + 1;
+    assert_eq!(Frame::decode(&bytes), Err(DecodeError::Version(FRAME_VERSION + 1)));
     assert!(Frame::decode(&[]).is_err());
 }
 
@@ -20,7 +20,7 @@
     #[test]
     fn no_bytes_make_it_panic(mut bytes in prop::collection::vec(any::<u8>(), 0..300), flips in 0..8usize) {
         let _ = State::from_bytes(&bytes);
-        bytes.insert(0, VERSION);
+        bytes.insert(0, FRAME_VERSION);
         let _ = Frame::decode(&bytes);
         // A frame that was good once, with some of its bytes changed.
         let mut good = Frame::State(State::default().to_bytes()).encode();
--- a/crates/consensus/tests/samples/quorum.rs
+++ b/crates/consensus/tests/samples/quorum.rs
@@ -108,7 +108,7 @@
     }));
     samples.extend(each_variant!(Sample::of, StreamItem {
         "stream-item/command": StreamItem::Command(_) => StreamItem::Command(proposal()),
-        "stream-item/lease": StreamItem::Lease(..) => StreamItem::Lease(lease_name("shift/north"), record()),
+        "stream-item/lease": StreamItem::Lease { .. } => StreamItem::Lease { lease: lease_name("shift/north"), record: record() },
     }));
     samples.extend([
         Sample::of("report", report()),
@@ -143,7 +143,7 @@
     });
     let follower = Frame::Hello { fleet: "mill".into(), instance: instance(660), replica: None };
     let here = MembershipMessage::Announce { id: 661, boot: 662, incarnation: 663, founders: vec![664] };
-    let lease = StreamItem::Lease(lease_name("shift/north"), record());
+    let lease = StreamItem::Lease { lease: lease_name("shift/north"), record: record() };
     samples.extend([
         Sample::of_frame("frame/hello-of-follower", follower),
         Sample::of_frame("frame/membership", Frame::Replica(ReplicaMessage::Membership(here))),
