--- a/crates/consensus/tests/fleet.rs
+++ b/crates/consensus/tests/fleet.rs
@@ -1,94 +1,107 @@
-//! A whole fleet in simulated time: keepers with disks, followers, and the consensus crate itself. Links are cut in one
-//! direction or both, copies stop, are killed and started again, disks are lost or put back as they were, clocks run at
-//! other rates and step. A seed fixes everything; what must never be is looked for after each event.
+//! A fleet in simulated time: replicas with disks, followers, and the real raft crate. Links are cut in one direction or both,
+//! processes are paused, killed and started again, disks are lost, filled or put back from a backup, clocks run at different
+//! rates and step. A seed determines a run; the invariants are checked after each event.
 
 mod sim;
 
 use rayon::prelude::*;
-use sim::{Fault, Sim};
+use sim::{PlantedFault, Sim};
 
-/// The seeds that are played: more by `HILLSTALL_SEEDS`, one alone by `HILLSTALL_SEED`.
+/// The seeds to play: as many as `HILLSTALL_SEEDS` says, or only `HILLSTALL_SEED`.
 fn seeds() -> std::ops::Range<u64> {
-    let number = |name: &str| std::env::var(name).ok().and_then(|n| n.parse::<u64>().ok());
+    let number = |name: &str| std::env::var(name).ok().and_then(|value| value.parse::<u64>().ok());
     match number("HILLSTALL_SEED") {
         Some(seed) => seed..seed + 1,
         None => 0..number("HILLSTALL_SEEDS").unwrap_or(24),
     }
 }
 
-struct Played {
+/// What came of one run.
+struct Run {
     seed: u64,
-    wrong: Vec<String>,
-    applied: u64,
-    carried_out: u64,
+    violations: Vec<String>,
+    applied_index: u64,
+    applied_commands: u64,
     windows: usize,
-    incidents: usize,
+    acknowledged: usize,
 }
 
-fn play(seed: u64) -> Played {
-    let sim = Sim::new(seed, Fault::None).run();
-    let (applied, windows, incidents) = (sim.applied_most(), sim.windows_begun(), sim.acknowledged.len());
-    Played { seed, wrong: sim.wrong, applied, carried_out: sim.carried_out, windows, incidents }
+impl Run {
+    fn of(seed: u64) -> Run {
+        let sim = Sim::new(seed, PlantedFault::None).run();
+        Run {
+            seed,
+            applied_index: sim.max_applied_index(),
+            windows: sim.windows_begun(),
+            acknowledged: sim.acknowledged.len(),
+            applied_commands: sim.applied_commands,
+            violations: sim.violations,
+        }
+    }
 }
 
 #[test]
-fn whatever_fails_there_is_one_owner_one_history_and_one_site_away() {
-    let (mut applied, mut carried_out, mut windows, mut incidents) = (0, 0, 0, 0);
-    let played: Vec<Played> = seeds().into_par_iter().map(play).collect();
-    let wrong = played.iter().filter(|p| !p.wrong.is_empty());
-    let wrong: Vec<String> = wrong.map(|p| format!("HILLSTALL_SEED={}: {:?}", p.seed, p.wrong)).collect();
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
-    for seed in &played {
-        applied += seed.applied;
-        carried_out += seed.carried_out;
-        windows += seed.windows;
-        incidents += seed.incidents;
-    }
-    assert!(carried_out > 0 && incidents > 0, "nothing happened");
-    let seeds = seeds().end - seeds().start;
-    println!("{seeds} seeds: {applied} entries, {carried_out} orders, {windows} windows begun, {incidents} incidents");
+fn whatever_fails_there_is_one_lease_holder_one_history_and_one_site_shifted() {
+    let runs: Vec<Run> = seeds().into_par_iter().map(Run::of).collect();
+    let failed = runs.iter().filter(|run| !run.violations.is_empty());
+    let failed: Vec<String> =
+        failed.map(|run| format!("HILLSTALL_SEED={}: {:?}", run.seed, run.violations)).collect();
+    assert!(failed.is_empty(), "{}", failed.join("\n"));
+    let applied_index: u64 = runs.iter().map(|run| run.applied_index).sum();
+    let applied_commands: u64 = runs.iter().map(|run| run.applied_commands).sum();
+    let windows: usize = runs.iter().map(|run| run.windows).sum();
+    let acknowledged: usize = runs.iter().map(|run| run.acknowledged).sum();
+    assert!(applied_commands > 0 && acknowledged > 0, "nothing happened");
+    println!(
+        "{} seeds: {applied_index} entries, {applied_commands} commands, {windows} windows begun, \
+         {acknowledged} incidents and changes",
+        runs.len()
+    );
 }
 
 #[test]
-fn each_planted_fault_is_seen() {
-    for fault in [Fault::NoSync, Fault::OldName, Fault::NoCheck] {
-        let seeds = (0..400u64).into_par_iter();
-        let seen = seeds.find_map_any(|seed| Sim::new(seed, fault).run().wrong.pop().map(|why| (seed, why)));
-        let (seed, why) = seen.unwrap_or_else(|| panic!("{fault:?} did no harm in 400 seeds"));
-        println!("{fault:?} is seen with seed {seed}: {why}");
+fn each_planted_fault_is_found_by_the_checks() {
+    for planted in [PlantedFault::NoSync, PlantedFault::ReusedId, PlantedFault::NoFencing] {
+        let violation = |seed| Sim::new(seed, planted).run().violations.pop();
+        let found = (0..400u64)
+            .into_par_iter()
+            .find_map_any(|seed| violation(seed).map(|violation| (seed, violation)));
+        let (seed, violation) = found.unwrap_or_else(|| panic!("{planted:?} did no harm in 400 seeds"));
+        println!("{planted:?} is found with seed {seed}: {violation}");
     }
 }
 
 #[test]
-fn a_seed_repeats_to_the_byte() {
-    let played = |seed| {
-        let sim = Sim::new(seed, Fault::None).run();
+fn a_seed_replays_to_the_same_events() {
+    let replay = |seed| {
+        let sim = Sim::new(seed, PlantedFault::None).run();
         (sim.digest, sim.events)
     };
-    assert_eq!(played(7), played(7));
-    assert_ne!(played(7), played(8));
+    assert_eq!(replay(7), replay(7));
+    assert_ne!(replay(7), replay(8));
 }
 
 #[test]
 #[ignore = "takes minutes; for the page of measurements"]
 fn figures_by_size() {
-    for copies in [5, 50, 300] {
-        let sim = Sim::calm(copies, 1).run();
-        let measured = sim.measured.expect("it was measured");
-        let mean = |of: &[f64]| of.iter().sum::<f64>() / of.len().max(1) as f64;
-        let bytes: Vec<f64> = measured.bytes.iter().map(|b| *b as f64 / 10.0).collect();
-        let busy: Vec<f64> = measured.busy.iter().map(|b| b.as_secs_f64() * 1e3 / 10.0).collect();
-        let mut changed: Vec<u64> = measured.changed.values().copied().collect();
-        changed.sort_unstable();
+    for instances in [5, 50, 300] {
+        let sim = Sim::without_faults(instances, 1).run();
+        let measurement = sim.measurement.expect("it was measured");
+        let mean = |values: &[f64]| values.iter().sum::<f64>() / values.len().max(1) as f64;
+        // The measurement lasts ten seconds.
+        let bytes: Vec<f64> = measurement.received_bytes.iter().map(|bytes| *bytes as f64 / 10.0).collect();
+        let computing: Vec<f64> =
+            measurement.computing.iter().map(|computing| computing.as_secs_f64() * 1e3 / 10.0).collect();
+        let failed_over_at: Vec<u64> = measurement.failed_over_at.values().copied().collect();
         println!(
-            "{copies} copies: bytes/s to a keeper {:.0}, to a follower {:.0}; ms of processor a second: keeper {:.2}, \
-             follower {:.3}; {} followers changed over, the last after {:?} ms",
+            "{instances} instances: bytes/s to a replica {:.0}, to a follower {:.0}; ms of processor a second: replica \
+             {:.2}, follower {:.3}; {} followers failed over, the last after {:?} ms",
             mean(&bytes[..3]),
             mean(&bytes[3..]),
-            mean(&busy[..3]),
-            mean(&busy[3..]),
-            changed.len(),
-            changed.last()
+            mean(&computing[..3]),
+            mean(&computing[3..]),
+            failed_over_at.len(),
+            failed_over_at.iter().max()
         );
     }
 }
--- /dev/null
+++ b/crates/consensus/tests/sim/instance.rs
@@ -0,0 +1,85 @@
+//! A simulated instance: its process, its clock and its disk.
+
+use super::storage::{Disk, MemoryStorage};
+use super::{RATE_PPM, UNIX_START_MS};
+use hillstall_consensus::node::Node;
+use hillstall_consensus::storage::PersistentState;
+use hillstall_lease::{FencingToken, Instance, LeaseName, Millis};
+use rand_xoshiro::rand_core::RngCore;
+use rand_xoshiro::Xoshiro256PlusPlus;
+use std::collections::BTreeMap;
+
+/// A clock that runs at a rate of its own.
+pub struct Clock {
+    start: Millis,
+    rate_ppm: u64,
+    /// The error of the system clock, in milliseconds.
+    pub system_offset: i64,
+}
+
+impl Clock {
+    /// The monotonic time of the instance.
+    pub fn monotonic(&self, now: Millis) -> Millis {
+        self.start + now * self.rate_ppm / 1_000_000
+    }
+
+    /// The system clock of the instance.
+    pub fn unix(&self, now: Millis) -> Millis {
+        ((UNIX_START_MS + now) as i64 + self.system_offset) as Millis
+    }
+}
+
+pub struct SimInstance {
+    rank: usize,
+    pub incarnation: u64,
+    /// The process, unless it was killed.
+    pub node: Option<Node<MemoryStorage>>,
+    pub clock: Clock,
+    pub disk: Disk,
+    /// A backup of the disk.
+    pub backup: Option<PersistentState>,
+    /// Until then the process is paused.
+    pub paused_until: Millis,
+    /// The highest token of each lease by which a command was applied.
+    pub highest_tokens: BTreeMap<LeaseName, FencingToken>,
+    /// The replica that it is connected to, or connects to.
+    pub follows: Option<usize>,
+}
+
+impl SimInstance {
+    pub fn new(rank: usize, random: &mut Xoshiro256PlusPlus) -> SimInstance {
+        let start = random.next_u64() % 1_000_000_000;
+        let rate_ppm = 1_000_000 - RATE_PPM + random.next_u64() % (2 * RATE_PPM);
+        SimInstance {
+            rank,
+            incarnation: 0,
+            node: None,
+            clock: Clock { start, rate_ppm, system_offset: 0 },
+            disk: Disk::default(),
+            backup: None,
+            paused_until: 0,
+            highest_tokens: BTreeMap::new(),
+            follows: None,
+        }
+    }
+
+    /// The identity of the present process.
+    pub fn id(&self) -> Instance {
+        Instance { rank: self.rank as u32, life: self.incarnation }
+    }
+
+    pub fn is_paused(&self, now: Millis) -> bool {
+        self.paused_until > now
+    }
+
+    /// The process, if it runs and isn't paused.
+    pub fn active_node(&mut self, now: Millis) -> Option<&mut Node<MemoryStorage>> {
+        let is_paused = self.is_paused(now);
+        self.node.as_mut().filter(|_| !is_paused)
+    }
+
+    /// Whether the process of this incarnation still runs.
+    pub fn runs(&self, incarnation: u64) -> bool {
+        self.incarnation == incarnation && self.node.is_some()
+    }
+}
--- /dev/null
+++ b/crates/consensus/tests/sim/storage.rs
@@ -0,0 +1,63 @@
+//! A storage in memory that outlives its process, and whose faults the simulation controls.
+
+use hillstall_consensus::replica::new_id;
+use hillstall_consensus::storage::{PersistentState, ReplicaStorage, StorageFailed, WriteBatch};
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+
+/// The number of writes after which a storage that is not synced writes by itself.
+const WRITES_PER_SYNC: u64 = 64;
+
+/// What remains of a storage when its process ends.
+#[derive(Clone, Default)]
+pub struct Disk {
+    pub stored: Rc<RefCell<PersistentState>>,
+    /// What was stored some writes ago: all that is left after a crash if nothing is synced.
+    pub synced: Rc<RefCell<PersistentState>>,
+    /// Whether writes fail.
+    pub is_full: Rc<Cell<bool>>,
+}
+
+/// A disk as one process uses it.
+pub struct MemoryStorage {
+    slot: usize,
+    disk: Disk,
+    writes: u64,
+    random: u64,
+}
+
+impl MemoryStorage {
+    pub fn new(slot: usize, disk: Disk, random: u64) -> MemoryStorage {
+        MemoryStorage { slot, disk, writes: 0, random }
+    }
+}
+
+impl ReplicaStorage for MemoryStorage {
+    fn load(&mut self) -> Result<PersistentState, StorageFailed> {
+        let mut stored = self.disk.stored.borrow_mut();
+        if stored.id == 0 {
+            stored.id = new_id(self.slot, self.random);
+        }
+        Ok(stored.clone())
+    }
+
+    fn save(&mut self, change: WriteBatch) -> Result<(), StorageFailed> {
+        if self.disk.is_full.get() {
+            return Err(StorageFailed("it is full".into()));
+        }
+        let mut stored = self.disk.stored.borrow_mut();
+        self.writes += 1;
+        if self.writes % WRITES_PER_SYNC == 1 {
+            *self.disk.synced.borrow_mut() = stored.clone();
+        }
+        change.apply(&mut stored);
+        Ok(())
+    }
+
+    fn reset(&mut self) -> Result<PersistentState, StorageFailed> {
+        self.random = self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+        let id = new_id(self.slot, self.random >> 16);
+        *self.disk.stored.borrow_mut() = PersistentState { id, ..PersistentState::default() };
+        Ok(self.disk.stored.borrow().clone())
+    }
+}
