--- a/crates/coordination/tests/audit_log.rs
+++ b/crates/coordination/tests/audit_log.rs
@@ -1,9 +1,9 @@
 //! The lines of the log by which leases and orders are judged afterwards: their words and the names of their fields are
 //! read by other programs.
 
-mod follower;
+mod common;
 
-use follower::follower;
+use common::follower;
 use hillstall_consensus::frame::Frame;
 use hillstall_coordination::{settings, start, CoordinationHandle, InstanceLocation};
 use hillstall_lease::fencing::FencedCommand;
@@ -111,9 +111,9 @@
     let log = Log::install();
 
     let (handle, mut connection, _) = follower();
-    let asked = |frame| if let Frame::Read { number } = frame { Some(number) } else { None };
-    let (_, number) = connection.receive_until(asked);
-    connection.send(&Frame::ReadIndex { number, index: follower::INDEX });
+    let read_request = |frame| if let Frame::Read { number } = frame { Some(number) } else { None };
+    let (_, number) = connection.receive_until(read_request);
+    connection.send(&Frame::ReadIndex { number, index: common::INDEX });
     // Until the answer has come, orders are rejected.
     let end = Instant::now() + PATIENCE;
     let is_open = || handle.admin_command("FLEET").expect("it is for the fleet").blocking_recv();
--- a/crates/coordination/tests/replica_store.rs
+++ b/crates/coordination/tests/replica_store.rs
@@ -106,13 +106,13 @@
     disk.load().expect("it is read")
 }
 
-fn entries(kept: &PersistentState) -> BTreeMap<u64, Entry> {
+fn entries(loaded: &PersistentState) -> BTreeMap<u64, Entry> {
     let entry = |(index, bytes): (&u64, &Vec<u8>)| {
         let entry = Entry::parse_from_bytes(bytes).expect("it is an entry");
         assert_eq!(hex_of(&entry.write_to_bytes().expect("it is written")), hex_of(bytes), "entry {index}");
         (*index, entry)
     };
-    kept.entries.iter().map(entry).collect()
+    loaded.entries.iter().map(entry).collect()
 }
 
 #[test]
@@ -137,17 +137,17 @@
     );
     drop(disk);
     let mut again = RedbStorage::open(folder.path(), 1).expect("it opens");
-    let kept = again.load().expect("it is read");
-    assert_eq!((kept.id, kept.boot, kept.hard_state.as_slice()), (new.id, 1, &[1u8][..]));
-    assert_eq!(kept.entries.keys().copied().collect::<Vec<_>>(), [6, 7]);
-    assert_eq!(kept.known_boots, [(3, 4)].into());
+    let loaded = again.load().expect("it is read");
+    assert_eq!((loaded.id, loaded.boot, loaded.hard_state.as_slice()), (new.id, 1, &[1u8][..]));
+    assert_eq!(loaded.entries.keys().copied().collect::<Vec<_>>(), [6, 7]);
+    assert_eq!(loaded.known_boots, [(3, 4)].into());
     let renewed = again.reset().expect("it is renewed");
     assert!(renewed.id != new.id && renewed.entries.is_empty());
     assert!(RedbStorage::open(&folder.path().join("none"), 0).is_err(), "a folder that is not there");
 }
 
 #[test]
-fn a_torn_file_is_put_aside() {
+fn a_corrupt_file_is_set_aside() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("keeper-0.redb");
     let mut first = RedbStorage::open(folder.path(), 0).expect("it opens");
@@ -156,7 +156,7 @@
     let bytes = std::fs::read(&path).expect("it is there");
     std::fs::write(&path, &bytes[..bytes.len() / 3]).expect("it is torn");
     if let Ok(mut disk) = RedbStorage::open(folder.path(), 0) {
-        assert_ne!(disk.load().map(|kept| kept.id).unwrap_or(0), id);
+        assert_ne!(disk.load().map(|loaded| loaded.id).unwrap_or(0), id);
     }
 }
 
@@ -169,15 +169,15 @@
 #[test]
 fn a_stored_file_is_loaded_whole() {
     let (folder, path) = copied();
-    let kept = load(&folder);
-    assert_eq!((kept.id, kept.boot, kept.participates), (ID, BOOT, true));
-    assert_eq!(kept.founders, FOUNDERS);
-    assert_eq!(kept.known_boots, SEEN.into());
-    assert_eq!(hex_of(&kept.hard_state), hex_of(&pinned("meta/hard")));
-    assert_eq!(hex_of(&kept.snapshot), hex_of(&pinned("meta/snapshot")));
+    let loaded = load(&folder);
+    assert_eq!((loaded.id, loaded.boot, loaded.participates), (ID, BOOT, true));
+    assert_eq!(loaded.founders, FOUNDERS);
+    assert_eq!(loaded.known_boots, SEEN.into());
+    assert_eq!(hex_of(&loaded.hard_state), hex_of(&pinned("meta/hard")));
+    assert_eq!(hex_of(&loaded.snapshot), hex_of(&pinned("meta/snapshot")));
     let logged = |(index, bytes): (&u64, &Vec<u8>)| (format!("log/{index:06}"), bytes.clone());
     let expected = stored().into_iter().filter(|(name, _)| name.starts_with("log/")).collect();
-    assert_same(&kept.entries.iter().map(logged).collect(), &expected);
+    assert_same(&loaded.entries.iter().map(logged).collect(), &expected);
     assert_same(&tables(&path), &stored());
 }
 
@@ -191,15 +191,15 @@
 #[test]
 fn the_log_of_a_stored_file_leads_to_the_same_state() {
     let (folder, _) = copied();
-    let kept = load(&folder);
-    let log = RaftLog::read(&kept).expect("it is a log");
+    let loaded = load(&folder);
+    let log = RaftLog::read(&loaded).expect("it is a log");
     assert_eq!(log.members().voters, FOUNDERS);
     let (index, snapshot) = log.state();
     assert_eq!((index, log.last()), (SNAPSHOT_INDEX, ENTRIES.1));
     assert_eq!(hex_of(snapshot), hex_of(&pinned("state/snapshot")));
     let mut state = State::from_bytes(snapshot).expect("it is a state");
     assert_eq!(hex_of(&state.to_bytes()), hex_of(snapshot));
-    let entries = entries(&kept);
+    let entries = entries(&loaded);
     assert_eq!(
         (entries.keys().min().copied(), entries.keys().max().copied()),
         (Some(ENTRIES.0), Some(ENTRIES.1))
@@ -253,15 +253,15 @@
     let mut disk = RedbStorage::open(folder.path(), SLOT).expect("it opens");
     disk.load().expect("it is new");
     let (stored_folder, _) = copied();
-    let kept = load(&stored_folder);
+    let loaded = load(&stored_folder);
     let change = WriteBatch {
-        boot: Some(kept.boot),
-        founders: Some(kept.founders),
-        participates: Some(kept.participates),
-        hard_state: Some(kept.hard_state),
-        known_boots: kept.known_boots,
-        snapshot: Some(kept.snapshot),
-        entries: kept.entries,
+        boot: Some(loaded.boot),
+        founders: Some(loaded.founders),
+        participates: Some(loaded.participates),
+        hard_state: Some(loaded.hard_state),
+        known_boots: loaded.known_boots,
+        snapshot: Some(loaded.snapshot),
+        entries: loaded.entries,
         ..WriteBatch::default()
     };
     disk.save(change).expect("it is written");
--- a/crates/coordination/tests/wire.rs
+++ b/crates/coordination/tests/wire.rs
@@ -1,9 +1,9 @@
 //! A follower on a real socket, with this test as its only replica: what it sends is pinned to the byte, and so is what it
 //! answers on the second address from a state that an earlier version wrote.
 
-mod follower;
+mod common;
 
-use follower::{bytes_of, follower, Connection, INDEX, RANK};
+use common::{bytes_of, follower, Connection, INDEX, RANK};
 use hillstall_change_freeze::state::{FreezeCommand as Freeze, RejectReason, Response};
 use hillstall_consensus::frame::Frame;
 use hillstall_consensus::state::{Command, Outcome, Proposal};
@@ -44,12 +44,10 @@
 #[test]
 fn a_follower_says_who_it_is_and_confirms_the_state() {
     let (_handle, mut connection, hello) = follower();
-    let Ok(Frame::Hello { fleet, instance: copy, replica: keeper }) = Frame::decode(&hello) else {
-        panic!("{hello:?}")
-    };
-    assert_eq!((fleet.as_str(), copy.rank, keeper), ("shop", RANK, None));
+    let Ok(Frame::Hello { fleet, instance, replica }) = Frame::decode(&hello) else { panic!("{hello:?}") };
+    assert_eq!((fleet.as_str(), instance.rank, replica), ("shop", RANK, None));
     let mut expected = bytes_of("01000473686f7007");
-    expected.extend(postcard::to_stdvec(&copy.life).expect("it is written"));
+    expected.extend(postcard::to_stdvec(&instance.life).expect("it is written"));
     expected.push(0);
     assert_eq!(hello, expected);
     let (bytes, index) = connection.receive_until(acknowledged);
@@ -68,8 +66,8 @@
     assert_eq!(text, ANSWERS);
 }
 
-/// Each outcome and what a person is told of it.
-fn told() -> Vec<(Outcome, &'static str)> {
+/// Each outcome and the answer that a person gets.
+fn expected_answers() -> Vec<(Outcome, &'static str)> {
     let grant = Grant { holder: Instance { rank: 1, life: 2 }, token: FencingToken(3), renewals: 4 };
     let barred = Response::Blocked { change: 10, incident: 11, retry_after: 12 };
     vec![
@@ -135,8 +133,8 @@
     }
 }
 
-/// Has a person propose something, gives it this outcome, and returns what the person is told.
-fn told_of(
+/// Has a person propose something, gives it this outcome, and returns the answer.
+fn answer_to_outcome(
     handle: &CoordinationHandle,
     connection: &mut Connection,
     number: u64,
@@ -155,13 +153,15 @@
 }
 
 #[test]
-fn a_person_is_told_what_became_of_a_command() {
+fn a_person_gets_the_outcome_of_a_command() {
     let (handle, mut connection, _) = follower();
     let mut numbers = 1..;
-    for (outcome, expected) in told() {
+    for (outcome, expected) in expected_answers() {
         // On a machine that is very busy an outcome may come after the time that a person waits for it.
-        let mut tries =
-            numbers.by_ref().take(5).map(|number| told_of(&handle, &mut connection, number, &outcome));
+        let mut tries = numbers
+            .by_ref()
+            .take(5)
+            .map(|number| answer_to_outcome(&handle, &mut connection, number, &outcome));
         let text = tries.find(|text| !text.starts_with("504"));
         assert_eq!(text.as_deref(), Some(expected), "{}", name_of(&outcome));
     }
--- a/crates/hillstall/tests/coordination/lines.rs
+++ b/crates/hillstall/tests/coordination/admin_commands.rs
@@ -1,7 +1,9 @@
-//! Every line that people say to the fleet on the second address, with its whole answer. What varies from run to run is
-//! masked by [`masked`], and by nothing else.
+//! Every admin command of coordination with its whole answer. What varies from run to run is masked by [`masked`], and by
+//! nothing else.
 
-use crate::talking::{cut, settled, sure, talk, COORDINATOR, SOON};
+use crate::scenario::{
+    ensure, inject_fault, run_scenario, wait_until_settled, COORDINATOR_LEASE, STEP_TIMEOUT,
+};
 use hillstall_fault_injection::fleet::Fleet;
 use hillstall_fault_injection::link::Fault;
 use hillstall_fault_injection::talk::from_process;
@@ -10,23 +12,24 @@
 
 /// Three people, one of whom has two names.
 const PEOPLE: &str = "people = [[\"mira\", \"m.k\"], [\"tom\"], [\"ann\"]]\n";
-/// A copy that is no keeper.
+/// An instance that is no replica.
 const FOLLOWER: usize = 4;
 const USAGE: &str = "400 there are FLEET [HANDOVER DUTY], WINDOW [PLAN|CANCEL|END], \
     INCIDENT [OPEN|TAKE|RESOLVE|REMEDY], CHANGE [ASK|EMERGENCY|DONE|CLEAR] and RECORD\n";
 
 /// Words whose following word varies from run to run.
-const BEFORE_VARYING: [&str; 9] =
+const NAMES_OF_VARYING_WORDS: [&str; 9] =
     ["life", "keeper", "leader", "members", "held", "token", "follows", "age", "index"];
 
 /// Puts `*` in place of the word after each of [`BEFORE_VARYING`], and of the time of `ask again in TIME ms`; leaves the
-/// word ` leads` out, which one of the keepers says.
+/// word ` leads` out, which one of the replicas says.
 fn masked(answer: &str) -> String {
     let lines = answer.lines().map(|line| {
         let mut words: Vec<&str> = Vec::new();
         for word in line.split(' ') {
             let before = words.last().copied().unwrap_or_default();
-            let varies = BEFORE_VARYING.contains(&before) || (before == "in" && words.contains(&"again"));
+            let varies =
+                NAMES_OF_VARYING_WORDS.contains(&before) || (before == "in" && words.contains(&"again"));
             words.push(if varies { "*" } else { word });
         }
         words.retain(|word| *word != "leads");
@@ -35,26 +38,28 @@
     lines.collect()
 }
 
-/// Says each line to a copy; all answers have to be as wanted. A list is what the copy knows, and that may come a little
-/// later than the answer to a line that changed it, so it is asked for again until it is as wanted.
-async fn exchange(fleet: &Fleet, process: usize, said: &[(&str, &str)]) -> Result<(), String> {
-    let mut wrong = Vec::new();
-    for (line, wanted) in said {
+/// Sends each command to an instance; all answers have to be as expected. A list is what the instance knows, which may lag
+/// behind the answer to a command that changed it, so a list is requested again until it is as expected.
+async fn assert_answers(fleet: &Fleet, process: usize, commands: &[(&str, &str)]) -> Result<(), String> {
+    let mut violations = Vec::new();
+    for (line, wanted) in commands {
         let is_list = wanted.ends_with("EOF\n");
         let answer = match is_list {
-            true => fleet.until(process, line, SOON, |text| masked(text) == *wanted).await,
+            true => fleet.until(process, line, STEP_TIMEOUT, |text| masked(text) == *wanted).await,
             false => fleet.line(process, line).await.ok_or_else(|| "no answer".to_owned()),
         };
         match answer.map(|text| masked(&text)) {
             Ok(answer) if answer == *wanted => {}
-            Ok(other) | Err(other) => wrong.push(format!("{line}: {other:?} where {wanted:?} was wanted")),
+            Ok(other) | Err(other) => {
+                violations.push(format!("{line}: {other:?} where {wanted:?} was wanted"))
+            }
         }
     }
-    sure(wrong.is_empty(), || wrong.join("\n"))
+    ensure(violations.is_empty(), || violations.join("\n"))
 }
 
-/// Lines that can't be carried out, and why.
-const WRONG: &[(&str, &str)] = &[
+/// Commands that can't be carried out, and why.
+const INVALID_COMMANDS: &[(&str, &str)] = &[
     ("FLEET NOW", USAGE),
     ("FLEET HANDOVER", "400 the duty is missing\n"),
     (
@@ -154,8 +159,8 @@
     ("PING", "200 serving\n"),
 ];
 
-/// Windows, incidents and changes in one course. The register gives out its numbers in order, from 1.
-const COURSE: &[(&str, &str)] = &[
+/// Windows, incidents and changes in one sequence. Incidents and changes are numbered in order, from 1.
+const COMMAND_SEQUENCE: &[(&str, &str)] = &[
     ("WINDOW", "EOF\n"),
     ("INCIDENT", "EOF\n"),
     ("CHANGE", "EOF\n"),
@@ -212,47 +217,47 @@
     ),
 ];
 
-/// What every copy knows of the fleet, behind what it says of itself.
-const OF_THE_FLEET: &str = "index * gates open\n\
+/// What every instance answers of the fleet, behind the lines on itself.
+const FLEET_STATUS: &str = "index * gates open\n\
     duty freeze/coordinator held * token * standing 2\nduty shift/zone-0 held * token * standing 2\n\
     duty shift/zone-1 held * token * standing 2\nduty shift/zone-2 held * token * standing 2\n\
     part zone-0 1.000\npart zone-1 1.000\npart zone-2 1.000\nEOF\n";
 
 #[test]
-fn each_line_has_its_answer() {
-    talk("drill-duties", 3, PEOPLE, |fleet| async move {
-        settled(&fleet).await?;
-        exchange(&fleet, FOLLOWER, WRONG).await?;
-        exchange(&fleet, FOLLOWER, COURSE).await
+fn each_command_has_its_answer() {
+    run_scenario("drill-duties", 3, PEOPLE, |fleet| async move {
+        wait_until_settled(&fleet).await?;
+        assert_answers(&fleet, FOLLOWER, INVALID_COMMANDS).await?;
+        assert_answers(&fleet, FOLLOWER, COMMAND_SEQUENCE).await
     });
 }
 
 #[test]
-fn a_copy_tells_of_itself_and_gives_a_duty_up() {
-    talk("drill-duties", 3, PEOPLE, |fleet| async move {
-        settled(&fleet).await?;
-        let (owner, _) = fleet.new_owner(COORDINATOR, &[], SOON).await?;
+fn an_instance_reports_its_status_and_hands_a_lease_over() {
+    run_scenario("drill-duties", 3, PEOPLE, |fleet| async move {
+        wait_until_settled(&fleet).await?;
+        let (owner, _) = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
         let keeper = (owner + 1) % 3;
         let of_a_keeper =
-            format!("copy {keeper} life * site zone-{keeper}\nkeeper * leader * members *\n{OF_THE_FLEET}");
-        exchange(&fleet, keeper, &[("FLEET", &of_a_keeper)]).await?;
-        let of_a_follower = format!("copy 4 life * site zone-1\nfollows * connected age *\n{OF_THE_FLEET}");
-        exchange(&fleet, FOLLOWER, &[("FLEET", &of_a_follower)]).await?;
+            format!("copy {keeper} life * site zone-{keeper}\nkeeper * leader * members *\n{FLEET_STATUS}");
+        assert_answers(&fleet, keeper, &[("FLEET", &of_a_keeper)]).await?;
+        let of_a_follower = format!("copy 4 life * site zone-1\nfollows * connected age *\n{FLEET_STATUS}");
+        assert_answers(&fleet, FOLLOWER, &[("FLEET", &of_a_follower)]).await?;
         let text = fleet.line(owner, "FLEET").await.unwrap_or_default();
         let held: Vec<String> = text.lines().filter(|line| line.starts_with("holds ")).map(masked).collect();
-        sure(held.contains(&"holds freeze/coordinator token *\n".to_owned()), || text.clone())?;
-        exchange(&fleet, owner, &[("FLEET HANDOVER freeze/coordinator", "200 handed over\n")]).await
+        ensure(held.contains(&"holds freeze/coordinator token *\n".to_owned()), || text.clone())?;
+        assert_answers(&fleet, owner, &[("FLEET HANDOVER freeze/coordinator", "200 handed over\n")]).await
     });
 }
 
 #[test]
-fn a_copy_that_hears_no_keeper_says_that_nothing_is_known() {
-    talk("drill-duties", 3, PEOPLE, |fleet| async move {
-        settled(&fleet).await?;
-        cut(&fleet, Fault::Silent, from_process(FOLLOWER))?;
+fn a_follower_without_replicas_answers_504() {
+    run_scenario("drill-duties", 3, PEOPLE, |fleet| async move {
+        wait_until_settled(&fleet).await?;
+        inject_fault(&fleet, Fault::Silent, from_process(FOLLOWER))?;
         let unknown =
             "504 the keepers have not answered; it may still be carried out, and asking again is harmless\n";
-        exchange(&fleet, FOLLOWER, &[("CHANGE ASK drain site:zone-0 tom", unknown)]).await?;
+        assert_answers(&fleet, FOLLOWER, &[("CHANGE ASK drain site:zone-0 tom", unknown)]).await?;
         fleet.set(Fault::None, from_process(FOLLOWER));
         Ok(())
     });
@@ -270,8 +275,8 @@
     line
 }
 
-/// Waits until a copy has written an act of the coordinator's duty into its log, in exactly this form.
-async fn written(fleet: &Fleet, process: usize, what: &str) -> Result<(), String> {
+/// Waits until an instance has logged an audit line on the coordinator's lease, in exactly this form.
+async fn wait_for_audit_line(fleet: &Fleet, process: usize, what: &str) -> Result<(), String> {
     let expected = format!(
         "{{\"timestamp\":*,\"level\":\"INFO\",\"message\":\"fleet {what}\",\"copy\":{process},\"life\":*,\
          \"at\":*,\"duty\":\"freeze/coordinator\",\"token\":*,\"target\":\"hillstall_coordination::runtime\"}}"
@@ -280,21 +285,21 @@
         let log = std::fs::read_to_string(fleet.processes[process].log()).unwrap_or_default();
         log.lines().any(|line| without_values(line, &["timestamp", "life", "at", "token"]) == expected)
     };
-    let end = Instant::now() + SOON;
+    let end = Instant::now() + STEP_TIMEOUT;
     while !is_written() && Instant::now() < end {
         sleep(Duration::from_millis(50)).await;
     }
-    sure(is_written(), || format!("{expected} is not in the log"))
+    ensure(is_written(), || format!("{expected} is not in the log"))
 }
 
 #[test]
-fn acts_are_written_down_in_this_form() {
-    talk("drill-duties", 3, PEOPLE, |fleet| async move {
-        settled(&fleet).await?;
-        let (owner, _) = fleet.new_owner(COORDINATOR, &[], SOON).await?;
-        // What a copy holds is looked at from time to time, so a duty that it gave up at once would not be written down.
-        written(&fleet, owner, "holds").await?;
-        exchange(&fleet, owner, &[("FLEET HANDOVER freeze/coordinator", "200 handed over\n")]).await?;
-        written(&fleet, owner, "lost").await
+fn audit_lines_have_this_form() {
+    run_scenario("drill-duties", 3, PEOPLE, |fleet| async move {
+        wait_until_settled(&fleet).await?;
+        let (owner, _) = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
+        // Held leases are polled, so one that was released at once would not be logged.
+        wait_for_audit_line(&fleet, owner, "holds").await?;
+        assert_answers(&fleet, owner, &[("FLEET HANDOVER freeze/coordinator", "200 handed over\n")]).await?;
+        wait_for_audit_line(&fleet, owner, "lost").await
     });
 }
--- /dev/null
+++ b/crates/hillstall/tests/coordination/change_freeze.rs
@@ -0,0 +1,165 @@
+//! Incidents, change permits and their coordinator, while parts of the fleet fail.
+
+use crate::scenario::{
+    ensure, inject_fault, run_scenario, send_command, wait_until_settled, COORDINATOR_LEASE, STEP_TIMEOUT,
+};
+use hillstall_fault_injection::fleet::Ends;
+use hillstall_fault_injection::keeper::Sign;
+use hillstall_fault_injection::link::Fault;
+use hillstall_fault_injection::talk::from_process;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// Two people, one of whom has two names.
+const PEOPLE: &str = "people = [[\"mira\", \"m.k\"], [\"tom\"], [\"ann\"]]\n";
+
+/// The number in an answer.
+fn number(text: &str) -> String {
+    text.split_whitespace().nth(1).unwrap_or("?").to_owned()
+}
+
+#[test]
+fn an_incident_blocks_conflicting_changes_at_every_instance_but_not_its_remedy() {
+    run_scenario("drill-duties", 3, PEOPLE, |fleet| async move {
+        wait_until_settled(&fleet).await?;
+        let before =
+            send_command(&fleet, 4, "CHANGE ASK upgrade site:zone-1 tom reaction=undo", "200").await?;
+        let incident = number(
+            &send_command(&fleet, 3, "INCIDENT OPEN critical site:zone-0 ann boxes are gone", "200").await?,
+        );
+        for process in [0, 2, 5, 8, 12] {
+            send_command(&fleet, process, "CHANGE ASK settings site:zone-2 tom", "409").await?;
+        }
+        fleet
+            .until(6, "CHANGE", STEP_TIMEOUT, |text| {
+                text.contains(&format!("{} upgrade site:zone-1 reacts", number(&before)))
+            })
+            .await?;
+        send_command(&fleet, 4, &format!("CHANGE DONE {}", number(&before)), "200").await?;
+        let remedy = number(&send_command(&fleet, 5, "CHANGE ASK drain site:zone-0 tom", "409").await?);
+        send_command(&fleet, 6, &format!("INCIDENT REMEDY {incident} {remedy} ann"), "200").await?;
+        fleet
+            .until(5, "CHANGE", STEP_TIMEOUT, |text| {
+                text.contains(&format!("{remedy} drain site:zone-0 in-flight"))
+            })
+            .await?;
+        send_command(&fleet, 2, &format!("INCIDENT RESOLVE {incident} ann"), "200").await?;
+        // It blocks until it has cooled down.
+        send_command(&fleet, 7, "CHANGE ASK operator-file site:zone-2 tom", "409").await.map(|_| ())
+    });
+}
+
+#[test]
+fn an_emergency_takes_two_people_and_not_two_names() {
+    run_scenario("drill-duties", 3, PEOPLE, |fleet| async move {
+        wait_until_settled(&fleet).await?;
+        send_command(&fleet, 3, "INCIDENT OPEN critical fleet ann", "200").await?;
+        send_command(&fleet, 4, "CHANGE EMERGENCY settings class:browse mira", "202").await?;
+        send_command(&fleet, 9, "CHANGE EMERGENCY settings class:browse m.k", "400").await?;
+        send_command(&fleet, 9, "CHANGE EMERGENCY settings class:browse eve", "400").await?;
+        let given = send_command(&fleet, 6, "CHANGE EMERGENCY settings class:browse tom", "200").await?;
+        fleet
+            .until(11, "RECORD", STEP_TIMEOUT, |text| {
+                text.contains(&format!("{} emergency seconded by tom", number(&given)))
+            })
+            .await?;
+        // Emergency or not, what overlaps it waits.
+        send_command(&fleet, 5, "CHANGE ASK upgrade fleet mira", "202").await.map(|_| ())
+    });
+}
+
+#[test]
+fn only_the_majority_of_replicas_gives_permits() {
+    run_scenario("drill-duties", 5, PEOPLE, |fleet| async move {
+        wait_until_settled(&fleet).await?;
+        // Replicas 0 and 1 on one side, 2 to 4 on the other; all other instances reach both.
+        let between = |ends: Ends| {
+            matches!(ends, Ends::Keeper { process, slot }
+            if process < 5 && (process < 2) != (slot < 2))
+        };
+        inject_fault(&fleet, Fault::Silent, between)?;
+        let few = send_command(&fleet, 0, "CHANGE ASK drain site:zone-0 tom", "504");
+        let many = send_command(&fleet, 3, "CHANGE ASK drain site:zone-0 mira", "200");
+        let (few, many) = tokio::join!(few, many);
+        few?;
+        let held = match many {
+            Ok(text) => text,
+            // The side was still electing.
+            Err(_) => send_command(&fleet, 3, "CHANGE ASK drain site:zone-0 mira", "20").await?,
+        };
+        ensure(!held.is_empty(), || "no permit where most keepers are".into())?;
+        let before = fleet.passed(between);
+        sleep(Duration::from_millis(300)).await;
+        ensure(fleet.passed(between) == before, || "something passes the cut".into())?;
+        fleet.set(Fault::None, between);
+        // Both sides converge on one state: one permit for the site, and nothing in flight beside it.
+        let same =
+            |text: &str| text.lines().filter(|l| l.contains("drain site:zone-0 in-flight")).count() == 1;
+        for process in 0..5 {
+            fleet.until(process, "CHANGE", STEP_TIMEOUT, same).await?;
+        }
+        Ok(())
+    });
+}
+
+#[test]
+fn a_lost_site_becomes_an_incident_and_blocks_changes_though_its_coordinator_dies() {
+    run_scenario("drill-duties", 3, PEOPLE, |fleet| async move {
+        wait_until_settled(&fleet).await?;
+        let (first, _) = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
+        send_command(&fleet, 4, "CHANGE ASK upgrade site:zone-1 tom", "200").await?;
+        // All servers of one zone fall silent for all proxies.
+        let boxes: Vec<usize> = fleet.servers_of_zone(1);
+        let lost = |ends: Ends| matches!(ends, Ends::Server { server, .. } if boxes.contains(&server));
+        fleet.set(Fault::Reset, lost);
+        let seen = |text: &str| text.lines().any(|l| l.contains("site:zone-1 active by=rule/"));
+        fleet.until(9, "INCIDENT", STEP_TIMEOUT, seen).await?;
+        fleet.until(9, "CHANGE", STEP_TIMEOUT, |text| text.contains("upgrade site:zone-1 reacts")).await?;
+        // The coordinator that opened it dies; the incident stays.
+        fleet.signal(first, Sign::Kill)?;
+        fleet.new_owner(COORDINATOR_LEASE, &[first], STEP_TIMEOUT).await?;
+        fleet.until(9, "INCIDENT", STEP_TIMEOUT, seen).await?;
+        let barred =
+            fleet.line((first + 1) % 3, "CHANGE ASK drain site:zone-1 mira").await.unwrap_or_default();
+        ensure(barred.starts_with("409") || barred.starts_with("202"), || barred.clone())?;
+        fleet.set(Fault::None, lost);
+        Ok(fleet.start_process(first).await?)
+    });
+}
+
+#[test]
+fn a_healthy_fleet_has_no_incident() {
+    run_scenario("drill-duties", 3, PEOPLE, |fleet| async move {
+        wait_until_settled(&fleet).await?;
+        for _ in 0..40 {
+            sleep(Duration::from_millis(200)).await;
+            let text = fleet.line(4, "INCIDENT").await.unwrap_or_default();
+            ensure(text == "EOF\n", || text.clone())?;
+        }
+        Ok(())
+    });
+}
+
+#[test]
+fn two_coordinators_that_both_believe_to_hold_the_lease_leave_one_history() {
+    run_scenario("drill-duties", 3, PEOPLE, |fleet| async move {
+        wait_until_settled(&fleet).await?;
+        let (first, token) = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
+        // It is suspended while it holds the lease; another takes over, and it is resumed.
+        fleet.signal(first, Sign::Stop)?;
+        let (second, newer) = fleet.new_owner(COORDINATOR_LEASE, &[first], STEP_TIMEOUT).await?;
+        ensure(newer > token, || format!("{newer} after {token}"))?;
+        send_command(&fleet, second, "INCIDENT OPEN major site:zone-2 ann", "200").await?;
+        inject_fault(&fleet, Fault::LoseBack, from_process(first))?;
+        fleet.signal(first, Sign::Go)?;
+        let barred =
+            fleet.line((first + 1) % 3, "CHANGE ASK drain site:zone-2 mira").await.unwrap_or_default();
+        ensure(barred.starts_with("409"), || barred.clone())?;
+        fleet.set(Fault::None, from_process(first));
+        fleet
+            .until(first, "INCIDENT", STEP_TIMEOUT, |text| text.contains("major site:zone-2 active by=ann"))
+            .await?;
+        let now = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
+        ensure(now.1 >= newer, || format!("{now:?} after {newer}"))
+    });
+}
--- a/crates/hillstall/tests/coordination/figures.rs
+++ b/crates/hillstall/tests/coordination/figures.rs
@@ -1,9 +1,11 @@
 //! Figures for the page of measurements; run on demand, as they take minutes:
-//! `cargo test -p hillstall --test fleet figures -- --ignored --nocapture --test-threads 1`.
+//! `cargo test -p hillstall --test coordination figures -- --ignored --nocapture --test-threads 1`.
 
 use crate::harness::service;
-use crate::talking::{cut, settled, since, talk, COORDINATOR, SOON};
-use crate::windows::{plan, LONG, SECTION};
+use crate::scenario::{
+    elapsed_ms, inject_fault, run_scenario, wait_until_settled, COORDINATOR_LEASE, STEP_TIMEOUT,
+};
+use crate::windows::{plan_window, SECTION, WINDOW_TIMEOUT};
 use hillstall_fault_injection::keeper::Sign;
 use hillstall_fault_injection::link::Fault;
 use hillstall_fault_injection::talk::from_process;
@@ -11,36 +13,36 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Drills side by side, and how often.
-const SIDE_BY_SIDE: usize = 3;
+/// Scenarios that run at a time, and how often they do.
+const PARALLEL_SCENARIOS: usize = 3;
 const ROUNDS: usize = 3;
 
-fn told(what: &str, mut all: Vec<u64>) {
+fn print_summary(what: &str, mut all: Vec<u64>) {
     all.sort_unstable();
     let at = |part: f64| all.get(((all.len() - 1) as f64 * part) as usize).copied().unwrap_or(0);
     println!("{what}: {} times, median {} ms, worst {} ms: {all:?}", all.len(), at(0.5), at(1.0));
 }
 
-/// Kills, stops and cuts off whoever owns the coordination, one after the other, as long as calls come.
-fn takeovers() -> Vec<(&'static str, u64)> {
+/// Kills, stops and cuts off the coordinator in turn, as long as requests come; returns each fault and the time to takeover.
+fn measure_takeovers() -> Vec<(&'static str, u64)> {
     let seen: Rc<RefCell<Vec<(&str, u64)>>> = Rc::default();
     let taken = seen.clone();
-    talk("drill-window", 3, "", move |fleet| {
+    run_scenario("drill-window", 3, "", move |fleet| {
         let seen = taken.clone();
         async move {
             seen.borrow_mut().clear();
             while fleet.history.now() < 18_000.0 {
                 for how in ["kill", "stop", "cut"] {
-                    settled(&fleet).await?;
-                    let (first, _) = fleet.new_owner(COORDINATOR, &[], SOON).await?;
+                    wait_until_settled(&fleet).await?;
+                    let (first, _) = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
                     let at = Instant::now();
                     match how {
                         "kill" => fleet.signal(first, Sign::Kill)?,
                         "stop" => fleet.signal(first, Sign::Stop)?,
-                        _ => cut(&fleet, Fault::LoseForth, from_process(first))?,
+                        _ => inject_fault(&fleet, Fault::LoseForth, from_process(first))?,
                     }
-                    fleet.new_owner(COORDINATOR, &[first], SOON).await?;
-                    seen.borrow_mut().push((how, since(at)));
+                    fleet.new_owner(COORDINATOR_LEASE, &[first], STEP_TIMEOUT).await?;
+                    seen.borrow_mut().push((how, elapsed_ms(at)));
                     match how {
                         "kill" => fleet.start_process(first).await?,
                         "stop" => fleet.signal(first, Sign::Go)?,
@@ -59,28 +61,28 @@
 fn figures_of_takeovers() {
     let mut all = Vec::new();
     for _ in 0..ROUNDS {
-        let plays: Vec<_> = (0..SIDE_BY_SIDE).map(|_| std::thread::spawn(takeovers)).collect();
+        let plays: Vec<_> = (0..PARALLEL_SCENARIOS).map(|_| std::thread::spawn(measure_takeovers)).collect();
         all.extend(plays.into_iter().flat_map(|play| play.join().expect("a drill")));
     }
     for how in ["kill", "stop", "cut"] {
-        told(how, all.iter().filter(|(h, _)| *h == how).map(|(_, ms)| *ms).collect());
+        print_summary(how, all.iter().filter(|(h, _)| *h == how).map(|(_, ms)| *ms).collect());
     }
 }
 
-fn window(section: &str, planned: bool) -> (f64, u64) {
+fn measure_window(section: &str, planned: bool) -> (f64, u64) {
     let back: Rc<RefCell<u64>> = Rc::default();
     let seen = back.clone();
     let section = section.to_owned();
-    let played = talk("drill-window", 3, &section, move |fleet| {
+    let played = run_scenario("drill-window", 3, &section, move |fleet| {
         let seen = seen.clone();
         async move {
-            settled(&fleet).await?;
+            wait_until_settled(&fleet).await?;
             if planned {
-                plan(&fleet, "zone-1", 9, 4).await?;
-                fleet.until(5, "WINDOW", LONG, |text| text.contains("zone-1 returning")).await?;
+                plan_window(&fleet, "zone-1", 9, 4).await?;
+                fleet.until(5, "WINDOW", WINDOW_TIMEOUT, |text| text.contains("zone-1 returning")).await?;
                 let at = Instant::now();
-                fleet.until(5, "WINDOW", LONG, |text| text.contains("zone-1 done")).await?;
-                seen.replace(since(at));
+                fleet.until(5, "WINDOW", WINDOW_TIMEOUT, |text| text.contains("zone-1 done")).await?;
+                seen.replace(elapsed_ms(at));
             }
             Ok(())
         }
@@ -98,8 +100,9 @@
     {
         let mut services = Vec::new();
         for _ in 0..2 {
-            let plays: Vec<_> =
-                (0..SIDE_BY_SIDE).map(|_| std::thread::spawn(move || window(section, planned))).collect();
+            let plays: Vec<_> = (0..PARALLEL_SCENARIOS)
+                .map(|_| std::thread::spawn(move || measure_window(section, planned)))
+                .collect();
             services.extend(plays.into_iter().map(|play| play.join().expect("a drill")));
         }
         let mean = services.iter().map(|(s, _)| s).sum::<f64>() / services.len() as f64;
--- a/crates/hillstall/tests/coordination/main.rs
+++ b/crates/hillstall/tests/coordination/main.rs
@@ -1,13 +1,12 @@
-//! What the copies of a fleet do together: whole fleets of real processes under real calls, with faults between them. Each
-//! drill is judged by what the copies say and by the record that they write of their acts, and the rules on calls are held
-//! to as in every drill.
+//! Coordination in whole fleets of real processes that serve requests, with injected faults. Each scenario is checked by the
+//! answers of the instances and by their audit lines, and the rules on requests hold as in every scenario.
 
+mod admin_commands;
+mod change_freeze;
 mod figures;
-mod freeze;
 #[path = "../fault_injection/harness.rs"]
 #[allow(dead_code)]
 mod harness;
-mod lines;
-mod owners;
-mod talking;
+mod lease_holders;
+mod scenario;
 mod windows;
