--- a/crates/proxy-core/src/discovery.rs
+++ b/crates/proxy-core/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Where the list of servers comes from. How it is asked is a protocol of its own; how often, and from where it
-//! goes on after a failure, is the same for all.
+//! Where the endpoint list comes from. How discovery is queried depends on the protocol; how often, and from which
+//! version after a failure, does not.
 
 use crate::endpoints::EndpointList;
 use std::future::Future;
@@ -8,55 +8,57 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Waits between two tries, doubled with each failure.
-const BACKOFF: Duration = Duration::from_millis(50);
-const BACKOFF_MOST: Duration = Duration::from_millis(800);
+/// The first pause before a watch is opened again; it doubles with each failure.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// The longest pause before a watch is opened again.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// Longest wait for the head of an answer. A service that handles one call after another lets calls wait, and
-/// says itself when one has waited too long. A caller that leaves sooner than that asks again at the end of the
-/// line, while the service goes on to work for nobody: a whole fleet that does so hears nothing any more.
+/// How long to wait for the head of a response. A service that handles one request after another queues them, and
+/// itself rejects one that has waited too long. A client that gives up sooner goes back to the end of the queue,
+/// while the service still works on the abandoned request: if a whole fleet does so, no proxy gets a list any more.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// A future that a trait object gives.
+/// A boxed future, as a trait object's method returns it.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// A service that knows the servers.
+/// A service that knows the backends.
 pub trait Discovery {
-    /// Watches from version `index` until the watch ends, and gives why. Where no version is known, the whole
-    /// list comes first: versions of one address mean nothing at another.
+    /// Watches the list from version `index`, which it advances, passing what it receives to `on_list`, until the
+    /// watch ends; returns why it did. Where no version is known, the whole list comes first, as the versions of
+    /// one address mean nothing at another.
     fn watch<'a>(
         &'a self,
         address: SocketAddr,
         index: &'a mut Option<u64>,
-        take: &'a mut dyn FnMut(EndpointList),
+        on_list: &'a mut dyn FnMut(EndpointList),
     ) -> BoxFuture<'a, String>;
 
-    /// Asks for the whole list once.
+    /// Fetches the whole list once; `None` if that failed.
     fn fetch(&self, address: SocketAddr) -> BoxFuture<'_, Option<EndpointList>>;
 }
 
-/// Watches for ever, and gives why each watch ended to `tell`. One that ends, falls silent or is garbled is opened
-/// again from where it stood.
+/// Watches the list for ever. A watch that ends is opened again from the last version after a pause, and `on_end` is
+/// given the cause.
 pub async fn follow(
     discovery: Rc<dyn Discovery>,
     address: SocketAddr,
     mut index: Option<u64>,
-    mut take: impl FnMut(EndpointList),
-    tell: impl Fn(&str),
+    mut on_list: impl FnMut(EndpointList),
+    on_end: impl Fn(&str),
 ) {
-    let mut wait = BACKOFF;
+    let mut backoff = MIN_BACKOFF;
     loop {
-        let mut got = false;
-        let mut heard = |list| {
-            got = true;
-            take(list);
+        let mut received_any = false;
+        let mut on_received = |list| {
+            received_any = true;
+            on_list(list);
         };
-        let why = discovery.watch(address, &mut index, &mut heard).await;
-        if got {
-            wait = BACKOFF;
+        let cause = discovery.watch(address, &mut index, &mut on_received).await;
+        if received_any {
+            backoff = MIN_BACKOFF;
         }
-        tell(&why);
-        tokio::time::sleep(wait).await;
-        wait = (wait * 2).min(BACKOFF_MOST);
+        on_end(&cause);
+        tokio::time::sleep(backoff).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
--- a/crates/proxy-core/src/lifecycle.rs
+++ b/crates/proxy-core/src/lifecycle.rs
@@ -1,90 +1,95 @@
-//! Whether this process takes clients: one state that `/up`, the second address, keep-alive, the closing of
-//! idle connections and SIGTERM all go by.
+//! Whether this process serves clients: the one state that health checks, the second address, keep-alive, the
+//! closing of idle connections and SIGTERM all go by.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The states of a process.
+/// The phases in the life of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// It does not listen yet.
     Starting,
-    /// It takes clients.
+    /// It serves clients.
     Serving,
-    /// It is being emptied and goes on running; it may take clients again.
+    /// Clients are to leave; the process goes on running and may serve again.
     Draining,
-    /// It ends once all that it has taken is answered.
+    /// It ends once all accepted requests have their responses.
     Stopping,
 }
 
-/// The state, and since when.
+/// The phase of this process, and since when.
 pub struct Lifecycle {
     phase: Cell<Phase>,
-    since: Cell<Instant>,
-    /// How long a stop leaves kept connections alone.
+    phase_since: Cell<Instant>,
+    /// How long after the begin of a stop idle connections are left open.
     stop_notice: Cell<Duration>,
 }
 
 impl Lifecycle {
-    /// A process that is about to serve.
+    /// A process that is starting.
     pub fn new() -> Rc<Lifecycle> {
         Rc::new(Lifecycle {
             phase: Cell::new(Phase::Starting),
-            since: Cell::new(Instant::now()),
+            phase_since: Cell::new(Instant::now()),
             stop_notice: Cell::default(),
         })
     }
 
-    /// The present state.
+    /// The present phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
     fn enter(&self, phase: Phase) {
         if self.phase.replace(phase) != phase {
-            self.since.set(Instant::now());
+            self.phase_since.set(Instant::now());
         }
     }
 
-    /// It listens now.
+    /// Whether a drain may begin or be reverted.
+    fn is_running(&self) -> bool {
+        matches!(self.phase(), Phase::Serving | Phase::Draining)
+    }
+
+    /// Records that the process listens now.
     pub fn serve(&self) {
         if self.phase() == Phase::Starting {
             self.enter(Phase::Serving);
         }
     }
 
-    /// Begins a drain; false if the process does not serve yet, or is stopping, which can't be taken back.
+    /// Begins a drain; false if the process does not serve yet, or is stopping, which can't be reverted.
     pub fn drain(&self) -> bool {
-        let may = matches!(self.phase(), Phase::Serving | Phase::Draining);
-        if may {
+        let allowed = self.is_running();
+        if allowed {
             self.enter(Phase::Draining);
         }
-        may
+        allowed
     }
 
-    /// Takes a drain back; false if the process does not serve yet, or is stopping.
+    /// Reverts a drain; false if the process does not serve yet, or is stopping.
     pub fn rejoin(&self) -> bool {
-        let may = matches!(self.phase(), Phase::Serving | Phase::Draining);
-        if may {
+        let allowed = self.is_running();
+        if allowed {
             self.enter(Phase::Serving);
         }
-        may
+        allowed
     }
 
-    /// Begins the end. Kept connections are left alone for so long.
+    /// Begins the stop. Idle connections are left open for the time of the notice.
     pub fn stop(&self, notice: Duration) {
         self.stop_notice.set(notice);
         self.enter(Phase::Stopping);
     }
 
-    /// Whether connections are now to be closed as they fall idle; a drain leaves them alone for its notice first.
+    /// Whether connections are to be closed as they become idle. A drain leaves them open for its notice first.
     pub fn closes_idle(&self, drain_notice: Duration) -> bool {
         let notice = match self.phase() {
             Phase::Starting | Phase::Serving => return false,
             Phase::Draining => drain_notice,
             Phase::Stopping => self.stop_notice.get(),
         };
-        self.since.get().elapsed() >= notice
+        self.phase_since.get().elapsed() >= notice
     }
 }
--- a/crates/proxy-core/src/limits.rs
+++ b/crates/proxy-core/src/limits.rs
@@ -1,115 +1,130 @@
-//! What the process may hold at once: descriptors, in a fixed share for either side, and the bytes of bodies.
-//! Both sides ask here, so that what one takes is not missing at the other.
+//! The resources that the process may use at once: sockets, in a fixed quota for clients and for backends, and
+//! memory for buffered bodies. Both sides of a protocol reserve them here, so that neither uses up the other's.
 
 use crate::tuning::Tuning;
 use bytes::Bytes;
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Descriptors kept for the listeners, discovery, the runtime, the standard streams and the second address.
+/// Descriptors reserved for the listeners, discovery, the runtime, the standard streams and the second address.
 pub const RESERVED_SOCKETS: usize = 32;
-/// The most calls open at once at the second address; the descriptors for them are kept free.
+/// The maximum of connections to the second address, which come from the reserved descriptors.
 pub const MAX_ADMIN_CONNECTIONS: usize = 12;
-/// Part of the memory that bodies and answers may take. On its way each byte is held up to three times: as it
-/// was read, as it is passed on, and in the buffer that is written.
-const BODY_PART: usize = 4;
-/// So much of something as may be held at once.
+/// Buffered bodies may take the memory divided by this. In transit each byte is held up to three times: as it was
+/// read, as it is passed on, and in the buffer that is written.
+const BODY_MEMORY_DIVISOR: usize = 4;
+const BYTES_PER_MB: usize = 1 << 20;
+/// The fewest sockets that are divided between the two sides, so that each has one.
+const MIN_SOCKETS: usize = 2;
+/// Bodies of maximum size for which there is always memory.
+const MIN_BUFFERED_BODIES: usize = 2;
+
+/// An amount of a resource that may be reserved at once.
 pub struct ResourceQuota {
-    most: Cell<usize>,
-    held: Cell<usize>,
+    limit: Cell<usize>,
+    reserved: Cell<usize>,
 }
 
 impl ResourceQuota {
-    /// A quota of so much, all of it free.
-    pub fn new(most: usize) -> Rc<ResourceQuota> {
-        Rc::new(ResourceQuota { most: Cell::new(most), held: Cell::new(0) })
+    /// A quota of this amount, none of it reserved.
+    pub fn new(limit: usize) -> Rc<ResourceQuota> {
+        Rc::new(ResourceQuota { limit: Cell::new(limit), reserved: Cell::new(0) })
     }
 
-    /// Takes an amount until the result is dropped; `None` if so much is not left.
+    /// Reserves an amount until the result is dropped; `None` if less than that is left.
     pub fn reserve(self: &Rc<ResourceQuota>, amount: usize) -> Option<Reservation> {
-        let held = self.held.get().checked_add(amount).filter(|held| *held <= self.most.get())?;
-        self.held.set(held);
-        Some(Reservation { share: self.clone(), amount })
+        let reserved = self.reserved.get().checked_add(amount)?;
+        if reserved > self.limit.get() {
+            return None;
+        }
+        self.reserved.set(reserved);
+        Some(Reservation { quota: self.clone(), amount })
     }
 
     /// Whether any of it is left.
     pub fn has_capacity(&self) -> bool {
-        self.held.get() < self.most.get()
+        self.reserved.get() < self.limit.get()
     }
 
-    /// How much there is in all.
+    /// The amount in all.
     pub fn limit(&self) -> usize {
-        self.most.get()
+        self.limit.get()
     }
 
-    /// Whether more is held than there is, since there is less.
+    /// Whether more is reserved than the limit, which happens when the limit was lowered.
     pub fn is_exceeded(&self) -> bool {
-        self.held.get() > self.most.get()
+        self.reserved.get() > self.limit.get()
+    }
+
+    fn release(&self, amount: usize) {
+        self.reserved.set(self.reserved.get() - amount);
     }
 }
 
-/// A part of a [`ResourceQuota`], given back when dropped.
+/// A part of a [`ResourceQuota`] that is reserved until this is dropped.
 pub struct Reservation {
-    share: Rc<ResourceQuota>,
+    quota: Rc<ResourceQuota>,
     amount: usize,
 }
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.share.held.set(self.share.held.get() - self.amount);
+        self.quota.release(self.amount);
     }
 }
 
 impl Reservation {
-    /// Gives back all but an amount.
+    /// Releases all but this amount.
     pub fn shrink_to(&mut self, amount: usize) {
-        let back = self.amount.saturating_sub(amount);
-        self.share.held.set(self.share.held.get() - back);
-        self.amount -= back;
+        let surplus = self.amount.saturating_sub(amount);
+        self.quota.release(surplus);
+        self.amount -= surplus;
     }
 }
 
-/// A whole body with the room that it takes.
+/// A complete body and the reservation of the memory that it takes.
 pub struct BufferedBody {
-    /// Its bytes.
+    /// The bytes of the body.
     pub bytes: Bytes,
-    _room: Reservation,
+    _reservation: Reservation,
 }
 
 impl BufferedBody {
-    /// A body that takes so much room.
-    pub fn new(bytes: Bytes, room: Reservation) -> BufferedBody {
-        BufferedBody { bytes, _room: room }
+    /// A body in memory that was reserved for it.
+    pub fn new(bytes: Bytes, reservation: Reservation) -> BufferedBody {
+        BufferedBody { bytes, _reservation: reservation }
     }
 }
 
 /// The limits of this process.
 pub struct Limits {
-    sockets: usize,
-    memory_mb: usize,
-    /// Callers' connections.
+    /// Descriptors of all processes of the proxy together.
+    total_sockets: usize,
+    /// Memory of all processes of the proxy together, in MiB.
+    total_memory_mb: usize,
+    /// Connections from clients.
     pub client_connections: Rc<ResourceQuota>,
     /// Connections to backends.
     pub backend_connections: Rc<ResourceQuota>,
-    /// Bytes of bodies, from callers and from backends.
+    /// Bytes of buffered bodies, from clients and from backends.
     pub buffered_bytes: Rc<ResourceQuota>,
     tuning: Cell<Tuning>,
-    /// Other processes that the limits hold for as well.
-    others: Cell<usize>,
+    /// Other processes of the proxy, which the totals hold for as well.
+    other_processes: Cell<usize>,
 }
 
 impl Limits {
-    /// Shares out what the platform gives. Each open request holds a caller's connection and an upstream one.
+    /// Divides up the platform's limits: a number of descriptors, and memory in MiB. Each open request takes one
+    /// connection from a client and one to a backend.
     pub fn new(sockets: usize, memory_mb: usize) -> Rc<Limits> {
-        let share = || ResourceQuota::new(0);
         let limits = Limits {
-            sockets,
-            memory_mb,
-            client_connections: share(),
-            backend_connections: share(),
-            buffered_bytes: share(),
+            total_sockets: sockets,
+            total_memory_mb: memory_mb,
+            client_connections: ResourceQuota::new(0),
+            backend_connections: ResourceQuota::new(0),
+            buffered_bytes: ResourceQuota::new(0),
             tuning: Cell::default(),
-            others: Cell::default(),
+            other_processes: Cell::default(),
         };
         limits.share_with(0);
         Rc::new(limits)
@@ -120,21 +135,23 @@
         self.tuning.get()
     }
 
-    /// Tunes anew.
+    /// Replaces the tuning.
     pub fn tune(&self, tuning: Tuning) {
         self.tuning.set(tuning);
-        // The least room for bodies goes by the largest that is held.
-        self.share_with(self.others.get());
+        // The minimum of memory for bodies depends on the largest that is buffered.
+        self.share_with(self.other_processes.get());
     }
 
-    /// Keeps to this process's part, with so many others beside it that the limits hold for as well.
+    /// Keeps to this process's part of the limits, while this many other processes of the proxy run beside it.
     pub fn share_with(&self, others: usize) {
-        self.others.set(others);
+        self.other_processes.set(others);
         let processes = others + 1;
-        let side = (self.sockets / processes).saturating_sub(RESERVED_SOCKETS).max(2) / 2;
-        let bytes = self.memory_mb.saturating_mul(1 << 20) / BODY_PART / processes;
-        self.client_connections.most.set(side);
-        self.backend_connections.most.set(side);
-        self.buffered_bytes.most.set(bytes.max(2 * self.tuning().max_buffered_body));
+        let sockets = (self.total_sockets / processes).saturating_sub(RESERVED_SOCKETS).max(MIN_SOCKETS);
+        let sockets_per_side = sockets / 2;
+        let memory = self.total_memory_mb.saturating_mul(BYTES_PER_MB) / BODY_MEMORY_DIVISOR / processes;
+        let min_memory = MIN_BUFFERED_BODIES * self.tuning().max_buffered_body;
+        self.client_connections.limit.set(sockets_per_side);
+        self.backend_connections.limit.set(sockets_per_side);
+        self.buffered_bytes.limit.set(memory.max(min_memory));
     }
 }
--- a/crates/proxy-core/src/metrics.rs
+++ b/crates/proxy-core/src/metrics.rs
@@ -1,139 +1,163 @@
-//! What has happened since the start and what is going on now, in figures for the operators.
+//! Counters and gauges of this process, and their form for the operators.
 
 use hillstall_decision::{Class, UnservedReason};
 use std::cell::Cell;
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// A count that only rises.
+/// A count that only grows.
 pub type Counter = Rc<Cell<u64>>;
 
-fn raise(counter: &Cell<u64>) {
+fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// A backend's answer went out whole.
+    /// A backend's response was sent completely.
     Answered,
-    /// It was turned away; trying again is harmless.
+    /// It was rejected and is safe to retry.
     Deferred,
     /// It failed.
     Errored,
 }
 
 #[derive(Default)]
-struct OfClass {
+struct ClassMetrics {
     name: String,
     answered: Cell<u64>,
     deferred: Cell<u64>,
     errored: Cell<u64>,
     sends: Counter,
+    /// By reason, in the order of [`UnservedReason::ALL`].
     unserved: [Cell<u64>; UnservedReason::ALL.len()],
 }
 
-/// What the proxy knows of its backends.
+impl ClassMetrics {
+    fn new(class: &Class) -> ClassMetrics {
+        ClassMetrics { name: class.name.clone(), ..ClassMetrics::default() }
+    }
+
+    /// Appends the figures of this class, one a line.
+    fn render(&self, text: &mut String) {
+        let counters = [
+            ("answered", &self.answered),
+            ("deferred", &self.deferred),
+            ("errored", &self.errored),
+            ("sends", &*self.sends),
+        ];
+        let name = escape_label(&self.name);
+        for (figure, counter) in counters {
+            let _ = writeln!(text, "svc_{figure}{{group=\"{name}\"}} {}", counter.get());
+        }
+        for (reason, counter) in UnservedReason::ALL.iter().zip(&self.unserved) {
+            if counter.get() > 0 {
+                let reason = reason.name();
+                let _ =
+                    writeln!(text, "svc_unserved{{group=\"{name}\",reason=\"{reason}\"}} {}", counter.get());
+            }
+        }
+    }
+}
+
+/// Escapes the value of a label: class names come from the settings, and a quote in one must not end the label.
+fn escape_label(value: &str) -> String {
+    value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
+}
+
+/// The number of backends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClusterSize {
-    /// Backends in the list.
+    /// Backends in the endpoint list.
     pub size: usize,
-    /// Those of them that are now avoided.
+    /// Those of them that the decision module avoids at present.
     pub unhealthy: usize,
 }
 
 /// The figures of this process. All start at 0.
 pub struct Metrics {
-    classes: Vec<OfClass>,
-    current: Cell<u64>,
+    classes: Vec<ClassMetrics>,
+    /// Requests that have begun and not ended.
+    in_progress: Cell<u64>,
 }
 
 impl Metrics {
     /// Figures for these classes.
     pub fn new(classes: &[Class]) -> Rc<Metrics> {
-        let classes = classes.iter().map(|c| OfClass { name: c.name.clone(), ..OfClass::default() });
-        Rc::new(Metrics { classes: classes.collect(), current: Cell::new(0) })
+        let classes = classes.iter().map(ClassMetrics::new).collect();
+        Rc::new(Metrics { classes, in_progress: Cell::new(0) })
     }
 
-    /// A request of a class was taken; it is current until what this gives is dropped.
+    /// Records that a request of a class begins; it is in progress until the result is dropped.
     pub fn begin(self: &Rc<Metrics>, class: u8) -> InProgress {
-        raise(&self.current);
+        increment(&self.in_progress);
         InProgress { metrics: self.clone(), class }
     }
 
-    /// A request of a class ended.
-    pub fn count(&self, class: u8, how: RequestOutcome) {
-        let Some(class) = self.classes.get(usize::from(class)) else { return };
-        raise(match how {
+    fn class(&self, class: u8) -> Option<&ClassMetrics> {
+        self.classes.get(usize::from(class))
+    }
+
+    /// Counts a request of a class that ended.
+    pub fn count(&self, class: u8, outcome: RequestOutcome) {
+        let Some(class) = self.class(class) else { return };
+        increment(match outcome {
             RequestOutcome::Answered => &class.answered,
             RequestOutcome::Deferred => &class.deferred,
             RequestOutcome::Errored => &class.errored,
         });
     }
 
-    /// Requests that have ended, and those of them that were turned away.
+    /// The number of requests that have ended, and of those of them that were rejected.
     pub fn ended(&self) -> (u64, u64) {
-        let all = |of: fn(&OfClass) -> u64| self.classes.iter().map(of).sum::<u64>();
-        let deferred = all(|class| class.deferred.get());
-        (all(|class| class.answered.get() + class.errored.get()) + deferred, deferred)
+        let sum = |count: fn(&ClassMetrics) -> u64| self.classes.iter().map(count).sum::<u64>();
+        let deferred = sum(|class| class.deferred.get());
+        let others = sum(|class| class.answered.get() + class.errored.get());
+        (others + deferred, deferred)
     }
 
-    /// The module gave up a request of a class, for this reason.
-    pub fn unserved(&self, class: u8, why: UnservedReason) {
-        if let Some(class) = self.classes.get(usize::from(class)) {
-            raise(&class.unserved[why as usize]);
+    /// Counts a request of a class that the decision module gave up, and why.
+    pub fn unserved(&self, class: u8, reason: UnservedReason) {
+        if let Some(class) = self.class(class) {
+            increment(&class.unserved[reason as usize]);
         }
     }
 
-    /// The count of attempts written whole, to be raised where that is seen.
+    /// The counter of attempts of a class that were written completely, to be incremented where that is observed.
     pub fn sends(&self, class: u8) -> Counter {
-        self.classes.get(usize::from(class)).map(|class| class.sends.clone()).unwrap_or_default()
+        self.class(class).map(|class| class.sends.clone()).unwrap_or_default()
     }
 
     /// All figures, one a line.
     pub fn render(&self, cluster: ClusterSize) -> String {
         let mut text = String::new();
         for class in &self.classes {
-            let counts = [
-                ("answered", &class.answered),
-                ("deferred", &class.deferred),
-                ("errored", &class.errored),
-                ("sends", &*class.sends),
-            ];
-            // Names come from the settings; a quote in one must not end the label.
-            let name = class.name.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n");
-            for (figure, count) in counts {
-                let _ = writeln!(text, "svc_{figure}{{group=\"{name}\"}} {}", count.get());
-            }
-            for (why, count) in
-                UnservedReason::ALL.iter().zip(&class.unserved).filter(|(_, count)| count.get() > 0)
-            {
-                let why = why.name();
-                let _ = writeln!(text, "svc_unserved{{group=\"{name}\",reason=\"{why}\"}} {}", count.get());
-            }
+            class.render(&mut text);
         }
-        let _ = writeln!(text, "svc_current {}", self.current.get());
+        let _ = writeln!(text, "svc_current {}", self.in_progress.get());
         let _ = writeln!(text, "svc_cluster_size {}", cluster.size);
         let _ = writeln!(text, "svc_cluster_unhealthy {}", cluster.unhealthy);
         text
     }
 }
 
-/// A request that was taken and has not ended. Dropped without a word, its client has left.
+/// A request that has begun and not ended. If it is dropped without [`InProgress::end`], its client has
+/// disconnected.
 pub struct InProgress {
     metrics: Rc<Metrics>,
     class: u8,
 }
 
 impl InProgress {
-    /// Counts how it ended.
-    pub fn end(self, how: RequestOutcome) {
-        self.metrics.count(self.class, how);
+    /// Counts how the request ended.
+    pub fn end(self, outcome: RequestOutcome) {
+        self.metrics.count(self.class, outcome);
     }
 }
 
 impl Drop for InProgress {
     fn drop(&mut self) {
-        self.metrics.current.set(self.metrics.current.get() - 1);
+        self.metrics.in_progress.set(self.metrics.in_progress.get() - 1);
     }
 }
--- a/crates/proxy-core/src/pool.rs
+++ b/crates/proxy-core/src/pool.rs
@@ -1,11 +1,12 @@
-//! Which connection to a server carries the next attempt: one that is kept, a new one, or one that has to rest a
-//! little first. It does no I/O and takes the time as an argument; what it keeps is the protocol's own.
+//! Which connection to a backend carries the next attempt: a pooled one, a new one, or one that must rest first.
 //!
-//! A server may send more than belongs to an answer, right behind it. On a connection that is used again at
-//! once, that would be taken for the next answer. So a connection rests after each answer, and is looked at
-//! when the rest is over, right before it is written to. A busy pool keeps enough connections that some have
-//! always rested; it opens those only when calls had to wait for a rest several times in a short while, as a
-//! new connection costs the server work and the call a round trip.
+//! The pool does no I/O and takes the time as an argument; the connections in it are the protocol's own.
+//!
+//! A backend may send more than belongs to a response, right behind it. On a connection that is used again at
+//! once, that would be taken for the next response. So a connection rests after each response, and is checked for
+//! stray bytes when the rest is over, right before it is written to. A busy pool keeps enough connections that some
+//! have always rested. It opens these only when attempts had to wait for a rest several times within a short
+//! window, as a new connection costs the backend work and the request a round trip.
 
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
@@ -13,151 +14,178 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// What bounds a pool.
+/// The limits of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolLimits {
-    /// How long a connection rests after an answer.
+    /// How long a connection rests after a response.
     pub min_rest: Duration,
-    /// How long a connection is kept that carries nothing. Servers close them too, and a call that crosses such
-    /// a close is lost, so this is well below their time.
+    /// How long an idle connection is kept. Backends close idle connections too, and a request that crosses such a
+    /// close is lost, so this is well below their timeout.
     pub max_idle: Duration,
-    /// The most that are kept for one server while they carry nothing.
+    /// The maximum of idle connections to one backend.
     pub max_idle_per_backend: usize,
-    /// Waits for a rest within [`WAIT_COUNT_WINDOW`] that are borne before another connection is opened.
+    /// The number of waits for a rest within [`WAIT_COUNT_WINDOW`] after which another connection is opened.
     pub max_waits: u32,
 }
 
-/// The time over which waits for a rest are counted.
+/// The window in which waits for a rest are counted.
 pub const WAIT_COUNT_WINDOW: Duration = Duration::from_millis(250);
 
-/// What is to be done for an attempt.
+/// What an attempt is to do for a connection.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Checkout<T> {
-    /// This connection has rested. It must still be looked at: if it is not quiet, ask again.
+    /// Use this connection, which has rested. It must still be checked for stray bytes; if there are any, check
+    /// out again.
     Reuse(T),
-    /// All that there are rest; ask again after this time.
+    /// All idle connections rest; check out again after this time.
     Wait(Duration),
-    /// Open another.
+    /// Open a new connection.
     Open,
 }
 
-struct Idle<T> {
-    kept: T,
+struct IdleConnection<T> {
+    connection: T,
     address: SocketAddr,
-    since: Instant,
+    idle_since: Instant,
+}
+
+impl<T> IdleConnection<T> {
+    fn idle_time(&self, now: Instant) -> Duration {
+        now.saturating_duration_since(self.idle_since)
+    }
 }
 
-struct Server<T> {
-    /// The one used last stands last.
-    idle: VecDeque<Idle<T>>,
-    pinches: u32,
-    pinched_at: Instant,
+/// The idle connections to one backend.
+struct BackendPool<T> {
+    /// In order of last use, the latest last.
+    idle: VecDeque<IdleConnection<T>>,
+    /// Attempts that had to wait for a rest within the present window.
+    waits: u32,
+    wait_window_start: Instant,
+}
+
+impl<T> BackendPool<T> {
+    fn new(now: Instant) -> BackendPool<T> {
+        BackendPool { idle: VecDeque::new(), waits: 0, wait_window_start: now }
+    }
+
+    /// Whether waits that were counted are still within the window.
+    fn is_in_wait_window(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.wait_window_start) < WAIT_COUNT_WINDOW
+    }
+
+    fn count_wait(&mut self, now: Instant) {
+        if !self.is_in_wait_window(now) {
+            self.waits = 0;
+            self.wait_window_start = now;
+        }
+        self.waits = self.waits.saturating_add(1);
+    }
+
+    /// Takes out the most recently used of the connections that have rested. The others can grow old and expire.
+    fn take_rested(&mut self, now: Instant, min_rest: Duration) -> Option<T> {
+        let rested = self.idle.partition_point(|idle| idle.idle_time(now) >= min_rest);
+        let latest = rested.checked_sub(1)?;
+        self.idle.remove(latest).map(|idle| idle.connection)
+    }
 }
 
-/// The connections that carry nothing at the moment, by server.
+/// The idle connections by backend, for backends of key `K` and connections of type `T`.
 pub struct Pool<K, T> {
     limits: PoolLimits,
-    servers: FxHashMap<K, Server<T>>,
+    backends: FxHashMap<K, BackendPool<T>>,
 }
 
 impl<K: Copy + Eq + Hash + Ord, T> Pool<K, T> {
     /// An empty pool.
     pub fn new(limits: PoolLimits) -> Pool<K, T> {
-        Pool { limits, servers: FxHashMap::default() }
+        Pool { limits, backends: FxHashMap::default() }
     }
 
-    /// Other limits from now on.
+    /// Replaces the limits.
     pub fn limit(&mut self, limits: PoolLimits) {
         self.limits = limits;
     }
 
-    /// Chooses for an attempt at a server, which listens at `address` now. `room` tells whether another
-    /// connection could be opened without closing one; `waited`, whether this attempt has waited already.
+    /// Chooses a connection for an attempt at a backend that now listens at `address`. `can_open` says whether
+    /// another connection could be opened without closing one; `has_waited`, whether this attempt has waited
+    /// already.
     pub fn check_out(
         &mut self,
-        server: K,
+        backend: K,
         address: SocketAddr,
         now: Instant,
-        room: bool,
-        waited: bool,
+        can_open: bool,
+        has_waited: bool,
     ) -> Checkout<T> {
-        let Some(of) = self.servers.get_mut(&server) else { return Checkout::Open };
-        let (rest, idle_most) = (self.limits.min_rest, self.limits.max_idle);
-        let age = |idle: &Idle<T>| now.saturating_duration_since(idle.since);
-        of.idle.retain(|idle| idle.address == address && age(idle) < idle_most);
-        // Of those that have rested, the one used last: the others can grow old, and be let go of.
-        let rested = of.idle.partition_point(|idle| age(idle) >= rest);
-        if let Some(last) = rested.checked_sub(1) {
-            if let Some(idle) = of.idle.remove(last) {
-                return Checkout::Reuse(idle.kept);
-            }
+        let limits = self.limits;
+        let Some(pool) = self.backends.get_mut(&backend) else { return Checkout::Open };
+        pool.idle.retain(|idle| idle.address == address && idle.idle_time(now) < limits.max_idle);
+        if let Some(connection) = pool.take_rested(now, limits.min_rest) {
+            return Checkout::Reuse(connection);
         }
-        let Some(next) = of.idle.front() else { return Checkout::Open };
-        let left = rest.saturating_sub(age(next));
-        if !waited {
-            if now.saturating_duration_since(of.pinched_at) >= WAIT_COUNT_WINDOW {
-                of.pinches = 0;
-                of.pinched_at = now;
-            }
-            of.pinches = of.pinches.saturating_add(1);
+        let Some(next) = pool.idle.front() else { return Checkout::Open };
+        let remaining_rest = limits.min_rest.saturating_sub(next.idle_time(now));
+        if !has_waited {
+            pool.count_wait(now);
         }
-        let grows = of.pinches > self.limits.max_waits && of.idle.len() < self.limits.max_idle_per_backend;
-        if grows && room {
+        let should_grow = pool.waits > limits.max_waits && pool.idle.len() < limits.max_idle_per_backend;
+        if should_grow && can_open {
             return Checkout::Open;
         }
-        Checkout::Wait(left)
+        Checkout::Wait(remaining_rest)
     }
 
-    /// Keeps a connection whose answer has just ended. Gives what has to be let go of for it, if anything.
-    pub fn check_in(&mut self, server: K, address: SocketAddr, kept: T, now: Instant) -> Option<T> {
-        let of = self.servers.entry(server).or_insert_with(|| Server {
-            idle: VecDeque::new(),
-            pinches: 0,
-            pinched_at: now,
-        });
-        // Guards the order against a caller whose clock reading is older than the last.
-        let since = of.idle.back().map_or(now, |last| last.since.max(now));
-        of.idle.push_back(Idle { kept, address, since });
-        let over = of.idle.len() > self.limits.max_idle_per_backend;
-        over.then(|| of.idle.pop_front()).flatten().map(|idle| idle.kept)
+    /// Keeps a connection whose response has just ended. Returns the connection that must be closed for it, if any.
+    pub fn check_in(&mut self, backend: K, address: SocketAddr, connection: T, now: Instant) -> Option<T> {
+        let pool = self.backends.entry(backend).or_insert_with(|| BackendPool::new(now));
+        // Keeps the order if `now` is older than at the last call.
+        let idle_since = pool.idle.back().map_or(now, |last| last.idle_since.max(now));
+        pool.idle.push_back(IdleConnection { connection, address, idle_since });
+        if pool.idle.len() <= self.limits.max_idle_per_backend {
+            return None;
+        }
+        pool.idle.pop_front().map(|idle| idle.connection)
     }
 
-    /// Lets go of all connections to a server.
-    pub fn remove(&mut self, server: K) {
-        self.servers.remove(&server);
+    /// Drops all idle connections to a backend.
+    pub fn remove(&mut self, backend: K) {
+        self.backends.remove(&backend);
     }
 
-    /// Lets go of the connections to a server that have carried nothing since then: one that is silent there
-    /// was likely cut off, and its other connections look alive for ever.
-    pub fn remove_older_than(&mut self, server: K, then: Instant) {
-        if let Some(of) = self.servers.get_mut(&server) {
-            of.idle.retain(|idle| idle.since > then);
+    /// Drops the connections to a backend that have been idle since `instant` or longer. If one of that age turned
+    /// out to be cut off without notice, the others likely are too, though they look open.
+    pub fn remove_older_than(&mut self, backend: K, instant: Instant) {
+        if let Some(pool) = self.backends.get_mut(&backend) {
+            pool.idle.retain(|idle| idle.idle_since > instant);
         }
     }
 
-    /// Lets go of what is too old, or what `is_alive` says is dead.
+    /// Drops the connections that have been idle for too long or that `is_alive` denies.
     pub fn expire(&mut self, now: Instant, mut is_alive: impl FnMut(&T) -> bool) {
-        let idle_most = self.limits.max_idle;
-        self.servers.retain(|_, of| {
-            of.idle
-                .retain(|idle| now.saturating_duration_since(idle.since) < idle_most && is_alive(&idle.kept));
-            !of.idle.is_empty() || now.saturating_duration_since(of.pinched_at) < WAIT_COUNT_WINDOW
+        let max_idle = self.limits.max_idle;
+        self.backends.retain(|_, pool| {
+            pool.idle.retain(|idle| idle.idle_time(now) < max_idle && is_alive(&idle.connection));
+            !pool.idle.is_empty() || pool.is_in_wait_window(now)
         });
     }
 
-    /// Takes out the connection that has carried nothing for longest.
+    /// Takes out the connection that has been idle for longest, of all backends.
     pub fn shed(&mut self) -> Option<T> {
-        let oldest = self.servers.iter().filter_map(|(server, of)| Some((of.idle.front()?.since, *server)));
-        let (_, server) = oldest.min()?;
-        self.servers.get_mut(&server)?.idle.pop_front().map(|idle| idle.kept)
+        let oldest_of_each = self
+            .backends
+            .iter()
+            .filter_map(|(backend, pool)| Some((pool.idle.front()?.idle_since, *backend)));
+        let (_, backend) = oldest_of_each.min()?;
+        self.backends.get_mut(&backend)?.idle.pop_front().map(|idle| idle.connection)
     }
 
-    /// How many are kept in all.
+    /// The number of idle connections.
     pub fn len(&self) -> usize {
-        self.servers.values().map(|of| of.idle.len()).sum()
+        self.backends.values().map(|pool| pool.idle.len()).sum()
     }
 
-    /// Whether none is kept.
+    /// Whether there is no idle connection.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/proxy-core/src/tuning.rs
+++ b/crates/proxy-core/src/tuning.rs
@@ -1,47 +1,49 @@
-//! What an operator may tune. The defaults are the platform's; all bounds are those of the operator file.
+//! What operators may tune. The defaults are the platform's; the operator file checks the bounds.
 
 use std::time::Duration;
 
-/// Times and sizes that hold for connections from when they are next looked at.
+/// Timeouts and sizes. A change applies to a connection from when it is next checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// A caller's connection that has carried nothing for this long is closed.
+    /// A client's connection that has been idle for this long is closed.
     pub client_idle_timeout: Duration,
-    /// Longest wait for a caller's whole request, from connecting, or on a used connection from its first byte; a
-    /// longer body has as long for each `request_step` bytes.
+    /// The longest wait for a client's whole request, counted from connecting, or on a reused connection from its
+    /// first byte. A longer body has as long for each `request_bytes_per_timeout` bytes.
     pub request_timeout: Duration,
-    /// See `request_time`.
+    /// The bytes of a body that may take one `request_timeout`.
     pub request_bytes_per_timeout: usize,
-    /// When a caller that there is no room for may come back.
+    /// When a client that was rejected for lack of capacity may retry.
     pub retry_after: Duration,
-    /// How long a connection has said nothing when what the protocol holds for it is let go.
+    /// How long a client's connection has been silent when the protocol's buffers for it are released.
     pub buffer_release_after: Duration,
-    /// The largest body that is held, on either side, and so can be sent again; a longer one passes.
+    /// The largest body that is buffered, of a request or a response, in bytes. A buffered request can be sent
+    /// again; a longer one is streamed.
     pub max_buffered_body: usize,
-    /// The longest message on either side.
+    /// The longest message, of a client or a backend, in bytes.
     pub max_message: usize,
-    /// The most that is read ahead on one connection, so also the largest head.
+    /// The most that is read ahead on one connection, in bytes; also the largest head of a message.
     pub read_ahead: usize,
-    /// Longest wait for a peer to take, or to give, the next bytes of a message that passes.
+    /// The longest wait for a peer to read, or to write, the next bytes of a message that is streamed.
     pub stall_timeout: Duration,
-    /// What the system may hold of a message for a peer that is slow: more would only hide its pace.
+    /// The size of the operating system's buffers of a connection, in bytes. Larger ones would only hide how slow a
+    /// peer is.
     pub socket_buffer: usize,
-    /// Longest wait for the next bytes of an answer that is held.
+    /// The longest wait for the next bytes of a response that is buffered.
     pub response_timeout: Duration,
-    /// How long an answer that does not tell its length may come before it begins to pass.
+    /// How long a response of unstated length is buffered before it is streamed.
     pub unsized_response_hold: Duration,
-    /// How long a connection to a server rests after an answer.
+    /// How long a connection to a backend rests after a response.
     pub min_connection_rest: Duration,
-    /// Connections kept for one server while they carry nothing.
+    /// The maximum of idle connections to one backend.
     pub max_idle_per_backend: usize,
-    /// Waits for a rest in a short while that are borne before another connection is opened.
+    /// The number of waits for a rest within a short window after which another connection is opened.
     pub max_rest_waits: u32,
-    /// How long a drain leaves kept connections alone.
+    /// How long a drain leaves idle connections open.
     pub drain_notice: Duration,
-    /// How long a connection must have been idle to be closed by a drain or a stop: one that has just come may be
-    /// about to ask.
+    /// How long a connection must have been idle to be closed by a drain or a stop. One that was just opened may be
+    /// about to carry a request.
     pub drain_idle_timeout: Duration,
-    /// Whether a record of each call is written.
+    /// Whether the access log has a record of each request.
     pub log_requests: bool,
 }
 
@@ -55,7 +57,7 @@
             retry_after: ms(500),
             buffer_release_after: ms(50),
             max_buffered_body: 64 * 1024,
-            max_message: 32 << 20,
+            max_message: 32 * 1024 * 1024,
             read_ahead: 16 * 1024,
             stall_timeout: ms(5_000),
             socket_buffer: 128 * 1024,
@@ -64,8 +66,8 @@
             min_connection_rest: ms(2),
             max_idle_per_backend: 64,
             max_rest_waits: 3,
-            // The front asks every 0.1 s and sends new connections for 0.2 s more, and callers turned away before
-            // that would come straight back.
+            // The load balancer checks health every 0.1 s and routes new connections here for 0.2 s more; clients
+            // whose connections were closed before that would come straight back.
             drain_notice: ms(400),
             drain_idle_timeout: ms(250),
             log_requests: false,
