--- a/crates/proxy-core/src/driver/attempts.rs
+++ b/crates/proxy-core/src/driver/attempts.rs
@@ -32,6 +32,15 @@
     }
 }
 
+impl<C: Transport> State<C> {
+    /// Counts an attempt that is sent to a zone, if traffic is counted by zone.
+    fn count_sent(&mut self, zone: u16) {
+        if let Some(traffic) = self.zone_traffic.get_mut(usize::from(zone)) {
+            traffic.sent += 1;
+        }
+    }
+}
+
 impl<C: Transport> Driver<C> {
     /// Starts an attempt, if the interface's promises allow it, whatever the decision module says.
     pub(super) fn send(
@@ -48,13 +57,11 @@
         };
         let sent_at = Instant::now();
         let cancelled = open.start_attempt(backend, address.address, sent_at);
-        if let Some(zone) = state.zone_traffic.get_mut(usize::from(address.zone)) {
-            zone.sent += 1;
-        }
         let payload = open.payload.clone();
         let deadline = open.deadline;
         let timeout = attempt_timeout(timeout_ms);
         let sent_counter = self.metrics.sends(open.class);
+        state.count_sent(address.zone);
         let weak_self = self.weak_self.clone();
         spawn_local(async move {
             let Some(driver) = weak_self.upgrade() else { return };
--- a/crates/proxy-core/tests/pool.rs
+++ b/crates/proxy-core/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Which connection the pool gives, when it asks for another, and what it lets go of.
+//! Which connection the pool reuses, when it grows, and what it drops.
 
 use hillstall_proxy_core::pool::{Checkout, Pool, PoolLimits, WAIT_COUNT_WINDOW};
 use std::net::SocketAddr;
--- a/crates/proxy-core/tests/words.rs
+++ b/crates/proxy-core/tests/words.rs
@@ -1,4 +1,4 @@
-//! The words of reasons and outcomes in figures and records: other programs read them.
+//! The words of reasons and outcomes in metrics and access log records, which other programs read.
 
 mod common;
 
@@ -7,10 +7,10 @@
 use hillstall_proxy_core::metrics::{ClusterSize, Metrics};
 
 #[test]
-fn each_reason_is_a_figure_in_this_order() {
+fn each_reason_has_a_metric_in_this_order() {
     let metrics = Metrics::new(&[class("a")]);
     UnservedReason::ALL.iter().for_each(|reason| metrics.unserved(0, *reason));
-    let figures = metrics.render(ClusterSize { size: 1, unhealthy: 0 });
+    let metrics_text = metrics.render(ClusterSize { size: 1, unhealthy: 0 });
     let expected = "svc_answered{group=\"a\"} 0\nsvc_deferred{group=\"a\"} 0\nsvc_errored{group=\"a\"} 0\n\
         svc_sends{group=\"a\"} 0\n\
         svc_unserved{group=\"a\",reason=\"tier\"} 1\n\
@@ -22,7 +22,7 @@
         svc_unserved{group=\"a\",reason=\"budget\"} 1\n\
         svc_unserved{group=\"a\",reason=\"unknown-class\"} 1\n\
         svc_current 0\nsvc_cluster_size 1\nsvc_cluster_unhealthy 0\n";
-    assert_eq!(figures, expected);
+    assert_eq!(metrics_text, expected);
 }
 
 #[test]
@@ -41,9 +41,9 @@
     assert_eq!(texts, expected);
 }
 
-/// The record of a call shows an outcome in this form (`outcome`).
+/// The access log record of a request shows an outcome in this form (`outcome`).
 #[test]
-fn each_outcome_is_written_in_records_like_this() {
+fn each_outcome_has_this_word_in_the_access_log() {
     let outcomes = [
         Outcome::Ok,
         Outcome::Error,
