--- a/crates/http1/src/client/attempt.rs
+++ b/crates/http1/src/client/attempt.rs
@@ -6,6 +6,7 @@
 use crate::message::{BackendResponse, BackendResponseBody, ClientRequest, ClientRequestBody};
 use crate::response_body::StreamingResponseBody;
 use hillstall_decision::{BackendId, Outcome};
+use hillstall_proxy_core::metrics::Counter;
 use hillstall_proxy_core::transport::{Attempt, AttemptResult, Transport};
 use hyper::StatusCode;
 use std::net::SocketAddr;
@@ -18,12 +19,25 @@
 
 /// Why an attempt has no response.
 enum AttemptError {
+    /// Nothing was sent; the attempt ends with this outcome.
+    NotStarted(Outcome),
     /// The connection ended, or the response can't be used.
     ExchangeFailed,
     /// It took too long.
     TimedOut,
 }
 
+/// An attempt in progress.
+struct ActiveAttempt<'a> {
+    request: &'a ClientRequest,
+    /// When it ends; with a streaming body, when the connection has to be up.
+    until: Instant,
+    /// How long it may take; with a streaming body, from its last byte.
+    timeout: Duration,
+    /// Incremented once the request is sent.
+    sent_counter: Counter,
+}
+
 impl Transport for HttpClient {
     type Request = ClientRequest;
     type Response = BackendResponse;
@@ -33,7 +47,6 @@
     /// no longer on any open connection.
     async fn attempt(self: Rc<Self>, attempt: Attempt<HttpClient>) -> AttemptResult<HttpClient> {
         let Attempt { request, backend, address, deadline, timeout, sent_counter, permit } = attempt;
-        let request = &*request;
         let target = Target { backend, address, permit: Rc::new(permit) };
         let started_at = Instant::now();
         let mut idle = self.take_idle(backend, address).await;
@@ -42,6 +55,7 @@
             ClientRequestBody::Buffered(_) => deadline.min(Instant::now() + timeout),
             ClientRequestBody::Streaming(_) => Instant::now() + self.connect_timeout,
         };
+        let attempt = ActiveAttempt { request: &request, until, timeout, sent_counter };
         loop {
             let is_reused = idle.is_some();
             let connection = match idle.take() {
@@ -53,25 +67,7 @@
                 Ok(connection) => connection,
                 Err(outcome) => return AttemptResult::now(outcome),
             };
-            // The backend may have begun to drain while the connection came up: nothing new may start then.
-            if !target.permit.may_send() {
-                return AttemptResult::now(Outcome::ConnectFailed);
-            }
-            let remaining = remaining_time(request, until, timeout);
-            if remaining.is_zero() {
-                return AttemptResult::now(Outcome::NotSent);
-            }
-            connection.stream().begin_request(request.body_length(), sent_counter.clone());
-            let exchange = connection.exchange(forwarded_request(request, remaining), &self.limits);
-            let stall_timeout = self.limits.tuning().stall_timeout;
-            let result = tokio::select! {
-                biased;
-                result = exchange => result.map_err(|_| AttemptError::ExchangeFailed),
-                () = wait_for_attempt_timeout(request, until, timeout, stall_timeout) => {
-                    Err(AttemptError::TimedOut)
-                }
-            };
-            let error = match result {
+            let error = match self.exchange(&attempt, &target, &mut connection).await {
                 Ok(response) => {
                     let ended_at = connection.stream().last_read();
                     let is_complete = matches!(response.body, Some(ReceivedBody::Complete(_)));
@@ -80,9 +76,8 @@
                 }
                 Err(error) => error,
             };
-            let has_sent = connection.stream().has_sent_request_bytes();
-            if is_reused && !has_sent && matches!(error, AttemptError::ExchangeFailed) {
-                // It was closed while idle and no byte of the request was sent: a new connection will do.
+            if is_reused && error.is_lost_idle_connection(&connection) {
+                // No byte of the request was sent: a new connection will do.
                 continue;
             }
             return self.failure_result(backend, &connection, &error, started_at);
@@ -102,6 +97,30 @@
 }
 
 impl HttpClient {
+    /// Sends the request on a connection and reads the response.
+    async fn exchange(
+        &self,
+        attempt: &ActiveAttempt<'_>,
+        target: &Target,
+        connection: &mut BackendConnection,
+    ) -> Result<ReceivedResponse, AttemptError> {
+        // The backend may have begun to drain while the connection came up: nothing new may start then.
+        if !target.permit.may_send() {
+            return Err(AttemptError::NotStarted(Outcome::ConnectFailed));
+        }
+        let remaining = attempt.remaining_time();
+        if remaining.is_zero() {
+            return Err(AttemptError::NotStarted(Outcome::NotSent));
+        }
+        connection.stream().begin_request(attempt.request.body_length(), attempt.sent_counter.clone());
+        let exchange = connection.exchange(forwarded_request(attempt.request, remaining), &self.limits);
+        tokio::select! {
+            biased;
+            result = exchange => result.map_err(|_| AttemptError::ExchangeFailed),
+            () = attempt.wait_for_timeout(self.limits.tuning().stall_timeout) => Err(AttemptError::TimedOut),
+        }
+    }
+
     /// The result of an attempt that was answered. The connection goes back to the pool if it is reusable; a
     /// streaming body keeps it until its end.
     fn response_result(
@@ -158,40 +177,45 @@
         if matches!(error, AttemptError::TimedOut) {
             self.pool.borrow_mut().remove_older_than(backend, started_at);
         }
-        AttemptResult::now(match (connection.stream().is_request_sent(), error) {
+        AttemptResult::now(match (error, connection.stream().is_request_sent()) {
+            (AttemptError::NotStarted(outcome), _) => *outcome,
             // A backend begins to process a request with its last byte: this one never began.
-            (false, _) => Outcome::ConnectFailed,
-            (true, AttemptError::ExchangeFailed) => Outcome::Reset,
-            (true, AttemptError::TimedOut) => Outcome::Timeout,
+            (_, false) => Outcome::ConnectFailed,
+            (AttemptError::ExchangeFailed, true) => Outcome::Reset,
+            (AttemptError::TimedOut, true) => Outcome::Timeout,
         })
     }
 }
 
-/// How much time a backend has to answer.
-fn remaining_time(request: &ClientRequest, until: Instant, timeout: Duration) -> Duration {
-    match &request.body {
-        ClientRequestBody::Buffered(_) => until.saturating_duration_since(Instant::now()),
-        ClientRequestBody::Streaming(body) => body.timeout().min(timeout),
+impl AttemptError {
+    /// Whether a connection from the pool was closed before any byte of the request was sent on it.
+    fn is_lost_idle_connection(&self, connection: &BackendConnection) -> bool {
+        matches!(self, AttemptError::ExchangeFailed) && !connection.stream().has_sent_request_bytes()
     }
 }
 
-/// Waits until an attempt has to end: at `until`, or with a streaming body, at the client's deadline or `timeout`
-/// after its last byte, or once the backend has stopped reading it for `stall_timeout`.
-async fn wait_for_attempt_timeout(
-    request: &ClientRequest,
-    until: Instant,
-    timeout: Duration,
-    stall_timeout: Duration,
-) {
-    let ClientRequestBody::Streaming(body) = &request.body else {
-        return sleep_until(until.into()).await;
-    };
-    let deadline = loop {
-        match body.deadline() {
-            Some(deadline) => break deadline,
-            None if body.is_backend_stalled(stall_timeout) => return,
-            None => sleep(STREAMING_POLL_INTERVAL).await,
+impl ActiveAttempt<'_> {
+    /// How much time the backend has to respond.
+    fn remaining_time(&self) -> Duration {
+        match &self.request.body {
+            ClientRequestBody::Buffered(_) => self.until.saturating_duration_since(Instant::now()),
+            ClientRequestBody::Streaming(body) => body.timeout().min(self.timeout),
         }
-    };
-    sleep_until(deadline.min(Instant::now() + timeout).into()).await;
+    }
+
+    /// Waits until the attempt has to end: at `until`, or with a streaming body, at the client's deadline or the
+    /// timeout after its last byte, or once the backend has stopped reading it for `stall_timeout`.
+    async fn wait_for_timeout(&self, stall_timeout: Duration) {
+        let ClientRequestBody::Streaming(body) = &self.request.body else {
+            return sleep_until(self.until.into()).await;
+        };
+        let deadline = loop {
+            match body.deadline() {
+                Some(deadline) => break deadline,
+                None if body.is_backend_stalled(stall_timeout) => return,
+                None => sleep(STREAMING_POLL_INTERVAL).await,
+            }
+        };
+        sleep_until(deadline.min(Instant::now() + self.timeout).into()).await;
+    }
 }
--- a/crates/http1/src/discovery.rs
+++ b/crates/http1/src/discovery.rs
@@ -6,11 +6,12 @@
 use hillstall_proxy_core::endpoints::EndpointList;
 use hillstall_proxy_core::tuning::Tuning;
 use http_body_util::{BodyExt, Empty, Limited};
-use hyper::body::Incoming;
+use hyper::body::{Frame, Incoming};
 use hyper::{header::HOST, Request, StatusCode};
 use std::fmt;
 use std::future::Future;
 use std::net::SocketAddr;
+use std::pin::Pin;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
@@ -134,15 +135,7 @@
     let mut is_connected = true;
     let mut text: Vec<u8> = Vec::new();
     loop {
-        let frame = async {
-            loop {
-                tokio::select! {
-                    biased;
-                    frame = body.frame() => return frame,
-                    _ = &mut connection, if is_connected => is_connected = false,
-                }
-            }
-        };
+        let frame = next_frame(&mut body, connection.as_mut(), &mut is_connected);
         let has_ended = match timeout(WATCH_SILENCE_TIMEOUT, frame).await {
             Err(_elapsed) => return WatchError::Silent,
             Ok(Some(Err(error))) => return WatchError::Http(error),
@@ -168,6 +161,21 @@
     }
 }
 
+/// The next frame of a body, while its connection is driven; `None` at the end of the body.
+async fn next_frame(
+    body: &mut Incoming,
+    mut connection: Pin<&mut impl Future<Output = hyper::Result<()>>>,
+    is_connected: &mut bool,
+) -> Option<hyper::Result<Frame<Bytes>>> {
+    loop {
+        tokio::select! {
+            biased;
+            frame = body.frame() => return frame,
+            _ = &mut connection, if *is_connected => *is_connected = false,
+        }
+    }
+}
+
 /// Takes the complete lines out of `text` and gives their lists to `take`.
 fn take_complete_lines(text: &mut Vec<u8>, take: &mut impl FnMut(EndpointList)) -> Result<(), WatchError> {
     let complete = text.iter().rposition(|byte| *byte == b'\n').map_or(0, |last| last + 1);
