--- a/crates/change-freeze/src/detection.rs
+++ b/crates/change-freeze/src/detection.rs
@@ -190,7 +190,7 @@
         for (scope, symptom, observed) in self.open_symptoms(now) {
             let threshold = self.thresholds.get(symptom);
             let is_open = |incident: &Incident| {
-                incident.is_opened_by_rule()
+                incident.is_opened_by_coordinator()
                     && !incident.cooling_down
                     && incident.scope == *scope
                     && incident.severity >= threshold.severity
@@ -210,7 +210,7 @@
     fn incidents_to_resolve(&self, now: Millis, state: &FreezeState, token: u64) -> Vec<FreezeCommand> {
         let open_scopes: BTreeSet<&Scope> = self.open_symptoms(now).map(|(scope, ..)| scope).collect();
         let is_resolved = |incident: &Incident| {
-            incident.is_resolvable_by_rule()
+            incident.is_resolvable_by_coordinator()
                 && !incident.cooling_down
                 && self.has_recovered(now, &incident.scope)
                 && !open_scopes.contains(&incident.scope)
--- a/crates/change-freeze/src/state/command.rs
+++ b/crates/change-freeze/src/state/command.rs
@@ -18,7 +18,7 @@
 
 impl Requester {
     /// Whether this is the coordinator and not a person.
-    pub(super) fn is_rule(&self) -> bool {
+    pub(super) fn is_coordinator(&self) -> bool {
         matches!(self, Requester::Rule(_))
     }
 }
--- a/crates/change-freeze/src/state/incident.rs
+++ b/crates/change-freeze/src/state/incident.rs
@@ -36,13 +36,13 @@
 }
 
 impl Incident {
-    pub(crate) fn is_opened_by_rule(&self) -> bool {
-        self.opened_by.is_rule()
+    pub(crate) fn is_opened_by_coordinator(&self) -> bool {
+        self.opened_by.is_coordinator()
     }
 
     /// Whether the coordinator may resolve it: people have neither opened it nor been assigned to it.
-    pub(crate) fn is_resolvable_by_rule(&self) -> bool {
-        self.is_opened_by_rule() && self.assignee.is_none()
+    pub(crate) fn is_resolvable_by_coordinator(&self) -> bool {
+        self.is_opened_by_coordinator() && self.assignee.is_none()
     }
 
     /// Whether it blocks a change, with remedies and emergencies considered.
@@ -86,7 +86,7 @@
         opened_by: &Requester,
     ) -> Option<Number> {
         let (number, incident) = self.incidents.iter_mut().find(|(_, incident)| {
-            incident.scope == *scope && incident.is_opened_by_rule() == opened_by.is_rule()
+            incident.scope == *scope && incident.is_opened_by_coordinator() == opened_by.is_coordinator()
         })?;
         incident.severity = incident.severity.max(severity);
         incident.evidence = evidence.to_owned();
@@ -156,7 +156,9 @@
         let incident = self.incidents.get_mut(&number).ok_or(RejectReason::NotFound)?;
         match resolved_by {
             Requester::Person(person) => check_name(person)?,
-            Requester::Rule(_) if !incident.is_resolvable_by_rule() => return Err(RejectReason::NotByRule),
+            Requester::Rule(_) if !incident.is_resolvable_by_coordinator() => {
+                return Err(RejectReason::NotByRule)
+            }
             Requester::Rule(_) => {}
         }
         if incident.cooling_down {
--- a/crates/change-freeze/tests/freeze/permits.rs
+++ b/crates/change-freeze/tests/freeze/permits.rs
@@ -59,13 +59,17 @@
 fn a_second_approval_that_comes_too_late_is_a_first_one() {
     let mut state = FreezeState::default();
     state.apply(&open_incident(Severity::Critical, "fleet", person("ann")));
+    // A remedy that is in flight and overlaps does not matter for an approval.
+    state.apply(&request_change(ChangeKind::Upgrade, "class:buy"));
+    state.apply(&FreezeCommand::LinkRemedy { incident: 1, change: 2, person: "ann".into() });
+    assert_eq!(status(&state, 2), ChangeStatus::InFlight);
     let emergency = |name: &str| {
         let request = request(ChangeKind::Drain, "site:east", name, Reaction::Finish);
         FreezeCommand::RequestEmergencyChange(request)
     };
-    assert_eq!(state.apply(&emergency("mira")), Response::AwaitingSecondApproval(2));
-    expire_change(&mut state, 2);
-    assert_eq!(state.apply(&emergency("tom")), Response::AwaitingSecondApproval(3));
+    assert_eq!(state.apply(&emergency("mira")), Response::AwaitingSecondApproval(3));
+    expire_change(&mut state, 3);
+    assert_eq!(state.apply(&emergency("tom")), Response::AwaitingSecondApproval(4));
 }
 
 #[test]
--- a/crates/lease/src/timing.rs
+++ b/crates/lease/src/timing.rs
@@ -28,10 +28,10 @@
     #[error("clocks may run apart by less than 20% (200000 ppm), not {0} ppm")]
     Drift(u32),
     /// The safety margin takes too much of the term.
-    #[error("a pause of {pause} ms leaves less than half of a term of {term} ms")]
-    Pause {
+    #[error("a pause of {safety_margin} ms leaves less than half of a term of {term} ms")]
+    SafetyMargin {
         /// The safety margin, in milliseconds.
-        pause: Millis,
+        safety_margin: Millis,
         /// The term it is taken from, in milliseconds.
         term: Millis,
     },
@@ -53,7 +53,7 @@
         }
         let timing = LeaseTiming { term, drift_ppm, safety_margin };
         if safety_margin.saturating_mul(2) > timing.holder_term() {
-            return Err(InvalidTiming::Pause { pause: safety_margin, term });
+            return Err(InvalidTiming::SafetyMargin { safety_margin, term });
         }
         Ok(timing)
     }
