--- a/crates/hillstall/src/config.rs
+++ b/crates/hillstall/src/config.rs
@@ -97,6 +97,7 @@
         sockets: raw.limits.sockets.unwrap_or(USUAL_SOCKETS),
         memory_mb: raw.limits.memory_mb.unwrap_or(USUAL_MEMORY_MB),
         known: raw.known,
-        settings: hillstall_settings::settings(raw.settings.to_string().as_bytes())?,
+        settings: hillstall_settings::settings(raw.settings.to_string().as_bytes())
+            .map_err(|e| e.to_string())?,
     })
 }
--- a/crates/hillstall/src/platform.rs
+++ b/crates/hillstall/src/platform.rs
@@ -112,6 +112,7 @@
         let (mut tried, first) = (good.clone(), firsts(&steps));
         put(&mut tried, &first, leaf.clone());
         let Err(why) = hillstall_settings::settings(tried.to_string().as_bytes()) else { continue };
+        let why = why.to_string();
         // Other complaints are about what goes with the value, not about the value.
         if let Some(why) = why.strip_prefix(&format!("settings: {}: ", name(&first))) {
             // The place that it tells is one in the text that was made for the try.
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -49,7 +49,7 @@
             Ok(settings) => {
                 self.instances.insert(instance, Balancer::new(settings, seed));
             }
-            Err(why) => self.reply.fatal(instance, &why),
+            Err(why) => self.reply.fatal(instance, &why.to_string()),
         }
     }
 
