--- a/crates/sim-adapter/src/lib.rs
+++ b/crates/sim-adapter/src/lib.rs
@@ -1,3 +1,4 @@
-//! The simulator adapter: the same decisions on the simulator's wire.
+//! The simulator adapter: the decision module behind the simulator's wire format.
 
+pub mod host;
 pub mod wire;
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -1,16 +1,16 @@
 //! The codec against the wire's published example frames.
 
 use hillstall_decision::*;
-use hillstall_sim_adapter::wire::{self, Header, Record, Reply, BATCH_HEADER};
+use hillstall_sim_adapter::wire::{self, BatchHeader, Record, ReplyFrame, BATCH_HEADER_SIZE};
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.chars().filter_map(|c| c.to_digit(16)).map(|d| d as u8).collect();
     digits.chunks(2).map(|pair| pair[0] << 4 | pair[1]).collect()
 }
 
-fn split(frame: &[u8]) -> (Header, &[u8]) {
-    let head: &[u8; BATCH_HEADER] = frame[..BATCH_HEADER].try_into().expect("a header");
-    (Header::parse(head).expect("a good header"), &frame[BATCH_HEADER..])
+fn split(frame: &[u8]) -> (BatchHeader, &[u8]) {
+    let head: &[u8; BATCH_HEADER_SIZE] = frame[..BATCH_HEADER_SIZE].try_into().expect("a header");
+    (BatchHeader::parse(head).expect("a good header"), &frame[BATCH_HEADER_SIZE..])
 }
 
 fn events(hex: &str, count: u32) -> Vec<u8> {
@@ -46,7 +46,7 @@
     };
     let gone = Event::ClientGone { request: 0x0001_9753_0e6f_2b19 };
     assert_eq!(
-        wire::records(&header, body).expect("good records"),
+        wire::parse_records(&header, body).expect("good records"),
         [
             Record::Event { instance: 3, event: asked },
             Record::Event { instance: 3, event: Event::Timer { token: 0x4d } },
@@ -66,11 +66,11 @@
         3,
     );
     let (header, body) = split(&frame);
-    let records = wire::records(&header, body).expect("good records");
-    let Record::Manifest { buffer: 0, entries } = &records[0] else { panic!("{:?}", records[0]) };
-    assert_eq!(entries.iter().map(|e| e.rating).collect::<Vec<_>>(), [1.0, 1.5]);
-    assert_eq!(entries.iter().map(|e| e.started_at).collect::<Vec<_>>(), [None, Some(6100.0)]);
-    let changed = Record::BackendsChanged { instance: 3, kind: ListKind::Cached, version: 41, buffer: 0 };
+    let records = wire::parse_records(&header, body).expect("good records");
+    let Record::EndpointList { slot: 0, endpoints } = &records[0] else { panic!("{:?}", records[0]) };
+    assert_eq!(endpoints.iter().map(|e| e.rating).collect::<Vec<_>>(), [1.0, 1.5]);
+    assert_eq!(endpoints.iter().map(|e| e.started_at).collect::<Vec<_>>(), [None, Some(6100.0)]);
+    let changed = Record::EndpointsChanged { instance: 3, kind: ListKind::Cached, version: 41, slot: 0 };
     assert_eq!(records[1], changed);
     let Record::Event { event: Event::Outcome { backend, outcome, took_ms, ended, .. }, .. } = records[2]
     else {
@@ -81,14 +81,14 @@
 
 #[test]
 fn writes_the_example_replies() {
-    let mut reply = Reply::default();
+    let mut reply = ReplyFrame::default();
     reply.clear();
     assert_eq!(reply.finish(1), bytes("0000000c 00000000 00000001"));
     reply.clear();
     let request = 0x0001_6b86_5d3a_91c4;
-    reply.action(3, &Action::Send { request, backend: 0x0312_4a07, timeout_ms: 80.0 });
-    reply.action(3, &Action::SetTimer { after_ms: 500.0, token: 77 });
-    reply.action(5, &Action::Log("two servers known".into()));
+    reply.push_action(3, &Action::Send { request, backend: 0x0312_4a07, timeout_ms: 80.0 });
+    reply.push_action(3, &Action::SetTimer { after_ms: 500.0, token: 77 });
+    reply.push_action(5, &Action::Log("two servers known".into()));
     let expected = bytes(
         "00000052 00000003 0000000c
          40 00000003 00016b865d3a91c4 03124a07 4054000000000000
@@ -110,7 +110,7 @@
         5,
     );
     let (header, body) = split(&frame);
-    let found = wire::records(&header, body).expect("good records");
+    let found = wire::parse_records(&header, body).expect("good records");
     let found: Vec<_> = found
         .into_iter()
         .map(|record| match record {
@@ -173,8 +173,8 @@
         7,
     );
     let (header, body) = split(&frame);
-    let found = wire::records(&header, body).expect("good records");
-    let news = |kind, version, buffer| Record::BackendsChanged { instance: 3, kind, version, buffer };
+    let found = wire::parse_records(&header, body).expect("good records");
+    let news = |kind, version, slot| Record::EndpointsChanged { instance: 3, kind, version, slot };
     let entry = |id, state, rating, started_at| BackendInfo {
         id,
         zone: 2,
@@ -184,19 +184,19 @@
         rating,
         started_at,
     };
-    let entries = vec![
+    let endpoints = vec![
         entry(1, BackendState::Draining, 1.0, None),
         entry(2, BackendState::Gone, 1.0, None),
         entry(3, BackendState::Ready, 1.5, Some(6_100.0)),
     ];
     let expected = [
-        Record::Provision { instance: 3, seed: 9, conf: b"{}" },
+        Record::Provision { instance: 3, seed: 9, settings: b"{}" },
         news(ListKind::Delta, 41, 15),
         news(ListKind::Full, 42, 1),
         news(ListKind::Cached, 43, 2),
         news(ListKind::Failed, 44, 255),
         Record::Halt { instance: 3 },
-        Record::Manifest { buffer: 15, entries },
+        Record::EndpointList { slot: 15, endpoints },
     ];
     assert_eq!(found, expected);
 }
@@ -218,29 +218,36 @@
         let (header, body) = split(&frame);
         let event =
             Event::ProbeResult { backend: 0x2c90_11f2, outcome, took_ms: 1.5, report: LoadReport::default() };
-        assert_eq!(wire::records(&header, body), Ok(vec![Record::Event { instance: 3, event }]), "{code}");
+        assert_eq!(
+            wire::parse_records(&header, body),
+            Ok(vec![Record::Event { instance: 3, event }]),
+            "{code}"
+        );
     }
 }
 
 #[test]
 fn writes_every_action() {
-    let mut reply = Reply::default();
+    let mut reply = ReplyFrame::default();
     reply.clear();
     let (request, backend) = (0x0001_6b86_5d3a_91c4, 0x0312_4a07);
-    reply.action(3, &Action::Send { request, backend, timeout_ms: 80.0 });
-    reply.action(3, &Action::Reject { request, retry_after_ms: 500.0, reason: UnservedReason::TierLimit });
-    reply.action(3, &Action::Fail { request, reason: UnservedReason::NoTimeLeft });
-    reply.action(3, &Action::Cancel { request, attempt: 2 });
-    reply.action(3, &Action::SetTimer { after_ms: 500.0, token: 77 });
-    reply.action(3, &Action::Probe { backend });
-    reply.action(3, &Action::CloseIdle { backend });
-    reply.action(3, &Action::Message { to: Some(2), bytes: b"hi 7".to_vec() });
-    reply.action(3, &Action::Message { to: None, bytes: b"hi 7".to_vec() });
-    reply.action(3, &Action::Log("two".into()));
-    reply.fatal(3, "bad");
-    reply.action(3, &Action::Subscribe { on: true });
-    reply.action(3, &Action::Subscribe { on: false });
-    reply.action(3, &Action::Fetch);
+    reply.push_action(3, &Action::Send { request, backend, timeout_ms: 80.0 });
+    reply.push_action(
+        3,
+        &Action::Reject { request, retry_after_ms: 500.0, reason: UnservedReason::TierLimit },
+    );
+    reply.push_action(3, &Action::Fail { request, reason: UnservedReason::NoTimeLeft });
+    reply.push_action(3, &Action::Cancel { request, attempt: 2 });
+    reply.push_action(3, &Action::SetTimer { after_ms: 500.0, token: 77 });
+    reply.push_action(3, &Action::Probe { backend });
+    reply.push_action(3, &Action::CloseIdle { backend });
+    reply.push_action(3, &Action::Message { to: Some(2), bytes: b"hi 7".to_vec() });
+    reply.push_action(3, &Action::Message { to: None, bytes: b"hi 7".to_vec() });
+    reply.push_action(3, &Action::Log("two".into()));
+    reply.push_fatal(3, "bad");
+    reply.push_action(3, &Action::Subscribe { on: true });
+    reply.push_action(3, &Action::Subscribe { on: false });
+    reply.push_action(3, &Action::Fetch);
     let records = bytes(
         "40 00000003 00016b865d3a91c4 03124a07 4054000000000000
          41 00000003 00016b865d3a91c4 407f400000000000
