--- a/crates/hillstall/tests/coordination/change_freeze.rs
+++ b/crates/hillstall/tests/coordination/change_freeze.rs
@@ -78,16 +78,16 @@
             if process < 5 && (process < 2) != (slot < 2))
         };
         inject_fault(&fleet, Fault::Silent, between)?;
-        let few = send_command(&fleet, 0, "CHANGE ASK drain site:zone-0 tom", "504");
-        let many = send_command(&fleet, 3, "CHANGE ASK drain site:zone-0 mira", "200");
-        let (few, many) = tokio::join!(few, many);
-        few?;
-        let held = match many {
+        let minority = send_command(&fleet, 0, "CHANGE ASK drain site:zone-0 tom", "504");
+        let majority = send_command(&fleet, 3, "CHANGE ASK drain site:zone-0 mira", "200");
+        let (minority, majority) = tokio::join!(minority, majority);
+        minority?;
+        let permit = match majority {
             Ok(text) => text,
             // The side was still electing.
             Err(_) => send_command(&fleet, 3, "CHANGE ASK drain site:zone-0 mira", "20").await?,
         };
-        ensure(!held.is_empty(), || "no permit where most keepers are".into())?;
+        ensure(!permit.is_empty(), || "no permit where most keepers are".into())?;
         let before = fleet.passed(between);
         sleep(Duration::from_millis(300)).await;
         ensure(fleet.passed(between) == before, || "something passes the cut".into())?;
@@ -109,19 +109,19 @@
         let (first, _) = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
         send_command(&fleet, 4, "CHANGE ASK upgrade site:zone-1 tom", "200").await?;
         // All servers of one zone fall silent for all proxies.
-        let boxes: Vec<usize> = fleet.servers_of_zone(1);
-        let lost = |ends: Ends| matches!(ends, Ends::Server { server, .. } if boxes.contains(&server));
+        let servers: Vec<usize> = fleet.servers_of_zone(1);
+        let lost = |ends: Ends| matches!(ends, Ends::Server { server, .. } if servers.contains(&server));
         fleet.set(Fault::Reset, lost);
-        let seen = |text: &str| text.lines().any(|l| l.contains("site:zone-1 active by=rule/"));
-        fleet.until(9, "INCIDENT", STEP_TIMEOUT, seen).await?;
+        let is_open = |text: &str| text.lines().any(|l| l.contains("site:zone-1 active by=rule/"));
+        fleet.until(9, "INCIDENT", STEP_TIMEOUT, is_open).await?;
         fleet.until(9, "CHANGE", STEP_TIMEOUT, |text| text.contains("upgrade site:zone-1 reacts")).await?;
         // The coordinator that opened it dies; the incident stays.
         fleet.signal(first, Sign::Kill)?;
         fleet.new_owner(COORDINATOR_LEASE, &[first], STEP_TIMEOUT).await?;
-        fleet.until(9, "INCIDENT", STEP_TIMEOUT, seen).await?;
-        let barred =
+        fleet.until(9, "INCIDENT", STEP_TIMEOUT, is_open).await?;
+        let answer =
             fleet.line((first + 1) % 3, "CHANGE ASK drain site:zone-1 mira").await.unwrap_or_default();
-        ensure(barred.starts_with("409") || barred.starts_with("202"), || barred.clone())?;
+        ensure(answer.starts_with("409") || answer.starts_with("202"), || answer.clone())?;
         fleet.set(Fault::None, lost);
         Ok(fleet.start_process(first).await?)
     });
@@ -152,9 +152,9 @@
         send_command(&fleet, second, "INCIDENT OPEN major site:zone-2 ann", "200").await?;
         inject_fault(&fleet, Fault::LoseBack, from_process(first))?;
         fleet.signal(first, Sign::Go)?;
-        let barred =
+        let answer =
             fleet.line((first + 1) % 3, "CHANGE ASK drain site:zone-2 mira").await.unwrap_or_default();
-        ensure(barred.starts_with("409"), || barred.clone())?;
+        ensure(answer.starts_with("409"), || answer.clone())?;
         fleet.set(Fault::None, from_process(first));
         fleet
             .until(first, "INCIDENT", STEP_TIMEOUT, |text| text.contains("major site:zone-2 active by=ann"))
--- a/crates/hillstall/tests/coordination/figures.rs
+++ b/crates/hillstall/tests/coordination/figures.rs
@@ -25,25 +25,25 @@
 
 /// Kills, stops and cuts off the coordinator in turn, as long as requests come; returns each fault and the time to takeover.
 fn measure_takeovers() -> Vec<(&'static str, u64)> {
-    let seen: Rc<RefCell<Vec<(&str, u64)>>> = Rc::default();
-    let taken = seen.clone();
+    let takeovers: Rc<RefCell<Vec<(&str, u64)>>> = Rc::default();
+    let shared = takeovers.clone();
     run_scenario("drill-window", 3, "", move |fleet| {
-        let seen = taken.clone();
+        let takeovers = shared.clone();
         async move {
-            seen.borrow_mut().clear();
+            takeovers.borrow_mut().clear();
             while fleet.history.now() < 18_000.0 {
-                for how in ["kill", "stop", "cut"] {
+                for fault in ["kill", "stop", "cut"] {
                     wait_until_settled(&fleet).await?;
                     let (first, _) = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
                     let at = Instant::now();
-                    match how {
+                    match fault {
                         "kill" => fleet.signal(first, Sign::Kill)?,
                         "stop" => fleet.signal(first, Sign::Stop)?,
                         _ => inject_fault(&fleet, Fault::LoseForth, from_process(first))?,
                     }
                     fleet.new_owner(COORDINATOR_LEASE, &[first], STEP_TIMEOUT).await?;
-                    seen.borrow_mut().push((how, elapsed_ms(at)));
-                    match how {
+                    takeovers.borrow_mut().push((fault, elapsed_ms(at)));
+                    match fault {
                         "kill" => fleet.start_process(first).await?,
                         "stop" => fleet.signal(first, Sign::Go)?,
                         _ => fleet.set(Fault::None, from_process(first)),
@@ -53,7 +53,7 @@
             Ok(())
         }
     });
-    seen.take()
+    takeovers.take()
 }
 
 #[test]
@@ -61,11 +61,12 @@
 fn figures_of_takeovers() {
     let mut all = Vec::new();
     for _ in 0..ROUNDS {
-        let plays: Vec<_> = (0..PARALLEL_SCENARIOS).map(|_| std::thread::spawn(measure_takeovers)).collect();
-        all.extend(plays.into_iter().flat_map(|play| play.join().expect("a drill")));
+        let threads: Vec<_> =
+            (0..PARALLEL_SCENARIOS).map(|_| std::thread::spawn(measure_takeovers)).collect();
+        all.extend(threads.into_iter().flat_map(|thread| thread.join().expect("a scenario")));
     }
-    for how in ["kill", "stop", "cut"] {
-        print_summary(how, all.iter().filter(|(h, _)| *h == how).map(|(_, ms)| *ms).collect());
+    for fault in ["kill", "stop", "cut"] {
+        print_summary(fault, all.iter().filter(|(other, _)| *other == fault).map(|(_, ms)| *ms).collect());
     }
 }
 
@@ -100,10 +101,10 @@
     {
         let mut services = Vec::new();
         for _ in 0..2 {
-            let plays: Vec<_> = (0..PARALLEL_SCENARIOS)
+            let threads: Vec<_> = (0..PARALLEL_SCENARIOS)
                 .map(|_| std::thread::spawn(move || measure_window(section, planned)))
                 .collect();
-            services.extend(plays.into_iter().map(|play| play.join().expect("a drill")));
+            services.extend(threads.into_iter().map(|thread| thread.join().expect("a scenario")));
         }
         let mean = services.iter().map(|(s, _)| s).sum::<f64>() / services.len() as f64;
         let back: Vec<u64> = services.iter().map(|(_, back)| *back).collect();
--- a/crates/hillstall/tests/coordination/lease_holders.rs
+++ b/crates/hillstall/tests/coordination/lease_holders.rs
@@ -22,11 +22,11 @@
     fleet.until(process, "INCIDENT", STEP_TIMEOUT, known).await.map(|_| ())
 }
 
-async fn wait_for_takeover(fleet: &Fleet, was: (usize, u64)) -> Result<(usize, u64), String> {
+async fn wait_for_takeover(fleet: &Fleet, previous: (usize, u64)) -> Result<(usize, u64), String> {
     let at = Instant::now();
-    let now = fleet.new_owner(COORDINATOR_LEASE, &[was.0], STEP_TIMEOUT).await?;
-    println!("taken over from {was:?} by {now:?} after {} ms", elapsed_ms(at));
-    ensure(now.1 > was.1, || format!("the token went from {} to {}", was.1, now.1))?;
+    let now = fleet.new_owner(COORDINATOR_LEASE, &[previous.0], STEP_TIMEOUT).await?;
+    println!("taken over from {previous:?} by {now:?} after {} ms", elapsed_ms(at));
+    ensure(now.1 > previous.1, || format!("the token went from {} to {}", previous.1, now.1))?;
     ensure(elapsed_ms(at) < 3_000, || format!("it took {} ms", elapsed_ms(at)))?;
     Ok(now)
 }
@@ -93,12 +93,12 @@
 fn a_holder_that_receives_nothing_gives_up_by_itself() {
     run_scenario("drill-duties", 3, "", |fleet| async move {
         let first = settled_holder(&fleet).await?;
-        let deaf = to_keeper(first.0);
-        inject_fault(&fleet, Fault::LoseForth, deaf)?;
+        let to_holder = to_keeper(first.0);
+        inject_fault(&fleet, Fault::LoseForth, to_holder)?;
         let second = wait_for_takeover(&fleet, first).await?;
         let text = fleet.line(first.0, "FLEET").await.unwrap_or_default();
         ensure(!text.contains("holds "), || format!("it believes still that it holds: {text}"))?;
-        fleet.set(Fault::None, deaf);
+        fleet.set(Fault::None, to_holder);
         fleet
             .until(first.0, "FLEET", STEP_TIMEOUT, |text| text.contains(&format!("token {}", second.1)))
             .await
@@ -108,20 +108,20 @@
 
 #[test]
 fn a_graceful_shutdown_hands_leases_over_without_a_gap() {
-    let told = run_scenario("drill-duties", 3, "", |fleet| async move {
+    let run = run_scenario("drill-duties", 3, "", |fleet| async move {
         let first = settled_holder(&fleet).await?;
         fleet.signal(first.0, Sign::Term)?;
         let second = fleet.new_owner(COORDINATOR_LEASE, &[first.0], STEP_TIMEOUT).await?;
         ensure(second.1 > first.1, || "the token did not rise".into())?;
         // Logs are written beside the loop, a little later.
         let end = Instant::now() + STEP_TIMEOUT;
-        let written = |what: &str, token: u64| {
+        let is_logged = |what: &str, token: u64| {
             fleet
                 .acts()
                 .iter()
                 .any(|act| act.what == what && act.token == token && act.duty == COORDINATOR_LEASE)
         };
-        while !written("holds", second.1) || !written("lost", first.1) {
+        while !is_logged("holds", second.1) || !is_logged("lost", first.1) {
             ensure(Instant::now() < end, || "the owners have not written down what they are".into())?;
             sleep(Duration::from_millis(20)).await;
         }
@@ -134,12 +134,12 @@
         Ok(())
     });
     let of = |what: &str| {
-        let found = told.acts.iter().rfind(|act| act.duty == COORDINATOR_LEASE && act.what == what);
+        let found = run.acts.iter().rfind(|act| act.duty == COORDINATOR_LEASE && act.what == what);
         found.map(|act| act.at).expect("it is written down")
     };
     let gap = of("holds") as i64 - of("lost") as i64;
     println!("handed over within {gap} ms");
-    assert!((0..200).contains(&gap), "nobody held it for {gap} ms: {:#?}", told.acts);
+    assert!((0..200).contains(&gap), "nobody held it for {gap} ms: {:#?}", run.acts);
 }
 
 #[test]
@@ -147,13 +147,13 @@
     run_scenario("drill-duties", 3, "", |fleet| async move {
         let first = settled_holder(&fleet).await?;
         open_incident(&fleet).await?;
-        for keeper in 0..3 {
-            fleet.signal(keeper, Sign::Kill)?;
+        for replica in 0..3 {
+            fleet.signal(replica, Sign::Kill)?;
         }
-        let nothing = fleet.line(5, "CHANGE ASK drain tenant:acme tom").await.unwrap_or_default();
-        ensure(nothing.starts_with("504"), || format!("a permit without keepers: {nothing}"))?;
-        for keeper in 0..3 {
-            fleet.start_process(keeper).await?;
+        let answer = fleet.line(5, "CHANGE ASK drain tenant:acme tom").await.unwrap_or_default();
+        ensure(answer.starts_with("504"), || format!("a permit without keepers: {answer}"))?;
+        for replica in 0..3 {
+            fleet.start_process(replica).await?;
         }
         let second = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
         ensure(second.1 > first.1, || "tokens fell over the loss of all keepers".into())?;
@@ -194,19 +194,19 @@
         wait_until_settled(&fleet).await?;
         open_incident(&fleet).await?;
         let mut token = 0;
-        for keeper in 0..3 {
+        for replica in 0..3 {
             let now = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
             ensure(now.1 >= token, || format!("tokens fell from {token} to {}", now.1))?;
             token = now.1;
-            kill_and_wait(&fleet, keeper).await?;
-            fleet.take_disk(keeper)?;
-            fleet.start_process(keeper).await?;
+            kill_and_wait(&fleet, replica).await?;
+            fleet.take_disk(replica)?;
+            fleet.start_process(replica).await?;
             let voter = |text: &str| {
                 let line = text.lines().find_map(|line| line.strip_prefix("keeper ")).unwrap_or("");
                 let own = line.split(' ').next().unwrap_or("?");
                 line.split("members ").nth(1).is_some_and(|m| m.contains(own)) && !line.contains("changing")
             };
-            fleet.until(keeper, "FLEET", STEP_TIMEOUT, voter).await?;
+            fleet.until(replica, "FLEET", STEP_TIMEOUT, voter).await?;
         }
         wait_for_incident(&fleet, 6).await
     });
@@ -243,10 +243,11 @@
             text.lines().find_map(|l| l.strip_prefix("follows ")?.split(' ').next()?.parse().ok())
         };
         let text = fleet.line(6, "FLEET").await.unwrap_or_default();
-        let keeper: usize = follows(&text).ok_or("it follows nobody")?;
-        let link = move |ends: Ends| matches!(ends, Ends::Keeper { process: 6, slot } if slot == keeper);
+        let replica: usize = follows(&text).ok_or("it follows nobody")?;
+        let link = move |ends: Ends| matches!(ends, Ends::Keeper { process: 6, slot } if slot == replica);
         inject_fault(&fleet, Fault::Silent, link)?;
-        let other = |text: &str| follows(text).is_some_and(|now| now != keeper) && text.contains("connected");
+        let other =
+            |text: &str| follows(text).is_some_and(|now| now != replica) && text.contains("connected");
         fleet.until(6, "FLEET", STEP_TIMEOUT, other).await?;
         open_incident(&fleet).await?;
         fleet.until(6, "INCIDENT", STEP_TIMEOUT, |text| text.contains("tenant:acme")).await?;
--- a/crates/hillstall/tests/coordination/windows.rs
+++ b/crates/hillstall/tests/coordination/windows.rs
@@ -58,8 +58,8 @@
 }
 
 /// Attempts that reached some servers, from one time to another (ms since requests began).
-fn attempts_at(told: &ScenarioRun, servers: &[usize], from: f64, to: f64) -> usize {
-    let hops = told.played.0.seen.hops.iter();
+fn attempts_at(run: &ScenarioRun, servers: &[usize], from: f64, to: f64) -> usize {
+    let hops = run.played.0.seen.hops.iter();
     hops.filter(|h| servers.contains(&h.server) && h.at >= from && h.at < to).count()
 }
 
@@ -67,12 +67,12 @@
 fn a_site_is_empty_before_its_window_begins_and_comes_back_after_it() {
     let times: Rc<RefCell<Vec<f64>>> = Rc::default();
     let servers: Rc<RefCell<Vec<usize>>> = Rc::default();
-    let (seen, of_site) = (times.clone(), servers.clone());
-    let told = run_window_scenario(move |fleet| {
-        let (seen, of_site) = (seen.clone(), of_site.clone());
+    let (seen, site_servers) = (times.clone(), servers.clone());
+    let run = run_window_scenario(move |fleet| {
+        let (seen, site_servers) = (seen.clone(), site_servers.clone());
         async move {
             seen.borrow_mut().clear();
-            of_site.replace(fleet.servers_of_zone(1));
+            site_servers.replace(fleet.servers_of_zone(1));
             wait_until_settled(&fleet).await?;
             plan_window(&fleet, "zone-1", 9, 4).await?;
             wait_for_stage(&fleet, "zone-1 shifting").await?;
@@ -89,18 +89,21 @@
     let times = times.borrow();
     let [shift, running, back, done] = times[..] else { panic!("{times:?}") };
     let servers = servers.borrow();
-    let a_second = |from: f64, to: f64| attempts_at(&told, &servers, from, to) as f64 / (to - from) * 1e3;
-    let (usual, during) = (a_second(1_000.0, shift), a_second(running, back));
+    let rate = |from: f64, to: f64| attempts_at(&run, &servers, from, to) as f64 / (to - from) * 1e3;
+    let (baseline, during) = (rate(1_000.0, shift), rate(running, back));
     println!(
-        "usual {usual:.0} calls/s, {during:.2} during the window; shift {:.0} ms, back within {:.0} ms; service {:.1}",
+        "baseline {baseline:.0} requests/s, {during:.2} during the window; shift {:.0} ms, back within {:.0} ms; service {:.1}",
         running - shift,
         done - back,
-        service(&told.played)
+        service(&run.played)
     );
-    assert!(usual > 5.0, "the site is used: {usual}");
-    assert!(during <= usual * 0.005, "{during} calls a second at a site that is away, {usual} as usual");
-    assert!(a_second(done, done + 2_000.0) > usual * 0.5, "it has its load again");
-    assert!(service(&told.played) > 85.0, "service is {:.1}", service(&told.played));
+    assert!(baseline > 5.0, "the site is used: {baseline}");
+    assert!(
+        during <= baseline * 0.005,
+        "{during} requests a second at a site that is away, {baseline} as baseline"
+    );
+    assert!(rate(done, done + 2_000.0) > baseline * 0.5, "it has its load again");
+    assert!(service(&run.played) > 85.0, "service is {:.1}", service(&run.played));
 }
 
 #[test]
@@ -121,7 +124,7 @@
 
 #[test]
 fn a_holder_that_was_suspended_in_a_shift_moves_nothing_when_resumed() {
-    let told = run_window_scenario(|fleet| async move {
+    let run = run_window_scenario(|fleet| async move {
         wait_until_settled(&fleet).await?;
         plan_window(&fleet, "zone-1", 9, 3).await?;
         wait_for_stage(&fleet, "zone-1 shifting").await?;
@@ -133,7 +136,7 @@
         fleet.signal(first, Sign::Go)?;
         wait_for_stage(&fleet, "zone-1 done").await.map(|_| ())
     });
-    let tokens: std::collections::BTreeSet<u64> = told
+    let tokens: std::collections::BTreeSet<u64> = run
         .acts
         .iter()
         .filter(|a| a.duty == SHIFT_LEASE && a.what == "carried out")
@@ -150,8 +153,8 @@
         let half =
             |text: &str| text.lines().any(|l| l.contains("zone-1 shifting") && !l.contains("part=100%"));
         fleet.until(5, "WINDOW", WINDOW_TIMEOUT, half).await?;
-        let boxes = fleet.servers_of_zone(2);
-        let lost = |ends: Ends| matches!(ends, Ends::Server { server, .. } if boxes.contains(&server));
+        let servers = fleet.servers_of_zone(2);
+        let lost = |ends: Ends| matches!(ends, Ends::Server { server, .. } if servers.contains(&server));
         fleet.set(Fault::Reset, lost);
         let back =
             |text: &str| text.lines().any(|l| l.contains("zone-1 returning") || l.contains("zone-1 done"));
@@ -194,15 +197,15 @@
         plan_window(&fleet, "zone-1", 7, 60).await?;
         wait_for_stage(&fleet, "zone-1 running").await?;
         fleet.until(8, "FLEET", STEP_TIMEOUT, |text| text.contains("part zone-1 0.000")).await?;
-        for keeper in 0..3 {
-            fleet.signal(keeper, Sign::Kill)?;
+        for replica in 0..3 {
+            fleet.signal(replica, Sign::Kill)?;
         }
         // The command is valid for its time, and then expires at the configured pace.
         let on_the_way = |text: &str| text.contains("part zone-1 0.") && !text.contains("part zone-1 0.000");
         fleet.until(8, "FLEET", WINDOW_TIMEOUT, on_the_way).await?;
         fleet.until(8, "FLEET", WINDOW_TIMEOUT, |text| text.contains("part zone-1 1.000")).await?;
-        for keeper in 0..3 {
-            fleet.start_process(keeper).await?;
+        for replica in 0..3 {
+            fleet.start_process(replica).await?;
         }
         Ok(())
     });
