--- a/crates/proxy-core/src/driver/attempts.rs
+++ b/crates/proxy-core/src/driver/attempts.rs
@@ -60,7 +60,7 @@
         let payload = open.payload.clone();
         let deadline = open.deadline;
         let timeout = attempt_timeout(timeout_ms);
-        let sent_counter = self.metrics.sends(open.class);
+        let sent_counter = self.metrics.sent_counter(open.class);
         state.count_sent(address.zone);
         let weak_self = self.weak_self.clone();
         spawn_local(async move {
--- a/crates/proxy-core/src/driver/dispatch.rs
+++ b/crates/proxy-core/src/driver/dispatch.rs
@@ -86,7 +86,7 @@
     ) {
         if let Some(open) = state.requests.get_mut(request) {
             open.trace.reason = Some(reason);
-            self.metrics.unserved(open.class, reason);
+            self.metrics.count_unserved(open.class, reason);
             open.respond(response);
         }
         state.requests.remove_if_finished(request);
--- a/crates/proxy-core/src/endpoints.rs
+++ b/crates/proxy-core/src/endpoints.rs
@@ -17,8 +17,10 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct EndpointList {
     /// Its version.
+    #[serde(rename = "index")]
     pub index: u64,
     /// Whether it names all backends; otherwise only those that changed.
+    #[serde(rename = "snapshot")]
     pub snapshot: bool,
     /// The entries.
     pub endpoints: Vec<Endpoint>,
--- a/crates/proxy-core/src/metrics.rs
+++ b/crates/proxy-core/src/metrics.rs
@@ -118,14 +118,14 @@
     }
 
     /// Counts a request of a class that the decision module gave up, and why.
-    pub fn unserved(&self, class: u8, reason: UnservedReason) {
+    pub fn count_unserved(&self, class: u8, reason: UnservedReason) {
         if let Some(class) = self.class(class) {
             increment(&class.unserved[reason as usize]);
         }
     }
 
     /// The counter of attempts of a class that were written completely, to be incremented where that is observed.
-    pub fn sends(&self, class: u8) -> Counter {
+    pub fn sent_counter(&self, class: u8) -> Counter {
         self.class(class).map(|class| class.sends.clone()).unwrap_or_default()
     }
 
--- a/crates/proxy-core/tests/metrics.rs
+++ b/crates/proxy-core/tests/metrics.rs
@@ -13,9 +13,9 @@
     first.end(RequestOutcome::Answered);
     second.end(RequestOutcome::Errored);
     metrics.count(0, RequestOutcome::Deferred);
-    let sends = metrics.sends(0);
+    let sends = metrics.sent_counter(0);
     sends.set(sends.get() + 1);
-    metrics.unserved(0, UnservedReason::TenantQuota);
+    metrics.count_unserved(0, UnservedReason::TenantQuota);
     let cluster = ClusterSize { size: 7, unhealthy: 2 };
     let expected = |current: u32| {
         format!(
--- a/crates/proxy-core/tests/words.rs
+++ b/crates/proxy-core/tests/words.rs
@@ -9,7 +9,7 @@
 #[test]
 fn each_reason_has_a_metric_in_this_order() {
     let metrics = Metrics::new(&[class("a")]);
-    UnservedReason::ALL.iter().for_each(|reason| metrics.unserved(0, *reason));
+    UnservedReason::ALL.iter().for_each(|reason| metrics.count_unserved(0, *reason));
     let metrics_text = metrics.render(ClusterSize { size: 1, unhealthy: 0 });
     let expected = "svc_answered{group=\"a\"} 0\nsvc_deferred{group=\"a\"} 0\nsvc_errored{group=\"a\"} 0\n\
         svc_sends{group=\"a\"} 0\n\
