--- a/crates/decision/tests/calm.rs
+++ b/crates/decision/tests/calm.rs
@@ -7,10 +7,10 @@
 
 /// Rounds of four calls, of which one ends as `end` does it and the others are served, all after `took`; then how many
 /// calls are let in at once.
-fn let_in(rounds: usize, took: Millis, end: impl Fn(&mut Proxy, Sent)) -> usize {
+fn admitted_requests(rounds: usize, took: Millis, end: impl Fn(&mut Proxy, Sent)) -> usize {
     let mut p = Proxy::new(settings(), &backends(4));
     for _ in 0..rounds {
-        let mut out: Vec<Sent> = (0..4).filter_map(|_| p.ask(0, 0, 4_000.0)).collect();
+        let mut out: Vec<Sent> = (0..4).filter_map(|_| p.send_request(0, 0, 4_000.0)).collect();
         p.now += took;
         if let Some(sent) = out.pop() {
             end(&mut p, sent);
@@ -21,7 +21,7 @@
 }
 
 fn ended(p: &mut Proxy, sent: Sent, outcome: Outcome) {
-    p.event(ended_as(sent.request, sent.attempt, sent.to, outcome, p.now - sent.at, true));
+    p.event(attempt_ended(sent.request, sent.attempt, sent.to, outcome, p.now - sent.at, true));
 }
 
 fn served(p: &mut Proxy, sent: Sent) {
@@ -35,15 +35,18 @@
 
 #[test]
 fn connections_that_break_early_shut_no_gate() {
-    let (all, now) = (let_in(60, 200.0, served), let_in(60, 200.0, |p, s| ended(p, s, Outcome::Reset)));
+    let (all, now) = (
+        admitted_requests(60, 200.0, served),
+        admitted_requests(60, 200.0, |p, s| ended(p, s, Outcome::Reset)),
+    );
     assert!(now * 10 >= all * 9, "{now} of {all}");
 }
 
 #[test]
 fn clients_that_leave_early_shut_no_gate_and_those_that_leave_late_do() {
-    let (all, now) = (let_in(60, 200.0, served), let_in(60, 200.0, left));
+    let (all, now) = (admitted_requests(60, 200.0, served), admitted_requests(60, 200.0, left));
     assert!(now * 10 >= all * 9, "{now} of {all}");
-    let late = let_in(60, 1_000.0, left);
+    let late = admitted_requests(60, 1_000.0, left);
     assert!(
         late * 2 <= all,
         "{late} of {all} though one in four waits for all of the aim, and the others do so too"
@@ -53,20 +56,20 @@
 #[test]
 fn a_tier_that_is_slow_with_little_to_do_is_not_shut_until_it_gets_slower() {
     let mut p = Proxy::new(settings(), &backends(4));
-    p.rounds(60, 4, 700.0, Outcome::Ok);
+    p.run_rounds(60, 4, 700.0, Outcome::Ok);
     let mut crowd = Proxy::new(settings(), &backends(4));
-    crowd.rounds(60, 4, 700.0, Outcome::Ok);
-    crowd.rounds(12, 20, 1_400.0, Outcome::Ok);
-    let (calm, crowded) = (p.admitted(60), crowd.admitted(60));
-    assert!(calm >= 30, "{calm} at seven tenths of the aim, with four calls out");
-    assert!(crowded * 2 <= calm, "{crowded} of {calm} once calls come late");
+    crowd.run_rounds(60, 4, 700.0, Outcome::Ok);
+    crowd.run_rounds(12, 20, 1_400.0, Outcome::Ok);
+    let (baseline, crowded) = (p.admitted(60), crowd.admitted(60));
+    assert!(baseline >= 30, "{baseline} at seven tenths of the aim, with four calls out");
+    assert!(crowded * 2 <= baseline, "{crowded} of {baseline} once calls come late");
 }
 
 #[test]
 fn a_connection_that_comes_up_late_is_no_loss_of_a_server_that_answers() {
     let after = |first: Outcome| {
         let mut p = Proxy::new(settings(), &backends(10));
-        let mut out: Vec<Sent> = (0..60).filter_map(|_| p.ask(0, 0, 4_000.0)).collect();
+        let mut out: Vec<Sent> = (0..60).filter_map(|_| p.send_request(0, 0, 4_000.0)).collect();
         // Of each server the first call waits for its connection, while the others are answered.
         out.sort_by_key(|sent| (sent.to, sent.request));
         let mut waiting = out.clone();
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -125,7 +125,7 @@
 }
 
 /// The end of an attempt, without a load report.
-pub fn ended_as(
+pub fn attempt_ended(
     request: RequestId,
     attempt: u8,
     backend: BackendId,
@@ -181,17 +181,23 @@
     }
 
     /// A new request; the attempt if it was sent.
-    pub fn ask(&mut self, class: u8, tenant: u16, ttl_ms: Millis) -> Option<Sent> {
-        self.ask_again(class, tenant, ttl_ms, false)
+    pub fn send_request(&mut self, class: u8, tenant: u16, ttl_ms: Millis) -> Option<Sent> {
+        self.send_request_marked(class, tenant, ttl_ms, false)
     }
 
     /// The same, marked as a client's repeat or not.
-    pub fn ask_again(&mut self, class: u8, tenant: u16, ttl_ms: Millis, marked: bool) -> Option<Sent> {
+    pub fn send_request_marked(
+        &mut self,
+        class: u8,
+        tenant: u16,
+        ttl_ms: Millis,
+        marked: bool,
+    ) -> Option<Sent> {
         let id = self.next;
         self.next += 1;
         let mut asked = request(id, class, tenant, ttl_ms);
-        if let Event::Request { is_retry: repeat, .. } = &mut asked {
-            *repeat = marked;
+        if let Event::Request { is_retry, .. } = &mut asked {
+            *is_retry = marked;
         }
         self.event(asked);
         self.sent()
@@ -201,11 +207,11 @@
     pub fn end(&mut self, sent: Sent, outcome: Outcome) -> Option<Sent> {
         let took_ms = self.now - sent.at;
         let ended = outcome == Outcome::Ok;
-        self.event(ended_as(sent.request, sent.attempt, sent.to, outcome, took_ms, ended));
+        self.event(attempt_ended(sent.request, sent.attempt, sent.to, outcome, took_ms, ended));
         self.sent()
     }
 
-    pub fn refused(&self) -> bool {
+    pub fn rejected(&self) -> bool {
         self.last.iter().any(|a| matches!(a, Action::Reject { .. }))
     }
 
@@ -214,9 +220,9 @@
     }
 
     /// `rounds` rounds of `width` calls at once, each answered as told after `took` milliseconds.
-    pub fn rounds(&mut self, rounds: usize, width: usize, took: Millis, outcome: Outcome) {
+    pub fn run_rounds(&mut self, rounds: usize, width: usize, took: Millis, outcome: Outcome) {
         for _ in 0..rounds {
-            let mut out: Vec<Sent> = (0..width).filter_map(|_| self.ask(0, 0, 4_000.0)).collect();
+            let mut out: Vec<Sent> = (0..width).filter_map(|_| self.send_request(0, 0, 4_000.0)).collect();
             self.now += took;
             while let Some(sent) = out.pop() {
                 out.extend(self.end(sent, outcome).filter(|_| outcome != Outcome::Ok));
@@ -226,7 +232,7 @@
 
     /// How many calls it sends of `n` asked for at once; they are answered in time afterwards.
     pub fn admitted(&mut self, n: usize) -> usize {
-        let out: Vec<Sent> = (0..n).filter_map(|_| self.ask(0, 0, 4_000.0)).collect();
+        let out: Vec<Sent> = (0..n).filter_map(|_| self.send_request(0, 0, 4_000.0)).collect();
         self.now += 100.0;
         out.iter().for_each(|sent| {
             self.end(*sent, Outcome::Ok);
--- a/crates/decision/tests/gate.rs
+++ b/crates/decision/tests/gate.rs
@@ -4,23 +4,23 @@
 use common::*;
 use hillstall_decision::*;
 
-fn many_backends(stage: u32) -> Proxy {
+fn before_forty_backends(stage: u32) -> Proxy {
     Proxy::new(Settings { stage, ..settings() }, &backends(40))
 }
 
 #[test]
 fn refuses_unsent_over_the_count_once_calls_come_late() {
-    let mut p = many_backends(0);
-    p.rounds(6, 60, 3_000.0, Outcome::Ok);
+    let mut p = before_forty_backends(0);
+    p.run_rounds(6, 60, 3_000.0, Outcome::Ok);
     assert!(p.admitted(200) < 60, "late answers must cut the count");
-    assert!(p.ask(0, 0, 4_000.0).is_some(), "room again once answers come in time");
+    assert!(p.send_request(0, 0, 4_000.0).is_some(), "room again once answers come in time");
 }
 
 #[test]
 fn a_gate_cut_low_rises_again() {
     // It once compared the calls left after an outcome with the count, so a count near 1 could never rise.
-    let mut p = many_backends(1);
-    p.rounds(30, 1, 3_500.0, Outcome::Ok);
+    let mut p = before_forty_backends(1);
+    p.run_rounds(30, 1, 3_500.0, Outcome::Ok);
     for _ in 0..40 {
         let all = p.admitted(4);
         p.now += 50.0;
@@ -34,9 +34,9 @@
 #[test]
 fn a_lull_before_a_cut_does_not_shut_the_gate() {
     // A sparse copy has one call out at most moments: the cut goes from the recent peak, not from that.
-    let mut p = many_backends(1);
-    p.rounds(3, 20, 100.0, Outcome::Ok);
-    let slow: Vec<Sent> = (0..20).filter_map(|_| p.ask(0, 0, 4_000.0)).collect();
+    let mut p = before_forty_backends(1);
+    p.run_rounds(3, 20, 100.0, Outcome::Ok);
+    let slow: Vec<Sent> = (0..20).filter_map(|_| p.send_request(0, 0, 4_000.0)).collect();
     p.now += 1_500.0;
     for sent in slow {
         p.end(sent, Outcome::Ok);
@@ -47,9 +47,9 @@
 #[test]
 fn one_cause_one_cut() {
     // The late answers of calls sent before a cut tell of the same jam: they must not cut again.
-    let mut p = many_backends(1);
-    p.rounds(2, 40, 100.0, Outcome::Ok);
-    let jam: Vec<Sent> = (0..40).filter_map(|_| p.ask(0, 0, 8_000.0)).collect();
+    let mut p = before_forty_backends(1);
+    p.run_rounds(2, 40, 100.0, Outcome::Ok);
+    let jam: Vec<Sent> = (0..40).filter_map(|_| p.send_request(0, 0, 8_000.0)).collect();
     for sent in jam {
         p.now += 100.0;
         p.end(sent, Outcome::Ok);
@@ -59,17 +59,17 @@
 
 #[test]
 fn one_failure_among_few_calls_cuts_nothing() {
-    let mut p = many_backends(1);
-    p.rounds(20, 2, 200.0, Outcome::Ok);
-    p.rounds(1, 1, 200.0, Outcome::Error);
+    let mut p = before_forty_backends(1);
+    p.run_rounds(20, 2, 200.0, Outcome::Ok);
+    p.run_rounds(1, 1, 200.0, Outcome::Error);
     assert_eq!(p.admitted(30), 30);
 }
 
 #[test]
 fn refused_connections_are_no_sign_of_load() {
-    let mut p = many_backends(1);
-    p.rounds(5, 4, 100.0, Outcome::Ok);
-    p.rounds(10, 4, 100.0, Outcome::ConnectFailed);
+    let mut p = before_forty_backends(1);
+    p.run_rounds(5, 4, 100.0, Outcome::Ok);
+    p.run_rounds(10, 4, 100.0, Outcome::ConnectFailed);
     assert_eq!(p.admitted(30), 30, "a cut zone's refused connections must not cut the gate of the rest");
 }
 
@@ -88,36 +88,38 @@
     assert_eq!(below.admitted(300), 300, "below the top a refusal wastes work: the first count stays open");
 }
 
-fn shared() -> Settings {
+fn with_two_tenants() -> Settings {
     let tenant = |fraction: f64| Tenant { fraction, ..tenant(20.0 * fraction) };
     Settings { tenants: vec![tenant(0.5), tenant(0.5)], ..settings() }
 }
 
 #[test]
 fn borrowed_room_must_be_earned() {
-    let mut p = Proxy::new(shared(), &backends(40));
-    let sent = (0..100).filter(|_| p.ask(0, 0, 4_000.0).is_some()).count();
+    let mut p = Proxy::new(with_two_tenants(), &backends(40));
+    let sent = (0..100).filter(|_| p.send_request(0, 0, 4_000.0).is_some()).count();
     assert!(sent <= 25, "{sent} calls of a share of 10 a second");
-    assert!(p.ask(0, 1, 4_000.0).is_some(), "the other tenant is within its share");
+    assert!(p.send_request(0, 1, 4_000.0).is_some(), "the other tenant is within its share");
 }
 
 #[test]
 fn tenants_out_of_range_are_served_as_if_without_a_share() {
-    let mut p = Proxy::new(shared(), &backends(4));
-    assert!(p.ask(0, 99, 4_000.0).is_some());
+    let mut p = Proxy::new(with_two_tenants(), &backends(4));
+    assert!(p.send_request(0, 99, 4_000.0).is_some());
 }
 
 #[test]
 fn a_class_of_little_worth_yields_and_without_such_a_pair_none_does() {
-    let share = |worths: [f64; 2]| {
-        let classes = worths
-            .map(|worth| Class { priority_weight: worth, ..class(RetrySafety::Idempotent, DedupScope::All) });
+    let share = |weights: [f64; 2]| {
+        let classes = weights.map(|weight| Class {
+            priority_weight: weight,
+            ..class(RetrySafety::Idempotent, DedupScope::All)
+        });
         let mut p = Proxy::new(Settings { stage: 0, classes: classes.to_vec(), ..settings() }, &backends(40));
         let mut served = [0.0, 0.0];
         // What calm is has to be known: lateness is judged against it.
-        p.rounds(20, 4, 200.0, Outcome::Ok);
+        p.run_rounds(20, 4, 200.0, Outcome::Ok);
         for round in 0..40 {
-            let ask = |p: &mut Proxy, class: u8| p.ask(class, 0, 4_000.0).map(|sent| (class, sent));
+            let ask = |p: &mut Proxy, class: u8| p.send_request(class, 0, 4_000.0).map(|sent| (class, sent));
             let out: Vec<_> = (0..60).filter_map(|n| ask(&mut p, u8::from(n % 6 > 0))).collect();
             p.now += 100.0 + 25.0 * out.len() as f64;
             for (class, sent) in out {
@@ -134,16 +136,16 @@
 #[test]
 fn classes_of_like_worth_are_served_alike_whatever_their_aims() {
     // A class with a long aim never looked late by its own calls, so only the other one was cut.
-    let aims = [1_000.0, 4_000.0];
-    let classes = aims.map(|aim_ms| Class {
-        latency_objective_ms: aim_ms,
+    let objectives = [1_000.0, 4_000.0];
+    let classes = objectives.map(|objective_ms| Class {
+        latency_objective_ms: objective_ms,
         ..class(RetrySafety::Idempotent, DedupScope::All)
     });
     let objective = objective(0.6, 0.1, 0.3);
     let mut p = Proxy::new(Settings { classes: classes.to_vec(), objective, ..settings() }, &backends(40));
     let mut served = [0.0, 0.0];
     for round in 0..120 {
-        let ask = |p: &mut Proxy, class: u8| p.ask(class, 0, 8_000.0).map(|sent| (class, sent));
+        let ask = |p: &mut Proxy, class: u8| p.send_request(class, 0, 8_000.0).map(|sent| (class, sent));
         let out: Vec<_> = (0..120).filter_map(|n| ask(&mut p, n % 2)).collect();
         p.now += 100.0 + 20.0 * out.len() as f64;
         for (class, sent) in out {
@@ -164,8 +166,8 @@
     p.now += 10_000.0;
     for cluster in 0..10 {
         // Four calls of the other tenant beyond its share hold all the room there is to borrow.
-        let others: Vec<Sent> = (0..40).filter_map(|_| p.ask(0, 1, 4_000.0)).collect();
-        let sent: Vec<Sent> = (0..8).filter_map(|_| p.ask(0, 0, 4_000.0)).collect();
+        let others: Vec<Sent> = (0..40).filter_map(|_| p.send_request(0, 1, 4_000.0)).collect();
+        let sent: Vec<Sent> = (0..8).filter_map(|_| p.send_request(0, 0, 4_000.0)).collect();
         assert_eq!(sent.len(), 8, "cluster {cluster}");
         p.now += 300.0;
         others.into_iter().chain(sent).for_each(|sent| {
@@ -177,8 +179,8 @@
 
 #[test]
 fn a_fresh_copy_does_not_let_in_a_whole_window_of_one_tenant() {
-    let mut p = Proxy::new(shared(), &backends(40));
-    let sent = (0..400).filter(|_| p.ask(0, 0, 4_000.0).is_some()).count();
+    let mut p = Proxy::new(with_two_tenants(), &backends(40));
+    let sent = (0..400).filter(|_| p.send_request(0, 0, 4_000.0).is_some()).count();
     assert!(sent <= 20, "{sent} calls at once of a share of 10 a second");
 }
 
@@ -187,22 +189,22 @@
     // The front of a tier once filled fivefold in three seconds, before the first late answer was in.
     let mut p = Proxy::new(Settings { fleet_size: 40, ..settings() }, &backends(40));
     let before = p.admitted(10_000);
-    p.rounds(4, 10_000, 100.0, Outcome::Ok);
+    p.run_rounds(4, 10_000, 100.0, Outcome::Ok);
     let after = p.admitted(10_000);
     assert!(after > before && after < 3 * before, "{before} calls at the start, {after} five rounds later");
 }
 
 #[test]
 fn answers_much_slower_than_usual_cut_the_top_gate_though_they_are_in_time() {
-    let mut p = many_backends(0);
-    p.rounds(20, 300, 100.0, Outcome::Ok);
-    let calm = p.admitted(10_000);
+    let mut p = before_forty_backends(0);
+    p.run_rounds(20, 300, 100.0, Outcome::Ok);
+    let baseline = p.admitted(10_000);
     // Well inside the limit by the aim of a second, and three times the usual.
-    p.rounds(20, 300, 300.0, Outcome::Ok);
+    p.run_rounds(20, 300, 300.0, Outcome::Ok);
     let crowded = p.admitted(10_000);
-    assert!(2 * crowded < calm, "{calm} calls when calm, {crowded} when crowded");
+    assert!(2 * crowded < baseline, "{baseline} calls when calm, {crowded} when crowded");
     // Crowding alone leaves half of the first count, 320 here.
-    p.rounds(60, 300, 300.0, Outcome::Ok);
+    p.run_rounds(60, 300, 300.0, Outcome::Ok);
     assert!(p.admitted(10_000) >= 160, "a crowded gate was cut down to nothing");
 }
 
@@ -213,7 +215,7 @@
         let told = Settings { report, report_via: ReportVia::Inline, ..settings() };
         let mut p = Proxy::new(told, &backends(40));
         for _ in 0..10 {
-            let out: Vec<Sent> = (0..10_000).filter_map(|_| p.ask(0, 0, 4_000.0)).collect();
+            let out: Vec<Sent> = (0..10_000).filter_map(|_| p.send_request(0, 0, 4_000.0)).collect();
             p.now += 200.0;
             for sent in out {
                 let report = LoadReport { len: 2, values: [50.0, cpu, 0.0, 0.0] };
@@ -239,9 +241,9 @@
         p.balancer =
             hillstall_decision::Balancer::new(Settings { rank, fleet_size: 100, ..settings() }, rank.into());
         p.list(ListKind::Cached, &backends(4));
-        p.rounds(40, 2, 3_500.0, Outcome::Ok);
+        p.run_rounds(40, 2, 3_500.0, Outcome::Ok);
         p.now += 100.0;
-        sent += usize::from(p.ask(0, 0, 4_000.0).is_some());
+        sent += usize::from(p.send_request(0, 0, 4_000.0).is_some());
     }
     assert!((1..60).contains(&sent), "{sent} of 100 copies before a jammed tier still send at once");
 }
@@ -250,25 +252,32 @@
 fn clients_that_leave_cut_the_gate_and_only_so_far() {
     let left = |p: &mut Proxy, rounds: usize| {
         for _ in 0..rounds {
-            let out: Vec<Sent> = (0..300).filter_map(|_| p.ask(0, 0, 4_000.0)).collect();
+            let out: Vec<Sent> = (0..300).filter_map(|_| p.send_request(0, 0, 4_000.0)).collect();
             // Late in their time: one that leaves early says little of the tier.
             p.now += 3_900.0;
             for sent in out {
                 p.event(Event::ClientGone { request: sent.request });
                 assert!(p.last.contains(&Action::Cancel { request: sent.request, attempt: sent.attempt }));
-                p.event(ended_as(sent.request, sent.attempt, sent.to, Outcome::Cancelled, 3_900.0, true));
+                p.event(attempt_ended(
+                    sent.request,
+                    sent.attempt,
+                    sent.to,
+                    Outcome::Cancelled,
+                    3_900.0,
+                    true,
+                ));
                 assert!(p.last.iter().all(|a| matches!(a, Action::Log(_))), "{:?}", p.last);
             }
         }
     };
-    let mut p = many_backends(0);
-    p.rounds(20, 300, 100.0, Outcome::Ok);
-    let calm = p.admitted(10_000);
+    let mut p = before_forty_backends(0);
+    p.run_rounds(20, 300, 100.0, Outcome::Ok);
+    let baseline = p.admitted(10_000);
     left(&mut p, 20);
     let after = p.admitted(10_000);
-    assert!(after < calm / 2 && after > 0, "{calm} calls when calm, {after} after clients left");
+    assert!(after < baseline / 2 && after > 0, "{baseline} calls when calm, {after} after clients left");
     // Below the top the leaving is the caller's, and says nothing of the tier.
-    let mut p = many_backends(1);
+    let mut p = before_forty_backends(1);
     left(&mut p, 20);
     assert_eq!(p.admitted(150), 150);
 }
@@ -294,7 +303,7 @@
         let base = settings();
         let allowed = Permissions { retry_after, ..base.permissions.clone() };
         let mut p = Proxy::new(Settings { stage, permissions: allowed, ..base }, &[]);
-        p.ask(0, 0, 4_000.0);
+        p.send_request(0, 0, 4_000.0);
         p.last.iter().find_map(|action| match action {
             Action::Reject { retry_after_ms, .. } => Some(*retry_after_ms),
             _ => None,
@@ -308,7 +317,7 @@
 #[test]
 fn a_first_count_taken_from_an_old_list_grows_with_the_new_one() {
     // A proxy that knew four of its backends kept the count of four, and refused what all of them could do.
-    let mut whole = many_backends(0);
+    let mut whole = before_forty_backends(0);
     whole.admitted(1);
     let mut p = Proxy::new(Settings { stage: 0, ..settings() }, &backends(4));
     assert!(p.admitted(10_000) < 80);
@@ -321,7 +330,7 @@
     // The gates took the grain of a clock for a queue: 64 callers of instant servers were mostly refused.
     let mut p = Proxy::new(Settings { stage: 0, ..settings() }, &backends(4));
     for round in 0..400 {
-        let out: Vec<Sent> = (0..64).filter_map(|_| p.ask(0, 0, 4_000.0)).collect();
+        let out: Vec<Sent> = (0..64).filter_map(|_| p.send_request(0, 0, 4_000.0)).collect();
         assert_eq!(out.len(), 64, "refused in round {round}");
         for (n, sent) in out.into_iter().enumerate() {
             p.now += if (n + round) % 7 == 0 { 0.2 } else { 0.01 };
@@ -334,26 +343,28 @@
 fn an_attempt_is_not_given_up_before_a_hiccup_is_over() {
     // With a mean of a tenth of a millisecond the time for an attempt once fell to less than one, and no answer
     // could raise it again.
-    let mut p = many_backends(0);
-    p.rounds(50, 4, 0.1, Outcome::Ok);
-    let sent = p.ask(0, 0, 4_000.0).expect("there is room");
+    let mut p = before_forty_backends(0);
+    p.run_rounds(50, 4, 0.1, Outcome::Ok);
+    let sent = p.send_request(0, 0, 4_000.0).expect("there is room");
     assert!(sent.timeout_ms >= 10.0, "given up after {} ms", sent.timeout_ms);
 }
 
 #[test]
 fn classes_that_yield_leave_room_at_a_full_gate_to_those_of_more_worth() {
-    let worth = |worth| Class { priority_weight: worth, ..class(RetrySafety::Idempotent, DedupScope::All) };
-    let classes = vec![worth(2.0), worth(5.0)];
+    let weight =
+        |weight| Class { priority_weight: weight, ..class(RetrySafety::Idempotent, DedupScope::All) };
+    let classes = vec![weight(2.0), weight(5.0)];
     let mut p = Proxy::new(Settings { classes, fleet_size: 50, ..settings() }, &backends(500));
     // Both come, so that it is known which yields.
     for class in [0, 1, 0, 1] {
-        let sent = p.ask(class, 0, 4_000.0).expect("room");
+        let sent = p.send_request(class, 0, 4_000.0).expect("room");
         p.now += 100.0;
         p.end(sent, Outcome::Ok);
     }
-    let mut let_in = |class: u8| (0..400).filter(|_| p.ask(class, 0, 4_000.0).is_some()).count();
-    let (less, more) = (let_in(0), let_in(1));
+    let mut admitted_requests =
+        |class: u8| (0..400).filter(|_| p.send_request(class, 0, 4_000.0).is_some()).count();
+    let (less, more) = (admitted_requests(0), admitted_requests(1));
     assert!(less > 40, "{less} of the less worthy are let in at an empty gate");
     assert!(more > less / 2, "{more} of more worth are let in after {less} of less have filled their part");
-    assert_eq!(let_in(0), 0, "the gate is shut to them now");
+    assert_eq!(admitted_requests(0), 0, "the gate is shut to them now");
 }
--- a/crates/decision/tests/heat.rs
+++ b/crates/decision/tests/heat.rs
@@ -7,20 +7,20 @@
 use std::collections::VecDeque;
 
 /// One of 50 copies before 50 backends, with an even part of 20 calls a second.
-fn one_of_fifty() -> Proxy {
+fn instance_of_fifty() -> Proxy {
     let tenants = [300.0, 300.0, 400.0].map(tenant).to_vec();
     Proxy::new(Settings { tenants, fleet_size: 50, marks_retry: true, ..settings() }, &backends(50))
 }
 
-fn ask(p: &mut Proxy, id: RequestId, repeat: bool) -> Option<Sent> {
-    p.ask_again(0, (id % 3) as u16, 4_000.0, repeat)
+fn ask(p: &mut Proxy, id: RequestId, is_retry: bool) -> Option<Sent> {
+    p.send_request_marked(0, (id % 3) as u16, 4_000.0, is_retry)
 }
 
 /// So many calls a second for some seconds, each answered after 250 ms; the part that was refused.
-fn drive(p: &mut Proxy, ids: &mut RequestId, per_s: f64, seconds: f64, repeat: bool) -> f64 {
+fn offer_load(p: &mut Proxy, ids: &mut RequestId, per_s: f64, seconds: f64, is_retry: bool) -> f64 {
     let mut out: VecDeque<Sent> = VecDeque::new();
     let calls = (per_s * seconds) as usize;
-    let mut refused = 0;
+    let mut rejected = 0;
     for _ in 0..calls {
         let next = p.now + 1_000.0 / per_s;
         while let Some(sent) = out.front().copied().filter(|sent| sent.at + 250.0 <= next) {
@@ -30,16 +30,16 @@
         }
         p.now = next;
         *ids += 1;
-        match ask(p, *ids, repeat) {
+        match ask(p, *ids, is_retry) {
             Some(sent) => out.push_back(sent),
-            None => refused += 1,
+            None => rejected += 1,
         }
     }
     for sent in out {
         p.now = p.now.max(sent.at + 250.0);
         p.end(sent, Outcome::Ok);
     }
-    refused as f64 / calls as f64
+    rejected as f64 / calls as f64
 }
 
 /// How many of 1,000 calls in one instant it lets in.
@@ -58,35 +58,38 @@
 
 #[test]
 fn a_copy_with_six_times_the_calls_refuses_few_of_them() {
-    let (mut p, mut ids) = (one_of_fifty(), 0);
-    drive(&mut p, &mut ids, 15.0, 5.0, false);
+    let (mut p, mut ids) = (instance_of_fifty(), 0);
+    offer_load(&mut p, &mut ids, 15.0, 5.0, false);
     // The first seconds after a shift count too.
-    let at_first = drive(&mut p, &mut ids, 120.0, 3.0, false);
-    let later = drive(&mut p, &mut ids, 120.0, 10.0, false);
+    let at_first = offer_load(&mut p, &mut ids, 120.0, 3.0, false);
+    let later = offer_load(&mut p, &mut ids, 120.0, 10.0, false);
     assert!(at_first < 0.35 && later < 0.1, "{at_first:.2} refused in the first 3 s, {later:.2} then");
 }
 
 #[test]
 fn a_copy_that_cools_down_keeps_no_room_of_its_hot_time() {
-    let (mut common, mut ids) = (one_of_fifty(), 0);
-    drive(&mut common, &mut ids, 15.0, 20.0, false);
-    let usual = room(&mut common, &mut ids);
-    let mut p = one_of_fifty();
-    drive(&mut p, &mut ids, 120.0, 10.0, false);
-    let hot = room(&mut p, &mut ids);
-    drive(&mut p, &mut ids, 15.0, 10.0, false);
-    let cooled = room(&mut p, &mut ids);
-    assert!(hot > 3 * usual, "room for {hot} when hot, {usual} usually");
-    assert!(cooled < 2 * usual && 2 * cooled < hot, "room for {cooled} when cooled down, {usual} usually");
+    let (mut common, mut ids) = (instance_of_fifty(), 0);
+    offer_load(&mut common, &mut ids, 15.0, 20.0, false);
+    let baseline = room(&mut common, &mut ids);
+    let mut p = instance_of_fifty();
+    offer_load(&mut p, &mut ids, 120.0, 10.0, false);
+    let skewed = room(&mut p, &mut ids);
+    offer_load(&mut p, &mut ids, 15.0, 10.0, false);
+    let after_decline = room(&mut p, &mut ids);
+    assert!(skewed > 3 * baseline, "room for {skewed} when hot, {baseline} usually");
+    assert!(
+        after_decline < 2 * baseline && 2 * after_decline < skewed,
+        "room for {after_decline} when cooled down, {baseline} usually"
+    );
 }
 
 #[test]
 fn marked_repeats_make_no_room() {
-    let (mut p, mut ids) = (one_of_fifty(), 0);
-    drive(&mut p, &mut ids, 15.0, 5.0, false);
+    let (mut p, mut ids) = (instance_of_fifty(), 0);
+    offer_load(&mut p, &mut ids, 15.0, 5.0, false);
     let before = room(&mut p, &mut ids);
     p.now += 20_000.0;
-    drive(&mut p, &mut ids, 120.0, 5.0, true);
+    offer_load(&mut p, &mut ids, 120.0, 5.0, true);
     let after = room(&mut p, &mut ids);
     assert!(after < 2 * before, "room for {before}, and for {after} after a storm of repeats");
 }
@@ -94,8 +97,8 @@
 #[test]
 fn a_burst_that_crowds_the_tier_does_not_raise_the_room_with_it() {
     // A copy can't see that all the others get the same burst, but the answers take longer.
-    let (mut p, mut ids) = (one_of_fifty(), 0);
-    drive(&mut p, &mut ids, 15.0, 10.0, false);
+    let (mut p, mut ids) = (instance_of_fifty(), 0);
+    offer_load(&mut p, &mut ids, 15.0, 10.0, false);
     for _ in 0..6 {
         let out: Vec<Sent> = (0..60)
             .filter_map(|_| {
--- a/crates/decision/tests/pick.rs
+++ b/crates/decision/tests/pick.rs
@@ -6,10 +6,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often each backend is sent to, over `n` calls one after another.
-fn tally(p: &mut Proxy, n: usize) -> BTreeMap<BackendId, usize> {
+fn count_by_backend(p: &mut Proxy, n: usize) -> BTreeMap<BackendId, usize> {
     let mut counts = BTreeMap::new();
     for _ in 0..n {
-        let sent = p.ask(0, 0, 4_000.0).expect("sent");
+        let sent = p.send_request(0, 0, 4_000.0).expect("sent");
         *counts.entry(sent.to).or_default() += 1;
         p.now += 20.0;
         p.end(sent, Outcome::Ok);
@@ -23,7 +23,7 @@
     let mut covered = BTreeSet::new();
     for rank in 0..50 {
         let mut p = Proxy::new(Settings { stage: 1, rank, fleet_size: 50, ..settings() }, &backends(60));
-        let used = tally(&mut p, 200);
+        let used = count_by_backend(&mut p, 200);
         assert!(used.len() <= 12, "copy {rank} uses {} of 60", used.len());
         covered.extend(used.into_keys());
     }
@@ -39,9 +39,9 @@
     let crossed = |counts: &BTreeMap<BackendId, usize>| -> usize {
         counts.iter().filter(|(id, _)| *id % 2 == 1).map(|(_, n)| n).sum()
     };
-    assert!(crossed(&tally(&mut p, 300)) < 30, "calm: the own zone takes the calls");
+    assert!(crossed(&count_by_backend(&mut p, 300)) < 30, "calm: the own zone takes the calls");
     for _ in 0..60 {
-        let mut next = p.ask(0, 0, 4_000.0);
+        let mut next = p.send_request(0, 0, 4_000.0);
         while let Some(sent) = next {
             p.now += 5.0;
             let fails = sent.to % 2 == 0;
@@ -51,7 +51,7 @@
     let counts = {
         let mut counts = BTreeMap::new();
         for _ in 0..60 {
-            let sent = p.ask(0, 0, 4_000.0).expect("sent");
+            let sent = p.send_request(0, 0, 4_000.0).expect("sent");
             *counts.entry(sent.to).or_default() += 1usize;
             p.end(sent, if sent.to.is_multiple_of(2) { Outcome::ConnectFailed } else { Outcome::Ok });
         }
@@ -65,10 +65,10 @@
     let mut p = Proxy::new(settings(), &backends(4));
     let mut out = BTreeMap::<BackendId, usize>::new();
     for _ in 0..16 {
-        *out.entry(p.ask(0, 0, 4_000.0).expect("sent").to).or_default() += 1;
+        *out.entry(p.send_request(0, 0, 4_000.0).expect("sent").to).or_default() += 1;
     }
-    let most = out.values().max().expect("some");
-    assert!(*most <= 6, "spread of 16 calls over 4 idle backends: {out:?}");
+    let max = out.values().max().expect("some");
+    assert!(*max <= 6, "spread of 16 calls over 4 idle backends: {out:?}");
 }
 
 #[test]
@@ -76,7 +76,7 @@
     let mut p = Proxy::new(settings(), &backends(4));
     let mut late = 0;
     for n in 0..400 {
-        let sent = p.ask(0, 0, 4_000.0).expect("sent");
+        let sent = p.send_request(0, 0, 4_000.0).expect("sent");
         p.now += if sent.to == 2 { 120.0 } else { 40.0 };
         late += usize::from(n >= 100 && sent.to == 2);
         p.end(sent, Outcome::Ok);
@@ -91,7 +91,7 @@
     let mut sent_to_failing = [0, 0];
     for n in 0..400 {
         let class = (n % 2) as u8;
-        let sent = p.ask(class, 0, 4_000.0).expect("sent");
+        let sent = p.send_request(class, 0, 4_000.0).expect("sent");
         p.now += 20.0;
         let fails = sent.to == 2 && class == 0;
         sent_to_failing[usize::from(class)] += usize::from(sent.to == 2);
--- a/crates/decision/tests/room.rs
+++ b/crates/decision/tests/room.rs
@@ -5,25 +5,28 @@
 use hillstall_decision::*;
 
 /// A copy that has learned something, and what it lets in at once.
-fn whole() -> (Proxy, usize) {
+fn instance_of_complete_tier() -> (Proxy, usize) {
     let mut p = Proxy::new(Settings { fleet_size: 10, ..settings() }, &backends(10));
-    p.rounds(3, 4, 1_000.0, Outcome::Ok);
+    p.run_rounds(3, 4, 1_000.0, Outcome::Ok);
     let all = p.admitted(200);
     (p, all)
 }
 
 /// Calls that are let in at once of `n`, all of them marked as repeats; they are left open.
-fn repeats_admitted(p: &mut Proxy, n: usize) -> usize {
-    (0..n).filter(|_| p.ask_again(0, 0, 4_000.0, true).is_some()).count()
+fn retries_admitted(p: &mut Proxy, n: usize) -> usize {
+    (0..n).filter(|_| p.send_request_marked(0, 0, 4_000.0, true).is_some()).count()
 }
 
 #[test]
 fn what_is_let_in_follows_the_list_at_once_in_both_directions() {
-    let (mut p, all) = whole();
+    let (mut p, all) = instance_of_complete_tier();
     p.now += 50.0;
     p.list(ListKind::Full, &backends(4));
-    let few = p.admitted(200);
-    assert!(few >= 1 && few as f64 <= 0.5 * all as f64, "{few} of {all} with four backends of ten");
+    let reduced = p.admitted(200);
+    assert!(
+        reduced >= 1 && reduced as f64 <= 0.5 * all as f64,
+        "{reduced} of {all} with four backends of ten"
+    );
     p.now += 50.0;
     p.list(ListKind::Full, &backends(10));
     let again = p.admitted(200);
@@ -32,10 +35,10 @@
 
 #[test]
 fn silence_says_it_long_before_the_list() {
-    let (mut p, all) = whole();
+    let (mut p, all) = instance_of_complete_tier();
     // Six of ten say nothing: each is seen twice.
     for _ in 0..40 {
-        let Some(sent) = p.ask(0, 0, 4_000.0) else { break };
+        let Some(sent) = p.send_request(0, 0, 4_000.0) else { break };
         p.now += 2.0;
         let mut next = Some(sent);
         while let Some(sent) = next {
@@ -43,34 +46,37 @@
         }
     }
     p.now += 25.0;
-    let few = p.admitted(200);
-    assert!(few as f64 <= 0.7 * all as f64, "{few} of {all} with six silent backends of ten");
+    let reduced = p.admitted(200);
+    assert!(reduced as f64 <= 0.7 * all as f64, "{reduced} of {all} with six silent backends of ten");
 }
 
 #[test]
 fn backends_that_answer_with_errors_are_not_lost() {
-    let (mut p, all) = whole();
+    let (mut p, all) = instance_of_complete_tier();
     for _ in 0..30 {
-        let Some(sent) = p.ask(0, 0, 4_000.0) else { break };
+        let Some(sent) = p.send_request(0, 0, 4_000.0) else { break };
         p.now += 2.0;
         p.end(sent, if sent.to > 4 { Outcome::Error } else { Outcome::Ok });
     }
     p.now += 25.0;
-    let few = p.admitted(200);
-    assert!(few as f64 >= 0.7 * all as f64, "{few} of {all} though all ten answer");
+    let reduced = p.admitted(200);
+    assert!(reduced as f64 >= 0.7 * all as f64, "{reduced} of {all} though all ten answer");
 }
 
 #[test]
 fn repeats_wait_and_hopeless_calls_are_turned_away_only_while_the_tier_is_short() {
-    let (mut p, all) = whole();
-    assert!(p.ask(0, 0, 300.0).is_some(), "its answer takes a second, but there is room");
-    let (mut short, _) = whole();
+    let (mut p, all) = instance_of_complete_tier();
+    assert!(p.send_request(0, 0, 300.0).is_some(), "its answer takes a second, but there is room");
+    let (mut short, _) = instance_of_complete_tier();
     short.now += 50.0;
     short.list(ListKind::Full, &backends(5));
-    assert!(short.ask(0, 0, 300.0).is_none() && short.refused(), "it takes the place of one that can end");
+    assert!(
+        short.send_request(0, 0, 300.0).is_none() && short.rejected(),
+        "it takes the place of one that can end"
+    );
     let first = short.admitted(200);
     short.now += 50.0;
-    let repeats = repeats_admitted(&mut short, 200);
-    assert!(repeats as f64 <= 0.7 * first as f64, "{repeats} repeats where {first} first tries are let in");
-    assert!(repeats_admitted(&mut p, 200) as f64 >= 0.7 * all as f64, "a whole tier is open to repeats");
+    let retries = retries_admitted(&mut short, 200);
+    assert!(retries as f64 <= 0.7 * first as f64, "{retries} repeats where {first} first tries are let in");
+    assert!(retries_admitted(&mut p, 200) as f64 >= 0.7 * all as f64, "a whole tier is open to repeats");
 }
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -7,8 +7,8 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
 
-const MAY_HAVE_RUN: [Outcome; 3] = [Outcome::Error, Outcome::Timeout, Outcome::Reset];
-const NEVER_RAN: [Outcome; 2] = [Outcome::Rejected, Outcome::ConnectFailed];
+const MAY_HAVE_RUN_OUTCOMES: [Outcome; 3] = [Outcome::Error, Outcome::Timeout, Outcome::Reset];
+const NEVER_RAN_OUTCOMES: [Outcome; 2] = [Outcome::Rejected, Outcome::ConnectFailed];
 
 fn proxy(effect: RetrySafety, scope: DedupScope, list: &[BackendInfo]) -> Proxy {
     Proxy::new(Settings { classes: vec![class(effect, scope)], ..settings() }, list)
@@ -20,20 +20,20 @@
 
 #[test]
 fn once_is_not_repeated_or_refused_after_it_may_have_run() {
-    for outcome in MAY_HAVE_RUN {
+    for outcome in MAY_HAVE_RUN_OUTCOMES {
         let mut p = proxy(RetrySafety::NonIdempotent, DedupScope::All, &backends(8));
-        let sent = p.ask(0, 0, 4_000.0).expect("sent");
+        let sent = p.send_request(0, 0, 4_000.0).expect("sent");
         p.now += 50.0;
         assert_eq!(p.end(sent, outcome), None, "{outcome:?}");
-        assert!(p.failed() && !p.refused(), "{outcome:?}");
+        assert!(p.failed() && !p.rejected(), "{outcome:?}");
     }
 }
 
 #[test]
 fn once_is_repeated_after_proof_that_it_never_ran() {
-    for outcome in NEVER_RAN {
+    for outcome in NEVER_RAN_OUTCOMES {
         let mut p = proxy(RetrySafety::NonIdempotent, DedupScope::All, &backends(8));
-        let sent = p.ask(0, 0, 4_000.0).expect("sent");
+        let sent = p.send_request(0, 0, 4_000.0).expect("sent");
         p.now += 50.0;
         assert!(p.end(sent, outcome).is_some(), "{outcome:?}");
     }
@@ -45,7 +45,7 @@
     for scope in [DedupScope::All, DedupScope::Zone, DedupScope::Cell] {
         for _ in 0..40 {
             let mut p = proxy(RetrySafety::IdempotencyKey, scope, &list);
-            let first = p.ask(0, 0, 4_000.0).expect("sent");
+            let first = p.send_request(0, 0, 4_000.0).expect("sent");
             p.now += 50.0;
             let Some(again) = p.end(first, Outcome::Error) else { continue };
             let (a, b) = (list[first.to as usize - 1], list[again.to as usize - 1]);
@@ -62,7 +62,7 @@
 fn keyed_is_neither_repeated_after_its_window_nor_refused_outside_a_group_of_all() {
     for scope in [DedupScope::All, DedupScope::Zone, DedupScope::Cell] {
         let mut p = proxy(RetrySafety::IdempotencyKey, scope, &backends(8));
-        let sent = p.ask(0, 0, 4_000.0).expect("sent");
+        let sent = p.send_request(0, 0, 4_000.0).expect("sent");
         p.now += 2_100.0;
         assert_eq!(p.end(sent, Outcome::Error), None);
         assert!(p.failed());
@@ -72,12 +72,12 @@
 #[test]
 fn keyed_without_a_backend_left_in_its_group_fails() {
     let mut p = proxy(RetrySafety::IdempotencyKey, DedupScope::Zone, &[in_zone(1, 0), in_zone(2, 1)]);
-    let sent = p.ask(0, 0, 4_000.0).expect("sent");
+    let sent = p.send_request(0, 0, 4_000.0).expect("sent");
     let rest: Vec<_> = [in_zone(1, 0), in_zone(2, 1)].into_iter().filter(|b| b.id != sent.to).collect();
     p.list(ListKind::Full, &rest);
     p.now += 50.0;
     assert_eq!(p.end(sent, Outcome::Reset), None);
-    assert!(p.failed() && !p.refused());
+    assert!(p.failed() && !p.rejected());
 }
 
 #[test]
@@ -86,7 +86,7 @@
         let mut p = proxy(RetrySafety::Idempotent, DedupScope::All, &backends(3));
         p.list(ListKind::Delta, &[BackendInfo { state, ..backend(2) }]);
         for _ in 0..200 {
-            let Some(sent) = p.ask(0, 0, 4_000.0) else { break };
+            let Some(sent) = p.send_request(0, 0, 4_000.0) else { break };
             assert_ne!(sent.to, 2);
             p.now += 5.0;
             p.end(sent, Outcome::Ok);
@@ -95,23 +95,23 @@
 }
 
 /// Calls sent to backend 2 of three in each tenth of a second, from when it was told to drain on.
-fn to_one_that_leaves(news: bool, turns_away: bool) -> Vec<usize> {
+fn sent_to_draining(is_continuous: bool, rejects: bool) -> Vec<usize> {
     let told = Settings { must_subscribe: true, ..settings() };
     let grace = told.rules.drain_grace_ms;
     let mut p = Proxy::new(told, &backends(3));
     p.list(ListKind::Delta, &[]);
-    if !news {
+    if !is_continuous {
         p.list(ListKind::Failed, &[]);
     }
     p.list(ListKind::Delta, &[BackendInfo { state: BackendState::Draining, ..backend(2) }]);
     let from = p.now;
     let mut sent_to = vec![0; 10];
     while p.now - from < grace {
-        let Some(sent) = p.ask(0, 0, 4_000.0) else { break };
+        let Some(sent) = p.send_request(0, 0, 4_000.0) else { break };
         sent_to[((p.now - from) / grace * 10.0) as usize] += usize::from(sent.to == 2);
         p.now += grace / 1_000.0;
-        let away = turns_away && sent.to == 2;
-        if let Some(again) = p.end(sent, if away { Outcome::Rejected } else { Outcome::Ok }) {
+        let is_rejected = rejects && sent.to == 2;
+        if let Some(again) = p.end(sent, if is_rejected { Outcome::Rejected } else { Outcome::Ok }) {
             assert_ne!(again.to, 2);
             p.end(again, Outcome::Ok);
         }
@@ -121,7 +121,7 @@
 
 #[test]
 fn a_backend_that_drains_leaves_the_draw_little_by_little_and_within_half_of_the_grace() {
-    let sent_to = to_one_that_leaves(true, false);
+    let sent_to = sent_to_draining(true, false);
     // A third of a hundred calls is its part of a tenth of the grace.
     assert!(sent_to[0] > 15 && sent_to[4] < sent_to[0] / 2, "{sent_to:?}");
     assert_eq!(sent_to[5..].iter().sum::<usize>(), 0, "{sent_to:?}");
@@ -129,45 +129,45 @@
 
 #[test]
 fn a_draining_backend_gets_nothing_once_it_turns_calls_away_or_where_the_news_may_be_old() {
-    assert_eq!(to_one_that_leaves(true, true).iter().sum::<usize>(), 1);
-    assert_eq!(to_one_that_leaves(false, false).iter().sum::<usize>(), 0);
+    assert_eq!(sent_to_draining(true, true).iter().sum::<usize>(), 1);
+    assert_eq!(sent_to_draining(false, false).iter().sum::<usize>(), 0);
 }
 
 #[test]
 fn what_a_full_list_leaves_out_is_gone() {
     let mut p = proxy(RetrySafety::Idempotent, DedupScope::All, &backends(3));
     p.list(ListKind::Full, &[backend(3)]);
-    let sent = p.ask(0, 0, 4_000.0).expect("sent");
+    let sent = p.send_request(0, 0, 4_000.0).expect("sent");
     assert_eq!(sent.to, 3);
 }
 
 #[test]
 fn without_a_backend_a_request_is_refused_and_not_lost() {
     let mut p = proxy(RetrySafety::NonIdempotent, DedupScope::All, &[]);
-    assert_eq!(p.ask(0, 0, 4_000.0), None);
-    assert!(p.refused());
+    assert_eq!(p.send_request(0, 0, 4_000.0), None);
+    assert!(p.rejected());
 }
 
 #[test]
 fn an_unknown_class_is_refused() {
     let mut p = proxy(RetrySafety::NonIdempotent, DedupScope::All, &backends(2));
-    assert_eq!(p.ask(200, 0, 4_000.0), None);
-    assert!(p.refused());
+    assert_eq!(p.send_request(200, 0, 4_000.0), None);
+    assert!(p.rejected());
 }
 
 #[test]
 fn late_repeated_and_unknown_events_do_nothing() {
     let mut p = proxy(RetrySafety::Idempotent, DedupScope::All, &backends(4));
-    let sent = p.ask(0, 0, 4_000.0).expect("sent");
+    let sent = p.send_request(0, 0, 4_000.0).expect("sent");
     p.now += 20.0;
     p.end(sent, Outcome::Ok);
     for request in [sent.request, 9_999] {
-        assert!(p.event(ended_as(request, 0, sent.to, Outcome::Error, f64::NAN, true)).is_empty());
+        assert!(p.event(attempt_ended(request, 0, sent.to, Outcome::Error, f64::NAN, true)).is_empty());
         assert!(p.event(Event::ClientGone { request }).is_empty());
     }
     assert!(p.event(Event::Timer { token: 77 }).is_empty());
     p.now = f64::NAN;
-    assert!(p.ask(0, 0, 4_000.0).is_some(), "a clock that is no number stands still");
+    assert!(p.send_request(0, 0, 4_000.0).is_some(), "a clock that is no number stands still");
 }
 
 #[test]
@@ -175,49 +175,55 @@
     // A fresh bucket once filled by a whole window at its first use.
     let list = [backend(1), backend(2), backend(3), backend(4)];
     let mut p = proxy(RetrySafety::Idempotent, DedupScope::All, &list);
-    let tally = |p: &mut Proxy, ms: f64| {
-        let (mut cold, mut warm) = (0, 0);
+    let count_by_backend = |p: &mut Proxy, ms: f64| {
+        let (mut in_slow_start, mut past_slow_start) = (0, 0);
         let end = p.now + ms;
         while p.now < end {
-            if let Some(sent) = p.ask(0, 0, 4_000.0) {
-                *(if sent.to == 5 { &mut cold } else { &mut warm }) += 1;
+            if let Some(sent) = p.send_request(0, 0, 4_000.0) {
+                *(if sent.to == 5 { &mut in_slow_start } else { &mut past_slow_start }) += 1;
                 p.now += 5.0;
                 p.end(sent, Outcome::Ok);
             } else {
                 p.now += 5.0;
             }
         }
-        (cold, warm)
+        (in_slow_start, past_slow_start)
     };
-    tally(&mut p, 6_000.0);
+    count_by_backend(&mut p, 6_000.0);
     let started_at = Some(p.now);
     p.list(ListKind::Delta, &[BackendInfo { started_at, ..backend(5) }]);
-    let (cold, warm) = tally(&mut p, 100.0);
-    assert!(cold <= 1, "{cold} calls to the cold one at once, {warm} to the warm ones");
+    let (in_slow_start, past_slow_start) = count_by_backend(&mut p, 100.0);
+    assert!(
+        in_slow_start <= 1,
+        "{in_slow_start} calls to the cold one at once, {past_slow_start} to the warm ones"
+    );
     // Never more than half of what makes it fall in any of the windows, at its least capacity.
-    let (cold, warm) = tally(&mut p, 2_900.0);
-    let able = f64::from(warm) / 4.0 * 0.5;
-    assert!(f64::from(cold) < 0.7 * 3.0 * able, "{cold} calls to the cold one, able to do {able}");
+    let (in_slow_start, past_slow_start) = count_by_backend(&mut p, 2_900.0);
+    let able = f64::from(past_slow_start) / 4.0 * 0.5;
+    assert!(
+        f64::from(in_slow_start) < 0.7 * 3.0 * able,
+        "{in_slow_start} calls to the cold one, able to do {able}"
+    );
 }
 
 /// What the reference keeps of one request.
 #[derive(Default)]
-struct Told {
+struct RequestRecord {
     class: usize,
     deadline: Millis,
     out: Vec<(u8, BackendId)>,
     attempts: u8,
-    first_risk: Option<(BackendId, Millis)>,
+    may_have_run: Option<(BackendId, Millis)>,
     answered: bool,
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { class: u8, tenant: u16, ttl: f64 },
+    Request { class: u8, tenant: u16, ttl: f64 },
     End { nth: usize, outcome: Outcome },
-    Leave { nth: usize },
+    Disconnect { nth: usize },
     Wait { ms: f64 },
-    State { id: BackendId, state: BackendState, fresh: bool },
+    ChangeState { id: BackendId, state: BackendState, fresh: bool },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -235,11 +241,11 @@
         1 => Just(BackendState::Gone),
     ];
     prop_oneof![
-        5 => (0..4u8, 0..3u16, 1.0..4_000.0f64).prop_map(|(class, tenant, ttl)| Step::Ask { class, tenant, ttl }),
+        5 => (0..4u8, 0..3u16, 1.0..4_000.0f64).prop_map(|(class, tenant, ttl)| Step::Request { class, tenant, ttl }),
         5 => (0..64usize, outcome).prop_map(|(nth, outcome)| Step::End { nth, outcome }),
-        1 => (0..64usize).prop_map(|nth| Step::Leave { nth }),
+        1 => (0..64usize).prop_map(|nth| Step::Disconnect { nth }),
         4 => (0.1..400.0f64).prop_map(|ms| Step::Wait { ms }),
-        1 => (1..=9u32, state, any::<bool>()).prop_map(|(id, state, fresh)| Step::State { id, state, fresh }),
+        1 => (1..=9u32, state, any::<bool>()).prop_map(|(id, state, fresh)| Step::ChangeState { id, state, fresh }),
     ]
 }
 
@@ -248,7 +254,7 @@
     classes: Vec<Class>,
     parallel: bool,
     list: BTreeMap<BackendId, BackendInfo>,
-    told: BTreeMap<RequestId, Told>,
+    told: BTreeMap<RequestId, RequestRecord>,
     next: RequestId,
 }
 
@@ -281,7 +287,7 @@
                     prop_assert!(timeout_ms > 0.0 && self.p.now + timeout_ms <= told.deadline + 1e-6);
                     prop_assert!(told.attempts < 5);
                     let class = &self.classes[told.class];
-                    let risk = told.first_risk;
+                    let risk = told.may_have_run;
                     let (a, b) = (risk.map(|r| self.list[&r.0]), self.list[&backend]);
                     match (class.retry_safety, risk) {
                         (RetrySafety::NonIdempotent, Some(_)) => {
@@ -307,7 +313,7 @@
                     prop_assert!(!told.answered, "a second answer");
                     let effect = self.classes[told.class].retry_safety;
                     prop_assert!(
-                        effect == RetrySafety::Idempotent || told.first_risk.is_none(),
+                        effect == RetrySafety::Idempotent || told.may_have_run.is_none(),
                         "a refusal that lies"
                     );
                     told.answered = true;
@@ -335,26 +341,27 @@
         let told = self.told.get_mut(&request).expect("given");
         let place = told.out.iter().position(|o| o.0 == attempt).expect("out");
         let (_, backend) = told.out.remove(place);
-        if !outcome.never_ran() && told.first_risk.is_none() {
+        if !outcome.never_ran() && told.may_have_run.is_none() {
             // Any moment up to now bounds the send from above; the test waits little between them.
-            told.first_risk = Some((backend, self.p.now - self.classes[told.class].dedup_window_ms));
+            told.may_have_run = Some((backend, self.p.now - self.classes[told.class].dedup_window_ms));
             if outcome != Outcome::Ok {
-                told.first_risk = Some((backend, self.p.now));
+                told.may_have_run = Some((backend, self.p.now));
             }
         }
         let ended = outcome == Outcome::Ok || told.answered;
         told.answered |= ended;
-        self.p.event(ended_as(request, attempt, backend, outcome, 10.0, ended));
+        self.p.event(attempt_ended(request, attempt, backend, outcome, 10.0, ended));
         self.check()
     }
 
     fn step(&mut self, step: Step) -> Result<(), TestCaseError> {
         match step {
-            Step::Ask { class, tenant, ttl } => {
+            Step::Request { class, tenant, ttl } => {
                 let id = self.next;
                 self.next += 1;
                 let deadline = self.p.now + ttl;
-                self.told.insert(id, Told { class: class.into(), deadline, ..Told::default() });
+                self.told
+                    .insert(id, RequestRecord { class: class.into(), deadline, ..RequestRecord::default() });
                 self.p.event(request(id, class, tenant, ttl));
                 self.check()
             }
@@ -362,7 +369,7 @@
                 Some((request, attempt)) => self.end(request, attempt, outcome),
                 None => Ok(()),
             },
-            Step::Leave { nth } => {
+            Step::Disconnect { nth } => {
                 let Some((request, _)) = self.pending(nth) else { return Ok(()) };
                 self.told.get_mut(&request).expect("given").answered = true;
                 self.p.event(Event::ClientGone { request });
@@ -376,7 +383,7 @@
                     late.flat_map(|(id, t)| t.out.iter().map(|o| (*id, o.0)).collect::<Vec<_>>()).collect();
                 late.into_iter().try_for_each(|(id, attempt)| self.end(id, attempt, Outcome::Timeout))
             }
-            Step::State { id, state, fresh } => {
+            Step::ChangeState { id, state, fresh } => {
                 let started_at = if fresh { Some(self.p.now) } else { self.list[&id].started_at };
                 let info = BackendInfo { state, started_at, ..self.list[&id] };
                 self.list.insert(id, info);
@@ -406,7 +413,7 @@
         let mut p = proxy(RetrySafety::Idempotent, DedupScope::All, &backends(12));
         let mut out = Vec::new();
         for n in 0..300 {
-            if let Some(sent) = p.ask(0, 0, 4_000.0) {
+            if let Some(sent) = p.send_request(0, 0, 4_000.0) {
                 out.push(sent);
                 p.now += 7.0;
                 p.end(sent, if n % 9 == 0 { Outcome::Error } else { Outcome::Ok });
@@ -419,14 +426,14 @@
 
 #[test]
 fn once_is_not_repeated_though_its_backend_has_left_the_list_meanwhile() {
-    for outcome in MAY_HAVE_RUN {
+    for outcome in MAY_HAVE_RUN_OUTCOMES {
         let mut p = proxy(RetrySafety::NonIdempotent, DedupScope::All, &backends(8));
-        let sent = p.ask(0, 0, 4_000.0).expect("sent");
+        let sent = p.send_request(0, 0, 4_000.0).expect("sent");
         let rest: Vec<_> = backends(8).into_iter().filter(|b| b.id != sent.to).collect();
         p.list(ListKind::Full, &rest);
         p.now += 50.0;
         assert_eq!(p.end(sent, outcome), None);
-        assert!(p.failed() && !p.refused(), "{outcome:?}");
+        assert!(p.failed() && !p.rejected(), "{outcome:?}");
     }
 }
 
@@ -439,7 +446,7 @@
         plain.classes[0].priority_weight = 0.0;
         let mut p = Proxy::new(plain, &backends(1));
         for _ in 0..50 {
-            let sent = p.ask(0, 0, 4_000.0).expect("one idle backend: it is sent");
+            let sent = p.send_request(0, 0, 4_000.0).expect("one idle backend: it is sent");
             p.now += 30.0;
             p.end(sent, Outcome::Ok);
         }
--- a/crates/decision/tests/sparse.rs
+++ b/crates/decision/tests/sparse.rs
@@ -5,21 +5,21 @@
 use common::*;
 use hillstall_decision::*;
 
-const COPIES: u32 = 300;
+const INSTANCES: u32 = 300;
 const BACKENDS: u32 = 24;
 
 /// All copies of a fleet.
 fn fleet() -> Vec<Proxy> {
-    let copy = |rank| Proxy::new(Settings { rank, fleet_size: COPIES, ..settings() }, &backends(BACKENDS));
-    (0..COPIES).map(copy).collect()
+    let copy = |rank| Proxy::new(Settings { rank, fleet_size: INSTANCES, ..settings() }, &backends(BACKENDS));
+    (0..INSTANCES).map(copy).collect()
 }
 
 /// Calls for each backend that all copies let in at one moment, each asked for so many.
-fn let_in(fleet: &mut [Proxy], each: usize) -> f64 {
+fn admitted_requests(fleet: &mut [Proxy], each: usize) -> f64 {
     let sum: usize = fleet
         .iter_mut()
         .map(|p| {
-            let out: Vec<Sent> = (0..each).filter_map(|_| p.ask(0, 0, 4_000.0)).collect();
+            let out: Vec<Sent> = (0..each).filter_map(|_| p.send_request(0, 0, 4_000.0)).collect();
             out.iter().for_each(|sent| {
                 p.end(*sent, Outcome::Cancelled);
             });
@@ -30,11 +30,13 @@
 }
 
 /// Every copy is asked for so many calls, one after another, each answered after a while.
-fn one_by_one(fleet: &mut [Proxy], calls: usize, took: Millis) {
+fn serve_sequentially(fleet: &mut [Proxy], calls: usize, took: Millis) {
     for p in fleet {
         for _ in 0..calls {
             // Refused ones come again until one is let in.
-            let sent = (0..1_000).find_map(|_| p.ask(0, 0, 4_000.0)).expect("a gate is never shut for good");
+            let sent = (0..1_000)
+                .find_map(|_| p.send_request(0, 0, 4_000.0))
+                .expect("a gate is never shut for good");
             p.now += took;
             p.end(sent, Outcome::Ok);
             p.now += 200.0;
@@ -44,18 +46,18 @@
 
 #[test]
 fn what_fresh_copies_let_in_adds_up_to_a_few_calls_a_backend() {
-    let sum = let_in(&mut fleet(), 20);
+    let sum = admitted_requests(&mut fleet(), 20);
     assert!((6.0..=16.0).contains(&sum), "{sum:.1} calls for each backend");
 }
 
 #[test]
 fn timely_answers_do_not_raise_the_sum_faster_than_late_ones_can_tell_of_it() {
     let mut fleet = fleet();
-    one_by_one(&mut fleet, 1, 150.0);
-    let (before, at_most) = (let_in(&mut fleet, 1), let_in(&mut fleet, 20));
+    serve_sequentially(&mut fleet, 1, 150.0);
+    let (before, at_most) = (admitted_requests(&mut fleet, 1), admitted_requests(&mut fleet, 20));
     // Three seconds at three calls a second: all of them in time.
-    one_by_one(&mut fleet, 9, 150.0);
-    let (after, at_most_after) = (let_in(&mut fleet, 1), let_in(&mut fleet, 20));
+    serve_sequentially(&mut fleet, 9, 150.0);
+    let (after, at_most_after) = (admitted_requests(&mut fleet, 1), admitted_requests(&mut fleet, 20));
     // However often a copy is asked, no second call is let in beside the first.
     assert!(at_most_after < 1.2 * at_most, "{at_most:.1} calls for each backend, then {at_most_after:.1}");
     assert!(after > 1.1 * before, "and yet it rises: {before:.1}, {after:.1}");
@@ -64,18 +66,18 @@
 #[test]
 fn a_sparse_copy_learns_of_a_crowd_from_a_few_answers() {
     let mut fleet = fleet();
-    one_by_one(&mut fleet, 20, 150.0);
-    let before = let_in(&mut fleet, 1);
+    serve_sequentially(&mut fleet, 20, 150.0);
+    let before = admitted_requests(&mut fleet, 1);
     // Beyond the aim of 1 s; with few calls a second each answer is a second's news.
-    one_by_one(&mut fleet, 4, 1_300.0);
-    let after = let_in(&mut fleet, 1);
+    serve_sequentially(&mut fleet, 4, 1_300.0);
+    let after = admitted_requests(&mut fleet, 1);
     assert!(after < 0.8 * before, "{before:.1} calls for each backend, {after:.1} after four late answers");
 }
 
 #[test]
 fn copies_with_a_backend_of_their_own_start_as_wide_as_ever() {
     let mut own = Proxy::new(Settings { fleet_size: 24, ..settings() }, &backends(24));
-    let out = (0..40).filter(|_| own.ask(0, 0, 4_000.0).is_some()).count();
+    let out = (0..40).filter(|_| own.send_request(0, 0, 4_000.0).is_some()).count();
     // Nine calls, twice of that while nothing was answered, and a part by chance.
     assert!((18..=19).contains(&out), "{out}");
 }
@@ -86,8 +88,9 @@
         let tenants = vec![tenant(f64::MAX)];
         let mut p = Proxy::new(Settings { tenants, fleet_size, ..settings() }, &backends(BACKENDS));
         for n in 0..50 {
-            let sent =
-                p.ask(0, 0, 4_000.0).unwrap_or_else(|| panic!("call {n} at one of {fleet_size} is refused"));
+            let sent = p
+                .send_request(0, 0, 4_000.0)
+                .unwrap_or_else(|| panic!("call {n} at one of {fleet_size} is refused"));
             p.now += 100.0;
             p.end(sent, Outcome::Ok);
         }
