--- a/crates/decision/tests/gate.rs
+++ b/crates/decision/tests/admission.rs
@@ -1,4 +1,4 @@
-//! What the gate's failures were: one test for each, without the bench.
+//! What the limiters' failures were: one test for each, without the simulator.
 
 mod common;
 use common::*;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn refuses_unsent_over_the_count_once_calls_come_late() {
+fn rejects_unsent_over_the_limit_once_answers_are_late() {
     let mut p = before_forty_backends(0);
     p.run_rounds(6, 60, 3_000.0, Outcome::Ok);
     assert!(p.admitted(200) < 60, "late answers must cut the count");
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_gate_cut_low_rises_again() {
+fn a_limit_that_was_reduced_far_rises_again() {
     // It once compared the calls left after an outcome with the count, so a count near 1 could never rise.
     let mut p = before_forty_backends(1);
     p.run_rounds(30, 1, 3_500.0, Outcome::Ok);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_lull_before_a_cut_does_not_shut_the_gate() {
+fn a_pause_before_a_reduction_does_not_close_the_limiter() {
     // A sparse copy has one call out at most moments: the cut goes from the recent peak, not from that.
     let mut p = before_forty_backends(1);
     p.run_rounds(3, 20, 100.0, Outcome::Ok);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn one_cause_one_cut() {
+fn one_cause_reduces_a_limit_once() {
     // The late answers of calls sent before a cut tell of the same jam: they must not cut again.
     let mut p = before_forty_backends(1);
     p.run_rounds(2, 40, 100.0, Outcome::Ok);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn one_failure_among_few_calls_cuts_nothing() {
+fn one_failure_among_few_requests_reduces_nothing() {
     let mut p = before_forty_backends(1);
     p.run_rounds(20, 2, 200.0, Outcome::Ok);
     p.run_rounds(1, 1, 200.0, Outcome::Error);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn refused_connections_are_no_sign_of_load() {
+fn failed_connections_are_no_sign_of_load() {
     let mut p = before_forty_backends(1);
     p.run_rounds(5, 4, 100.0, Outcome::Ok);
     p.run_rounds(10, 4, 100.0, Outcome::ConnectFailed);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn the_first_count_at_the_top_comes_from_the_list_and_grows_while_calls_are_timely() {
+fn the_initial_limit_at_the_top_comes_from_the_list_and_rises_while_answers_are_timely() {
     let top = Settings { fleet_size: 10, ..settings() };
     let mut p = Proxy::new(top.clone(), &backends(10));
     // Before the first answer it is twice the count.
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn borrowed_room_must_be_earned() {
+fn burst_capacity_must_be_proven() {
     let mut p = Proxy::new(with_two_tenants(), &backends(40));
     let sent = (0..100).filter(|_| p.send_request(0, 0, 4_000.0).is_some()).count();
     assert!(sent <= 25, "{sent} calls of a share of 10 a second");
@@ -102,13 +102,13 @@
 }
 
 #[test]
-fn tenants_out_of_range_are_served_as_if_without_a_share() {
+fn tenants_out_of_range_are_served_as_if_without_a_quota() {
     let mut p = Proxy::new(with_two_tenants(), &backends(4));
     assert!(p.send_request(0, 99, 4_000.0).is_some());
 }
 
 #[test]
-fn a_class_of_little_worth_yields_and_without_such_a_pair_none_does() {
+fn a_class_of_low_priority_is_shed_first_and_equal_classes_alike() {
     let share = |weights: [f64; 2]| {
         let classes = weights.map(|weight| Class {
             priority_weight: weight,
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn classes_of_like_worth_are_served_alike_whatever_their_aims() {
+fn classes_of_equal_weight_are_served_alike_whatever_their_objectives() {
     // A class with a long aim never looked late by its own calls, so only the other one was cut.
     let objectives = [1_000.0, 4_000.0];
     let classes = objectives.map(|objective_ms| Class {
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_tenant_within_its_share_does_not_look_over_it_by_chance() {
+fn a_tenant_within_its_quota_does_not_exceed_it_by_random_clusters() {
     // A share of 3 calls a second at this copy, and 2 a second asked in clusters of 8: a window of two seconds
     // took half of each cluster for borrowed.
     let tenants = vec![tenant(3.0), tenant(3.0)];
@@ -178,14 +178,14 @@
 }
 
 #[test]
-fn a_fresh_copy_does_not_let_in_a_whole_window_of_one_tenant() {
+fn a_new_instance_does_not_admit_a_whole_window_of_one_tenant() {
     let mut p = Proxy::new(with_two_tenants(), &backends(40));
     let sent = (0..400).filter(|_| p.send_request(0, 0, 4_000.0).is_some()).count();
     assert!(sent <= 20, "{sent} calls at once of a share of 10 a second");
 }
 
 #[test]
-fn a_fresh_count_does_not_double_each_round() {
+fn a_new_limit_does_not_double_each_round() {
     // The front of a tier once filled fivefold in three seconds, before the first late answer was in.
     let mut p = Proxy::new(Settings { fleet_size: 40, ..settings() }, &backends(40));
     let before = p.admitted(10_000);
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn answers_much_slower_than_usual_cut_the_top_gate_though_they_are_in_time() {
+fn answers_much_slower_than_the_baseline_reduce_the_top_limit_though_they_are_in_time() {
     let mut p = before_forty_backends(0);
     p.run_rounds(20, 300, 100.0, Outcome::Ok);
     let baseline = p.admitted(10_000);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_backend_without_cpu_to_spare_does_not_raise_the_count() {
+fn a_backend_without_spare_cpu_does_not_raise_the_limit() {
     let rise = |cpu: f32| {
         let report = vec![ReportField::PerSecond, ReportField::Cpu];
         let told = Settings { report, report_via: ReportVia::Inline, ..settings() };
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn many_sparse_copies_together_can_go_below_a_call_each() {
+fn many_sparse_instances_can_go_below_one_request_per_instance() {
     // A whole call at each of hundreds of copies is more than a small jammed tier bears.
     let mut sent = 0;
     for rank in 0..100 {
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn clients_that_leave_cut_the_gate_and_only_so_far() {
+fn clients_that_disconnect_reduce_the_limit_and_only_so_far() {
     let left = |p: &mut Proxy, rounds: usize| {
         for _ in 0..rounds {
             let out: Vec<Sent> = (0..300).filter_map(|_| p.send_request(0, 0, 4_000.0)).collect();
@@ -283,11 +283,11 @@
 }
 
 #[test]
-fn the_first_count_is_eight_a_backend_with_some_for_chance_where_copies_have_one_of_their_own() {
+fn the_initial_limit_is_eight_per_backend_where_instances_have_a_backend_of_their_own() {
     // With five a backend a lone copy refused a fifth of a calm day's first seconds; with eight and nothing for
     // chance sparse ones refused their bursts.
     // Before the first answer, twice as many: nothing is known against it yet.
-    // What copies without a backend of their own start with is in `sparse.rs`: four calls at each of 400 copies were
+    // What copies without a backend of their own start with is in `sparse_instances.rs`: four calls at each of 400 copies were
     // forty for each of 40 backends, and all of them turned slow.
     for (fleet_size, first) in [(1, 320), (40, 9)] {
         let mut p = Proxy::new(Settings { fleet_size, ..settings() }, &backends(40));
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back_where_clients_are_told() {
+fn a_rejection_says_when_to_retry_where_permitted() {
     // Clients told nothing came back at once, to a gate that had not moved.
     let told = |stage, retry_after| {
         let base = settings();
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn a_first_count_taken_from_an_old_list_grows_with_the_new_one() {
+fn an_initial_limit_taken_from_an_old_list_rises_with_the_new_one() {
     // A proxy that knew four of its backends kept the count of four, and refused what all of them could do.
     let mut whole = before_forty_backends(0);
     whole.admitted(1);
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn nobody_is_refused_while_servers_answer_at_once() {
+fn nothing_is_rejected_while_backends_answer_at_once() {
     // The gates took the grain of a clock for a queue: 64 callers of instant servers were mostly refused.
     let mut p = Proxy::new(Settings { stage: 0, ..settings() }, &backends(4));
     for round in 0..400 {
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn an_attempt_is_not_given_up_before_a_hiccup_is_over() {
+fn an_attempt_timeout_outlasts_a_short_pause() {
     // With a mean of a tenth of a millisecond the time for an attempt once fell to less than one, and no answer
     // could raise it again.
     let mut p = before_forty_backends(0);
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn classes_that_yield_leave_room_at_a_full_gate_to_those_of_more_worth() {
+fn low_priority_classes_leave_a_part_of_the_limit_to_the_others() {
     let weight =
         |weight| Class { priority_weight: weight, ..class(RetrySafety::Idempotent, DedupScope::All) };
     let classes = vec![weight(2.0), weight(5.0)];
--- a/crates/decision/tests/heat.rs
+++ b/crates/decision/tests/demand_skew.rs
@@ -1,4 +1,4 @@
-//! Copies that get many times the calls of the others: their room goes by what they are asked for.
+//! Instances that get many times the requests of the others: their limits follow their demand.
 
 mod common;
 
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_copy_with_six_times_the_calls_refuses_few_of_them() {
+fn an_instance_with_six_times_the_requests_rejects_few_of_them() {
     let (mut p, mut ids) = (instance_of_fifty(), 0);
     offer_load(&mut p, &mut ids, 15.0, 5.0, false);
     // The first seconds after a shift count too.
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_copy_that_cools_down_keeps_no_room_of_its_hot_time() {
+fn an_instance_whose_demand_falls_retains_no_raised_limit() {
     let (mut common, mut ids) = (instance_of_fifty(), 0);
     offer_load(&mut common, &mut ids, 15.0, 20.0, false);
     let baseline = room(&mut common, &mut ids);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn marked_repeats_make_no_room() {
+fn marked_retries_do_not_raise_limits() {
     let (mut p, mut ids) = (instance_of_fifty(), 0);
     offer_load(&mut p, &mut ids, 15.0, 5.0, false);
     let before = room(&mut p, &mut ids);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_burst_that_crowds_the_tier_does_not_raise_the_room_with_it() {
+fn a_burst_that_crowds_the_tier_does_not_raise_limits_with_it() {
     // A copy can't see that all the others get the same burst, but the answers take longer.
     let (mut p, mut ids) = (instance_of_fifty(), 0);
     offer_load(&mut p, &mut ids, 15.0, 10.0, false);
--- a/crates/decision/tests/calm.rs
+++ b/crates/decision/tests/false_overload.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn connections_that_break_early_shut_no_gate() {
+fn connections_that_break_early_close_no_limiter() {
     let (all, now) = (
         admitted_requests(60, 200.0, served),
         admitted_requests(60, 200.0, |p, s| ended(p, s, Outcome::Reset)),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn clients_that_leave_early_shut_no_gate_and_those_that_leave_late_do() {
+fn clients_that_disconnect_early_close_no_limiter_and_those_that_do_so_late_do() {
     let (all, now) = (admitted_requests(60, 200.0, served), admitted_requests(60, 200.0, left));
     assert!(now * 10 >= all * 9, "{now} of {all}");
     let late = admitted_requests(60, 1_000.0, left);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_tier_that_is_slow_with_little_to_do_is_not_shut_until_it_gets_slower() {
+fn a_tier_that_is_slow_at_low_load_is_not_limited_until_it_gets_slower() {
     let mut p = Proxy::new(settings(), &backends(4));
     p.run_rounds(60, 4, 700.0, Outcome::Ok);
     let mut crowd = Proxy::new(settings(), &backends(4));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_late_is_no_loss_of_a_server_that_answers() {
+fn a_connection_that_is_established_late_is_no_loss_of_an_answering_backend() {
     let after = |first: Outcome| {
         let mut p = Proxy::new(settings(), &backends(10));
         let mut out: Vec<Sent> = (0..60).filter_map(|_| p.send_request(0, 0, 4_000.0)).collect();
--- a/crates/decision/tests/room.rs
+++ b/crates/decision/tests/reduced_capacity.rs
@@ -1,4 +1,4 @@
-//! What a copy lets in while a part of its tier is lost, and once that is back.
+//! What an instance admits while a part of its tier is lost, and once that is back.
 
 mod common;
 use common::*;
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn what_is_let_in_follows_the_list_at_once_in_both_directions() {
+fn admission_follows_the_list_at_once_in_both_directions() {
     let (mut p, all) = instance_of_complete_tier();
     p.now += 50.0;
     p.list(ListKind::Full, &backends(4));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn silence_says_it_long_before_the_list() {
+fn admission_follows_silence_long_before_the_list() {
     let (mut p, all) = instance_of_complete_tier();
     // Six of ten say nothing: each is seen twice.
     for _ in 0..40 {
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn repeats_wait_and_hopeless_calls_are_turned_away_only_while_the_tier_is_short() {
+fn retries_wait_and_hopeless_requests_are_rejected_only_while_the_tier_is_short() {
     let (mut p, all) = instance_of_complete_tier();
     assert!(p.send_request(0, 0, 300.0).is_some(), "its answer takes a second, but there is room");
     let (mut short, _) = instance_of_complete_tier();
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn once_is_not_repeated_or_refused_after_it_may_have_run() {
+fn non_idempotent_is_not_retried_or_rejected_after_it_may_have_run() {
     for outcome in MAY_HAVE_RUN_OUTCOMES {
         let mut p = proxy(RetrySafety::NonIdempotent, DedupScope::All, &backends(8));
         let sent = p.send_request(0, 0, 4_000.0).expect("sent");
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn once_is_repeated_after_proof_that_it_never_ran() {
+fn non_idempotent_is_retried_after_proof_that_it_never_ran() {
     for outcome in NEVER_RAN_OUTCOMES {
         let mut p = proxy(RetrySafety::NonIdempotent, DedupScope::All, &backends(8));
         let sent = p.send_request(0, 0, 4_000.0).expect("sent");
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn keyed_repeats_stay_in_the_group_that_drops_them() {
+fn retries_with_a_key_stay_in_the_group_that_drops_them() {
     let list: Vec<_> = (1..=24).map(|id| in_zone(id, (id % 3) as u16)).collect();
     for scope in [DedupScope::All, DedupScope::Zone, DedupScope::Cell] {
         for _ in 0..40 {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn keyed_is_neither_repeated_after_its_window_nor_refused_outside_a_group_of_all() {
+fn with_a_key_it_is_neither_retried_after_its_window_nor_rejected_outside_a_scope_of_all() {
     for scope in [DedupScope::All, DedupScope::Zone, DedupScope::Cell] {
         let mut p = proxy(RetrySafety::IdempotencyKey, scope, &backends(8));
         let sent = p.send_request(0, 0, 4_000.0).expect("sent");
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn keyed_without_a_backend_left_in_its_group_fails() {
+fn with_a_key_and_no_backend_left_in_its_group_it_fails() {
     let mut p = proxy(RetrySafety::IdempotencyKey, DedupScope::Zone, &[in_zone(1, 0), in_zone(2, 1)]);
     let sent = p.send_request(0, 0, 4_000.0).expect("sent");
     let rest: Vec<_> = [in_zone(1, 0), in_zone(2, 1)].into_iter().filter(|b| b.id != sent.to).collect();
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_backend_that_drains_leaves_the_draw_little_by_little_and_within_half_of_the_grace() {
+fn a_draining_backend_leaves_the_draw_gradually_within_half_of_the_grace() {
     let sent_to = sent_to_draining(true, false);
     // A third of a hundred calls is its part of a tenth of the grace.
     assert!(sent_to[0] > 15 && sent_to[4] < sent_to[0] / 2, "{sent_to:?}");
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_draining_backend_gets_nothing_once_it_turns_calls_away_or_where_the_news_may_be_old() {
+fn a_draining_backend_gets_nothing_once_it_rejects_or_where_updates_may_be_old() {
     assert_eq!(sent_to_draining(true, true).iter().sum::<usize>(), 1);
     assert_eq!(sent_to_draining(false, false).iter().sum::<usize>(), 0);
 }
@@ -142,21 +142,21 @@
 }
 
 #[test]
-fn without_a_backend_a_request_is_refused_and_not_lost() {
+fn without_a_backend_a_request_is_rejected_and_not_lost() {
     let mut p = proxy(RetrySafety::NonIdempotent, DedupScope::All, &[]);
     assert_eq!(p.send_request(0, 0, 4_000.0), None);
     assert!(p.rejected());
 }
 
 #[test]
-fn an_unknown_class_is_refused() {
+fn an_unknown_class_is_rejected() {
     let mut p = proxy(RetrySafety::NonIdempotent, DedupScope::All, &backends(2));
     assert_eq!(p.send_request(200, 0, 4_000.0), None);
     assert!(p.rejected());
 }
 
 #[test]
-fn late_repeated_and_unknown_events_do_nothing() {
+fn late_duplicate_and_unknown_events_do_nothing() {
     let mut p = proxy(RetrySafety::Idempotent, DedupScope::All, &backends(4));
     let sent = p.send_request(0, 0, 4_000.0).expect("sent");
     p.now += 20.0;
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_cold_backend_gets_no_more_than_its_part_right_after_its_start() {
+fn a_backend_in_slow_start_gets_no_more_than_its_part_right_after_its_start() {
     // A fresh bucket once filled by a whole window at its first use.
     let list = [backend(1), backend(2), backend(3), backend(4)];
     let mut p = proxy(RetrySafety::Idempotent, DedupScope::All, &list);
@@ -425,7 +425,7 @@
 }
 
 #[test]
-fn once_is_not_repeated_though_its_backend_has_left_the_list_meanwhile() {
+fn non_idempotent_is_not_retried_though_its_backend_has_left_the_list() {
     for outcome in MAY_HAVE_RUN_OUTCOMES {
         let mut p = proxy(RetrySafety::NonIdempotent, DedupScope::All, &backends(8));
         let sent = p.send_request(0, 0, 4_000.0).expect("sent");
--- a/crates/decision/tests/pick.rs
+++ b/crates/decision/tests/selection.rs
@@ -1,4 +1,4 @@
-//! The pick: which backends a copy draws from, and how it weighs them.
+//! Selection: which backends an instance draws from, and how it weighs them.
 
 mod common;
 use common::*;
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_copy_draws_from_a_subset_and_all_copies_together_cover_the_tier() {
+fn an_instance_draws_from_a_subset_and_all_together_cover_the_tier() {
     // Many callers that each draw from all fill every backend's connection table.
     let mut covered = BTreeSet::new();
     for rank in 0..50 {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_loaded_backend_gets_next_to_nothing_while_another_is_idle() {
+fn a_loaded_backend_gets_little_while_another_is_idle() {
     let mut p = Proxy::new(settings(), &backends(4));
     let mut out = BTreeMap::<BackendId, usize>::new();
     for _ in 0..16 {
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_backend_that_fails_one_class_is_not_healed_by_the_others() {
+fn a_backend_that_fails_one_class_is_not_restored_by_the_others() {
     let classes = vec![class(RetrySafety::NonIdempotent, DedupScope::All); 2];
     let mut p = Proxy::new(Settings { classes, ..settings() }, &backends(4));
     let mut sent_to_failing = [0, 0];
--- a/crates/decision/tests/sparse.rs
+++ b/crates/decision/tests/sparse_instances.rs
@@ -1,4 +1,4 @@
-//! Many copies before few backends: what all of them let in adds up to what the backends bear.
+//! Many instances before few backends: what all of them admit adds up to what the backends can serve.
 
 mod common;
 
@@ -45,13 +45,13 @@
 }
 
 #[test]
-fn what_fresh_copies_let_in_adds_up_to_a_few_calls_a_backend() {
+fn what_new_instances_admit_adds_up_to_a_few_requests_per_backend() {
     let sum = admitted_requests(&mut fleet(), 20);
     assert!((6.0..=16.0).contains(&sum), "{sum:.1} calls for each backend");
 }
 
 #[test]
-fn timely_answers_do_not_raise_the_sum_faster_than_late_ones_can_tell_of_it() {
+fn timely_answers_do_not_raise_the_sum_faster_than_late_ones_can_show_it() {
     let mut fleet = fleet();
     serve_sequentially(&mut fleet, 1, 150.0);
     let (before, at_most) = (admitted_requests(&mut fleet, 1), admitted_requests(&mut fleet, 20));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_sparse_copy_learns_of_a_crowd_from_a_few_answers() {
+fn a_sparse_instance_learns_of_an_overload_from_a_few_answers() {
     let mut fleet = fleet();
     serve_sequentially(&mut fleet, 20, 150.0);
     let before = admitted_requests(&mut fleet, 1);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn copies_with_a_backend_of_their_own_start_as_wide_as_ever() {
+fn instances_with_a_backend_of_their_own_start_with_the_full_limit() {
     let mut own = Proxy::new(Settings { fleet_size: 24, ..settings() }, &backends(24));
     let out = (0..40).filter(|_| own.send_request(0, 0, 4_000.0).is_some()).count();
     // Nine calls, twice of that while nothing was answered, and a part by chance.
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_tenant_without_a_bound_is_never_over_its_share() {
+fn a_tenant_without_a_bound_never_exceeds_its_quota() {
     for fleet_size in [1, BACKENDS] {
         let tenants = vec![tenant(f64::MAX)];
         let mut p = Proxy::new(Settings { tenants, fleet_size, ..settings() }, &backends(BACKENDS));
