--- a/crates/consensus/tests/frames.rs
+++ b/crates/consensus/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames and snapshots from outside: whatever comes is read or refused, and nothing panics.
+//! Decoding of frames and states from outside: any bytes are decoded or rejected, and nothing panics.
 
 use hillstall_consensus::frame::{DecodeError, Frame, FRAME_VERSION};
 use hillstall_consensus::state::State;
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn frames_come_back_as_they_went_and_other_versions_are_refused() {
+fn a_frame_is_decoded_as_it_was_encoded_and_other_versions_are_rejected() {
     let frame =
         Frame::Hello { fleet: "shop".into(), instance: Instance { rank: 3, life: 9 }, replica: Some(1) };
     let mut bytes = frame.encode();
@@ -18,16 +18,16 @@
 
 proptest! {
     #[test]
-    fn no_bytes_make_it_panic(mut bytes in prop::collection::vec(any::<u8>(), 0..300), flips in 0..8usize) {
+    fn no_bytes_make_decoding_panic(mut bytes in prop::collection::vec(any::<u8>(), 0..300), flips in 0..8usize) {
         let _ = State::from_bytes(&bytes);
         bytes.insert(0, FRAME_VERSION);
         let _ = Frame::decode(&bytes);
-        // A frame that was good once, with some of its bytes changed.
-        let mut good = Frame::State(State::default().to_bytes()).encode();
-        let last = good.len() - 1;
+        // A valid frame of which some bytes are changed.
+        let mut frame = Frame::State(State::default().to_bytes()).encode();
+        let last = frame.len() - 1;
         for flip in 0..flips {
-            good[(flip * 7) % last + 1] ^= bytes.get(flip).copied().unwrap_or(1);
+            frame[(flip * 7) % last + 1] ^= bytes.get(flip).copied().unwrap_or(1);
         }
-        let _ = Frame::decode(&good);
+        let _ = Frame::decode(&frame);
     }
 }
--- a/crates/consensus/tests/samples/history.rs
+++ b/crates/consensus/tests/samples/history.rs
@@ -12,14 +12,14 @@
 use hillstall_maintenance::windows::{OverrunPolicy, WindowCommand as Window};
 use std::collections::BTreeMap;
 
-/// A proposal, the index of its entry, and what became of it.
+/// A proposal, the index of its entry, and its outcome.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Applied {
     /// The index of its entry in the log.
     pub index: u64,
-    /// What was proposed.
+    /// The proposal.
     pub proposal: Proposal,
-    /// What became of it.
+    /// Its outcome.
     pub outcome: Outcome,
 }
 
@@ -53,9 +53,9 @@
 
     fn lease(&mut self, command: Lease) -> Outcome {
         let rank = match &command {
-            Lease::Acquire { instance: copy, .. }
-            | Lease::Renew { instance: copy, .. }
-            | Lease::Release { instance: copy, .. } => copy.rank,
+            Lease::Acquire { instance, .. }
+            | Lease::Renew { instance, .. }
+            | Lease::Release { instance, .. } => instance.rank,
             Lease::Expire { .. } | Lease::RemoveCandidate { .. } => 0,
         };
         self.propose(rank, Command::Lease(command))
@@ -65,13 +65,12 @@
         self.lease(Lease::Acquire { lease: lease_name(name), instance: instance(rank), rank: site_rank })
     }
 
-    fn renew(&mut self, name: &str, rank: u32, token: u64, heard: u64) -> Outcome {
-        let (duty, copy) = (lease_name(name), instance(rank));
+    fn renew(&mut self, name: &str, rank: u32, token: u64, known_renewals: u64) -> Outcome {
         self.lease(Lease::Renew {
-            lease: duty,
-            instance: copy,
+            lease: lease_name(name),
+            instance: instance(rank),
             token: FencingToken(token),
-            known_renewals: heard,
+            known_renewals,
         })
     }
 
@@ -97,11 +96,11 @@
         self.propose(rank, Command::Window { token: token.map(FencingToken), command })
     }
 
-    /// Leases that are held, waited for, renewed, handed over and lost.
+    /// Leases that are held, competed for, renewed, handed over and lost.
     fn leases(&mut self) {
         self.acquire("freeze/coordinator", 1, 0);
         self.renew("freeze/coordinator", 1, 1, 0);
-        // It has not heard of its renewal, and says so once more.
+        // It has not learned of its renewal, and sends it once more.
         self.renew("freeze/coordinator", 1, 1, 0);
         self.acquire("freeze/coordinator", 2, 1);
         self.acquire("shift/north", 2, 1);
@@ -165,8 +164,8 @@
         )));
         self.freeze(Freeze::FinishChange { change: ended });
         self.freeze(Freeze::ClearOverdueChange { change: ended, person: "pia".into() });
-        let copy = Scope::Instance { site: "east".into(), rank: 7 };
-        self.freeze(Freeze::RequestChange(request(ChangeKind::Upgrade, copy, "kai")));
+        let scope = Scope::Instance { site: "east".into(), rank: 7 };
+        self.freeze(Freeze::RequestChange(request(ChangeKind::Upgrade, scope, "kai")));
         let file = self.freeze(Freeze::RequestChange(request(ChangeKind::OperatorFile, site("east"), "eva")));
         self.freeze(Freeze::RequestChange(request(ChangeKind::Settings, site("east"), "leo")));
         self.freeze(Freeze::RequestEmergencyChange(request(ChangeKind::Drain, site("west"), "zoe")));
@@ -290,7 +289,7 @@
     history.state
 }
 
-/// What became of a window when there were as many changes as may be.
+/// The outcome of admitting a window when there are already as many changes as allowed.
 pub fn window_while_full() -> Outcome {
     let mut history = History::default();
     history.acquire("shift/north", 2, 1);
--- a/crates/consensus/tests/samples/lease.rs
+++ b/crates/consensus/tests/samples/lease.rs
@@ -1,4 +1,4 @@
-//! Leases: their table, their commands and the orders that carry their tokens.
+//! Leases: their table, their commands and the fenced commands that carry their tokens.
 
 use super::{each_variant, Sample};
 use hillstall_lease::fencing::{FencedCommand, MinimumToken};
@@ -15,48 +15,49 @@
     LeaseName::new(name).expect("it is a name")
 }
 
-/// A lease that is held by one and waited for by two, with all counts above zero and apart.
+/// A lease with a holder and two candidates, all counts above zero and different.
 pub fn record() -> LeaseRecord {
-    let duty = lease_name("shift/north");
+    let lease = lease_name("shift/north");
     let mut table = LeaseTable::default();
-    let stand = |rank, site_rank| LeaseCommand::Acquire {
-        lease: duty.clone(),
+    let acquire = |rank, site_rank| LeaseCommand::Acquire {
+        lease: lease.clone(),
         instance: instance(rank),
         rank: site_rank,
     };
     let other = LeaseCommand::Acquire { lease: lease_name("shift/south"), instance: instance(1), rank: 1 };
-    let renew = |heard| LeaseCommand::Renew {
-        lease: duty.clone(),
+    let renew = |known_renewals| LeaseCommand::Renew {
+        lease: lease.clone(),
         instance: instance(5),
         token: FencingToken(2),
-        known_renewals: heard,
+        known_renewals,
     };
-    let commands = [other, stand(5, 1), stand(6, 4), stand(7, 3), stand(6, 4), renew(0), renew(1), renew(2)];
+    let commands =
+        [other, acquire(5, 1), acquire(6, 4), acquire(7, 3), acquire(6, 4), renew(0), renew(1), renew(2)];
     for command in commands {
         table.apply(&command).expect("it is applied");
     }
-    table.record(&duty).cloned().expect("it is there")
+    table.record(&lease).cloned().expect("it is there")
 }
 
-/// See the module's text.
+/// The samples of this module.
 pub fn samples() -> Vec<Sample> {
-    let duty = || lease_name("shift/north");
+    let lease = || lease_name("shift/north");
     let mut samples = each_variant!(Sample::of, LeaseCommand {
         "lease/command/acquire": LeaseCommand::Acquire { .. } =>
-            LeaseCommand::Acquire { lease: duty(), instance: instance(3), rank: 200 },
+            LeaseCommand::Acquire { lease: lease(), instance: instance(3), rank: 200 },
         "lease/command/renew": LeaseCommand::Renew { .. } =>
-            LeaseCommand::Renew { lease: duty(), instance: instance(4), token: FencingToken(300), known_renewals: 301 },
+            LeaseCommand::Renew { lease: lease(), instance: instance(4), token: FencingToken(300), known_renewals: 301 },
         "lease/command/release": LeaseCommand::Release { .. } =>
-            LeaseCommand::Release { lease: duty(), instance: instance(5) },
+            LeaseCommand::Release { lease: lease(), instance: instance(5) },
         "lease/command/expire-lease": LeaseCommand::Expire { .. } =>
-            LeaseCommand::Expire { lease: duty(), token: FencingToken(302), renewals: 303 },
+            LeaseCommand::Expire { lease: lease(), token: FencingToken(302), renewals: 303 },
         "lease/command/expire-candidate": LeaseCommand::RemoveCandidate { .. } =>
-            LeaseCommand::RemoveCandidate { lease: duty(), instance: instance(6), heartbeats: 304 },
+            LeaseCommand::RemoveCandidate { lease: lease(), instance: instance(6), heartbeats: 304 },
     });
     let grant = Grant { holder: instance(7), token: FencingToken(305), renewals: 306 };
     let candidate = Candidate { instance: instance(8), rank: 9, heartbeats: 307 };
-    let order = FencedCommand {
-        lease: duty(),
+    let command = FencedCommand {
+        lease: lease(),
         token: FencingToken(308),
         sequence: 309,
         valid_for: 310,
@@ -65,13 +66,13 @@
     };
     samples.extend([
         Sample::of("lease/instance", Instance { rank: 313, life: 314 }),
-        Sample::of("lease/name", duty()),
+        Sample::of("lease/name", lease()),
         Sample::of("lease/token", FencingToken(315)),
         Sample::of("lease/grant", grant),
         Sample::of("lease/candidate", candidate),
         Sample::of("lease/record/empty", LeaseRecord::default()),
         Sample::of("lease/record/held", record()),
-        Sample::of("lease/order", order),
+        Sample::of("lease/order", command),
         Sample::of("lease/minimum-token/none", MinimumToken { token: FencingToken(316), sequence: None }),
         Sample::of(
             "lease/minimum-token/some",
@@ -81,7 +82,7 @@
     samples
 }
 
-/// The words of each reason: what was rejected is remembered with them.
+/// Each reason for a rejection. Its text is stored in the outcome.
 pub fn reasons() -> Vec<(&'static str, LeaseError)> {
     each_variant!(named, LeaseError {
         "lease/rejected/superseded": LeaseError::GrantEnded { .. } => LeaseError::GrantEnded { newest: FencingToken(319) },
--- a/crates/consensus/tests/samples/maintenance.rs
+++ b/crates/consensus/tests/samples/maintenance.rs
@@ -4,19 +4,19 @@
 use hillstall_maintenance::windows::{OverrunPolicy, Stage, Window, WindowCommand, WindowError, WindowPlan};
 
 /// A window as it was planned.
-pub fn plan(site: &str, begin: u64, overrun: OverrunPolicy) -> WindowPlan {
+pub fn plan(site: &str, starts_at: u64, overrun_policy: OverrunPolicy) -> WindowPlan {
     WindowPlan {
         site: site.into(),
-        starts_at: begin,
+        starts_at,
         duration: 3_600_001,
         lead_time: 600_002,
         max_delay: 300_003,
         reserve_percent: 25,
-        overrun_policy: overrun,
+        overrun_policy,
     }
 }
 
-/// See the module's text.
+/// The samples of this module.
 pub fn samples() -> Vec<Sample> {
     let mut samples = each_variant!(Sample::of, WindowCommand {
         "maintenance/command/plan": WindowCommand::Plan(_) =>
@@ -69,7 +69,7 @@
     samples
 }
 
-/// The words of each reason: what was rejected is remembered with them.
+/// Each reason for a rejection. Its text is stored in the outcome.
 pub fn reasons() -> Vec<(&'static str, WindowError)> {
     each_variant!(named, WindowError {
         "maintenance/rejected/unknown": WindowError::Unknown => WindowError::Unknown,
--- a/crates/consensus/tests/samples/mod.rs
+++ b/crates/consensus/tests/samples/mod.rs
@@ -1,5 +1,5 @@
-//! Values built by hand, each with the name of its line in `fixtures/messages.txt`. Numbers and texts differ within a
-//! value, so that two fields that change places show.
+//! Sample values, each with the name of its line in `fixtures/messages.txt`. Numbers and texts differ within a value, so
+//! that two fields that are swapped are noticed.
 
 pub mod freeze;
 pub mod history;
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use std::fmt::Debug;
 
-/// Tells whether some bytes are read as a certain value.
+/// Whether some bytes are decoded as a certain value.
 type CheckDecoding = Box<dyn Fn(&[u8]) -> Result<(), String>>;
 
 /// A value as it is encoded today, and how to tell whether some bytes are read as that value.
--- a/crates/consensus/tests/samples/quorum.rs
+++ b/crates/consensus/tests/samples/quorum.rs
@@ -1,4 +1,4 @@
-//! Frames between processes, proposals, and what became of them.
+//! Frames between processes, proposals and their outcomes.
 
 use super::lease::{instance, lease_name, record};
 use super::{each_variant, freeze, history, lease, maintenance, Sample};
@@ -38,10 +38,9 @@
     }
 }
 
-fn order() -> FencedCommand<hillstall_maintenance::TrafficFraction> {
-    let duty = lease_name("shift/south");
+fn fenced_command() -> FencedCommand<hillstall_maintenance::TrafficFraction> {
     FencedCommand {
-        lease: duty,
+        lease: lease_name("shift/south"),
         token: FencingToken(618),
         sequence: 619,
         valid_for: 620,
@@ -51,12 +50,12 @@
 }
 
 fn commands() -> Vec<Sample> {
-    let leave =
+    let release =
         || table::LeaseCommand::Release { lease: lease_name("freeze/coordinator"), instance: instance(623) };
     let step = windows::WindowCommand::ReduceTraffic { window: 624, fraction: 625 };
     let cancel = windows::WindowCommand::Cancel { window: 626 };
     let mut samples = each_variant!(Sample::of, Command {
-        "command/lease": Command::Lease(_) => Command::Lease(leave()),
+        "command/lease": Command::Lease(_) => Command::Lease(release()),
         "command/freeze": Command::Freeze(_) =>
             Command::Freeze(state::FreezeCommand::FinishChange { change: 627 }),
         "command/window": Command::Window { .. } =>
@@ -81,7 +80,7 @@
     });
     samples.push(Sample::of("outcome/no-grant", Outcome::Lease(None)));
     for (name, reason) in lease::reasons() {
-        // It has an outcome of its own, without words.
+        // It has an outcome of its own, without a text.
         if matches!(reason, table::LeaseError::GrantEnded { .. }) {
             continue;
         }
@@ -136,23 +135,24 @@
             Frame::Applied { after: 655, index: 656, item: StreamItem::Command(proposal()) },
         "frame/ack": Frame::Ack(_) => Frame::Ack(657),
         "frame/heartbeat": Frame::Heartbeat(_) => Frame::Heartbeat(658),
-        "frame/order": Frame::FencedCommand(_) => Frame::FencedCommand(order()),
+        "frame/order": Frame::FencedCommand(_) => Frame::FencedCommand(fenced_command()),
         "frame/report": Frame::Report(_) => Frame::Report(report()),
         "frame/reports": Frame::Reports { .. } =>
             Frame::Reports { unix: 1_777_680_000_659, reports: vec![report(), LoadReport::default()] },
     });
     let follower = Frame::Hello { fleet: "mill".into(), instance: instance(660), replica: None };
-    let here = MembershipMessage::Announce { id: 661, boot: 662, incarnation: 663, founders: vec![664] };
+    let announcement =
+        MembershipMessage::Announce { id: 661, boot: 662, incarnation: 663, founders: vec![664] };
     let lease = StreamItem::Lease { lease: lease_name("shift/north"), record: record() };
     samples.extend([
         Sample::of_frame("frame/hello-of-follower", follower),
-        Sample::of_frame("frame/membership", Frame::Replica(ReplicaMessage::Membership(here))),
+        Sample::of_frame("frame/membership", Frame::Replica(ReplicaMessage::Membership(announcement))),
         Sample::of_frame("frame/applied-lease", Frame::Applied { after: 665, index: 666, item: lease }),
     ]);
     samples
 }
 
-/// See the module's text.
+/// The samples of this module.
 pub fn samples() -> Vec<Sample> {
     [commands(), outcomes(), replica_messages(), frames()].into_iter().flatten().collect()
 }
--- a/crates/consensus/tests/stored_bytes.rs
+++ b/crates/consensus/tests/stored_bytes.rs
@@ -50,26 +50,26 @@
 }
 
 #[test]
-fn each_value_is_encoded_to_its_bytes_and_read_from_them() {
+fn each_value_is_encoded_to_its_bytes_and_decoded_from_them() {
     let (lines, samples) = (messages(), samples::all());
     let names: Vec<&str> = lines.iter().map(|(name, _)| *name).collect();
     let sampled: Vec<&str> = samples.iter().map(|sample| sample.name.as_str()).collect();
     assert_eq!(names, sampled, "each line has its value");
     assert_eq!(names.iter().collect::<BTreeSet<_>>().len(), names.len(), "a name stands once");
-    let mut wrong = Vec::new();
+    let mut differences = Vec::new();
     for ((name, bytes), sample) in lines.iter().zip(&samples) {
         if sample.encoded != *bytes {
-            wrong.push(format!("{name}: {} is written as {}", hex_of(bytes), hex_of(&sample.encoded)));
+            differences.push(format!("{name}: {} is written as {}", hex_of(bytes), hex_of(&sample.encoded)));
         }
-        if let Err(why) = sample.check_decoding(bytes) {
-            wrong.push(format!("{name}: {why}"));
+        if let Err(error) = sample.check_decoding(bytes) {
+            differences.push(format!("{name}: {error}"));
         }
     }
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+    assert!(differences.is_empty(), "{}", differences.join("\n"));
 }
 
 #[test]
-fn bytes_that_differ_are_seen() {
+fn bytes_that_differ_are_rejected() {
     for sample in samples::all() {
         let longer = [sample.encoded.as_slice(), &[0]].concat();
         assert!(sample.check_decoding(&longer).is_err(), "{}: one byte more", sample.name);
@@ -86,17 +86,17 @@
     for (index, proposal, outcome) in stored_history() {
         let (read, rest) = postcard::take_from_bytes::<Proposal>(&proposal).expect("it is read");
         assert!(rest.is_empty(), "entry {index} has more bytes than a proposal");
-        let became = state.apply(index, &read);
-        let written = postcard::to_stdvec(&became).expect("it is written");
-        assert_eq!(hex_of(&written), hex_of(&outcome), "entry {index}: {read:?} became {became:?}");
-        assert_eq!(postcard::from_bytes(&outcome), Ok(became), "entry {index}");
+        let actual = state.apply(index, &read);
+        let written = postcard::to_stdvec(&actual).expect("it is written");
+        assert_eq!(hex_of(&written), hex_of(&outcome), "entry {index}: {read:?} had the outcome {actual:?}");
+        assert_eq!(postcard::from_bytes(&outcome), Ok(actual), "entry {index}");
     }
     assert_eq!(hex_of(&state.to_bytes()), hex_of(&snapshot()));
     assert_eq!(State::from_bytes(&snapshot()), Ok(state));
 }
 
 #[test]
-fn the_history_built_by_hand_is_the_stored_one() {
+fn the_history_built_in_code_is_the_stored_one() {
     let history = history::whole();
     let stored = stored_history();
     assert_eq!(history.applied.len(), stored.len());
@@ -113,13 +113,13 @@
 }
 
 #[test]
-fn a_snapshot_is_read_and_written_to_the_same_bytes() {
+fn a_snapshot_is_decoded_and_encoded_to_the_same_bytes() {
     let state = State::from_bytes(&snapshot()).expect("it is read");
     assert_eq!(hex_of(&state.to_bytes()), hex_of(&snapshot()));
     assert_eq!(state, history::whole().state);
-    let (leases, register, windows) = (state.leases(), state.freeze(), state.windows());
+    let (leases, freeze, windows) = (state.leases(), state.freeze(), state.windows());
     assert!(leases.leases().any(|(_, grant, waiting)| grant.is_some() && waiting.len() > 1));
     assert!(leases.leases().any(|(_, grant, _)| grant.is_none()));
-    assert!(register.incidents().len() > 1 && register.changes().len() > 3);
-    assert!(register.audit_log().len() > 30 && windows.all().len() > 5);
+    assert!(freeze.incidents().len() > 1 && freeze.changes().len() > 3);
+    assert!(freeze.audit_log().len() > 30 && windows.all().len() > 5);
 }
