--- a/crates/http1/src/server/request.rs
+++ b/crates/http1/src/server/request.rs
@@ -17,9 +17,9 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, CONNECTION};
 use hyper::{Method, Request, StatusCode};
-use std::future::Future;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
+use tokio::sync::oneshot;
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::timeout_at;
 
@@ -35,6 +35,25 @@
     started_at: Instant,
 }
 
+/// A request that the driver has accepted.
+struct ForwardedRequest {
+    _open_id: OpenRequestId,
+    guard: RequestGuard<HttpClient>,
+    receiver: oneshot::Receiver<Completion<HttpClient>>,
+    deadline: Instant,
+    streaming_body: Option<Rc<StreamingRequestBody>>,
+    open_request: InProgress,
+    log_context: AccessLogContext,
+    is_head: bool,
+}
+
+/// What became of a request that was handed to the driver.
+enum Forwarding {
+    Accepted(ForwardedRequest),
+    /// The driver has as many open requests as it can; this is the response.
+    Rejected(ClientResponse),
+}
+
 impl Server {
     /// Answers one request of a connection.
     pub(super) async fn serve(
@@ -83,18 +102,27 @@
         prefix.check(connection, &head.method)?;
         let body = prefix.into_request_body(connection, timeout, reservation, &tuning);
         let request = ClientRequest { method: head.method, path, headers: head.headers, body };
-        self.forward(connection, metadata, timeout, request, &tuning).await
+        let forwarded = match self.forward(connection, metadata, timeout, request, &tuning)? {
+            Forwarding::Accepted(forwarded) => forwarded,
+            Forwarding::Rejected(response) => return Ok(response),
+        };
+        let ForwardedRequest { _open_id, guard, receiver, deadline, streaming_body, .. } = forwarded;
+        let completion = wait_for_completion(&guard, receiver, deadline, streaming_body).await;
+        let logged = completion.as_ref().filter(|_| tuning.log_requests);
+        let record = logged.map(|completion| self.access_log_record(forwarded.log_context, completion));
+        let response = completion.map(|completion| completion.response);
+        final_response(connection, response, forwarded.is_head, forwarded.open_request, record)
     }
 
-    /// Hands a request to the driver and answers it with what the driver gives back.
-    async fn forward(
+    /// Hands a request to the driver.
+    fn forward(
         &self,
         connection: &Rc<ClientConnection>,
         mut metadata: RequestMetadata,
         timeout: Duration,
         request: ClientRequest,
         tuning: &Tuning,
-    ) -> Result<ClientResponse, RequestError> {
+    ) -> Result<Forwarding, RequestError> {
         let id = single_value(&request.headers, REQUEST_ID).unwrap_or_default();
         let _open_id =
             OpenRequestId::new(&self.open_request_ids, id).ok_or(RequestError::DuplicateRequestId)?;
@@ -107,7 +135,7 @@
         // The timeout runs from the last byte of the request: the last one read, unless the body is streaming.
         metadata.deadline = connection.stream.last_read() + timeout;
         let deadline = metadata.deadline;
-        let context = AccessLogContext {
+        let log_context = AccessLogContext {
             request_id: if tuning.log_requests { id.to_string() } else { String::new() },
             class: metadata.class,
             tenant: metadata.tenant,
@@ -115,13 +143,19 @@
         };
         let is_head = request.method == Method::HEAD;
         let Some((guard, receiver)) = self.driver.request(metadata, request) else {
-            return Ok(with_outcome(self.capacity_rejection(), open_request, RequestOutcome::Deferred));
+            let response = with_outcome(self.capacity_rejection(), open_request, RequestOutcome::Deferred);
+            return Ok(Forwarding::Rejected(response));
         };
-        let completion = wait_for_completion(&guard, receiver, deadline, streaming_body).await;
-        let logged = completion.as_ref().filter(|_| tuning.log_requests);
-        let record = logged.map(|completion| self.access_log_record(context, completion));
-        let response = completion.map(|completion| completion.response);
-        final_response(connection, response, is_head, open_request, record)
+        Ok(Forwarding::Accepted(ForwardedRequest {
+            _open_id,
+            guard,
+            receiver,
+            deadline,
+            streaming_body,
+            open_request,
+            log_context,
+            is_head,
+        }))
     }
 
     /// Reserves memory for the part of a body that may be buffered; `None` if there is not enough.
@@ -182,9 +216,9 @@
 
 /// Waits for the driver's response. If none has come shortly after the deadline, the request is closed, which
 /// makes the driver answer. `None` if the driver is gone.
-async fn wait_for_completion<E>(
+async fn wait_for_completion(
     guard: &RequestGuard<HttpClient>,
-    mut receiver: impl Future<Output = Result<Completion<HttpClient>, E>> + Unpin,
+    mut receiver: oneshot::Receiver<Completion<HttpClient>>,
     deadline: Instant,
     streaming_body: Option<Rc<StreamingRequestBody>>,
 ) -> Option<Completion<HttpClient>> {
