--- a/crates/http1/src/server/request.rs
+++ b/crates/http1/src/server/request.rs
@@ -35,6 +35,22 @@
     started_at: Instant,
 }
 
+impl AccessLogContext {
+    fn new(
+        connection: &ClientConnection,
+        metadata: &RequestMetadata,
+        request_id: &str,
+        tuning: &Tuning,
+    ) -> AccessLogContext {
+        AccessLogContext {
+            request_id: if tuning.log_requests { request_id.to_string() } else { String::new() },
+            class: metadata.class,
+            tenant: metadata.tenant,
+            started_at: connection.stream.message_started_at().unwrap_or_else(Instant::now),
+        }
+    }
+}
+
 /// A request that the driver has accepted.
 struct ForwardedRequest {
     _open_id: OpenRequestId,
@@ -135,12 +151,7 @@
         // The timeout runs from the last byte of the request: the last one read, unless the body is streaming.
         metadata.deadline = connection.stream.last_read() + timeout;
         let deadline = metadata.deadline;
-        let log_context = AccessLogContext {
-            request_id: if tuning.log_requests { id.to_string() } else { String::new() },
-            class: metadata.class,
-            tenant: metadata.tenant,
-            started_at: connection.stream.message_started_at().unwrap_or_else(Instant::now),
-        };
+        let log_context = AccessLogContext::new(connection, &metadata, id, tuning);
         let is_head = request.method == Method::HEAD;
         let Some((guard, receiver)) = self.driver.request(metadata, request) else {
             let response = with_outcome(self.capacity_rejection(), open_request, RequestOutcome::Deferred);
