--- a/crates/decision/tests/admission.rs
+++ b/crates/decision/tests/admission.rs
@@ -12,13 +12,13 @@
 fn rejects_unsent_over_the_limit_once_answers_are_late() {
     let mut p = before_forty_backends(0);
     p.run_rounds(6, 60, 3_000.0, Outcome::Ok);
-    assert!(p.admitted(200) < 60, "late answers must cut the count");
+    assert!(p.admitted(200) < 60, "late answers must reduce the limit");
     assert!(p.send_request(0, 0, 4_000.0).is_some(), "room again once answers come in time");
 }
 
 #[test]
 fn a_limit_that_was_reduced_far_rises_again() {
-    // It once compared the calls left after an outcome with the count, so a count near 1 could never rise.
+    // It once compared the requests left after an outcome with the limit, so a limit near 1 could never rise.
     let mut p = before_forty_backends(1);
     p.run_rounds(30, 1, 3_500.0, Outcome::Ok);
     for _ in 0..40 {
@@ -28,12 +28,13 @@
             return;
         }
     }
-    panic!("a gate that was cut low stays low though all calls are answered in time");
+    panic!("a limit that was reduced far stays low though all requests are answered in time");
 }
 
 #[test]
 fn a_pause_before_a_reduction_does_not_close_the_limiter() {
-    // A sparse copy has one call out at most moments: the cut goes from the recent peak, not from that.
+    // A sparse instance has one request out at most moments: the reduction goes from the recent peak, not
+    // from that.
     let mut p = before_forty_backends(1);
     p.run_rounds(3, 20, 100.0, Outcome::Ok);
     let slow: Vec<Sent> = (0..20).filter_map(|_| p.send_request(0, 0, 4_000.0)).collect();
@@ -46,7 +47,8 @@
 
 #[test]
 fn one_cause_reduces_a_limit_once() {
-    // The late answers of calls sent before a cut tell of the same jam: they must not cut again.
+    // The late answers of requests sent before a reduction show the same overload: they must not reduce it
+    // again.
     let mut p = before_forty_backends(1);
     p.run_rounds(2, 40, 100.0, Outcome::Ok);
     let jam: Vec<Sent> = (0..40).filter_map(|_| p.send_request(0, 0, 8_000.0)).collect();
@@ -54,7 +56,7 @@
         p.now += 100.0;
         p.end(sent, Outcome::Ok);
     }
-    assert!(p.admitted(40) >= 15, "one jam cut the gate over and over");
+    assert!(p.admitted(40) >= 15, "one overload reduced the limit over and over");
 }
 
 #[test]
@@ -70,22 +72,30 @@
     let mut p = before_forty_backends(1);
     p.run_rounds(5, 4, 100.0, Outcome::Ok);
     p.run_rounds(10, 4, 100.0, Outcome::ConnectFailed);
-    assert_eq!(p.admitted(30), 30, "a cut zone's refused connections must not cut the gate of the rest");
+    assert_eq!(
+        p.admitted(30),
+        30,
+        "failed connections to a zone that is cut off must not reduce the limit of the rest"
+    );
 }
 
 #[test]
 fn the_initial_limit_at_the_top_comes_from_the_list_and_rises_while_answers_are_timely() {
     let top = Settings { fleet_size: 10, ..settings() };
     let mut p = Proxy::new(top.clone(), &backends(10));
-    // Before the first answer it is twice the count.
+    // Before the first answer it is twice the limit.
     let first = p.admitted(1_000) / 2;
-    assert!(first < 25, "a count of {first} at a copy that knows nothing yet");
+    assert!(first < 25, "a limit of {first} at an instance that knows nothing yet");
     for _ in 0..6 {
         p.admitted(1_000);
     }
     assert!(p.admitted(1_000) > 2 * first);
     let mut below = Proxy::new(Settings { stage: 1, ..top }, &backends(10));
-    assert_eq!(below.admitted(300), 300, "below the top a refusal wastes work: the first count stays open");
+    assert_eq!(
+        below.admitted(300),
+        300,
+        "below the top a rejection wastes work: the initial limit stays open"
+    );
 }
 
 fn with_two_tenants() -> Settings {
@@ -97,8 +107,8 @@
 fn burst_capacity_must_be_proven() {
     let mut p = Proxy::new(with_two_tenants(), &backends(40));
     let sent = (0..100).filter(|_| p.send_request(0, 0, 4_000.0).is_some()).count();
-    assert!(sent <= 25, "{sent} calls of a share of 10 a second");
-    assert!(p.send_request(0, 1, 4_000.0).is_some(), "the other tenant is within its share");
+    assert!(sent <= 25, "{sent} requests of a quota of 10 a second");
+    assert!(p.send_request(0, 1, 4_000.0).is_some(), "the other tenant is within its quota");
 }
 
 #[test]
@@ -130,12 +140,12 @@
         (served[0] / 10.0) / (served[1] / 50.0).max(1e-9)
     };
     let (apart, alike) = (share([20.0, 1.0]), share([1.0, 1.0]));
-    assert!(apart > 1.3 * alike, "worth 20 to 1 served {apart:.2} to 1, equal worth {alike:.2} to 1");
+    assert!(apart > 1.3 * alike, "weight 20 to 1 served {apart:.2} to 1, equal weight {alike:.2} to 1");
 }
 
 #[test]
 fn classes_of_equal_weight_are_served_alike_whatever_their_objectives() {
-    // A class with a long aim never looked late by its own calls, so only the other one was cut.
+    // A class with a long objective never looked late by its own requests, so only the other one was limited.
     let objectives = [1_000.0, 4_000.0];
     let classes = objectives.map(|objective_ms| Class {
         latency_objective_ms: objective_ms,
@@ -154,18 +164,23 @@
         }
     }
     let ratio = served[0] / served[1];
-    assert!(ratio > 0.7 && ratio < 1.4, "short aim {} calls, long aim {}", served[0], served[1]);
+    assert!(
+        ratio > 0.7 && ratio < 1.4,
+        "short objective {} requests, long objective {}",
+        served[0],
+        served[1]
+    );
 }
 
 #[test]
 fn a_tenant_within_its_quota_does_not_exceed_it_by_random_clusters() {
-    // A share of 3 calls a second at this copy, and 2 a second asked in clusters of 8: a window of two seconds
-    // took half of each cluster for borrowed.
+    // A quota of 3 requests a second at this instance, and 2 a second asked in clusters of 8: a window of two
+    // seconds took half of each cluster as over the quota.
     let tenants = vec![tenant(3.0), tenant(3.0)];
     let mut p = Proxy::new(Settings { tenants, ..settings() }, &backends(40));
     p.now += 10_000.0;
     for cluster in 0..10 {
-        // Four calls of the other tenant beyond its share hold all the room there is to borrow.
+        // Four requests of the other tenant beyond its quota use all the burst capacity there is.
         let others: Vec<Sent> = (0..40).filter_map(|_| p.send_request(0, 1, 4_000.0)).collect();
         let sent: Vec<Sent> = (0..8).filter_map(|_| p.send_request(0, 0, 4_000.0)).collect();
         assert_eq!(sent.len(), 8, "cluster {cluster}");
@@ -181,7 +196,7 @@
 fn a_new_instance_does_not_admit_a_whole_window_of_one_tenant() {
     let mut p = Proxy::new(with_two_tenants(), &backends(40));
     let sent = (0..400).filter(|_| p.send_request(0, 0, 4_000.0).is_some()).count();
-    assert!(sent <= 20, "{sent} calls at once of a share of 10 a second");
+    assert!(sent <= 20, "{sent} requests at once of a quota of 10 a second");
 }
 
 #[test]
@@ -191,7 +206,10 @@
     let before = p.admitted(10_000);
     p.run_rounds(4, 10_000, 100.0, Outcome::Ok);
     let after = p.admitted(10_000);
-    assert!(after > before && after < 3 * before, "{before} calls at the start, {after} five rounds later");
+    assert!(
+        after > before && after < 3 * before,
+        "{before} requests at the start, {after} five rounds later"
+    );
 }
 
 #[test]
@@ -199,13 +217,13 @@
     let mut p = before_forty_backends(0);
     p.run_rounds(20, 300, 100.0, Outcome::Ok);
     let baseline = p.admitted(10_000);
-    // Well inside the limit by the aim of a second, and three times the usual.
+    // Well inside the limit by the objective of a second, and three times the baseline.
     p.run_rounds(20, 300, 300.0, Outcome::Ok);
     let crowded = p.admitted(10_000);
-    assert!(2 * crowded < baseline, "{baseline} calls when calm, {crowded} when crowded");
-    // Crowding alone leaves half of the first count, 320 here.
+    assert!(2 * crowded < baseline, "{baseline} requests at the baseline, {crowded} when crowded");
+    // Crowding alone leaves half of the initial limit, 320 here.
     p.run_rounds(60, 300, 300.0, Outcome::Ok);
-    assert!(p.admitted(10_000) >= 160, "a crowded gate was cut down to nothing");
+    assert!(p.admitted(10_000) >= 160, "a crowded limiter was reduced to nothing");
 }
 
 #[test]
@@ -227,14 +245,14 @@
         p.admitted(10_000)
     };
     let (full, half, odd) = (rise(1.0), rise(0.5), rise(f32::NAN));
-    assert_eq!(full, 320, "the first count: eight for each of 40 backends");
-    assert!(half > 400, "{half} calls with CPU to spare");
+    assert_eq!(full, 320, "the initial limit: eight for each of 40 backends");
+    assert!(half > 400, "{half} requests with CPU to spare");
     assert_eq!(odd, half, "a report that is no number tells nothing");
 }
 
 #[test]
 fn many_sparse_instances_can_go_below_one_request_per_instance() {
-    // A whole call at each of hundreds of copies is more than a small jammed tier bears.
+    // A whole request at each of hundreds of instances is more than a small overloaded tier can serve.
     let mut sent = 0;
     for rank in 0..100 {
         let mut p = Proxy::new(Settings { rank, fleet_size: 100, ..settings() }, &backends(4));
@@ -245,7 +263,7 @@
         p.now += 100.0;
         sent += usize::from(p.send_request(0, 0, 4_000.0).is_some());
     }
-    assert!((1..60).contains(&sent), "{sent} of 100 copies before a jammed tier still send at once");
+    assert!((1..60).contains(&sent), "{sent} of 100 instances before an overloaded tier still send at once");
 }
 
 #[test]
@@ -275,7 +293,10 @@
     let baseline = p.admitted(10_000);
     left(&mut p, 20);
     let after = p.admitted(10_000);
-    assert!(after < baseline / 2 && after > 0, "{baseline} calls when calm, {after} after clients left");
+    assert!(
+        after < baseline / 2 && after > 0,
+        "{baseline} requests at the baseline, {after} after clients left"
+    );
     // Below the top the leaving is the caller's, and says nothing of the tier.
     let mut p = before_forty_backends(1);
     left(&mut p, 20);
@@ -284,21 +305,24 @@
 
 #[test]
 fn the_initial_limit_is_eight_per_backend_where_instances_have_a_backend_of_their_own() {
-    // With five a backend a lone copy refused a fifth of a calm day's first seconds; with eight and nothing for
-    // chance sparse ones refused their bursts.
-    // Before the first answer, twice as many: nothing is known against it yet.
-    // What copies without a backend of their own start with is in `sparse_instances.rs`: four calls at each of 400 copies were
-    // forty for each of 40 backends, and all of them turned slow.
+    // With five a backend a lone instance rejected a fifth of a quiet day's first seconds; with eight and
+    // nothing for chance sparse ones rejected their bursts. Before the first answer, twice as many: nothing
+    // is known against it yet. What instances without a backend of their own start with is in
+    // `sparse_instances.rs`: four requests at each of 400 instances were forty for each of 40 backends, and
+    // all of them turned slow.
     for (fleet_size, first) in [(1, 320), (40, 9)] {
         let mut p = Proxy::new(Settings { fleet_size, ..settings() }, &backends(40));
         let sent = p.admitted(1_000);
-        assert!((2 * first..=2 * first + 2).contains(&sent), "{sent} calls at a copy of {fleet_size}");
+        assert!(
+            (2 * first..=2 * first + 2).contains(&sent),
+            "{sent} requests at an instance of {fleet_size}"
+        );
     }
 }
 
 #[test]
 fn a_rejection_says_when_to_retry_where_permitted() {
-    // Clients told nothing came back at once, to a gate that had not moved.
+    // Clients without advice came back at once, to a limit that had not changed.
     let told = |stage, retry_after| {
         let base = settings();
         let allowed = Permissions { retry_after, ..base.permissions.clone() };
@@ -316,7 +340,8 @@
 
 #[test]
 fn an_initial_limit_taken_from_an_old_list_rises_with_the_new_one() {
-    // A proxy that knew four of its backends kept the count of four, and refused what all of them could do.
+    // A proxy that knew four of its backends stayed at the limit of four, and rejected what all of them could
+    // do.
     let mut whole = before_forty_backends(0);
     whole.admitted(1);
     let mut p = Proxy::new(Settings { stage: 0, ..settings() }, &backends(4));
@@ -327,11 +352,12 @@
 
 #[test]
 fn nothing_is_rejected_while_backends_answer_at_once() {
-    // The gates took the grain of a clock for a queue: 64 callers of instant servers were mostly refused.
+    // The limiters took the resolution of a clock for a queue: 64 clients of instant backends were mostly
+    // rejected.
     let mut p = Proxy::new(Settings { stage: 0, ..settings() }, &backends(4));
     for round in 0..400 {
         let out: Vec<Sent> = (0..64).filter_map(|_| p.send_request(0, 0, 4_000.0)).collect();
-        assert_eq!(out.len(), 64, "refused in round {round}");
+        assert_eq!(out.len(), 64, "rejected in round {round}");
         for (n, sent) in out.into_iter().enumerate() {
             p.now += if (n + round) % 7 == 0 { 0.2 } else { 0.01 };
             p.end(sent, Outcome::Ok);
@@ -341,8 +367,8 @@
 
 #[test]
 fn an_attempt_timeout_outlasts_a_short_pause() {
-    // With a mean of a tenth of a millisecond the time for an attempt once fell to less than one, and no answer
-    // could raise it again.
+    // With a mean of a tenth of a millisecond the time for an attempt once fell to less than one, and no
+    // answer could raise it again.
     let mut p = before_forty_backends(0);
     p.run_rounds(50, 4, 0.1, Outcome::Ok);
     let sent = p.send_request(0, 0, 4_000.0).expect("there is room");
@@ -364,7 +390,10 @@
     let mut admitted_requests =
         |class: u8| (0..400).filter(|_| p.send_request(class, 0, 4_000.0).is_some()).count();
     let (less, more) = (admitted_requests(0), admitted_requests(1));
-    assert!(less > 40, "{less} of the less worthy are let in at an empty gate");
-    assert!(more > less / 2, "{more} of more worth are let in after {less} of less have filled their part");
-    assert_eq!(admitted_requests(0), 0, "the gate is shut to them now");
+    assert!(less > 40, "{less} of lower priority are admitted at an idle limiter");
+    assert!(
+        more > less / 2,
+        "{more} of higher priority are admitted after {less} of less have filled their part"
+    );
+    assert_eq!(admitted_requests(0), 0, "the limiter is closed to them now");
 }
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use hillstall_decision::Balancer;
 use hillstall_decision::*;
 
-/// A class of requests with an aim of 1 s and a deadline of 4 s.
+/// A class of requests with an objective of 1 s and a deadline of 4 s.
 pub fn class(effect: RetrySafety, scope: DedupScope) -> Class {
     Class {
         name: String::new(),
@@ -25,12 +25,12 @@
     Objective { whole, worst_window, worst_class, worst_tenant: 0.0, nines: 0.0, full_at_nines: 3.0 }
 }
 
-/// A tenant with a share of so many requests a second.
+/// A tenant with a quota of so many requests a second.
 pub fn tenant(allowance_per_s: f64) -> Tenant {
     Tenant { name: String::new(), quota_per_s: allowance_per_s, fraction: 0.5 }
 }
 
-/// One copy, one repeatable class, no tenants.
+/// One instance, one idempotent class, no tenants.
 pub fn settings() -> Settings {
     Settings {
         rank: 0,
@@ -219,7 +219,7 @@
         self.last.iter().any(|a| matches!(a, Action::Fail { .. }))
     }
 
-    /// `rounds` rounds of `width` calls at once, each answered as told after `took` milliseconds.
+    /// `rounds` rounds of `width` requests at once, each ended with `outcome` after `took` milliseconds.
     pub fn run_rounds(&mut self, rounds: usize, width: usize, took: Millis, outcome: Outcome) {
         for _ in 0..rounds {
             let mut out: Vec<Sent> = (0..width).filter_map(|_| self.send_request(0, 0, 4_000.0)).collect();
@@ -230,7 +230,7 @@
         }
     }
 
-    /// How many calls it sends of `n` asked for at once; they are answered in time afterwards.
+    /// How many requests it sends of `n` asked for at once; they are answered in time afterwards.
     pub fn admitted(&mut self, n: usize) -> usize {
         let out: Vec<Sent> = (0..n).filter_map(|_| self.send_request(0, 0, 4_000.0)).collect();
         self.now += 100.0;
--- a/crates/decision/tests/demand_skew.rs
+++ b/crates/decision/tests/demand_skew.rs
@@ -6,7 +6,7 @@
 use hillstall_decision::*;
 use std::collections::VecDeque;
 
-/// One of 50 copies before 50 backends, with an even part of 20 calls a second.
+/// One of 50 instances before 50 backends, with an even part of 20 requests a second.
 fn instance_of_fifty() -> Proxy {
     let tenants = [300.0, 300.0, 400.0].map(tenant).to_vec();
     Proxy::new(Settings { tenants, fleet_size: 50, marks_retry: true, ..settings() }, &backends(50))
@@ -16,7 +16,7 @@
     p.send_request_marked(0, (id % 3) as u16, 4_000.0, is_retry)
 }
 
-/// So many calls a second for some seconds, each answered after 250 ms; the part that was refused.
+/// So many requests a second for some seconds, each answered after 250 ms; the part that was rejected.
 fn offer_load(p: &mut Proxy, ids: &mut RequestId, per_s: f64, seconds: f64, is_retry: bool) -> f64 {
     let mut out: VecDeque<Sent> = VecDeque::new();
     let calls = (per_s * seconds) as usize;
@@ -42,7 +42,7 @@
     rejected as f64 / calls as f64
 }
 
-/// How many of 1,000 calls in one instant it lets in.
+/// How many of 1,000 requests in one instant it admits.
 fn room(p: &mut Proxy, ids: &mut RequestId) -> usize {
     let out: Vec<Sent> = (0..1_000)
         .filter_map(|_| {
@@ -63,7 +63,7 @@
     // The first seconds after a shift count too.
     let at_first = offer_load(&mut p, &mut ids, 120.0, 3.0, false);
     let later = offer_load(&mut p, &mut ids, 120.0, 10.0, false);
-    assert!(at_first < 0.35 && later < 0.1, "{at_first:.2} refused in the first 3 s, {later:.2} then");
+    assert!(at_first < 0.35 && later < 0.1, "{at_first:.2} rejected in the first 3 s, {later:.2} then");
 }
 
 #[test]
@@ -91,12 +91,12 @@
     p.now += 20_000.0;
     offer_load(&mut p, &mut ids, 120.0, 5.0, true);
     let after = room(&mut p, &mut ids);
-    assert!(after < 2 * before, "room for {before}, and for {after} after a storm of repeats");
+    assert!(after < 2 * before, "{before} admitted, and {after} after a flood of retries");
 }
 
 #[test]
 fn a_burst_that_crowds_the_tier_does_not_raise_limits_with_it() {
-    // A copy can't see that all the others get the same burst, but the answers take longer.
+    // An instance can't see that all the others get the same burst, but the answers take longer.
     let (mut p, mut ids) = (instance_of_fifty(), 0);
     offer_load(&mut p, &mut ids, 15.0, 10.0, false);
     for _ in 0..6 {
--- a/crates/decision/tests/false_overload.rs
+++ b/crates/decision/tests/false_overload.rs
@@ -1,12 +1,12 @@
-//! What is no crowd must not shut a gate: broken connections, clients that leave early, a tier that is slow with little
-//! to do, and connections that come up late. A crowd must, as soon as ever.
+//! What is no overload must not close a limiter: broken connections, clients that leave early, a tier that is
+//! slow with little to do, and connections that are established late. An overload must, at once.
 
 mod common;
 use common::*;
 use hillstall_decision::*;
 
-/// Rounds of four calls, of which one ends as `end` does it and the others are served, all after `took`; then how many
-/// calls are let in at once.
+/// Rounds of four requests, of which one ends as `end` does it and the others are served, all after `took`;
+/// then how many requests are admitted at once.
 fn admitted_requests(rounds: usize, took: Millis, end: impl Fn(&mut Proxy, Sent)) -> usize {
     let mut p = Proxy::new(settings(), &backends(4));
     for _ in 0..rounds {
@@ -49,7 +49,7 @@
     let late = admitted_requests(60, 1_000.0, left);
     assert!(
         late * 2 <= all,
-        "{late} of {all} though one in four waits for all of the aim, and the others do so too"
+        "{late} of {all} though one in four waits for all of the objective, and the others do so too"
     );
 }
 
@@ -61,8 +61,8 @@
     crowd.run_rounds(60, 4, 700.0, Outcome::Ok);
     crowd.run_rounds(12, 20, 1_400.0, Outcome::Ok);
     let (baseline, crowded) = (p.admitted(60), crowd.admitted(60));
-    assert!(baseline >= 30, "{baseline} at seven tenths of the aim, with four calls out");
-    assert!(crowded * 2 <= baseline, "{crowded} of {baseline} once calls come late");
+    assert!(baseline >= 30, "{baseline} at seven tenths of the objective, with four requests out");
+    assert!(crowded * 2 <= baseline, "{crowded} of {baseline} once answers are late");
 }
 
 #[test]
@@ -70,7 +70,7 @@
     let after = |first: Outcome| {
         let mut p = Proxy::new(settings(), &backends(10));
         let mut out: Vec<Sent> = (0..60).filter_map(|_| p.send_request(0, 0, 4_000.0)).collect();
-        // Of each server the first call waits for its connection, while the others are answered.
+        // Of each backend the first request waits for its connection, while the others are answered.
         out.sort_by_key(|sent| (sent.to, sent.request));
         let mut waiting = out.clone();
         waiting.dedup_by_key(|sent| sent.to);
@@ -82,5 +82,5 @@
         p.admitted(200)
     };
     let (all, now) = (after(Outcome::Ok), after(Outcome::ConnectFailed));
-    assert!(now * 10 >= all * 9, "{now} of {all} though all servers answer");
+    assert!(now * 10 >= all * 9, "{now} of {all} though all backends answer");
 }
--- a/crates/decision/tests/reduced_capacity.rs
+++ b/crates/decision/tests/reduced_capacity.rs
@@ -4,7 +4,7 @@
 use common::*;
 use hillstall_decision::*;
 
-/// A copy that has learned something, and what it lets in at once.
+/// An instance that has learned something, and what it admits at once.
 fn instance_of_complete_tier() -> (Proxy, usize) {
     let mut p = Proxy::new(Settings { fleet_size: 10, ..settings() }, &backends(10));
     p.run_rounds(3, 4, 1_000.0, Outcome::Ok);
@@ -12,7 +12,7 @@
     (p, all)
 }
 
-/// Calls that are let in at once of `n`, all of them marked as repeats; they are left open.
+/// Requests that are admitted at once of `n`, all of them marked as retries; they are left open.
 fn retries_admitted(p: &mut Proxy, n: usize) -> usize {
     (0..n).filter(|_| p.send_request_marked(0, 0, 4_000.0, true).is_some()).count()
 }
@@ -77,6 +77,9 @@
     let first = short.admitted(200);
     short.now += 50.0;
     let retries = retries_admitted(&mut short, 200);
-    assert!(retries as f64 <= 0.7 * first as f64, "{retries} repeats where {first} first tries are let in");
-    assert!(retries_admitted(&mut p, 200) as f64 >= 0.7 * all as f64, "a whole tier is open to repeats");
+    assert!(
+        retries as f64 <= 0.7 * first as f64,
+        "{retries} retries where {first} first attempts are admitted"
+    );
+    assert!(retries_admitted(&mut p, 200) as f64 >= 0.7 * all as f64, "a whole tier is open to retries");
 }
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -122,7 +122,7 @@
 #[test]
 fn a_draining_backend_leaves_the_draw_gradually_within_half_of_the_grace() {
     let sent_to = sent_to_draining(true, false);
-    // A third of a hundred calls is its part of a tenth of the grace.
+    // A third of a hundred requests is its part of a tenth of the grace.
     assert!(sent_to[0] > 15 && sent_to[4] < sent_to[0] / 2, "{sent_to:?}");
     assert_eq!(sent_to[5..].iter().sum::<usize>(), 0, "{sent_to:?}");
 }
@@ -195,14 +195,14 @@
     let (in_slow_start, past_slow_start) = count_by_backend(&mut p, 100.0);
     assert!(
         in_slow_start <= 1,
-        "{in_slow_start} calls to the cold one at once, {past_slow_start} to the warm ones"
+        "{in_slow_start} requests to the one in slow start at once, {past_slow_start} to the others"
     );
     // Never more than half of what makes it fall in any of the windows, at its least capacity.
     let (in_slow_start, past_slow_start) = count_by_backend(&mut p, 2_900.0);
     let able = f64::from(past_slow_start) / 4.0 * 0.5;
     assert!(
         f64::from(in_slow_start) < 0.7 * 3.0 * able,
-        "{in_slow_start} calls to the cold one, able to do {able}"
+        "{in_slow_start} requests to the one in slow start, able to do {able}"
     );
 }
 
@@ -291,7 +291,7 @@
                     let (a, b) = (risk.map(|r| self.list[&r.0]), self.list[&backend]);
                     match (class.retry_safety, risk) {
                         (RetrySafety::NonIdempotent, Some(_)) => {
-                            prop_assert!(false, "repeated what may have run")
+                            prop_assert!(false, "retried what may have run")
                         }
                         (RetrySafety::IdempotencyKey, Some((_, at))) => {
                             prop_assert!(self.p.now - at < class.dedup_window_ms);
@@ -439,7 +439,7 @@
 
 #[test]
 fn the_plainest_settings_work() {
-    // No tenants, one class, one zone, no reports, no probes, one backend, one copy, at any tier.
+    // No tenants, one class, one zone, no reports, no probes, one backend, one instance, at any tier.
     for stage in 0..3 {
         let mut plain = Settings { stage, ..settings() };
         plain.objective = objective(0.0, 0.0, 0.0);
--- a/crates/decision/tests/selection.rs
+++ b/crates/decision/tests/selection.rs
@@ -5,7 +5,7 @@
 use hillstall_decision::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often each backend is sent to, over `n` calls one after another.
+/// How often each backend is sent to, over `n` requests one after another.
 fn count_by_backend(p: &mut Proxy, n: usize) -> BTreeMap<BackendId, usize> {
     let mut counts = BTreeMap::new();
     for _ in 0..n {
@@ -19,12 +19,12 @@
 
 #[test]
 fn an_instance_draws_from_a_subset_and_all_together_cover_the_tier() {
-    // Many callers that each draw from all fill every backend's connection table.
+    // Many clients that each draw from all fill every backend's connection table.
     let mut covered = BTreeSet::new();
     for rank in 0..50 {
         let mut p = Proxy::new(Settings { stage: 1, rank, fleet_size: 50, ..settings() }, &backends(60));
         let used = count_by_backend(&mut p, 200);
-        assert!(used.len() <= 12, "copy {rank} uses {} of 60", used.len());
+        assert!(used.len() <= 12, "instance {rank} uses {} of 60", used.len());
         covered.extend(used.into_keys());
     }
     assert_eq!(covered.len(), 60);
@@ -39,7 +39,7 @@
     let crossed = |counts: &BTreeMap<BackendId, usize>| -> usize {
         counts.iter().filter(|(id, _)| *id % 2 == 1).map(|(_, n)| n).sum()
     };
-    assert!(crossed(&count_by_backend(&mut p, 300)) < 30, "calm: the own zone takes the calls");
+    assert!(crossed(&count_by_backend(&mut p, 300)) < 30, "at low load the own zone takes the requests");
     for _ in 0..60 {
         let mut next = p.send_request(0, 0, 4_000.0);
         while let Some(sent) = next {
@@ -57,7 +57,7 @@
         }
         counts
     };
-    assert!(crossed(&counts) > 40, "own zone down: {} of 60 first tries crossed", crossed(&counts));
+    assert!(crossed(&counts) > 40, "own zone down: {} of 60 first attempts crossed", crossed(&counts));
 }
 
 #[test]
@@ -68,7 +68,7 @@
         *out.entry(p.send_request(0, 0, 4_000.0).expect("sent").to).or_default() += 1;
     }
     let max = out.values().max().expect("some");
-    assert!(*max <= 6, "spread of 16 calls over 4 idle backends: {out:?}");
+    assert!(*max <= 6, "spread of 16 requests over 4 idle backends: {out:?}");
 }
 
 #[test]
@@ -81,7 +81,7 @@
         late += usize::from(n >= 100 && sent.to == 2);
         p.end(sent, Outcome::Ok);
     }
-    assert!((1..20).contains(&late), "{late} of 300 calls to a backend three times as slow as the others");
+    assert!((1..20).contains(&late), "{late} of 300 requests to a backend three times as slow as the others");
 }
 
 #[test]
@@ -98,6 +98,6 @@
         p.end(sent, if fails { Outcome::Error } else { Outcome::Ok });
     }
     let [failing, served] = sent_to_failing;
-    assert!(failing < 20, "{failing} of 200 calls of the class that it fails");
-    assert!(served > 2 * failing, "{served} calls of the class that it serves, {failing} of the other");
+    assert!(failing < 20, "{failing} of 200 requests of the class that it fails");
+    assert!(served > 2 * failing, "{served} requests of the class that it serves, {failing} of the other");
 }
--- a/crates/decision/tests/sparse_instances.rs
+++ b/crates/decision/tests/sparse_instances.rs
@@ -8,13 +8,13 @@
 const INSTANCES: u32 = 300;
 const BACKENDS: u32 = 24;
 
-/// All copies of a fleet.
+/// All instances of a fleet.
 fn fleet() -> Vec<Proxy> {
     let copy = |rank| Proxy::new(Settings { rank, fleet_size: INSTANCES, ..settings() }, &backends(BACKENDS));
     (0..INSTANCES).map(copy).collect()
 }
 
-/// Calls for each backend that all copies let in at one moment, each asked for so many.
+/// Requests for each backend that all instances admit at one moment, each asked for so many.
 fn admitted_requests(fleet: &mut [Proxy], each: usize) -> f64 {
     let sum: usize = fleet
         .iter_mut()
@@ -29,14 +29,14 @@
     sum as f64 / f64::from(BACKENDS)
 }
 
-/// Every copy is asked for so many calls, one after another, each answered after a while.
+/// Every instance is asked for so many requests, one after another, each answered after a while.
 fn serve_sequentially(fleet: &mut [Proxy], calls: usize, took: Millis) {
     for p in fleet {
         for _ in 0..calls {
-            // Refused ones come again until one is let in.
+            // Rejected ones are sent again until one is admitted.
             let sent = (0..1_000)
                 .find_map(|_| p.send_request(0, 0, 4_000.0))
-                .expect("a gate is never shut for good");
+                .expect("a limiter is never closed for good");
             p.now += took;
             p.end(sent, Outcome::Ok);
             p.now += 200.0;
@@ -47,7 +47,7 @@
 #[test]
 fn what_new_instances_admit_adds_up_to_a_few_requests_per_backend() {
     let sum = admitted_requests(&mut fleet(), 20);
-    assert!((6.0..=16.0).contains(&sum), "{sum:.1} calls for each backend");
+    assert!((6.0..=16.0).contains(&sum), "{sum:.1} requests for each backend");
 }
 
 #[test]
@@ -55,11 +55,11 @@
     let mut fleet = fleet();
     serve_sequentially(&mut fleet, 1, 150.0);
     let (before, at_most) = (admitted_requests(&mut fleet, 1), admitted_requests(&mut fleet, 20));
-    // Three seconds at three calls a second: all of them in time.
+    // Three seconds at three requests a second: all of them in time.
     serve_sequentially(&mut fleet, 9, 150.0);
     let (after, at_most_after) = (admitted_requests(&mut fleet, 1), admitted_requests(&mut fleet, 20));
-    // However often a copy is asked, no second call is let in beside the first.
-    assert!(at_most_after < 1.2 * at_most, "{at_most:.1} calls for each backend, then {at_most_after:.1}");
+    // However often an instance is asked, no second request is admitted beside the first.
+    assert!(at_most_after < 1.2 * at_most, "{at_most:.1} requests for each backend, then {at_most_after:.1}");
     assert!(after > 1.1 * before, "and yet it rises: {before:.1}, {after:.1}");
 }
 
@@ -68,17 +68,20 @@
     let mut fleet = fleet();
     serve_sequentially(&mut fleet, 20, 150.0);
     let before = admitted_requests(&mut fleet, 1);
-    // Beyond the aim of 1 s; with few calls a second each answer is a second's news.
+    // Beyond the objective of 1 s; with few requests a second each answer is a second's worth of information.
     serve_sequentially(&mut fleet, 4, 1_300.0);
     let after = admitted_requests(&mut fleet, 1);
-    assert!(after < 0.8 * before, "{before:.1} calls for each backend, {after:.1} after four late answers");
+    assert!(
+        after < 0.8 * before,
+        "{before:.1} requests for each backend, {after:.1} after four late answers"
+    );
 }
 
 #[test]
 fn instances_with_a_backend_of_their_own_start_with_the_full_limit() {
     let mut own = Proxy::new(Settings { fleet_size: 24, ..settings() }, &backends(24));
     let out = (0..40).filter(|_| own.send_request(0, 0, 4_000.0).is_some()).count();
-    // Nine calls, twice of that while nothing was answered, and a part by chance.
+    // Nine requests, twice of that while nothing was answered, and a part at random.
     assert!((18..=19).contains(&out), "{out}");
 }
 
@@ -90,7 +93,7 @@
         for n in 0..50 {
             let sent = p
                 .send_request(0, 0, 4_000.0)
-                .unwrap_or_else(|| panic!("call {n} at one of {fleet_size} is refused"));
+                .unwrap_or_else(|| panic!("request {n} at one of {fleet_size} is rejected"));
             p.now += 100.0;
             p.end(sent, Outcome::Ok);
         }
