--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -96,9 +96,9 @@
 
 /// Calls sent to backend 2 of three in each tenth of a second, from when it was told to drain on.
 fn sent_to_draining(is_continuous: bool, rejects: bool) -> Vec<usize> {
-    let told = Settings { must_subscribe: true, ..settings() };
-    let grace = told.rules.drain_grace_ms;
-    let mut p = Proxy::new(told, &backends(3));
+    let subscribed = Settings { must_subscribe: true, ..settings() };
+    let grace = subscribed.rules.drain_grace_ms;
+    let mut p = Proxy::new(subscribed, &backends(3));
     p.list(ListKind::Delta, &[]);
     if !is_continuous {
         p.list(ListKind::Failed, &[]);
@@ -254,7 +254,7 @@
     classes: Vec<Class>,
     parallel: bool,
     list: BTreeMap<BackendId, BackendInfo>,
-    told: BTreeMap<RequestId, RequestRecord>,
+    records: BTreeMap<RequestId, RequestRecord>,
     next: RequestId,
 }
 
@@ -272,7 +272,7 @@
         let list: Vec<_> = (1..=9).map(|id| in_zone(id, (id % 3) as u16)).collect();
         let p = Proxy::new(settings, &list);
         let list = list.into_iter().map(|b| (b.id, b)).collect();
-        World { p, classes, parallel, list, told: BTreeMap::new(), next: 1 }
+        World { p, classes, parallel, list, records: BTreeMap::new(), next: 1 }
     }
 
     /// Carries out the actions of the last event and checks each against the rules.
@@ -280,14 +280,14 @@
         for action in self.p.last.clone() {
             match action {
                 Action::Send { request, backend, timeout_ms } => {
-                    let told = self.told.get_mut(&request).expect("a request that was given");
-                    prop_assert!(!told.answered, "sent after its end");
-                    prop_assert!(self.parallel || told.out.is_empty(), "two attempts out");
+                    let record = self.records.get_mut(&request).expect("a request that was given");
+                    prop_assert!(!record.answered, "sent after its end");
+                    prop_assert!(self.parallel || record.out.is_empty(), "two attempts out");
                     prop_assert!(self.list[&backend].state == BackendState::Ready, "sent to {:?}", backend);
-                    prop_assert!(timeout_ms > 0.0 && self.p.now + timeout_ms <= told.deadline + 1e-6);
-                    prop_assert!(told.attempts < 5);
-                    let class = &self.classes[told.class];
-                    let risk = told.may_have_run;
+                    prop_assert!(timeout_ms > 0.0 && self.p.now + timeout_ms <= record.deadline + 1e-6);
+                    prop_assert!(record.attempts < 5);
+                    let class = &self.classes[record.class];
+                    let risk = record.may_have_run;
                     let (a, b) = (risk.map(|r| self.list[&r.0]), self.list[&backend]);
                     match (class.retry_safety, risk) {
                         (RetrySafety::NonIdempotent, Some(_)) => {
@@ -305,51 +305,51 @@
                         }
                         _ => {}
                     }
-                    told.out.push((told.attempts, backend));
-                    told.attempts += 1;
+                    record.out.push((record.attempts, backend));
+                    record.attempts += 1;
                 }
                 Action::Reject { request, .. } => {
-                    let told = self.told.get_mut(&request).expect("given");
-                    prop_assert!(!told.answered, "a second answer");
-                    let effect = self.classes[told.class].retry_safety;
+                    let record = self.records.get_mut(&request).expect("given");
+                    prop_assert!(!record.answered, "a second answer");
+                    let effect = self.classes[record.class].retry_safety;
                     prop_assert!(
-                        effect == RetrySafety::Idempotent || told.may_have_run.is_none(),
+                        effect == RetrySafety::Idempotent || record.may_have_run.is_none(),
                         "a refusal that lies"
                     );
-                    told.answered = true;
+                    record.answered = true;
                 }
                 Action::Fail { request, .. } => {
-                    let told = self.told.get_mut(&request).expect("given");
-                    prop_assert!(!told.answered, "a second answer");
-                    told.answered = true;
+                    let record = self.records.get_mut(&request).expect("given");
+                    prop_assert!(!record.answered, "a second answer");
+                    record.answered = true;
                 }
                 _ => {}
             }
         }
-        for told in self.told.values() {
-            prop_assert!(told.answered || !told.out.is_empty(), "a request is held with nothing out");
+        for record in self.records.values() {
+            prop_assert!(record.answered || !record.out.is_empty(), "a request is held with nothing out");
         }
         Ok(())
     }
 
     fn pending(&self, nth: usize) -> Option<(RequestId, u8)> {
-        let all: Vec<_> = self.told.iter().flat_map(|(id, t)| t.out.iter().map(|o| (*id, o.0))).collect();
+        let all: Vec<_> = self.records.iter().flat_map(|(id, t)| t.out.iter().map(|o| (*id, o.0))).collect();
         (!all.is_empty()).then(|| all[nth % all.len()])
     }
 
     fn end(&mut self, request: RequestId, attempt: u8, outcome: Outcome) -> Result<(), TestCaseError> {
-        let told = self.told.get_mut(&request).expect("given");
-        let place = told.out.iter().position(|o| o.0 == attempt).expect("out");
-        let (_, backend) = told.out.remove(place);
-        if !outcome.never_ran() && told.may_have_run.is_none() {
+        let record = self.records.get_mut(&request).expect("given");
+        let place = record.out.iter().position(|o| o.0 == attempt).expect("out");
+        let (_, backend) = record.out.remove(place);
+        if !outcome.never_ran() && record.may_have_run.is_none() {
             // Any moment up to now bounds the send from above; the test waits little between them.
-            told.may_have_run = Some((backend, self.p.now - self.classes[told.class].dedup_window_ms));
+            record.may_have_run = Some((backend, self.p.now - self.classes[record.class].dedup_window_ms));
             if outcome != Outcome::Ok {
-                told.may_have_run = Some((backend, self.p.now));
+                record.may_have_run = Some((backend, self.p.now));
             }
         }
-        let ended = outcome == Outcome::Ok || told.answered;
-        told.answered |= ended;
+        let ended = outcome == Outcome::Ok || record.answered;
+        record.answered |= ended;
         self.p.event(attempt_ended(request, attempt, backend, outcome, 10.0, ended));
         self.check()
     }
@@ -360,7 +360,7 @@
                 let id = self.next;
                 self.next += 1;
                 let deadline = self.p.now + ttl;
-                self.told
+                self.records
                     .insert(id, RequestRecord { class: class.into(), deadline, ..RequestRecord::default() });
                 self.p.event(request(id, class, tenant, ttl));
                 self.check()
@@ -371,14 +371,14 @@
             },
             Step::Disconnect { nth } => {
                 let Some((request, _)) = self.pending(nth) else { return Ok(()) };
-                self.told.get_mut(&request).expect("given").answered = true;
+                self.records.get_mut(&request).expect("given").answered = true;
                 self.p.event(Event::ClientGone { request });
                 self.check()
             }
             Step::Wait { ms } => {
                 self.p.now += ms;
                 // At its deadline an attempt times out, as the proxy would report it.
-                let late = self.told.iter().filter(|(_, t)| t.deadline <= self.p.now);
+                let late = self.records.iter().filter(|(_, t)| t.deadline <= self.p.now);
                 let late: Vec<_> =
                     late.flat_map(|(id, t)| t.out.iter().map(|o| (*id, o.0)).collect::<Vec<_>>()).collect();
                 late.into_iter().try_for_each(|(id, attempt)| self.end(id, attempt, Outcome::Timeout))
