--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -280,33 +280,7 @@
         for action in self.p.last.clone() {
             match action {
                 Action::Send { request, backend, timeout_ms } => {
-                    let record = self.records.get_mut(&request).expect("a request that was given");
-                    prop_assert!(!record.answered, "sent after its end");
-                    prop_assert!(self.parallel || record.out.is_empty(), "two attempts out");
-                    prop_assert!(self.list[&backend].state == BackendState::Ready, "sent to {:?}", backend);
-                    prop_assert!(timeout_ms > 0.0 && self.p.now + timeout_ms <= record.deadline + 1e-6);
-                    prop_assert!(record.attempts < 5);
-                    let class = &self.classes[record.class];
-                    let risk = record.may_have_run;
-                    let (a, b) = (risk.map(|r| self.list[&r.0]), self.list[&backend]);
-                    match (class.retry_safety, risk) {
-                        (RetrySafety::NonIdempotent, Some(_)) => {
-                            prop_assert!(false, "retried what may have run")
-                        }
-                        (RetrySafety::IdempotencyKey, Some((_, at))) => {
-                            prop_assert!(self.p.now - at < class.dedup_window_ms);
-                            let (a, b) = (a.map(|a| (a.zone, a.cell)), (b.zone, b.cell));
-                            prop_assert!(
-                                class.dedup_scope != DedupScope::Zone || a.map(|a| a.0) == Some(b.0)
-                            );
-                            prop_assert!(
-                                class.dedup_scope != DedupScope::Cell || a.map(|a| a.1) == Some(b.1)
-                            );
-                        }
-                        _ => {}
-                    }
-                    record.out.push((record.attempts, backend));
-                    record.attempts += 1;
+                    self.check_send(request, backend, timeout_ms)?;
                 }
                 Action::Reject { request, .. } => {
                     let record = self.records.get_mut(&request).expect("given");
@@ -332,6 +306,39 @@
         Ok(())
     }
 
+    /// Checks one send against the rules and notes it.
+    fn check_send(
+        &mut self,
+        request: RequestId,
+        backend: BackendId,
+        timeout_ms: Millis,
+    ) -> Result<(), TestCaseError> {
+        let record = self.records.get_mut(&request).expect("a request that was given");
+        prop_assert!(!record.answered, "sent after its end");
+        prop_assert!(self.parallel || record.out.is_empty(), "two attempts out");
+        prop_assert!(self.list[&backend].state == BackendState::Ready, "sent to {:?}", backend);
+        prop_assert!(timeout_ms > 0.0 && self.p.now + timeout_ms <= record.deadline + 1e-6);
+        prop_assert!(record.attempts < 5);
+        let class = &self.classes[record.class];
+        let risk = record.may_have_run;
+        let (a, b) = (risk.map(|r| self.list[&r.0]), self.list[&backend]);
+        match (class.retry_safety, risk) {
+            (RetrySafety::NonIdempotent, Some(_)) => {
+                prop_assert!(false, "retried what may have run")
+            }
+            (RetrySafety::IdempotencyKey, Some((_, at))) => {
+                prop_assert!(self.p.now - at < class.dedup_window_ms);
+                let (a, b) = (a.map(|a| (a.zone, a.cell)), (b.zone, b.cell));
+                prop_assert!(class.dedup_scope != DedupScope::Zone || a.map(|a| a.0) == Some(b.0));
+                prop_assert!(class.dedup_scope != DedupScope::Cell || a.map(|a| a.1) == Some(b.1));
+            }
+            _ => {}
+        }
+        record.out.push((record.attempts, backend));
+        record.attempts += 1;
+        Ok(())
+    }
+
     fn pending(&self, nth: usize) -> Option<(RequestId, u8)> {
         let all: Vec<_> = self.records.iter().flat_map(|(id, t)| t.out.iter().map(|o| (*id, o.0))).collect();
         (!all.is_empty()).then(|| all[nth % all.len()])
