--- a/crates/hillstall/src/admin.rs
+++ b/crates/hillstall/src/admin.rs
@@ -1,5 +1,6 @@
-//! The second address: one line a connection, for those who operate the proxy.
+//! Admin commands on the second address: one line and its answer per connection.
 
+use hillstall_coordination::CoordinationHandle;
 use hillstall_http1::client::HttpClient;
 use hillstall_http1::front::Server;
 use hillstall_proxy_core::driver::Driver;
@@ -14,106 +15,80 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, timeout};
 
-/// Longest wait for a call and for the reading of its answer.
-const CALL_TIME: Duration = Duration::from_secs(2);
-/// Longest line, its end included.
-const LINE_MOST: usize = 256;
-/// How much more than its line is read of a caller, so that the answer is not lost to a reset.
-const MORE_MOST: usize = 64 * 1024;
+/// Longest time for a command and for the reading of its answer.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause after a failed accept.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Longest line in bytes, its end included.
+const MAX_LINE: usize = 256;
+/// Bytes that are read of a client after its line, so that the answer is not lost to a connection reset.
+const MAX_TRAILING_BYTES: usize = 64 * 1024;
 
-/// What the calls read and change.
+/// What the commands read and change.
 pub struct Admin {
     /// The state that `LAMEDUCK` and `REJOIN` change.
     pub lifecycle: Rc<Lifecycle>,
-    /// The figures of `INFO`.
+    /// The metrics of `INFO`.
     pub metrics: Rc<Metrics>,
     /// Knows the backends.
     pub driver: Rc<Driver<HttpClient>>,
     /// Knows whether clients can be served.
     pub server: Rc<Server>,
-    /// The fleet's part, where it is on.
-    pub fleet: Option<Rc<hillstall_coordination::CoordinationHandle>>,
+    /// The coordination runtime, where it is on.
+    pub coordination: Option<Rc<CoordinationHandle>>,
 }
 
 impl Admin {
-    /// Answers calls for ever. At most a few are open at once: callers that say nothing are the first to give
-    /// way, so that they delay nobody.
+    /// Serves connections for ever. Only a few are open at once: the oldest is closed for a new one, so that idle
+    /// clients delay nobody.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
-        let mut calls: VecDeque<AbortHandle> = VecDeque::new();
+        let mut connections: VecDeque<AbortHandle> = VecDeque::new();
         loop {
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(e) => {
                     tracing::warn!("admin_addr: {e}");
-                    sleep(Duration::from_millis(20)).await;
+                    sleep(ACCEPT_RETRY_INTERVAL).await;
                     continue;
                 }
             };
-            calls.retain(|call| !call.is_finished());
-            if calls.len() >= MAX_ADMIN_CONNECTIONS {
-                if let Some(oldest) = calls.pop_front() {
+            connections.retain(|connection| !connection.is_finished());
+            if connections.len() >= MAX_ADMIN_CONNECTIONS {
+                if let Some(oldest) = connections.pop_front() {
                     oldest.abort();
                 }
             }
             let admin = self.clone();
-            let call = spawn_local(async move {
-                let _ = timeout(CALL_TIME, admin.call(stream)).await;
+            let connection = spawn_local(async move {
+                let _ = timeout(CONNECTION_TIMEOUT, admin.serve_connection(stream)).await;
             });
-            calls.push_back(call.abort_handle());
+            connections.push_back(connection.abort_handle());
         }
     }
 
-    async fn call(&self, mut stream: TcpStream) -> std::io::Result<()> {
-        let mut line = Vec::with_capacity(LINE_MOST);
-        let mut byte = [0; LINE_MOST];
-        let whole = loop {
-            let room = LINE_MOST - line.len();
-            let n = stream.read(&mut byte[..room]).await?;
-            line.extend_from_slice(&byte[..n]);
-            let end = line.iter().position(|b| *b == b'\n');
-            if let Some(end) = end.or((n == 0).then_some(line.len())) {
-                break Some(&line[..end]);
-            }
-            if line.len() == LINE_MOST {
-                break None;
-            }
-        };
-        let answer = match whole {
-            Some(line) => {
-                let line = line.strip_suffix(b"\r").unwrap_or(line);
-                let text = std::str::from_utf8(line).unwrap_or_default();
-                match self.fleet.as_ref().and_then(|fleet| fleet.admin_command(text)) {
-                    // The fleet's part has failed, and calls go on.
-                    Some(answer) => {
-                        answer.await.unwrap_or_else(|_| "500 the fleet's part has ended\n".into())
-                    }
-                    None => self.answer(line),
-                }
-            }
+    async fn serve_connection(&self, mut stream: TcpStream) -> std::io::Result<()> {
+        let answer = match read_line(&mut stream).await? {
+            Some(line) => self.execute(&line).await,
             None => "400 the line is too long\n".to_string(),
         };
         stream.write_all(answer.as_bytes()).await?;
         stream.shutdown().await?;
-        let mut rest = 0;
-        while rest < MORE_MOST {
-            match stream.read(&mut byte).await? {
-                0 => break,
-                n => rest += n,
-            }
+        discard_trailing_bytes(&mut stream).await
+    }
+
+    /// Executes a command and returns its answer.
+    async fn execute(&self, line: &[u8]) -> String {
+        let text = std::str::from_utf8(line).unwrap_or_default();
+        match self.coordination.as_ref().and_then(|coordination| coordination.admin_command(text)) {
+            // If coordination has failed, requests are still served.
+            Some(answer) => answer.await.unwrap_or_else(|_| "500 the fleet's part has ended\n".into()),
+            None => self.execute_proxy_command(line),
         }
-        Ok(())
     }
 
-    fn answer(&self, line: &[u8]) -> String {
+    fn execute_proxy_command(&self, line: &[u8]) -> String {
         match line {
-            b"PING" => match (self.lifecycle.phase(), self.server.is_ready()) {
-                (Phase::Starting, _) => "400 starting\n",
-                (Phase::Serving, true) => "200 serving\n",
-                (Phase::Serving, false) => "400 no backend list yet\n",
-                (Phase::Draining, _) => "400 draining\n",
-                (Phase::Stopping, _) => "400 stopping\n",
-            }
-            .to_string(),
+            b"PING" => self.serving_state().to_string(),
             b"INFO" => self.metrics.render(self.driver.cluster()) + "EOF\n",
             b"LAMEDUCK" if self.lifecycle.drain() => "200 draining\n".to_string(),
             b"REJOIN" if self.lifecycle.rejoin() => "200 serving\n".to_string(),
@@ -121,4 +96,50 @@
             _ => "400 not a call; there are PING, INFO, LAMEDUCK and REJOIN\n".to_string(),
         }
     }
+
+    /// The answer of `PING`.
+    fn serving_state(&self) -> &'static str {
+        match (self.lifecycle.phase(), self.server.is_ready()) {
+            (Phase::Starting, _) => "400 starting\n",
+            (Phase::Serving, true) => "200 serving\n",
+            (Phase::Serving, false) => "400 no backend list yet\n",
+            (Phase::Draining, _) => "400 draining\n",
+            (Phase::Stopping, _) => "400 stopping\n",
+        }
+    }
+}
+
+/// Reads a line without its end; nothing if it is too long. The end of the stream ends a line too.
+async fn read_line(stream: &mut TcpStream) -> std::io::Result<Option<Vec<u8>>> {
+    let mut line = Vec::with_capacity(MAX_LINE);
+    let mut buffer = [0; MAX_LINE];
+    loop {
+        let remaining = MAX_LINE - line.len();
+        let read = stream.read(&mut buffer[..remaining]).await?;
+        line.extend_from_slice(&buffer[..read]);
+        let newline = line.iter().position(|byte| *byte == b'\n');
+        if let Some(end) = newline.or((read == 0).then_some(line.len())) {
+            line.truncate(end);
+            if line.last() == Some(&b'\r') {
+                line.pop();
+            }
+            return Ok(Some(line));
+        }
+        if line.len() == MAX_LINE {
+            return Ok(None);
+        }
+    }
+}
+
+/// Reads and drops what a client sends after its line, up to a limit.
+async fn discard_trailing_bytes(stream: &mut TcpStream) -> std::io::Result<()> {
+    let mut buffer = [0; MAX_LINE];
+    let mut discarded = 0;
+    while discarded < MAX_TRAILING_BYTES {
+        match stream.read(&mut buffer).await? {
+            0 => break,
+            read => discarded += read,
+        }
+    }
+    Ok(())
 }
--- a/crates/hillstall/src/cli.rs
+++ b/crates/hillstall/src/cli.rs
@@ -1,53 +1,44 @@
-//! The command line.
+//! The command line. The comments on commands and arguments are the texts of `--help`.
 
 use crate::operator::Sources;
 use clap::{Args, Parser, Subcommand};
 use clap_complete::Shell;
+use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What the program ends with; `docs/operate/command-line.md` has the table.
-pub mod exit {
-    /// It did what was asked.
-    pub const OK: u8 = 0;
-    /// It failed while it ran, as when an address is taken.
-    pub const FAILED: u8 = 1;
-    /// A configuration is wrong. (2 is a wrong command line: clap ends with that.)
-    pub const CONFIGURATION: u8 = 3;
-}
-
 /// A proxy whose every decision about a call is made by one small module.
 #[derive(Parser)]
 #[command(name = "hillstall", version, about, max_term_width = 100)]
-pub struct Command {
+pub struct CommandLine {
     /// What to do; `run` where nothing is said
     #[command(subcommand)]
-    pub what: Option<What>,
-    /// How the operator sets it.
+    pub command: Option<Command>,
+    /// Where the operator's settings come from.
     #[command(flatten)]
-    pub set: Set,
+    pub overrides: SettingOverrides,
 }
 
-/// Where the operator's settings come from.
+/// Where the operator's settings come from, beside the environment.
 #[derive(Args, Clone)]
-pub struct Set {
+pub struct SettingOverrides {
     /// The operator file
-    #[arg(long, value_name = "FILE", env = "HILLSTALL_OPERATOR_FILE", global = true)]
-    operator: Option<PathBuf>,
+    #[arg(long = "operator", value_name = "FILE", env = "HILLSTALL_OPERATOR_FILE", global = true)]
+    operator_file: Option<PathBuf>,
     /// One key of the operator file, which goes before file and environment
     #[arg(long = "set", value_name = "KEY=VALUE", global = true)]
-    set: Vec<String>,
+    assignments: Vec<String>,
 }
 
-impl Set {
-    /// The sources in the form of the operator's reader.
+impl SettingOverrides {
+    /// The sources that the reader of the operator's settings takes.
     pub fn sources(&self) -> Sources {
-        Sources { file: self.operator.clone(), flags: self.set.clone() }
+        Sources { file: self.operator_file.clone(), flags: self.assignments.clone() }
     }
 }
 
-/// What the program can do.
+/// The commands of the program.
 #[derive(Subcommand)]
-pub enum What {
+pub enum Command {
     /// Run the proxy that $NODE_CONFIG describes
     Run,
     /// Check files and tell all that is wrong: operator files (.toml) and platform files (.json)
@@ -60,22 +51,23 @@
     Config {
         /// What to do with it
         #[command(subcommand)]
-        what: Config,
+        command: ConfigCommand,
     },
     /// Run the proxy in front of stand-in servers, for a first look
     Demo {
         /// Where callers connect
         #[arg(long, default_value = "127.0.0.1:7070")]
-        listen: std::net::SocketAddr,
+        listen: SocketAddr,
         /// Stand-in servers
         #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u16).range(1..=64))]
         servers: u16,
     },
     /// Rehearse failures in simulated time, and hold policies against each other
-    Lab {
+    #[command(name = "lab")]
+    Simulation {
         /// What to do
         #[command(subcommand)]
-        what: crate::simulation::Lab,
+        command: crate::simulation::SimulationCommand,
     },
     /// Print a script that completes commands in a shell
     Completions {
@@ -86,7 +78,7 @@
 
 /// What can be done with the configuration.
 #[derive(Subcommand)]
-pub enum Config {
+pub enum ConfigCommand {
     /// Show every key, its value, and where that came from
     Show {
         /// As one JSON object
--- a/crates/hillstall/src/commands.rs
+++ b/crates/hillstall/src/commands.rs
@@ -1,107 +1,166 @@
-//! The commands that look at configurations.
+//! The commands that run a proxy or show and check configurations.
 
-use crate::cli::{exit, Command, Set};
-use crate::operator::{Operator, Sources, Wrong};
-use crate::{environment, platform, say};
+use crate::cli::{CommandLine, SettingOverrides};
+use crate::config::{self, Config};
+use crate::exit_status::ExitStatus;
+use crate::logs::{report_dropped_lines, Logs};
+use crate::operator::{ConfigProblem, OperatorConfig, Sources};
+use crate::output::{print, print_message};
+use crate::proxy::RunError;
+use crate::{demo, environment, platform, proxy};
 use clap::CommandFactory;
 use clap_complete::Shell;
+use serde_json::{json, Map, Value};
+use std::fmt::Display;
 use std::io::Write;
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
+use tokio::runtime::Builder;
+use tokio::task::LocalSet;
 
-/// Writes to standard output. Guards against a panic where the reader has left, as `head` does.
-pub fn print(text: &str) {
-    let _ = std::io::stdout().write_all(text.as_bytes());
+/// Runs the proxy that the platform's configuration describes, until SIGTERM.
+pub fn run(overrides: SettingOverrides) -> ExitStatus {
+    run_proxy(overrides, || config::load(environment))
 }
 
-/// What the operator has set, or all that is wrong with it.
-pub fn operator(set: &Set) -> Result<Operator, Vec<Wrong>> {
-    Operator::read(&set.sources(), environment)
+/// Runs a proxy in front of stand-in servers.
+pub fn demo(overrides: SettingOverrides, listen: SocketAddr, servers: u16) -> ExitStatus {
+    run_proxy(overrides, || {
+        let config = demo::start(listen, servers)?;
+        print_message(demo::usage_hint(listen));
+        Ok::<_, demo::DemoError>(config)
+    })
 }
 
-/// Tells all faults, one a line.
-pub fn tell(wrong: &[Wrong]) -> u8 {
-    wrong.iter().for_each(say);
-    exit::CONFIGURATION
+/// Reads the operator's settings, then loads the platform's configuration, and runs a proxy until SIGTERM.
+fn run_proxy<E: Display>(
+    overrides: SettingOverrides,
+    load: impl FnOnce() -> Result<Config, E>,
+) -> ExitStatus {
+    let operator = match OperatorConfig::read(&overrides.sources(), environment) {
+        Ok(operator) => operator,
+        Err(problems) => return print_problems(&problems),
+    };
+    let config = match load() {
+        Ok(config) => config,
+        Err(error) => {
+            print_message(error);
+            return ExitStatus::InvalidConfig;
+        }
+    };
+    match block_on_proxy(config, operator, overrides) {
+        Ok(()) => ExitStatus::Success,
+        Err(error) => {
+            print_message(error);
+            ExitStatus::Failure
+        }
+    }
+}
+
+/// Runs the proxy on this thread, with the log of the process around it.
+fn block_on_proxy(
+    config: Config,
+    operator: OperatorConfig,
+    overrides: SettingOverrides,
+) -> Result<(), RunError> {
+    // The log goes last. Lines that were dropped are not reported then: a reader that is stuck would delay the end.
+    let logs = Logs::start(operator.choice("log.format"), operator.choice("log.level"));
+    let runtime = Builder::new_current_thread().enable_all().build().map_err(RunError::Runtime)?;
+    let tasks = LocalSet::new();
+    tasks.spawn_local(report_dropped_lines(logs.dropped()));
+    tasks.block_on(&runtime, proxy::run(config, operator, overrides))
+}
+
+/// Prints all problems of a configuration, one a line.
+fn print_problems(problems: &[ConfigProblem]) -> ExitStatus {
+    problems.iter().for_each(print_message);
+    ExitStatus::InvalidConfig
 }
 
-/// The exit code of a command that reads files; its error is told.
-pub fn done(result: Result<(), String>) -> u8 {
+/// The exit status of a command that reads files; prints its error.
+pub fn finish(result: Result<(), impl Display>) -> ExitStatus {
     match result {
-        Ok(()) => exit::OK,
-        Err(why) => {
-            say(why);
-            exit::CONFIGURATION
+        Ok(()) => ExitStatus::Success,
+        Err(error) => {
+            print_message(error);
+            ExitStatus::InvalidConfig
         }
     }
 }
 
-/// Checks files; the ending tells of which kind each is.
-pub fn check(files: &[PathBuf]) -> u8 {
-    let mut faults = 0;
+/// Checks files and prints all problems. The extension says which kind of file it is.
+pub fn check(files: &[PathBuf]) -> ExitStatus {
+    let mut status = ExitStatus::Success;
     for file in files {
-        let told: Vec<String> = match file.extension().and_then(|e| e.to_str()) {
-            Some("toml") => of_operator(file),
-            Some("json") => platform::faults(file),
-            _ => vec![format!(
-                "{}: neither an operator file (.toml) nor a platform file (.json)",
-                file.display()
-            )],
-        };
-        faults += told.len();
-        told.iter().for_each(|fault| print(&format!("{fault}\n")));
-        if told.is_empty() {
+        let problems = problems_of(file);
+        if problems.is_empty() {
             print(&format!("{}: good\n", file.display()));
+            continue;
+        }
+        status = ExitStatus::InvalidConfig;
+        for problem in problems {
+            print(&format!("{problem}\n"));
         }
     }
-    if faults == 0 {
-        exit::OK
-    } else {
-        exit::CONFIGURATION
+    status
+}
+
+fn problems_of(file: &Path) -> Vec<String> {
+    match file.extension().and_then(|extension| extension.to_str()) {
+        Some("toml") => operator_problems(file),
+        Some("json") => platform::find_problems(file),
+        _ => {
+            vec![format!("{}: neither an operator file (.toml) nor a platform file (.json)", file.display())]
+        }
     }
 }
 
-fn of_operator(file: &Path) -> Vec<String> {
+fn operator_problems(file: &Path) -> Vec<String> {
     let sources = Sources { file: Some(file.to_path_buf()), flags: Vec::new() };
-    match Operator::read(&sources, |_| None) {
+    match OperatorConfig::read(&sources, |_| None) {
         Ok(_) => Vec::new(),
-        Err(wrong) => wrong.iter().map(ToString::to_string).collect(),
+        Err(problems) => problems.iter().map(ToString::to_string).collect(),
     }
 }
 
 /// Shows every key with its value, where that came from, and what it does.
-pub fn show(set: &Set, json: bool) -> u8 {
-    let operator = match operator(set) {
+pub fn show(overrides: &SettingOverrides, json: bool) -> ExitStatus {
+    let operator = match OperatorConfig::read(&overrides.sources(), environment) {
         Ok(operator) => operator,
-        Err(wrong) => return tell(&wrong),
+        Err(problems) => return print_problems(&problems),
     };
-    if json {
-        let all: serde_json::Map<_, _> = operator
-            .shown()
-            .map(|(key, value, from)| {
-                let entry = serde_json::json!({
-                    "value": value.to_string(), "from": from.to_string(), "default": key.default,
-                    "reloads": key.reloads, "variable": key.variable(), "help": key.help,
-                });
-                (key.name.to_string(), entry)
-            })
-            .collect();
-        print(&format!("{}\n", serde_json::Value::Object(all)));
-        return exit::OK;
+    match json {
+        true => print(&format!("{}\n", settings_json(&operator))),
+        false => print(&settings_table(&operator)),
     }
+    ExitStatus::Success
+}
+
+fn settings_json(operator: &OperatorConfig) -> Value {
+    let entries = operator.entries().map(|(key, value, origin)| {
+        let entry = json!({
+            "value": value.to_string(), "from": origin.to_string(), "default": key.default,
+            "reloads": key.reloads, "variable": key.variable(), "help": key.help,
+        });
+        (key.name.to_string(), entry)
+    });
+    Value::Object(entries.collect::<Map<_, _>>())
+}
+
+fn settings_table(operator: &OperatorConfig) -> String {
     let mut table = String::new();
-    for (key, value, from) in operator.shown() {
-        let value = value.to_string();
+    for (key, value, origin) in operator.entries() {
+        let (value, origin) = (value.to_string(), origin.to_string());
         let note = if key.reloads { "" } else { " (needs a restart)" };
-        table.push_str(&format!("{:24} {value:10} {:32} {}{note}\n", key.name, from.to_string(), key.help));
+        table.push_str(&format!("{:24} {value:10} {origin:32} {}{note}\n", key.name, key.help));
     }
-    print(&table);
-    exit::OK
+    table
 }
 
-/// Prints a script for a shell.
-pub fn completions(shell: Shell) -> u8 {
+/// Prints a script that completes commands in a shell.
+pub fn completions(shell: Shell) -> ExitStatus {
     let mut script = Vec::new();
-    clap_complete::generate(shell, &mut Command::command(), "hillstall", &mut script);
+    clap_complete::generate(shell, &mut CommandLine::command(), "hillstall", &mut script);
     let _ = std::io::stdout().write_all(&script);
-    exit::OK
+    ExitStatus::Success
 }
--- a/crates/hillstall/src/config.rs
+++ b/crates/hillstall/src/config.rs
@@ -1,37 +1,113 @@
-//! What the platform tells a proxy: `NODE_CONFIG` and the environment.
+//! The platform's configuration of a proxy: the file that `NODE_CONFIG` names, and the environment.
 
 use hillstall_decision::Settings;
 use hillstall_proxy_core::endpoints::EndpointList;
+use hillstall_settings::SettingsError;
 use serde::Deserialize;
 use serde_json::Value;
-use std::net::SocketAddr;
+use std::net::{AddrParseError, SocketAddr};
+use std::num::ParseIntError;
 
-/// Descriptors a process may hold, and its memory, where the configuration does not say.
-const USUAL_SOCKETS: usize = 1_024;
-const USUAL_MEMORY_MB: usize = 192;
+/// File descriptors that the process may use where the configuration sets no limit.
+const DEFAULT_SOCKETS: usize = 1_024;
+/// Memory, in MiB, that the process may use where the configuration sets no limit.
+const DEFAULT_MEMORY_MB: usize = 192;
 
-/// All that a proxy knows at its start.
+/// What a proxy knows when it starts.
 pub struct Config {
-    /// Where callers connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Where the operators connect, if anywhere.
+    /// The address for admin commands, if any.
     pub admin: Option<SocketAddr>,
-    /// Where discovery answers.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// For the module's random numbers.
+    /// The seed of the decision module's random numbers.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// File descriptors that the process may use.
     pub sockets: usize,
-    /// Memory that the process may hold.
+    /// Memory that the process may use, in MiB.
     pub memory_mb: usize,
-    /// The backends as this proxy had them last.
+    /// The endpoint list that this proxy had last.
     pub known: EndpointList,
-    /// The module's settings.
+    /// The settings of the decision module.
     pub settings: Settings,
 }
 
+/// Why the configuration can't be loaded.
+#[derive(Debug, thiserror::Error)]
+pub enum LoadError {
+    /// The environment names no file.
+    #[error("NODE_CONFIG is not set")]
+    NoFile,
+    /// The file can't be read.
+    #[error("{path}: {source}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// The cause.
+        source: std::io::Error,
+    },
+    /// The content of the file is invalid.
+    #[error("{path}: {source}")]
+    Invalid {
+        /// The file.
+        path: String,
+        /// The cause.
+        source: ParseError,
+    },
+}
+
+/// Why the text of a configuration is invalid.
+#[derive(Debug, thiserror::Error)]
+pub enum ParseError {
+    /// It is not JSON.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// A key is missing or has a value of the wrong type.
+    #[error(transparent)]
+    Key(#[from] serde_path_to_error::Error<serde_json::Error>),
+    /// Neither the file nor the environment has a required key.
+    #[error("{key}: it is missing")]
+    Missing {
+        /// The key.
+        key: &'static str,
+    },
+    /// A key that must be an address is not.
+    #[error("{key}: {source}")]
+    Address {
+        /// The key.
+        key: &'static str,
+        /// The cause.
+        source: InvalidAddress,
+    },
+    /// The seed is invalid.
+    #[error("seed: {0}")]
+    Seed(#[from] InvalidSeed),
+    /// The settings of the decision module are invalid.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+}
+
+/// A text that is not an IP address with a port.
+#[derive(Debug, thiserror::Error)]
+#[error("{text:?} is not an address")]
+pub struct InvalidAddress {
+    text: String,
+    source: AddrParseError,
+}
+
+/// A text that is not a hexadecimal number of 64 bits.
+#[derive(Debug, thiserror::Error)]
+#[error("{text:?} is not a number in hexadecimal")]
+pub struct InvalidSeed {
+    text: String,
+    source: ParseIntError,
+}
+
+/// The JSON form of the file. `expecting` keeps the text of the error for a file that is not an object.
 #[derive(Deserialize)]
-struct Raw {
+#[serde(expecting = "struct Raw")]
+struct RawConfig {
     listen: Option<String>,
     admin_addr: Option<String>,
     discovery: Option<String>,
@@ -50,54 +126,67 @@
     memory_mb: Option<usize>,
 }
 
-/// Reads the file that `NODE_CONFIG` names. An address in the environment goes before the file's.
-pub fn load(env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-    let path = env("NODE_CONFIG").ok_or("NODE_CONFIG is not set")?;
-    let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
-    parse(&text, env).map_err(|e| format!("{path}: {e}"))
+/// Loads the file that `NODE_CONFIG` names. An address in the environment takes precedence over the file's.
+pub fn load(env: impl Fn(&str) -> Option<String>) -> Result<Config, LoadError> {
+    let (path, text) = read_file(&env)?;
+    parse(&text, env).map_err(|source| LoadError::Invalid { path, source })
 }
 
-/// Reads the file again and gives its address of discovery. Now the file goes before the environment, which
-/// can't have changed.
-pub fn reload(env: impl Fn(&str) -> Option<String>) -> Result<SocketAddr, String> {
+/// Loads the file again and returns its discovery address. Here the file takes precedence over the environment,
+/// which can't have changed.
+pub fn reload(env: impl Fn(&str) -> Option<String>) -> Result<SocketAddr, LoadError> {
     #[derive(Deserialize)]
-    struct Changed {
+    #[serde(expecting = "struct Changed")]
+    struct Reloaded {
         discovery: SocketAddr,
     }
-    let path = env("NODE_CONFIG").ok_or("NODE_CONFIG is not set")?;
-    let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
-    let changed: Changed = serde_json::from_slice(&text).map_err(|e| format!("{path}: {e}"))?;
-    Ok(changed.discovery)
+    let (path, text) = read_file(&env)?;
+    match serde_json::from_slice::<Reloaded>(&text) {
+        Ok(reloaded) => Ok(reloaded.discovery),
+        Err(error) => Err(LoadError::Invalid { path, source: error.into() }),
+    }
+}
+
+/// The path of the file that `NODE_CONFIG` names, and its content.
+fn read_file(env: impl Fn(&str) -> Option<String>) -> Result<(String, Vec<u8>), LoadError> {
+    let path = env("NODE_CONFIG").ok_or(LoadError::NoFile)?;
+    match std::fs::read(&path) {
+        Ok(text) => Ok((path, text)),
+        Err(source) => Err(LoadError::Unreadable { path, source }),
+    }
 }
 
-/// Reads an address.
-pub fn address(text: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("{text:?} is not an address"))
+/// Parses an IP address with a port.
+pub fn parse_address(text: &str) -> Result<SocketAddr, InvalidAddress> {
+    text.parse().map_err(|source| InvalidAddress { text: text.to_string(), source })
 }
 
-/// Reads a seed.
-pub fn seed(text: &str) -> Result<u64, String> {
-    u64::from_str_radix(text, 16).map_err(|_| format!("{text:?} is not a number in hexadecimal"))
+/// Parses a seed, a hexadecimal number of 64 bits.
+pub fn parse_seed(text: &str) -> Result<u64, InvalidSeed> {
+    u64::from_str_radix(text, 16).map_err(|source| InvalidSeed { text: text.to_string(), source })
 }
 
-/// Reads the text of the file.
-pub fn parse(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-    let raw: Raw = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(text))
-        .map_err(|e| e.to_string())?;
-    let parsed = |key: &str, text: String| address(&text).map_err(|why| format!("{key}: {why}"));
-    let address_of = |variable: &str, key: &str, own: Option<String>| {
-        parsed(key, env(variable).or(own).ok_or(format!("{key}: it is missing"))?)
-    };
+/// Parses the text of a configuration file; addresses in the environment take precedence.
+pub fn parse(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<Config, ParseError> {
+    let raw: RawConfig = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(text))?;
     let admin = env("NODE_ADMIN_ADDR").or(raw.admin_addr);
     Ok(Config {
-        listen: address_of("NODE_LISTEN", "listen", raw.listen)?,
-        admin: admin.map(|text| parsed("admin_addr", text)).transpose()?,
-        discovery: address_of("NODE_DISCOVERY", "discovery", raw.discovery)?,
-        seed: seed(&raw.seed).map_err(|why| format!("seed: {why}"))?,
-        sockets: raw.limits.sockets.unwrap_or(USUAL_SOCKETS),
-        memory_mb: raw.limits.memory_mb.unwrap_or(USUAL_MEMORY_MB),
+        listen: required_address("listen", env("NODE_LISTEN").or(raw.listen))?,
+        admin: admin.map(|text| keyed_address("admin_addr", &text)).transpose()?,
+        discovery: required_address("discovery", env("NODE_DISCOVERY").or(raw.discovery))?,
+        seed: parse_seed(&raw.seed)?,
+        sockets: raw.limits.sockets.unwrap_or(DEFAULT_SOCKETS),
+        memory_mb: raw.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB),
         known: raw.known,
-        settings: hillstall_settings::settings(raw.settings.to_string().as_bytes())
-            .map_err(|e| e.to_string())?,
+        settings: hillstall_settings::settings(raw.settings.to_string().as_bytes())?,
     })
 }
+
+fn required_address(key: &'static str, text: Option<String>) -> Result<SocketAddr, ParseError> {
+    let text = text.ok_or(ParseError::Missing { key })?;
+    keyed_address(key, &text)
+}
+
+fn keyed_address(key: &'static str, text: &str) -> Result<SocketAddr, ParseError> {
+    parse_address(text).map_err(|source| ParseError::Address { key, source })
+}
--- a/crates/hillstall/src/fault_injection.rs
+++ b/crates/hillstall/src/fault_injection.rs
@@ -1,90 +1,144 @@
-//! `hillstall lab drill`: a scenario on real processes.
+//! `hillstall lab drill`: a fault-injection scenario on real processes.
 
-use crate::commands::print;
-use crate::simulation::write_lines;
-use hillstall_fault_injection::{run as play, Drilled, Options};
+use crate::output::{print, write_json_lines, FileError};
+use hillstall_fault_injection::referee::{overshoot, Verdict};
+use hillstall_fault_injection::{Drilled, Options};
 use hillstall_simulation::experiment::{self, Mean};
 use hillstall_simulation::policy::Named;
 use hillstall_simulation::report;
 use hillstall_simulation::scenario::Scenario;
 use hillstall_simulation::sim::{self, Tally};
+use std::error::Error;
 use std::fmt::Write as _;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
-/// What the command line asks for.
-pub struct Wishes {
-    /// Where configurations and logs stay.
-    pub keep: Option<PathBuf>,
-    /// Whether simulated time plays the same.
-    pub beside_lab: bool,
-    /// Where the tallies go.
+/// How to run a scenario, and what to write.
+pub struct RunOptions {
+    /// Where the configurations and logs of the processes stay.
+    pub output_folder: Option<PathBuf>,
+    /// Whether the same scenario also runs in simulated time, for comparison.
+    pub with_simulation: bool,
+    /// Where the accounting of each run is written, as JSON lines.
     pub json: Option<PathBuf>,
 }
 
-/// Plays it with each seed. Broken rules and a late rig are errors, once all seeds have been played.
-pub fn run(name: &str, scenario: &Scenario, seeds: &[u64], wishes: &Wishes) -> Result<(), String> {
-    let program = std::env::current_exe().map_err(|why| format!("this program: {why}"))?;
-    let (mut tallies, mut bad) = (Vec::new(), Vec::new());
+/// Why a scenario failed.
+#[derive(Debug, thiserror::Error)]
+pub enum FaultInjectionError {
+    /// The path of this program, which the processes run, is unknown.
+    #[error("this program: {0}")]
+    OwnPath(std::io::Error),
+    /// A run could not be carried out.
+    #[error("{scenario}: {source}")]
+    Run {
+        /// The scenario.
+        scenario: String,
+        /// The cause.
+        source: Box<dyn Error>,
+    },
+    /// Runs broke an invariant, or are void because the test rig ran late.
+    #[error("{scenario}: broken rules or a late rig with seed {seeds}")]
+    Verdict {
+        /// The scenario.
+        scenario: String,
+        /// The seeds of these runs.
+        seeds: String,
+    },
+    /// A file can't be written.
+    #[error(transparent)]
+    File(#[from] FileError),
+}
+
+/// Runs a scenario with each seed. Broken invariants and a late rig are errors, once all seeds have run.
+pub fn run(
+    name: &str,
+    scenario: &Scenario,
+    seeds: &[u64],
+    options: &RunOptions,
+) -> Result<(), FaultInjectionError> {
+    let program = std::env::current_exe().map_err(FaultInjectionError::OwnPath)?;
+    let (mut runs, mut failed_seeds) = (Vec::new(), Vec::new());
     for seed in seeds {
-        let keep = wishes.keep.as_ref().map(|folder| folder.join(format!("seed-{seed}")));
-        let options = Options { keep, ..Options::default() };
-        let drilled = play(&program, scenario, *seed, options).map_err(|why| format!("{name}: {why}"))?;
+        let drilled = run_seed(&program, name, scenario, *seed, options)?;
         print(&format!("seed {seed}: {}", drilled.told()));
-        print(&figures(&drilled));
-        if !matches!(drilled.verdict, hillstall_fault_injection::referee::Verdict::Kept) {
-            bad.push(seed.to_string());
+        print(&format_figures(&drilled));
+        if !matches!(drilled.verdict, Verdict::Kept) {
+            failed_seeds.push(seed.to_string());
         }
-        // A void drill says nothing, so it is not counted.
+        // A void run shows nothing, so it is not counted.
         if !drilled.verdict.is_void() {
-            tallies.push(drilled.tally);
+            runs.push(drilled.tally);
         }
     }
-    if let Some(path) = &wishes.json {
-        write_lines(path, &tallies)?;
+    if let Some(path) = &options.json {
+        write_json_lines(path, &runs)?;
+    }
+    print_tables(scenario, runs, options);
+    match failed_seeds.is_empty() {
+        true => Ok(()),
+        false => {
+            Err(FaultInjectionError::Verdict { scenario: name.to_string(), seeds: failed_seeds.join(", ") })
+        }
     }
-    let simulated: Vec<Tally> = match wishes.beside_lab {
-        true => tallies.iter().map(|t| sim::run(scenario, Named::Hillstall, t.seed)).collect(),
+}
+
+fn run_seed(
+    program: &Path,
+    name: &str,
+    scenario: &Scenario,
+    seed: u64,
+    options: &RunOptions,
+) -> Result<Drilled, FaultInjectionError> {
+    let keep = options.output_folder.as_ref().map(|folder| folder.join(format!("seed-{seed}")));
+    let options = Options { keep, ..Options::default() };
+    hillstall_fault_injection::run(program, scenario, seed, options)
+        .map_err(|error| FaultInjectionError::Run { scenario: name.to_string(), source: error.into() })
+}
+
+/// Prints the table of all runs, if asked for with the same runs in simulated time beside them.
+fn print_tables(scenario: &Scenario, runs: Vec<Tally>, options: &RunOptions) {
+    let simulated: Vec<Tally> = match options.with_simulation {
+        true => runs.iter().map(|run| sim::run(scenario, Named::Hillstall, run.seed)).collect(),
         false => Vec::new(),
     };
     if !simulated.is_empty() {
-        let apart = experiment::gain(&simulated, &tallies, |t| 100.0 * t.service);
-        print(&compare(&simulated, &tallies, apart));
-    }
-    print(&report::table(&report::groups(simulated.into_iter().chain(tallies).collect())));
-    match bad.is_empty() {
-        true => Ok(()),
-        false => Err(format!("{name}: broken rules or a late rig with seed {}", bad.join(", "))),
+        let difference = experiment::gain(&simulated, &runs, |run| 100.0 * run.service);
+        print(&format_comparison(&simulated, &runs, difference));
     }
+    print(&report::table(&report::groups(simulated.into_iter().chain(runs).collect())));
 }
 
-fn compare(simulated: &[Tally], drilled: &[Tally], apart: Mean) -> String {
+fn format_comparison(simulated: &[Tally], real: &[Tally], difference: Mean) -> String {
     let mut text = String::new();
-    for (lab, drill) in simulated.iter().zip(drilled) {
-        let [lab_s, drill_s] = [lab, drill].map(|t| 100.0 * t.service);
-        let _ =
-            writeln!(text, "seed {}: service {lab_s:.2} in simulated time, {drill_s:.2} drilled", lab.seed);
+    for (simulated, real) in simulated.iter().zip(real) {
+        let [in_simulation, in_reality] = [simulated, real].map(|run| 100.0 * run.service);
+        let _ = writeln!(
+            text,
+            "seed {}: service {in_simulation:.2} in simulated time, {in_reality:.2} drilled",
+            simulated.seed
+        );
     }
-    let _ = writeln!(text, "drill over lab: {:+.2} ± {:.2} points\n", apart.mean, apart.half);
+    let _ = writeln!(text, "drill over lab: {:+.2} ± {:.2} points\n", difference.mean, difference.half);
     text
 }
 
-/// What a drill adds to the table.
-fn figures(drilled: &Drilled) -> String {
-    let seen = &drilled.seen;
+/// What a run on real processes shows beside the table.
+fn format_figures(drilled: &Drilled) -> String {
+    let observed = &drilled.seen;
     let [first, second] = [0, 1].map(|tier| drilled.attempts_a_try(tier));
-    let handshakes: u64 = seen.handshakes.iter().sum();
-    let mut late = seen.lateness.clone();
-    late.sort_by(f64::total_cmp);
-    let p99 = late.get((late.len() as f64 * 0.99) as usize).copied().unwrap_or(0.0);
+    let handshakes: u64 = observed.handshakes.iter().sum();
+    let mut lateness = observed.lateness.clone();
+    lateness.sort_by(f64::total_cmp);
+    let p99 = lateness.get((lateness.len() as f64 * 0.99) as usize).copied().unwrap_or(0.0);
     format!(
         "  {} processes, {} calls, {} tries, {} calls at servers; attempts a try {first:.2} and {second:.2} by tier\n  \
          {handshakes} connections to servers, {} calls for lists, cold servers sent {:.2} of what they bear; 1% of calls \
          over {p99:.1} ms late\n",
         drilled.processes,
         drilled.tally.offered,
-        seen.tries.len(),
-        seen.hops.len(),
-        seen.list_calls,
-        hillstall_fault_injection::referee::overshoot(&drilled.truth, seen),
+        observed.tries.len(),
+        observed.hops.len(),
+        observed.list_calls,
+        overshoot(&drilled.truth, observed),
     )
 }
--- a/crates/hillstall/src/operator/file.rs
+++ b/crates/hillstall/src/operator/file.rs
@@ -1,93 +1,136 @@
-//! The operator file: TOML, read key by key, so that all that is wrong in it can be told at once.
+//! The operator file: TOML, read key by key, so that all its problems can be reported at once.
 
-use super::{at, line_of, Origin, Wrong};
-use hillstall_coordination::settings::Settings as Section;
+use super::{keys, line_of, ConfigProblem, InvalidValue, ReadError, ValueOrigin};
+use hillstall_coordination::settings::{self, ConfigError, Settings as CoordinationSection};
 use std::path::Path;
-use toml::de::{DeTable, DeValue};
+use std::time::{SystemTime, UNIX_EPOCH};
+use toml::de::{DeTable, DeValue, Error as TomlError};
 
-/// The largest file that is read; one of all keys has some KiB.
-const FILE_MOST: u64 = 1 << 20;
+/// The largest file that is read, in bytes. A file with all keys has a few KiB.
+const MAX_FILE_SIZE: u64 = 1 << 20;
+/// The table that coordination reads as a whole.
+const COORDINATION_TABLE: &str = "fleet";
 
-/// Hands on every entry of a file; gives its section of the fleet, and what is wrong with its text.
-pub fn entries(path: &Path, set: &mut impl FnMut(&str, &str, Origin)) -> (Option<Section>, Vec<Wrong>) {
-    let unreadable = |why: String| (None, vec![Wrong::Unreadable(path.display().to_string(), why)]);
-    match std::fs::metadata(path) {
-        Ok(meta) if meta.len() > FILE_MOST => return unreadable("it is larger than 1 MiB".to_string()),
-        Ok(_) => {}
-        Err(e) => return unreadable(e.to_string()),
-    }
-    let text = match std::fs::read_to_string(path) {
+/// What a file holds.
+#[derive(Default)]
+pub struct OperatorFile {
+    /// Its entries, in the order of the file's tables.
+    pub entries: Vec<FileEntry>,
+    /// Its section `[fleet]`, if it has one.
+    pub coordination: Option<CoordinationSection>,
+    /// What is wrong with its text; keys and values of `entries` are not checked here.
+    pub problems: Vec<ConfigProblem>,
+}
+
+/// One entry of a file.
+pub struct FileEntry {
+    /// The key with its tables, as in `pool.rest`.
+    pub key: String,
+    /// The text of the value, without quotes.
+    pub text: String,
+    /// The place.
+    pub origin: ValueOrigin,
+}
+
+/// Reads a file. A file that can't be read or parsed has problems and no entries.
+pub fn read(path: &Path) -> OperatorFile {
+    let text = match read_text(path) {
         Ok(text) => text,
-        Err(e) => return unreadable(e.to_string()),
+        Err(source) => {
+            let problem = ConfigProblem::Unreadable { path: path.to_path_buf(), source };
+            return OperatorFile { problems: vec![problem], ..OperatorFile::default() };
+        }
     };
     let (table, errors) = DeTable::parse_recoverable(&text);
-    let mut wrong: Vec<Wrong> = errors
-        .iter()
-        .map(|e| Wrong::Syntax {
-            origin: at(path, e.span().map_or(1, |span| line_of(&text, span.start))),
-            why: e.message().to_string(),
-        })
-        .collect();
-    // What a broken line was taken for is not to be told as a second fault.
-    if wrong.is_empty() {
-        walk(path, &text, "", table.get_ref(), set, &mut wrong);
-        match fleet(path, &text) {
-            Ok(section) => return (section, wrong),
-            Err(more) => wrong.extend(more),
-        }
+    let mut parser = FileParser { path, text: &text, file: OperatorFile::default() };
+    if !errors.is_empty() {
+        // Whatever a broken line was recovered as must not be reported as a second problem.
+        parser.file.problems = errors.iter().map(|error| parser.syntax_problem(error)).collect();
+        return parser.file;
+    }
+    parser.visit_table("", table.get_ref());
+    match parser.coordination_section() {
+        Ok(section) => parser.file.coordination = section,
+        Err(problems) => parser.file.problems.extend(problems),
     }
-    (None, wrong)
+    parser.file
 }
 
-/// The section of the fleet, if the file has one.
-fn fleet(path: &Path, text: &str) -> Result<Option<Section>, Vec<Wrong>> {
-    let told = |wrong: Vec<hillstall_coordination::settings::ConfigError>| {
-        let told = wrong.into_iter().map(|w| Wrong::Value {
-            origin: at(path, line_of(text, w.offset)),
-            key: w.key,
-            why: w.reason,
-        });
-        told.collect::<Vec<_>>()
-    };
-    let Some(read) = hillstall_coordination::settings::read(text).map_err(told)? else { return Ok(None) };
-    // The sites are the platform's to tell, so they are checked where both are known.
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    match read.schedule_conflicts(&[], now) {
-        wrong if wrong.is_empty() => Ok(Some(read)),
-        wrong => Err(told(wrong)),
+fn read_text(path: &Path) -> Result<String, ReadError> {
+    if std::fs::metadata(path)?.len() > MAX_FILE_SIZE {
+        return Err(ReadError::TooLarge);
     }
+    Ok(std::fs::read_to_string(path)?)
 }
 
-fn walk(
-    path: &Path,
-    text: &str,
-    before: &str,
-    table: &DeTable<'_>,
-    set: &mut impl FnMut(&str, &str, Origin),
-    wrong: &mut Vec<Wrong>,
-) {
-    for (name, value) in table {
-        // Read as a whole by the fleet's own reader.
-        if before.is_empty() && name.get_ref() == "fleet" {
-            continue;
+/// Collects the entries of one file.
+struct FileParser<'a> {
+    path: &'a Path,
+    text: &'a str,
+    file: OperatorFile,
+}
+
+impl FileParser<'_> {
+    /// The place of a byte position.
+    fn origin(&self, position: usize) -> ValueOrigin {
+        ValueOrigin::File(self.path.to_path_buf(), line_of(self.text, position))
+    }
+
+    fn syntax_problem(&self, error: &TomlError) -> ConfigProblem {
+        let position = error.span().map_or(0, |span| span.start);
+        ConfigProblem::Syntax { origin: self.origin(position), message: error.message().to_string() }
+    }
+
+    /// Collects the entries of a table and of the tables in it. `prefix` is its name with a dot, or empty.
+    fn visit_table(&mut self, prefix: &str, table: &DeTable<'_>) {
+        for (name, value) in table {
+            if prefix.is_empty() && name.get_ref() == COORDINATION_TABLE {
+                continue;
+            }
+            let key = format!("{prefix}{}", name.get_ref());
+            let origin = self.origin(name.span().start);
+            match value.get_ref() {
+                DeValue::Table(inner) => self.visit_table(&format!("{key}."), inner),
+                value => self.visit_value(key, origin, value),
+            }
         }
-        let key = format!("{before}{}", name.get_ref());
-        let origin = at(path, line_of(text, name.span().start));
-        match value.get_ref() {
-            DeValue::Table(inner) => walk(path, text, &format!("{key}."), inner, set, wrong),
-            DeValue::String(word) => match super::find(&key) {
-                Some(known) if !known.kind.is_quoted() => {
-                    let why = format!("{word:?} must stand without quotes");
-                    wrong.push(Wrong::Value { origin, key, why });
-                }
-                _ => set(&key, word, origin),
-            },
-            DeValue::Integer(number) => set(&key, number.as_str(), origin),
-            DeValue::Boolean(on) => set(&key, &on.to_string(), origin),
-            other => {
-                let why = format!("a value of this kind ({}) has no meaning here", other.type_str());
-                wrong.push(Wrong::Value { origin, key, why });
+    }
+
+    fn visit_value(&mut self, key: String, origin: ValueOrigin, value: &DeValue<'_>) {
+        let text = match value {
+            DeValue::String(text) if keys::find(&key).is_some_and(|known| !known.kind.is_quoted()) => {
+                Err(InvalidValue::Quoted(text.to_string()))
             }
+            DeValue::String(text) => Ok(text.to_string()),
+            DeValue::Integer(number) => Ok(number.as_str().to_string()),
+            DeValue::Boolean(on) => Ok(on.to_string()),
+            other => Err(InvalidValue::UnsupportedType(other.type_str())),
+        };
+        match text {
+            Ok(text) => self.file.entries.push(FileEntry { key, text, origin }),
+            Err(source) => self.file.problems.push(ConfigProblem::InvalidValue { origin, key, source }),
+        }
+    }
+
+    /// The section `[fleet]`, if the file has one.
+    fn coordination_section(&self) -> Result<Option<CoordinationSection>, Vec<ConfigProblem>> {
+        let problems = |errors| self.coordination_problems(errors);
+        let Some(section) = settings::read(self.text).map_err(problems)? else { return Ok(None) };
+        // The platform names the sites, so they are checked where its configuration is known too.
+        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let conflicts = section.schedule_conflicts(&[], now);
+        match conflicts.is_empty() {
+            true => Ok(Some(section)),
+            false => Err(problems(conflicts)),
         }
     }
+
+    fn coordination_problems(&self, errors: Vec<ConfigError>) -> Vec<ConfigProblem> {
+        let problem = |error: ConfigError| ConfigProblem::InvalidValue {
+            origin: self.origin(error.offset),
+            key: error.key,
+            source: InvalidValue::Coordination(error.reason),
+        };
+        errors.into_iter().map(problem).collect()
+    }
 }
--- a/crates/hillstall/src/operator/keys.rs
+++ b/crates/hillstall/src/operator/keys.rs
@@ -1,117 +1,200 @@
-//! Every key of the operator file: its unit, bounds, default and meaning. The file, the environment, the flags,
-//! `check` and `config show` all go by this one table.
+//! The table of all keys of the operator file: unit, bounds, default and meaning. The file, the environment, the
+//! flags, `check` and `config show` all use it.
 
-use super::value::Kind;
+use super::value::ValueKind;
+use super::OperatorConfig;
 use hillstall_proxy_core::tuning::Tuning;
 use std::time::Duration;
 
 /// One key.
-pub struct Key {
-    /// Its place in the file: table and name.
+pub struct SettingKey {
+    /// Its table in the file and its name in that, as in `pool.rest`.
     pub name: &'static str,
     /// What its value may be.
-    pub kind: Kind,
-    /// The value where nobody says anything.
+    pub kind: ValueKind,
+    /// The value where no source sets one.
     pub default: &'static str,
     /// What it does.
     pub help: &'static str,
-    /// Whether SIGHUP changes it; others need a new process.
+    /// Whether SIGHUP changes it; otherwise it needs a new process.
     pub reloads: bool,
 }
 
-impl Key {
-    /// The environment variable that goes before the file.
+impl SettingKey {
+    /// The environment variable that takes precedence over the file.
     pub fn variable(&self) -> String {
         format!("HILLSTALL_{}", self.name.replace('.', "_").to_uppercase())
     }
 }
 
-const fn time(least_ms: u64, most_ms: u64) -> Kind {
-    Kind::Time { least: Duration::from_millis(least_ms), most: Duration::from_millis(most_ms) }
+/// The key of this name.
+pub fn find(name: &str) -> Option<&'static SettingKey> {
+    KEYS.iter().find(|key| key.name == name)
 }
 
-const fn size(least: usize, most: usize) -> Kind {
-    Kind::Size { least, most }
+const fn duration(min_ms: u64, max_ms: u64) -> ValueKind {
+    ValueKind::Duration { min: Duration::from_millis(min_ms), max: Duration::from_millis(max_ms) }
 }
 
-const fn key(name: &'static str, kind: Kind, default: &'static str, help: &'static str) -> Key {
-    Key { name, kind, default, help, reloads: true }
+const fn size(min: usize, max: usize) -> ValueKind {
+    ValueKind::Size { min, max }
 }
 
-const fn fixed(name: &'static str, kind: Kind, default: &'static str, help: &'static str) -> Key {
-    Key { name, kind, default, help, reloads: false }
+const fn reloadable(
+    name: &'static str,
+    kind: ValueKind,
+    default: &'static str,
+    help: &'static str,
+) -> SettingKey {
+    SettingKey { name, kind, default, help, reloads: true }
+}
+
+const fn needs_restart(
+    name: &'static str,
+    kind: ValueKind,
+    default: &'static str,
+    help: &'static str,
+) -> SettingKey {
+    SettingKey { name, kind, default, help, reloads: false }
 }
 
 const KIB: usize = 1024;
 const MIB: usize = 1024 * KIB;
 
 /// All keys, in the order in which they are shown.
-pub const KEYS: &[Key] = &[
-    fixed("log.format", Kind::Word(&["text", "json"]), "text", "text for people, JSON lines for programs"),
-    fixed(
+pub const KEYS: &[SettingKey] = &[
+    needs_restart(
+        "log.format",
+        ValueKind::Choice(&["text", "json"]),
+        "text",
+        "text for people, JSON lines for programs",
+    ),
+    needs_restart(
         "log.level",
-        Kind::Word(&["error", "warn", "info", "debug"]),
+        ValueKind::Choice(&["error", "warn", "info", "debug"]),
         "info",
         "the least important records written",
     ),
-    key("log.calls", Kind::Switch, "false", "one record a call: class, server, attempts, end, phases"),
-    key("callers.idle", time(100, 3_600_000), "5s", "a caller's connection that carried nothing is closed"),
-    key("callers.request_time", time(100, 600_000), "2500ms", "longest wait for a whole request, or a step"),
-    key("callers.request_step", size(KIB, 64 * MIB), "16KiB", "bytes that a longer body has that time for"),
-    key("callers.come_back", time(0, 60_000), "500ms", "wait that a refusal for want of room states"),
-    key("callers.park", time(1, 60_000), "50ms", "silence after which a connection's buffers are let go"),
-    key(
+    reloadable(
+        "log.calls",
+        ValueKind::Boolean,
+        "false",
+        "one record a call: class, server, attempts, end, phases",
+    ),
+    reloadable(
+        "callers.idle",
+        duration(100, 3_600_000),
+        "5s",
+        "a caller's connection that carried nothing is closed",
+    ),
+    reloadable(
+        "callers.request_time",
+        duration(100, 600_000),
+        "2500ms",
+        "longest wait for a whole request, or a step",
+    ),
+    reloadable(
+        "callers.request_step",
+        size(KIB, 64 * MIB),
+        "16KiB",
+        "bytes that a longer body has that time for",
+    ),
+    reloadable(
+        "callers.come_back",
+        duration(0, 60_000),
+        "500ms",
+        "wait that a refusal for want of room states",
+    ),
+    reloadable(
+        "callers.park",
+        duration(1, 60_000),
+        "50ms",
+        "silence after which a connection's buffers are let go",
+    ),
+    reloadable(
         "messages.held",
         size(KIB, 64 * MIB),
         "64KiB",
         "largest body held whole, so that it can be sent again",
     ),
-    key("messages.longest", size(KIB, 1024 * MIB), "32MiB", "longest message on either side"),
-    key("messages.read_ahead", size(8 * KIB, 4 * MIB), "16KiB", "most read ahead, so also the largest head"),
-    key("messages.stall", time(100, 600_000), "5s", "longest wait for progress of a message that passes"),
-    key("messages.system_buffer", size(4 * KIB, 16 * MIB), "128KiB", "what the system may hold of a message"),
-    key("servers.answer_time", time(10, 600_000), "1s", "longest wait for more of an answer that is held"),
-    key("servers.answer_hold", time(0, 10_000), "100ms", "hold of an answer that does not tell its length"),
-    key("pool.rest", time(0, 1_000), "2ms", "how long a connection rests after an answer"),
-    key("pool.kept", Kind::Count { least: 1, most: 65_536 }, "64", "idle connections kept for one server"),
-    key(
+    reloadable("messages.longest", size(KIB, 1024 * MIB), "32MiB", "longest message on either side"),
+    reloadable(
+        "messages.read_ahead",
+        size(8 * KIB, 4 * MIB),
+        "16KiB",
+        "most read ahead, so also the largest head",
+    ),
+    reloadable(
+        "messages.stall",
+        duration(100, 600_000),
+        "5s",
+        "longest wait for progress of a message that passes",
+    ),
+    reloadable(
+        "messages.system_buffer",
+        size(4 * KIB, 16 * MIB),
+        "128KiB",
+        "what the system may hold of a message",
+    ),
+    reloadable(
+        "servers.answer_time",
+        duration(10, 600_000),
+        "1s",
+        "longest wait for more of an answer that is held",
+    ),
+    reloadable(
+        "servers.answer_hold",
+        duration(0, 10_000),
+        "100ms",
+        "hold of an answer that does not tell its length",
+    ),
+    reloadable("pool.rest", duration(0, 1_000), "2ms", "how long a connection rests after an answer"),
+    reloadable(
+        "pool.kept",
+        ValueKind::Integer { min: 1, max: 65_536 },
+        "64",
+        "idle connections kept for one server",
+    ),
+    reloadable(
         "pool.waits",
-        Kind::Count { least: 0, most: 1_000_000 },
+        ValueKind::Integer { min: 0, max: 1_000_000 },
         "3",
         "waits for a rest borne before opening one",
     ),
-    key("drain.notice", time(0, 60_000), "400ms", "how long a drain leaves kept connections alone"),
-    key("drain.rest", time(0, 60_000), "250ms", "idle time after which a drain closes a connection"),
+    reloadable(
+        "drain.notice",
+        duration(0, 60_000),
+        "400ms",
+        "how long a drain leaves kept connections alone",
+    ),
+    reloadable(
+        "drain.rest",
+        duration(0, 60_000),
+        "250ms",
+        "idle time after which a drain closes a connection",
+    ),
 ];
 
-/// The tuning that values of these keys make. The tests hold its defaults against those of the core.
-pub fn tuning(operator: &super::Operator) -> Tuning {
+/// The tuning of the proxy that the values of these keys make.
+pub fn tuning(operator: &OperatorConfig) -> Tuning {
     Tuning {
-        client_idle_timeout: operator.time("callers.idle"),
-        request_timeout: operator.time("callers.request_time"),
+        client_idle_timeout: operator.duration("callers.idle"),
+        request_timeout: operator.duration("callers.request_time"),
         request_bytes_per_timeout: operator.size("callers.request_step"),
-        retry_after: operator.time("callers.come_back"),
-        buffer_release_after: operator.time("callers.park"),
+        retry_after: operator.duration("callers.come_back"),
+        buffer_release_after: operator.duration("callers.park"),
         max_buffered_body: operator.size("messages.held"),
         max_message: operator.size("messages.longest"),
         read_ahead: operator.size("messages.read_ahead"),
-        stall_timeout: operator.time("messages.stall"),
+        stall_timeout: operator.duration("messages.stall"),
         socket_buffer: operator.size("messages.system_buffer"),
-        response_timeout: operator.time("servers.answer_time"),
-        unsized_response_hold: operator.time("servers.answer_hold"),
-        min_connection_rest: operator.time("pool.rest"),
-        max_idle_per_backend: operator.count("pool.kept") as usize,
-        max_rest_waits: operator.count("pool.waits").min(u64::from(u32::MAX)) as u32,
-        drain_notice: operator.time("drain.notice"),
-        drain_idle_timeout: operator.time("drain.rest"),
-        log_requests: operator.switch("log.calls"),
-    }
-}
-
-/// What one key's value can't tell alone.
-pub fn between(operator: &super::Operator) -> Option<(&'static str, String)> {
-    if operator.size("messages.held") > operator.size("messages.longest") {
-        return Some(("messages.held", "it must not be above messages.longest".to_string()));
+        response_timeout: operator.duration("servers.answer_time"),
+        unsized_response_hold: operator.duration("servers.answer_hold"),
+        min_connection_rest: operator.duration("pool.rest"),
+        max_idle_per_backend: operator.integer("pool.kept") as usize,
+        max_rest_waits: operator.integer("pool.waits").min(u64::from(u32::MAX)) as u32,
+        drain_notice: operator.duration("drain.notice"),
+        drain_idle_timeout: operator.duration("drain.rest"),
+        log_requests: operator.boolean("log.calls"),
     }
-    None
 }
--- a/crates/hillstall/src/operator/value.rs
+++ b/crates/hillstall/src/operator/value.rs
@@ -1,121 +1,164 @@
-//! Values with units, and their bounds.
+//! Kinds of values, their units and bounds.
 
 use bytesize::ByteSize;
 use std::fmt;
 use std::time::Duration;
 
-/// What a value may be.
+/// The units in which sizes are shown, with the binary logarithm of their bytes.
+const SIZE_UNITS: [(&str, u32); 3] = [("GiB", 30), ("MiB", 20), ("KiB", 10)];
+
+/// What a value may be. Bounds are inclusive.
 #[derive(Clone, Copy, Debug)]
-pub enum Kind {
-    /// A time with its unit: "250ms", "5s", "2m".
-    Time {
-        /// The least.
-        least: Duration,
-        /// The most.
-        most: Duration,
+pub enum ValueKind {
+    /// A duration with its unit: "250ms", "5s", "2m".
+    Duration {
+        /// The lower bound.
+        min: Duration,
+        /// The upper bound.
+        max: Duration,
     },
     /// A size with its unit: "64KiB", "32MiB".
     Size {
-        /// The least, in bytes.
-        least: usize,
-        /// The most, in bytes.
-        most: usize,
+        /// The lower bound, in bytes.
+        min: usize,
+        /// The upper bound, in bytes.
+        max: usize,
     },
     /// A whole number.
-    Count {
-        /// The least.
-        least: u64,
-        /// The most.
-        most: u64,
+    Integer {
+        /// The lower bound.
+        min: u64,
+        /// The upper bound.
+        max: u64,
     },
     /// One of these words.
-    Word(&'static [&'static str]),
-    /// true or false.
-    Switch,
+    Choice(&'static [&'static str]),
+    /// `true` or `false`.
+    Boolean,
 }
 
-/// A value that was read and lies within its bounds.
+/// A valid value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Value {
-    /// A time.
-    Time(Duration),
+pub enum SettingValue {
+    /// A duration.
+    Duration(Duration),
     /// A size in bytes.
     Size(usize),
     /// A whole number.
-    Count(u64),
-    /// A word.
-    Word(&'static str),
-    /// A switch.
-    Switch(bool),
+    Integer(u64),
+    /// One of the words that the key allows.
+    Choice(&'static str),
+    /// A boolean.
+    Boolean(bool),
+}
+
+/// Why a text is not a valid value.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ValueError {
+    /// It is not a duration.
+    #[error("{0:?} is not a time with its unit, like \"250ms\" or \"5s\"")]
+    NotADuration(String),
+    /// It is not a size.
+    #[error("{0:?} is not a size with its unit, like \"64KiB\" or \"32MiB\"")]
+    NotASize(String),
+    /// It is not a whole number.
+    #[error("{0:?} is not a whole number")]
+    NotAnInteger(String),
+    /// It is none of the words that the key allows.
+    #[error("{text:?} is none of {}", .choices.join(", "))]
+    NotAChoice {
+        /// The text.
+        text: String,
+        /// The words that are allowed.
+        choices: &'static [&'static str],
+    },
+    /// It is not a boolean.
+    #[error("{0:?} is not true or false")]
+    NotABoolean(String),
+    /// It lies outside the bounds of its key.
+    #[error("{value} is out of bounds: from {min} to {max}")]
+    OutOfBounds {
+        /// The value.
+        value: SettingValue,
+        /// The lower bound.
+        min: SettingValue,
+        /// The upper bound.
+        max: SettingValue,
+    },
 }
 
-impl Kind {
-    /// Reads a value. The error says what it must be.
-    pub fn read(self, text: &str) -> Result<Value, String> {
+impl ValueKind {
+    /// Parses a value and checks its bounds. Space around it is ignored.
+    pub fn parse(self, text: &str) -> Result<SettingValue, ValueError> {
         let text = text.trim();
+        let owned = || text.to_string();
         match self {
-            Kind::Time { least, most } => {
-                let time = humantime::parse_duration(text)
-                    .map_err(|_| format!("{text:?} is not a time with its unit, like \"250ms\" or \"5s\""))?;
-                let show = humantime::format_duration;
-                within(time, least, most, |time| show(time).to_string()).map(Value::Time)
+            ValueKind::Duration { min, max } => {
+                let duration =
+                    humantime::parse_duration(text).map_err(|_| ValueError::NotADuration(owned()))?;
+                check_bounds(duration, min, max, SettingValue::Duration)
             }
-            Kind::Size { least, most } => {
-                let size = text.parse::<ByteSize>().ok().filter(|_| text.ends_with(['B', 'b']));
-                let size = size.and_then(|size| usize::try_from(size.as_u64()).ok());
-                let size =
-                    size.ok_or(format!("{text:?} is not a size with its unit, like \"64KiB\" or \"32MiB\""))?;
-                within(size, least, most, sized).map(Value::Size)
+            ValueKind::Size { min, max } => {
+                let bytes = parse_size(text).ok_or_else(|| ValueError::NotASize(owned()))?;
+                check_bounds(bytes, min, max, SettingValue::Size)
             }
-            Kind::Count { least, most } => {
-                let count = text.parse().map_err(|_| format!("{text:?} is not a whole number"))?;
-                within(count, least, most, |count| count.to_string()).map(Value::Count)
+            ValueKind::Integer { min, max } => {
+                let number = text.parse().map_err(|_| ValueError::NotAnInteger(owned()))?;
+                check_bounds(number, min, max, SettingValue::Integer)
             }
-            Kind::Word(words) => words
-                .iter()
-                .find(|word| **word == text)
-                .map(|word| Value::Word(word))
-                .ok_or_else(|| format!("{text:?} is none of {}", words.join(", "))),
-            Kind::Switch => {
-                text.parse().map(Value::Switch).map_err(|_| format!("{text:?} is not true or false"))
+            ValueKind::Choice(choices) => match choices.iter().find(|choice| **choice == text) {
+                Some(choice) => Ok(SettingValue::Choice(choice)),
+                None => Err(ValueError::NotAChoice { text: owned(), choices }),
+            },
+            ValueKind::Boolean => {
+                text.parse().map(SettingValue::Boolean).map_err(|_| ValueError::NotABoolean(owned()))
             }
         }
     }
 
-    /// Whether a file must put it into quotes.
+    /// Whether a TOML file must put it into quotes.
     pub fn is_quoted(self) -> bool {
-        matches!(self, Kind::Time { .. } | Kind::Size { .. } | Kind::Word(_))
+        matches!(self, ValueKind::Duration { .. } | ValueKind::Size { .. } | ValueKind::Choice(_))
+    }
+}
+
+/// Parses a size; a number without a unit is none.
+fn parse_size(text: &str) -> Option<usize> {
+    if !text.ends_with(['B', 'b']) {
+        return None;
     }
+    let size: ByteSize = text.parse().ok()?;
+    usize::try_from(size.as_u64()).ok()
 }
 
-fn within<T: PartialOrd + Copy>(
+fn check_bounds<T: PartialOrd + Copy>(
     value: T,
-    least: T,
-    most: T,
-    show: impl Fn(T) -> String,
-) -> Result<T, String> {
-    match value < least || value > most {
-        true => Err(format!("{} is out of bounds: from {} to {}", show(value), show(least), show(most))),
-        false => Ok(value),
+    min: T,
+    max: T,
+    wrap: impl Fn(T) -> SettingValue,
+) -> Result<SettingValue, ValueError> {
+    match value < min || value > max {
+        true => Err(ValueError::OutOfBounds { value: wrap(value), min: wrap(min), max: wrap(max) }),
+        false => Ok(wrap(value)),
     }
 }
 
-fn sized(bytes: usize) -> String {
-    ["GiB", "MiB", "KiB"]
+/// A size in the largest unit of which it is a whole number.
+fn format_size(bytes: usize) -> String {
+    SIZE_UNITS
         .iter()
-        .zip([30, 20, 10])
         .find(|(_, shift)| bytes > 0 && bytes.is_multiple_of(1 << shift))
         .map_or_else(|| format!("{bytes}B"), |(unit, shift)| format!("{}{unit}", bytes >> shift))
 }
 
-impl fmt::Display for Value {
+impl fmt::Display for SettingValue {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Value::Time(time) => write!(f, "{}", humantime::format_duration(*time)),
-            Value::Size(bytes) => f.write_str(&sized(*bytes)),
-            Value::Count(count) => write!(f, "{count}"),
-            Value::Word(word) => f.write_str(word),
-            Value::Switch(on) => write!(f, "{on}"),
+            SettingValue::Duration(duration) => write!(f, "{}", humantime::format_duration(*duration)),
+            SettingValue::Size(bytes) => f.write_str(&format_size(*bytes)),
+            SettingValue::Integer(number) => write!(f, "{number}"),
+            SettingValue::Choice(choice) => f.write_str(choice),
+            SettingValue::Boolean(on) => write!(f, "{on}"),
         }
     }
 }
--- a/crates/hillstall/src/simulation.rs
+++ b/crates/hillstall/src/simulation.rs
@@ -1,9 +1,14 @@
 //! `hillstall lab`: experiments in simulated time.
 
-use crate::commands::print;
-use crate::fault_injection;
-use crate::say;
-use clap::{Args, Subcommand};
+mod arguments;
+mod error;
+mod results;
+
+pub use arguments::{ExperimentOptions, SimulationCommand};
+pub use error::SimulationError;
+
+use crate::fault_injection::{self, RunOptions};
+use crate::output::{print, print_message, FileError};
 use hillstall_simulation::account;
 use hillstall_simulation::calls::Fleet;
 use hillstall_simulation::experiment::{self, Axis};
@@ -14,374 +19,218 @@
 use hillstall_simulation::sim::Tally;
 use hillstall_simulation::stability;
 use indicatif::ProgressBar;
-use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// What can be tried out.
-#[derive(Subcommand)]
-pub enum Lab {
-    /// Name the scenarios that come with the program, or print one to start from
-    Scenarios {
-        /// Print this one
-        name: Option<String>,
-    },
-    /// Run policies through a scenario and hold them against each other
-    Run {
-        /// A file, or a scenario that comes with the program
-        #[arg(default_value = "lose-hall")]
-        scenario: String,
-        /// Policies
-        #[arg(long, value_delimiter = ',', default_values_t = Named::ALL)]
-        policy: Vec<Named>,
-        /// How to run and where to write
-        #[command(flatten)]
-        how: How,
-    },
-    /// Hold two policies against each other, seed by seed, with 95% intervals
-    Compare {
-        /// The one that is there
-        a: Named,
-        /// The one that may be better
-        b: Named,
-        /// A file, or a scenario that comes with the program
-        #[arg(default_value = "lose-hall")]
-        scenario: String,
-        /// How to run and where to write
-        #[command(flatten)]
-        how: How,
-    },
-    /// Run a grid of parameters
-    Sweep {
-        /// A file, or a scenario that comes with the program
-        #[arg(default_value = "lose-hall")]
-        scenario: String,
-        /// An axis of the grid: KEY=VALUE,VALUE, as in load.of_capacity=0.4,0.5
-        #[arg(long = "vary", required = true)]
-        axes: Vec<Axis>,
-        /// Policies
-        #[arg(long, value_delimiter = ',', default_value = "hillstall")]
-        policy: Vec<Named>,
-        /// How to run and where to write
-        #[command(flatten)]
-        how: How,
-    },
-    /// Play days of the bench, as its `draw` prints them
-    Day {
-        /// Day files (JSON)
-        #[arg(required = true)]
-        days: Vec<PathBuf>,
-        /// Policies
-        #[arg(long, value_delimiter = ',', default_value = "hillstall")]
-        policy: Vec<Named>,
-        /// How to run and where to write
-        #[command(flatten)]
-        how: How,
-    },
-    /// Count the calls that a fleet's logs tell of, by load of the proxies, reason, tier and second
-    Calls {
-        /// A folder in which each file is the log of one proxy, written with log.calls and as JSON
-        folder: PathBuf,
-    },
-    /// Play a scenario on a fleet of real processes on this machine, and judge it by the rules
-    Drill {
-        /// A file, or a scenario that comes with the program
-        #[arg(default_value = "drill-cut")]
-        scenario: String,
-        /// The first seed, and how many from there on
-        #[arg(long, default_value_t = 1)]
-        seed: u64,
-        /// How many seeds, one after another
-        #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=1_000))]
-        seeds: u64,
-        /// Keep configurations and logs of the processes here
-        #[arg(long, value_name = "FOLDER")]
-        keep: Option<PathBuf>,
-        /// Play the same in simulated time too, and hold them against each other
-        #[arg(long)]
-        beside_lab: bool,
-        /// Write each drill's tally as a JSON line
-        #[arg(long, value_name = "FILE")]
-        json: Option<PathBuf>,
-    },
-    /// Hold one load carried by many copies of the proxy against the same carried by one
-    Account {
-        /// A file, or a scenario that comes with the program
-        #[arg(default_value = "fleet-sum")]
-        scenario: String,
-        /// Numbers of copies; the least is what the others are held against
-        #[arg(long, value_delimiter = ',', default_values_t = [1, 2, 8, 32, 100, 300])]
-        copies: Vec<u32>,
-        /// Loads, as parts of what the servers can do
-        #[arg(long, value_delimiter = ',', default_values_t = [0.9, 1.1, 1.3])]
-        loads: Vec<f64>,
-        /// How to run and where to write
-        #[command(flatten)]
-        how: How,
-    },
-    /// Map how load and the part of the servers that is lost go together, and whether service returns by itself
-    Stability {
-        /// A file, or a scenario that comes with the program; its first failure is the loss
-        #[arg(default_value = "half-lost")]
-        scenario: String,
-        /// Loads, as parts of what the servers can do
-        #[arg(long, value_delimiter = ',', default_values_t = [0.7, 0.8, 0.9, 1.0, 1.1, 1.2])]
-        loads: Vec<f64>,
-        /// Parts of the servers that are lost
-        #[arg(long, value_delimiter = ',', default_values_t = [0.0, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6])]
-        lost: Vec<f64>,
-        /// The policy
-        #[arg(long, default_value = "hillstall")]
-        policy: Named,
-        /// Hold it against runs kept with --json earlier, seed by seed
-        #[arg(long, value_name = "FILE")]
-        beside: Option<PathBuf>,
-        /// How to run and where to write
-        #[command(flatten)]
-        how: How,
-    },
-    /// Own the processes of a drill; for the drill alone
-    #[command(hide = true)]
-    Keeper,
-    /// Draw the page of results kept with --json
-    Report {
-        /// JSON lines
-        results: PathBuf,
-        /// The page
-        #[arg(default_value = "hillstall-lab.html")]
-        page: PathBuf,
-    },
-}
-
-/// How to run and where to write.
-#[derive(Args)]
-pub struct How {
-    /// Seeds: this many, from 1 on
-    #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=10_000))]
-    seeds: u64,
-    /// Write a page with table and plots
-    #[arg(long, value_name = "FILE")]
-    report: Option<PathBuf>,
-    /// Write each run as a JSON line
-    #[arg(long, value_name = "FILE")]
-    json: Option<PathBuf>,
-}
-
-impl How {
-    fn seeds(&self) -> Vec<u64> {
-        (1..=self.seeds).collect()
-    }
-}
-
-/// Does it; an error says what is wrong with which file or key.
-pub fn run(lab: Lab) -> Result<(), String> {
-    match lab {
-        Lab::Scenarios { name: None } => {
-            scenarios::names().for_each(|name| print(&format!("{name}\n")));
-            Ok(())
+type CommandResult = Result<(), SimulationError>;
+
+/// Executes a command of `hillstall lab`.
+pub fn run(command: SimulationCommand) -> CommandResult {
+    use SimulationCommand as Command;
+    match command {
+        Command::Scenarios { name } => print_scenarios(name),
+        Command::AccessLogs { folder } => print_access_log_report(&folder),
+        Command::Run { scenario, policies, options } => run_policies(&scenario, &policies, &options),
+        Command::Compare { baseline, candidate, scenario, options } => {
+            compare(baseline, candidate, &scenario, &options)
         }
-        Lab::Scenarios { name: Some(name) } => {
-            let text = scenarios::text(&name).ok_or_else(|| format!("{name}: no such scenario"))?;
-            print(text);
-            Ok(())
+        Command::Sweep { scenario, axes, policies, options } => sweep(&scenario, &axes, &policies, &options),
+        Command::RecordedDays { days, policies, options } => run_recorded_days(&days, &policies, &options),
+        Command::FaultInjection { scenario, first_seed, seeds, output_folder, with_simulation, json } => {
+            let seeds: Vec<u64> = (first_seed..first_seed.saturating_add(seeds)).collect();
+            inject_faults(&scenario, &seeds, &RunOptions { output_folder, with_simulation, json })
         }
-        Lab::Calls { folder } => {
-            let fleet = Fleet::read(&folder).map_err(|why| why.to_string())?;
-            print(&fleet.tables());
-            Ok(())
+        Command::FleetRatio { scenario, instances, loads, options } => {
+            fleet_ratio(&scenario, &instances, &loads, &options)
         }
-        Lab::Run { scenario, policy, how } => {
-            let (name, scenario) = parse(&scenario)?;
-            let tallies = runs(&[(String::new(), scenario)], &policy, &how);
-            show(&name, tallies, &how)
+        Command::Stability { scenario, loads, lost_fractions, policy, earlier_results, options } => {
+            let axes = (&loads[..], &lost_fractions[..]);
+            stability_map(&scenario, axes, policy, earlier_results.as_deref(), &options)
         }
-        Lab::Compare { a, b, scenario, how } => {
-            let (name, scenario) = parse(&scenario)?;
-            let tallies = runs(&[(String::new(), scenario)], &[a, b], &how);
-            let (first, second) = tallies.split_at(tallies.len() / 2);
-            let gains = gains(first, second);
-            show(&name, tallies, &how)?;
-            print(&format!("\n{} over {}, seed by seed:\n{gains}\n", b.name(), a.name()));
-            Ok(())
-        }
-        Lab::Sweep { scenario, axes, policy, how } => {
-            let (name, text) = read(&scenario)?;
-            let cells = experiment::grid(&text, &axes).map_err(|why| format!("{name}: {why}"))?;
-            let tallies = runs(&cells, &policy, &how);
-            show(&name, tallies, &how)
-        }
-        Lab::Day { days, policy, how } => {
-            let mut tallies = Vec::new();
-            for path in &days {
-                let text = std::fs::read_to_string(path).map_err(|e| at(path, &e))?;
-                let name = path.file_stem().map(|s| s.to_string_lossy().into_owned()).unwrap_or_default();
-                let (runs, unknown) =
-                    experiment::days(&text, &policy, &how.seeds()).map_err(|why| at(path, &why))?;
-                unknown.iter().for_each(|kind| say(format!("{}: no model for {kind}", path.display())));
-                tallies.extend(in_cell(runs, &name));
-            }
-            show("days of the bench", tallies, &how)
-        }
-        Lab::Drill { scenario, seed, seeds, keep, beside_lab, json } => {
-            let (name, scenario) = parse(&scenario)?;
-            let seeds: Vec<u64> = (seed..seed.saturating_add(seeds)).collect();
-            fault_injection::run(
-                &name,
-                &scenario,
-                &seeds,
-                &fault_injection::Wishes { keep, beside_lab, json },
-            )
-        }
-        Lab::Account { scenario, copies, loads, how } => {
-            let (name, text) = read(&scenario)?;
-            let bar = ProgressBar::new((copies.len() * loads.len()) as u64 * how.seeds);
-            let account = account::account(&text, &loads, &copies, &how.seeds(), || bar.inc(1))
-                .map_err(|why| format!("{name}: {why}"))?;
-            bar.finish_and_clear();
-            let runs = account.cells.iter().flat_map(|cell| &cell.runs);
-            give_out(runs, &account.table(), || account.html(&name), &how)
-        }
-        Lab::Stability { scenario, loads, lost, policy, beside, how } => {
-            let (name, text) = read(&scenario)?;
-            let earlier = beside.as_deref().map(results).transpose()?;
-            let bar = ProgressBar::new((loads.len() * lost.len()) as u64 * how.seeds);
-            let map = stability::map(&text, (&loads, &lost), policy, &how.seeds(), || bar.inc(1))
-                .map_err(|why| format!("{name}: {why}"))?;
-            bar.finish_and_clear();
-            let mut text = map.table();
-            if let Some(earlier) = earlier {
-                let (table, worse) = map.beside(&earlier);
-                text += &format!("\n{table}\n{worse} cells are worse by more than two points\n");
-            }
-            give_out(map.cells.iter().flat_map(|cell| &cell.runs), &text, || map.html(&name), &how)
-        }
-        Lab::Keeper => {
+        Command::ProcessSupervisor => {
             hillstall_fault_injection::keeper::serve();
             Ok(())
         }
-        Lab::Report { results: path, page } => {
-            write_page(&path.display().to_string(), &page, &report::groups(results(&path)?))
-        }
+        Command::Report { results, page } => write_report(&results, &page),
     }
 }
 
-pub(crate) fn at(path: &Path, why: &dyn std::fmt::Display) -> String {
-    format!("{}: {why}", path.display())
-}
-
-/// Results kept with --json.
-fn results(path: &Path) -> Result<Vec<Tally>, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| at(path, &e))?;
-    let lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
-    let tally = |(i, line)| {
-        serde_json::from_str(line).map_err(|e| format!("{}: line {}: {e}", path.display(), i + 1))
+/// Prints one scenario, or the names of all.
+fn print_scenarios(name: Option<String>) -> CommandResult {
+    let Some(name) = name else {
+        scenarios::names().for_each(|name| print(&format!("{name}\n")));
+        return Ok(());
     };
-    lines.map(tally).collect()
-}
-
-/// A scenario's name and text.
-fn read(scenario: &str) -> Result<(String, String), String> {
-    if let Some(text) = scenarios::text(scenario) {
-        return Ok((scenario.to_string(), text.to_string()));
-    }
-    match std::fs::read_to_string(scenario) {
-        Ok(text) => Ok((scenario.to_string(), text)),
-        Err(why) => {
-            let names = scenarios::names().collect::<Vec<_>>().join(", ");
-            Err(format!("{scenario}: {why}; with the program come {names}"))
+    match scenarios::text(&name) {
+        Some(text) => {
+            print(text);
+            Ok(())
         }
+        None => Err(SimulationError::UnknownScenario(name)),
     }
 }
 
-/// A scenario's name, and the scenario.
-fn parse(scenario: &str) -> Result<(String, Scenario), String> {
-    let (name, text) = read(scenario)?;
-    let scenario = Scenario::parse(&text).map_err(|why| format!("{name}: {why}"))?;
-    Ok((name, scenario))
+fn print_access_log_report(folder: &Path) -> CommandResult {
+    print(&Fleet::read(folder)?.tables());
+    Ok(())
 }
 
-/// Runs that belong to one cell of a table.
-fn in_cell(mut tallies: Vec<Tally>, cell: &str) -> Vec<Tally> {
-    tallies.iter_mut().for_each(|tally| tally.cell = cell.to_string());
-    tallies
+fn run_policies(scenario: &str, policies: &[Named], options: &ExperimentOptions) -> CommandResult {
+    let (name, scenario) = read_scenario(scenario)?;
+    let runs = run_cells(&[(String::new(), scenario)], policies, options);
+    results::show(&name, runs, options)
 }
 
-fn runs(cells: &[(String, Scenario)], policies: &[Named], how: &How) -> Vec<Tally> {
-    let seeds = how.seeds();
-    let bar = ProgressBar::new((cells.len() * policies.len()) as u64 * how.seeds);
-    let mut all = Vec::new();
-    for (cell, scenario) in cells {
-        all.append(&mut in_cell(experiment::runs(scenario, policies, &seeds, || bar.inc(1)), cell));
-    }
-    bar.finish_and_clear();
-    all
+/// Compares two policies seed by seed.
+fn compare(baseline: Named, candidate: Named, scenario: &str, options: &ExperimentOptions) -> CommandResult {
+    let (name, scenario) = read_scenario(scenario)?;
+    let runs = run_cells(&[(String::new(), scenario)], &[baseline, candidate], options);
+    let (of_baseline, of_candidate) = runs.split_at(runs.len() / 2);
+    let gains = format_gains(of_baseline, of_candidate);
+    results::show(&name, runs, options)?;
+    print(&format!("\n{} over {}, seed by seed:\n{gains}\n", candidate.name(), baseline.name()));
+    Ok(())
 }
 
-type Figure = (&'static str, f64, fn(&Tally) -> f64);
-
-fn gains(a: &[Tally], b: &[Tally]) -> String {
-    let figures: [Figure; 4] = [
-        ("service, points in 100", 100.0, |t| t.service),
-        ("worst 10 s, points in 100", 100.0, |t| t.worst),
-        ("99th percentile, ms", 1.0, |t| t.p99_ms),
-        ("attempts a call", 1.0, |t| t.attempts),
-    ];
-    let line = |(name, scale, figure): Figure| {
-        let gain = experiment::gain(a, b, figure);
-        let apart = if gain.is_apart() { "" } else { "   (may be chance)" };
-        format!("  {name}: {:+.2} ± {:.2}{apart}", scale * gain.mean, scale * gain.half)
-    };
-    figures.map(line).join("\n")
+/// Runs a grid of parameters.
+fn sweep(scenario: &str, axes: &[Axis], policies: &[Named], options: &ExperimentOptions) -> CommandResult {
+    let (name, text) = read_scenario_text(scenario)?;
+    let cells = experiment::grid(&text, axes).map_err(SimulationError::invalid(&name))?;
+    let runs = run_cells(&cells, policies, options);
+    results::show(&name, runs, options)
 }
 
-fn show(name: &str, tallies: Vec<Tally>, how: &How) -> Result<(), String> {
-    if let Some(path) = &how.json {
-        write_lines(path, &tallies)?;
+fn run_recorded_days(days: &[PathBuf], policies: &[Named], options: &ExperimentOptions) -> CommandResult {
+    let mut all_runs = Vec::new();
+    for path in days {
+        let text = std::fs::read_to_string(path).map_err(FileError::at(path))?;
+        let name = path.file_stem().map(|stem| stem.to_string_lossy().into_owned()).unwrap_or_default();
+        let (runs, unknown_kinds) = experiment::days(&text, policies, &options.seeds())
+            .map_err(SimulationError::invalid(path.display()))?;
+        for kind in unknown_kinds {
+            print_message(format!("{}: no model for {kind}", path.display()));
+        }
+        all_runs.extend(in_cell(runs, &name));
     }
-    let groups = report::groups(tallies);
-    print(&report::table(&groups));
-    match &how.report {
-        Some(path) => write_page(name, path, &groups),
-        None => Ok(()),
+    results::show("days of the bench", all_runs, options)
+}
+
+/// Runs a scenario on real processes.
+fn inject_faults(scenario: &str, seeds: &[u64], options: &RunOptions) -> CommandResult {
+    let (name, scenario) = read_scenario(scenario)?;
+    Ok(fault_injection::run(&name, &scenario, seeds, options)?)
+}
+
+/// Compares one load carried by many instances with the same carried by one.
+fn fleet_ratio(
+    scenario: &str,
+    instances: &[u32],
+    loads: &[f64],
+    options: &ExperimentOptions,
+) -> CommandResult {
+    let (name, text) = read_scenario_text(scenario)?;
+    let progress = progress_bar(instances.len() * loads.len(), options);
+    let ratios = account::account(&text, loads, instances, &options.seeds(), || progress.inc(1))
+        .map_err(SimulationError::invalid(&name))?;
+    progress.finish_and_clear();
+    let runs = ratios.cells.iter().flat_map(|cell| &cell.runs);
+    results::show_with_page(runs, &ratios.table(), || ratios.html(&name), options)
+}
+
+/// Maps service over load (first axis) and the fraction of the servers that is lost (second axis).
+fn stability_map(
+    scenario: &str,
+    (loads, lost_fractions): (&[f64], &[f64]),
+    policy: Named,
+    earlier_results: Option<&Path>,
+    options: &ExperimentOptions,
+) -> CommandResult {
+    let (name, text) = read_scenario_text(scenario)?;
+    let earlier_runs = earlier_results.map(results::read).transpose()?;
+    let progress = progress_bar(loads.len() * lost_fractions.len(), options);
+    let axes = (loads, lost_fractions);
+    let map = stability::map(&text, axes, policy, &options.seeds(), || progress.inc(1))
+        .map_err(SimulationError::invalid(&name))?;
+    progress.finish_and_clear();
+    let mut table = map.table();
+    if let Some(earlier_runs) = earlier_runs {
+        let (comparison, worse) = map.beside(&earlier_runs);
+        table += &format!("\n{comparison}\n{worse} cells are worse by more than two points\n");
     }
+    let runs = map.cells.iter().flat_map(|cell| &cell.runs);
+    results::show_with_page(runs, &table, || map.html(&name), options)
 }
 
-/// Writes runs and page where they are wanted, and prints the text.
-fn give_out<'a>(
-    runs: impl IntoIterator<Item = &'a Tally>,
-    text: &str,
-    page: impl FnOnce() -> Result<String, report::NoPlot>,
-    how: &How,
-) -> Result<(), String> {
-    if let Some(path) = &how.json {
-        write_lines(path, runs)?;
+fn write_report(path: &Path, page: &Path) -> CommandResult {
+    let groups = report::groups(results::read(path)?);
+    results::write_report(&path.display().to_string(), page, &groups)
+}
+
+/// The name and text of a scenario that comes with the program or is a file.
+fn read_scenario_text(name: &str) -> Result<(String, String), SimulationError> {
+    if let Some(text) = scenarios::text(name) {
+        return Ok((name.to_string(), text.to_string()));
     }
-    print(text);
-    match &how.report {
-        Some(path) => write(path, &page().map_err(|why| why.to_string())?),
-        None => Ok(()),
+    match std::fs::read_to_string(name) {
+        Ok(text) => Ok((name.to_string(), text)),
+        Err(source) => {
+            let available = scenarios::names().collect::<Vec<_>>().join(", ");
+            Err(SimulationError::ScenarioNotFound { name: name.to_string(), source, available })
+        }
     }
 }
 
-/// Writes each run as a JSON line.
-pub(crate) fn write_lines<'a>(
-    path: &Path,
-    tallies: impl IntoIterator<Item = &'a Tally>,
-) -> Result<(), String> {
-    let mut file = std::fs::File::create(path).map_err(|e| at(path, &e))?;
-    for tally in tallies {
-        let line = serde_json::to_string(tally).map_err(|e| at(path, &e))?;
-        writeln!(file, "{line}").map_err(|e| at(path, &e))?;
+/// A scenario's name, and the scenario.
+fn read_scenario(name: &str) -> Result<(String, Scenario), SimulationError> {
+    let (name, text) = read_scenario_text(name)?;
+    let scenario = Scenario::parse(&text).map_err(SimulationError::invalid(&name))?;
+    Ok((name, scenario))
+}
+
+/// Puts runs into one cell of a table.
+fn in_cell(mut runs: Vec<Tally>, cell: &str) -> Vec<Tally> {
+    runs.iter_mut().for_each(|run| run.cell = cell.to_string());
+    runs
+}
+
+/// Runs each policy in each cell, with each seed.
+fn run_cells(cells: &[(String, Scenario)], policies: &[Named], options: &ExperimentOptions) -> Vec<Tally> {
+    let seeds = options.seeds();
+    let progress = progress_bar(cells.len() * policies.len(), options);
+    let mut all_runs = Vec::new();
+    for (cell, scenario) in cells {
+        let runs = experiment::runs(scenario, policies, &seeds, || progress.inc(1));
+        all_runs.append(&mut in_cell(runs, cell));
     }
-    Ok(())
+    progress.finish_and_clear();
+    all_runs
 }
 
-fn write(path: &Path, page: &str) -> Result<(), String> {
-    std::fs::write(path, page).map_err(|e| at(path, &e))?;
-    say(format!("written: {}", path.display()));
-    Ok(())
+/// A progress bar over all seeds of this many cells.
+fn progress_bar(cells: usize, options: &ExperimentOptions) -> ProgressBar {
+    ProgressBar::new(cells as u64 * options.seed_count)
+}
+
+/// A metric that two policies are compared by.
+struct ComparedMetric {
+    name: &'static str,
+    scale: f64,
+    value: fn(&Tally) -> f64,
 }
 
-fn write_page(title: &str, path: &Path, groups: &[(String, Vec<Tally>)]) -> Result<(), String> {
-    let page = report::html(title, groups).map_err(|why| why.to_string())?;
-    write(path, &page)
+const COMPARED_METRICS: [ComparedMetric; 4] = [
+    ComparedMetric { name: "service, points in 100", scale: 100.0, value: |run| run.service },
+    ComparedMetric { name: "worst 10 s, points in 100", scale: 100.0, value: |run| run.worst },
+    ComparedMetric { name: "99th percentile, ms", scale: 1.0, value: |run| run.p99_ms },
+    ComparedMetric { name: "attempts a call", scale: 1.0, value: |run| run.attempts },
+];
+
+/// One line for each metric: by how much the candidate is above the baseline, with a 95% interval.
+fn format_gains(baseline: &[Tally], candidate: &[Tally]) -> String {
+    let line = |metric: ComparedMetric| {
+        let gain = experiment::gain(baseline, candidate, metric.value);
+        let note = if gain.is_apart() { "" } else { "   (may be chance)" };
+        let (mean, half_width) = (metric.scale * gain.mean, metric.scale * gain.half);
+        format!("  {}: {mean:+.2} ± {half_width:.2}{note}", metric.name)
+    };
+    COMPARED_METRICS.map(line).join("\n")
 }
--- /dev/null
+++ b/crates/hillstall/src/simulation/results.rs
@@ -0,0 +1,66 @@
+//! Results of experiments: read from files, printed as tables, written as JSON lines and pages.
+
+use super::{ExperimentOptions, SimulationError};
+use crate::output::{print, print_message, write_file, write_json_lines, FileError};
+use hillstall_simulation::report::{self, NoPlot};
+use hillstall_simulation::sim::Tally;
+use std::path::Path;
+
+/// Reads results that were kept with `--json`.
+pub fn read(path: &Path) -> Result<Vec<Tally>, SimulationError> {
+    let text = std::fs::read_to_string(path).map_err(FileError::at(path))?;
+    let lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
+    let parse = |(index, line)| {
+        serde_json::from_str(line).map_err(|source| SimulationError::InvalidResult {
+            path: path.display().to_string(),
+            line: index + 1,
+            source,
+        })
+    };
+    lines.map(parse).collect()
+}
+
+/// Prints the table of an experiment's runs, and writes the files that the options ask for.
+pub fn show(title: &str, runs: Vec<Tally>, options: &ExperimentOptions) -> Result<(), SimulationError> {
+    if let Some(path) = &options.json {
+        write_json_lines(path, &runs)?;
+    }
+    let groups = report::groups(runs);
+    print(&report::table(&groups));
+    match &options.report {
+        Some(path) => write_report(title, path, &groups),
+        None => Ok(()),
+    }
+}
+
+/// Prints `text`, and writes runs and page where the options ask for them.
+pub fn show_with_page<'a>(
+    runs: impl IntoIterator<Item = &'a Tally>,
+    text: &str,
+    page: impl FnOnce() -> Result<String, NoPlot>,
+    options: &ExperimentOptions,
+) -> Result<(), SimulationError> {
+    if let Some(path) = &options.json {
+        write_json_lines(path, runs)?;
+    }
+    print(text);
+    match &options.report {
+        Some(path) => write_page(path, &page()?),
+        None => Ok(()),
+    }
+}
+
+/// Writes the page of grouped runs.
+pub fn write_report(
+    title: &str,
+    path: &Path,
+    groups: &[(String, Vec<Tally>)],
+) -> Result<(), SimulationError> {
+    write_page(path, &report::html(title, groups)?)
+}
+
+fn write_page(path: &Path, page: &str) -> Result<(), SimulationError> {
+    write_file(path, page)?;
+    print_message(format!("written: {}", path.display()));
+    Ok(())
+}
--- a/crates/hillstall/tests/proxy/main.rs
+++ b/crates/hillstall/tests/proxy/main.rs
@@ -8,6 +8,8 @@
 mod hostile;
 mod operate;
 mod operator_file;
+mod operator_settings;
+mod platform_file;
 mod streams;
 use harness::*;
 use std::io::{BufReader, ErrorKind, Read, Write};
--- a/crates/hillstall/src/operator/tests.rs
+++ b/crates/hillstall/tests/proxy/operator_settings.rs
@@ -1,5 +1,9 @@
-use super::*;
+//! The operator's settings: precedence of the sources, and every problem at once with its place.
+
+use hillstall::operator::keys::{self, KEYS};
+use hillstall::operator::{ConfigProblem, OperatorConfig, Sources, ValueOrigin};
 use hillstall_proxy_core::tuning::Tuning;
+use std::time::Duration;
 
 /// A file of these lines, which goes with the test.
 fn file(text: &str) -> tempfile::NamedTempFile {
@@ -8,25 +12,25 @@
     file
 }
 
-fn read(text: &str, env: &[(&str, &str)], flags: &[&str]) -> Result<Operator, Vec<Wrong>> {
+fn read(text: &str, env: &[(&str, &str)], flags: &[&str]) -> Result<OperatorConfig, Vec<ConfigProblem>> {
     let file = file(text);
     let sources = Sources {
         file: Some(file.path().to_path_buf()),
         flags: flags.iter().map(ToString::to_string).collect(),
     };
-    Operator::read(&sources, |name| env.iter().find(|(n, _)| *n == name).map(|(_, v)| v.to_string()))
+    OperatorConfig::read(&sources, |name| env.iter().find(|(n, _)| *n == name).map(|(_, v)| v.to_string()))
 }
 
-fn told(text: &str) -> Vec<String> {
+fn problems(text: &str) -> Vec<String> {
     read(text, &[], &[]).expect_err("it is wrong").iter().map(ToString::to_string).collect()
 }
 
 #[test]
 fn the_defaults_are_those_of_the_core() {
-    let operator = Operator::read(&Sources::default(), |_| None).expect("the defaults");
+    let operator = OperatorConfig::read(&Sources::default(), |_| None).expect("the defaults");
     assert_eq!(keys::tuning(&operator), Tuning::default());
-    assert!(operator.shown().all(|(_, _, from)| *from == Origin::Default));
-    assert_eq!(operator.shown().count(), KEYS.len());
+    assert!(operator.entries().all(|(_, _, from)| *from == ValueOrigin::Default));
+    assert_eq!(operator.entries().count(), KEYS.len());
 }
 
 #[test]
@@ -34,9 +38,9 @@
     let text = "[pool]\nrest = \"3ms\"\nkept = 5\nwaits = 6\n";
     let env = [("HILLSTALL_POOL_KEPT", "7"), ("HILLSTALL_POOL_WAITS", "8")];
     let operator = read(text, &env, &["pool.waits=9"]).expect("it is right");
-    assert_eq!(operator.time("pool.rest"), Duration::from_millis(3));
-    assert_eq!((operator.count("pool.kept"), operator.count("pool.waits")), (7, 9));
-    let from: Vec<String> = operator.shown().map(|(_, _, from)| from.to_string()).collect();
+    assert_eq!(operator.duration("pool.rest"), Duration::from_millis(3));
+    assert_eq!((operator.integer("pool.kept"), operator.integer("pool.waits")), (7, 9));
+    let from: Vec<String> = operator.entries().map(|(_, _, from)| from.to_string()).collect();
     assert!(from.iter().any(|f| f.ends_with(":2")) && from.contains(&"$HILLSTALL_POOL_KEPT".to_string()));
 }
 
@@ -44,7 +48,7 @@
 fn all_faults_are_told_at_once_with_line_and_key() {
     let text = "[pool]\nrest = \"3\"\nkpet = 5\nwaits = \"6\"\n\n[callers]\nidle = \"1ms\"\nidel = \"2s\"\n\
                 [messages]\nheld = \"64\"\nstall = 5\nread_ahead = [1]\n";
-    let told = told(text);
+    let problems = problems(text);
     let expected = [
         (":2: pool.rest: ", "with its unit"),
         (":3: pool.kpet: ", "did you mean pool.kept?"),
@@ -56,26 +60,29 @@
         (":12: messages.read_ahead: ", "has no meaning here"),
     ];
     for (place, why) in expected {
-        assert!(told.iter().any(|t| t.contains(place) && t.contains(why)), "{place}{why} in {told:#?}");
+        assert!(
+            problems.iter().any(|t| t.contains(place) && t.contains(why)),
+            "{place}{why} in {problems:#?}"
+        );
     }
-    assert_eq!(told.len(), expected.len(), "{told:#?}");
+    assert_eq!(problems.len(), expected.len(), "{problems:#?}");
 }
 
 #[test]
 fn text_that_is_no_toml_a_file_that_is_not_there_and_keys_at_odds_are_told() {
-    assert!(told("[pool\nrest = 1\n").iter().any(|t| t.contains(":1: ")));
-    assert!(told("[messages]\nlongest = \"32KiB\"\n")[0].contains("must not be above"));
+    assert!(problems("[pool\nrest = 1\n").iter().any(|t| t.contains(":1: ")));
+    assert!(problems("[messages]\nlongest = \"32KiB\"\n")[0].contains("must not be above"));
     let sources = Sources { file: Some("/nowhere/at-all.toml".into()), flags: vec!["pool.rest".into()] };
-    let wrong = Operator::read(&sources, |_| None).expect_err("there is none");
-    assert!(wrong[0].to_string().starts_with("/nowhere/at-all.toml: "));
-    assert!(wrong[1].to_string().contains("not KEY=VALUE"));
+    let problems = OperatorConfig::read(&sources, |_| None).expect_err("there is none");
+    assert!(problems[0].to_string().starts_with("/nowhere/at-all.toml: "));
+    assert!(problems[1].to_string().contains("not KEY=VALUE"));
 }
 
 #[test]
 fn every_shown_value_can_be_read_again() {
-    let operator = Operator::read(&Sources::default(), |_| None).expect("the defaults");
-    for (key, value, _) in operator.shown() {
-        assert_eq!(key.kind.read(&value.to_string()), Ok(value), "{}", key.name);
+    let operator = OperatorConfig::read(&Sources::default(), |_| None).expect("the defaults");
+    for (key, value, _) in operator.entries() {
+        assert_eq!(key.kind.parse(&value.to_string()), Ok(value), "{}", key.name);
     }
 }
 
