--- a/crates/hot-path-bench/src/child.rs
+++ b/crates/hot-path-bench/src/child.rs
@@ -5,55 +5,64 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// What can go wrong with a measurement.
+/// Longest wait for a started process to listen.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Between two attempts to connect to it.
+const CONNECT_INTERVAL: Duration = Duration::from_millis(10);
+
+/// Why a measurement failed.
 #[derive(Debug, thiserror::Error)]
-pub enum Broken {
+pub enum BenchError {
     /// The program can't be started.
     #[error("{0}: {1}")]
     Start(String, std::io::Error),
-    /// It does not serve in time.
+    /// The program does not listen in time.
     #[error("{0} does not serve at {1}")]
-    Silent(&'static str, SocketAddr),
-    /// The system refused something.
+    NotListening(&'static str, SocketAddr),
+    /// A system call failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-/// A child that is ended with its measurement.
-pub struct Measured {
+/// A child process that is killed when this is dropped.
+pub struct MeasuredProcess {
     child: Child,
 }
 
-impl Measured {
-    /// Starts a program.
-    pub fn start(program: &Path, command: impl FnOnce(&mut Command)) -> Result<Measured, Broken> {
-        let mut to_run = Command::new(program);
-        to_run.stdout(Stdio::null()).stderr(Stdio::null());
-        command(&mut to_run);
-        let child = to_run.spawn().map_err(|e| Broken::Start(program.display().to_string(), e))?;
-        Ok(Measured { child })
+impl MeasuredProcess {
+    /// Starts a program; `configure` sets its arguments and environment.
+    pub fn start(
+        program: &Path,
+        configure: impl FnOnce(&mut Command),
+    ) -> Result<MeasuredProcess, BenchError> {
+        let mut command = Command::new(program);
+        command.stdout(Stdio::null()).stderr(Stdio::null());
+        configure(&mut command);
+        let child =
+            command.spawn().map_err(|error| BenchError::Start(program.display().to_string(), error))?;
+        Ok(MeasuredProcess { child })
     }
 
-    /// CPU time of all its threads so far, from the scheduler's own account in nanoseconds.
-    pub fn cpu(&self) -> Result<Duration, Broken> {
-        let mut sum = 0;
+    /// CPU time of all its threads so far, as the scheduler counts it in nanoseconds.
+    pub fn cpu_time(&self) -> Result<Duration, BenchError> {
+        let mut total_ns = 0;
         for task in std::fs::read_dir(format!("/proc/{}/task", self.child.id()))? {
             let text = std::fs::read_to_string(task?.path().join("schedstat"))?;
-            sum += text.split(' ').next().and_then(|ns| ns.parse().ok()).unwrap_or(0);
+            total_ns += text.split(' ').next().and_then(|ns| ns.parse().ok()).unwrap_or(0);
         }
-        Ok(Duration::from_nanos(sum))
+        Ok(Duration::from_nanos(total_ns))
     }
 
-    /// Memory of its own that it holds, in bytes: what the kernel holds for its sockets is not in it.
-    pub fn memory(&self) -> Result<u64, Broken> {
+    /// Its anonymous memory in bytes; what the kernel holds for its sockets is not counted.
+    pub fn memory(&self) -> Result<u64, BenchError> {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = text.lines().find_map(|line| line.strip_prefix("RssAnon:"));
-        let kb = line.and_then(|line| line.trim().split(' ').next()?.parse::<u64>().ok());
-        Ok(kb.unwrap_or(0) * 1024)
+        let kib = line.and_then(|line| line.trim().split(' ').next()?.parse::<u64>().ok());
+        Ok(kib.unwrap_or(0) * 1024)
     }
 }
 
-impl Drop for Measured {
+impl Drop for MeasuredProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -61,13 +70,13 @@
 }
 
 /// Waits until a connection can be made.
-pub async fn await_listener(what: &'static str, address: SocketAddr) -> Result<(), Broken> {
-    let end = Instant::now() + Duration::from_secs(10);
+pub async fn await_listener(what: &'static str, address: SocketAddr) -> Result<(), BenchError> {
+    let deadline = Instant::now() + START_TIMEOUT;
     while tokio::net::TcpStream::connect(address).await.is_err() {
-        if Instant::now() > end {
-            return Err(Broken::Silent(what, address));
+        if Instant::now() > deadline {
+            return Err(BenchError::NotListening(what, address));
         }
-        tokio::time::sleep(Duration::from_millis(10)).await;
+        tokio::time::sleep(CONNECT_INTERVAL).await;
     }
     Ok(())
 }
--- a/crates/hot-path-bench/src/main.rs
+++ b/crates/hot-path-bench/src/main.rs
@@ -1,5 +1,5 @@
-//! Measures the hot path: what a call through the proxy costs, beside a bare byte relay in the same run, with
-//! servers that answer at once. `docs/measurements/hot-path.md` has the figures and the command.
+//! Benchmark of the request path: what a request through the proxy costs, compared with a bare byte relay in the same
+//! run, with backends that answer at once. `docs/measurements/hot-path.md` has the results and the command.
 
 mod child;
 mod paths;
@@ -10,21 +10,22 @@
 
 #[derive(Parser)]
 #[command(version, about)]
-struct Command {
+struct CommandLine {
     #[command(subcommand)]
-    what: What,
+    benchmark: Benchmark,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Calls a second, latency and CPU a call, beside the relay
-    Calls {
+enum Benchmark {
+    /// Requests a second, latency and CPU a request, beside the relay
+    #[command(name = "calls")]
+    Requests {
         /// The proxy's binary
         #[arg(long, default_value = "target/release/hillstall")]
         proxy: PathBuf,
-        /// Callers at a time, one run for each number
-        #[arg(long, value_delimiter = ',', default_values_t = [1usize, 16, 64])]
-        callers: Vec<usize>,
+        /// Concurrent clients, one run for each number
+        #[arg(long = "callers", value_delimiter = ',', default_values_t = [1usize, 16, 64])]
+        clients: Vec<usize>,
         /// Seconds of each run
         #[arg(long, default_value_t = 3.0)]
         seconds: f64,
@@ -52,15 +53,17 @@
 }
 
 fn main() -> ExitCode {
-    let ran = match Command::parse().what {
-        What::Calls { proxy, callers, seconds, rounds } => paths::calls(&proxy, &callers, seconds, rounds),
-        What::Idle { proxy, connections } => paths::idle(&proxy, connections),
-        What::Relay { listen, servers } => paths::relay(listen, servers),
+    let result = match CommandLine::parse().benchmark {
+        Benchmark::Requests { proxy, clients, seconds, rounds } => {
+            paths::requests(&proxy, &clients, seconds, rounds)
+        }
+        Benchmark::Idle { proxy, connections } => paths::idle(&proxy, connections),
+        Benchmark::Relay { listen, servers } => paths::relay(listen, servers),
     };
-    match ran {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("hillstall-hot-path-bench: {why}");
+        Err(error) => {
+            eprintln!("hillstall-hot-path-bench: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/hot-path-bench/src/paths.rs
+++ b/crates/hot-path-bench/src/paths.rs
@@ -1,9 +1,9 @@
-//! The measurements. Servers and the list run on a thread of their own, callers on this one, the relay and the
-//! proxy as processes.
+//! The measurements. Backends and discovery run on a thread of their own, clients on this one, the relay and the proxy
+//! as processes.
 
-use crate::child::{await_listener, Broken, Measured};
-use hillstall_simulation::callers::{self, Tally};
-use hillstall_simulation::relay as bare;
+use crate::child::{await_listener, BenchError, MeasuredProcess};
+use hillstall_simulation::callers::{self as closed_loop_clients, Tally};
+use hillstall_simulation::relay as bare_relay;
 use hillstall_simulation::site::{config, Holds};
 use hillstall_simulation::stand::{listener, Stand};
 use std::net::SocketAddr;
@@ -14,179 +14,230 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::task::LocalSet;
 
-const SERVERS: usize = 4;
-const BODY: &[u8] = b"{\"item\":\"lantern\",\"price\":\"4.99\",\"owned\":false}";
-/// Calls before a measurement, so that connections are open and counts are learned.
+/// Number of backends.
+const BACKENDS: usize = 4;
+/// What each backend answers.
+const RESPONSE_BODY: &[u8] = b"{\"item\":\"lantern\",\"price\":\"4.99\",\"owned\":false}";
+/// Length of the run before a measurement, in which connections are opened and limits are learned.
 const WARM_UP: Duration = Duration::from_millis(700);
+/// Seconds of one turn of the relay or the proxy.
+const TURN_SECONDS: f64 = 0.25;
+/// Concurrent clients that warm the proxy up before idle connections are measured.
+const IDLE_WARM_UP_CLIENTS: usize = 16;
 
-fn runtime() -> Result<Runtime, Broken> {
+fn runtime() -> Result<Runtime, BenchError> {
     Ok(Builder::new_current_thread().enable_all().build()?)
 }
 
 /// An address at which nobody listens at the moment.
-fn free_address() -> Result<SocketAddr, Broken> {
+fn free_address() -> Result<SocketAddr, BenchError> {
     Ok(listener()?.1)
 }
 
-fn stand() -> Result<Stand, Broken> {
-    Ok(Stand::start(SERVERS, |_| Rc::new(|_, _| BODY.to_vec()))?)
+fn start_backends() -> Result<Stand, BenchError> {
+    Ok(Stand::start(BACKENDS, |_| Rc::new(|_, _| RESPONSE_BODY.to_vec()))?)
 }
 
-fn start_proxy(program: &Path, site: &Stand, holds: Holds) -> Result<(Measured, SocketAddr), Broken> {
+fn start_proxy(
+    program: &Path,
+    backends: &Stand,
+    limits: Holds,
+) -> Result<(MeasuredProcess, SocketAddr), BenchError> {
     let address = free_address()?;
     let file = std::env::temp_dir().join(format!("hillstall-hot-path-bench-{}.json", std::process::id()));
-    std::fs::write(&file, config(address, site.discovery, &site.servers, holds).to_string())?;
-    let proxy = Measured::start(program, |command| {
+    std::fs::write(&file, config(address, backends.discovery, &backends.servers, limits).to_string())?;
+    let proxy = MeasuredProcess::start(program, |command| {
         command.env("NODE_CONFIG", &file);
     })?;
     Ok((proxy, address))
 }
 
+/// Starts this program once more, as the relay.
+async fn start_relay(backends: &Stand) -> Result<(MeasuredProcess, SocketAddr), BenchError> {
+    let address = free_address()?;
+    let program = std::env::current_exe()?;
+    let relay = MeasuredProcess::start(&program, |command| {
+        command.arg("relay").arg(address.to_string());
+        command.args(backends.servers.iter().map(ToString::to_string));
+    })?;
+    await_listener("the relay", address).await?;
+    Ok((relay, address))
+}
+
 /// Runs the relay in this process.
-pub fn relay(listen: SocketAddr, servers: Vec<SocketAddr>) -> Result<(), Broken> {
+pub fn relay(listen: SocketAddr, backends: Vec<SocketAddr>) -> Result<(), BenchError> {
     LocalSet::new().block_on(&runtime()?, async move {
         let listener = tokio::net::TcpListener::bind(listen).await?;
-        bare::serve(listener, servers).await;
+        bare_relay::serve(listener, backends).await;
         Ok(())
     })
 }
 
-/// Seconds of one turn of the relay or the proxy.
-const TURN: f64 = 0.25;
-
-/// What runs of callers came to.
+/// Results of one or more runs on one path, added up.
 #[derive(Default)]
-struct Run {
-    tally: Tally,
+struct RunTotals {
+    responses: Tally,
     seconds: f64,
-    cpu: Duration,
+    cpu_time: Duration,
+    /// Backend connections opened meanwhile.
     opened: u64,
+    /// Backend connections open at the end.
     open: u64,
 }
 
-impl Run {
-    fn add(&mut self, other: Run) {
+impl RunTotals {
+    fn add(&mut self, other: RunTotals) {
         // Fails only between histograms of other bounds.
-        let _ = self.tally.served.add(&other.tally.served);
-        self.tally.refused += other.tally.refused;
-        self.tally.failed += other.tally.failed;
+        let _ = self.responses.served.add(&other.responses.served);
+        self.responses.refused += other.responses.refused;
+        self.responses.failed += other.responses.failed;
         self.seconds += other.seconds;
-        self.cpu += other.cpu;
+        self.cpu_time += other.cpu_time;
         self.opened += other.opened;
         self.open = other.open;
     }
 
-    fn calls(&self) -> f64 {
-        (self.tally.served.len() + self.tally.refused + self.tally.failed) as f64
+    fn requests(&self) -> f64 {
+        (self.responses.served.len() + self.responses.refused + self.responses.failed) as f64
     }
 
+    /// CPU time per request, in microseconds.
     fn cpu_us(&self) -> f64 {
-        self.cpu.as_secs_f64() * 1e6 / self.calls().max(1.0)
+        self.cpu_time.as_secs_f64() * 1e6 / self.requests().max(1.0)
     }
 
-    fn p(&self, quantile: f64) -> f64 {
-        self.tally.served.value_at_quantile(quantile) as f64 / 1000.0
+    /// A quantile of the latency, in milliseconds.
+    fn latency_ms(&self, quantile: f64) -> f64 {
+        self.responses.served.value_at_quantile(quantile) as f64 / 1000.0
     }
 
-    fn row(&self, what: &str, callers: usize) -> String {
+    fn row(&self, path: &str, clients: usize) -> String {
         format!(
-            "| {callers} | {what} | {:.0} | {:.3} | {:.3} | {:.1} | {:.0} | {} | {} | {} | {} |",
-            self.calls() / self.seconds,
-            self.p(0.5),
-            self.p(0.99),
+            "| {clients} | {path} | {:.0} | {:.3} | {:.3} | {:.1} | {:.0} | {} | {} | {} | {} |",
+            self.requests() / self.seconds,
+            self.latency_ms(0.5),
+            self.latency_ms(0.99),
             self.cpu_us(),
             1e6 / self.cpu_us().max(0.001),
-            self.tally.refused,
-            self.tally.failed,
+            self.responses.refused,
+            self.responses.failed,
             self.opened,
             self.open
         )
     }
 }
 
-async fn run(
-    site: &Stand,
-    child: &Measured,
+/// A path that requests take to the backends.
+#[derive(Clone, Copy)]
+struct MeasuredPath<'a> {
+    backends: &'a Stand,
+    process: &'a MeasuredProcess,
     address: SocketAddr,
-    callers: usize,
-    seconds: f64,
-) -> Result<Run, Broken> {
-    let count = &site.connections;
-    let (before, opened) = (child.cpu()?, count.opened.load(Ordering::Relaxed));
-    let tally = callers::run(address, callers, Duration::from_secs_f64(seconds)).await;
-    let opened = count.opened.load(Ordering::Relaxed) - opened;
-    let open = count.open.load(Ordering::Relaxed);
-    Ok(Run { tally, seconds, cpu: child.cpu()? - before, opened, open })
+    clients: usize,
 }
 
-fn median(mut of: Vec<f64>) -> f64 {
-    of.sort_by(f64::total_cmp);
-    of.get(of.len() / 2).copied().unwrap_or(f64::NAN)
+impl MeasuredPath<'_> {
+    async fn run(self, seconds: f64) -> Result<RunTotals, BenchError> {
+        let connections = &self.backends.connections;
+        let cpu_before = self.process.cpu_time()?;
+        let opened_before = connections.opened.load(Ordering::Relaxed);
+        let responses =
+            closed_loop_clients::run(self.address, self.clients, Duration::from_secs_f64(seconds)).await;
+        Ok(RunTotals {
+            responses,
+            seconds,
+            cpu_time: self.process.cpu_time()? - cpu_before,
+            opened: connections.opened.load(Ordering::Relaxed) - opened_before,
+            open: connections.open.load(Ordering::Relaxed),
+        })
+    }
+}
+
+fn median(mut values: Vec<f64>) -> f64 {
+    values.sort_by(f64::total_cmp);
+    values.get(values.len() / 2).copied().unwrap_or(f64::NAN)
+}
+
+/// The proxy's cost over the relay's.
+struct CostRatio {
+    cpu: f64,
+    p50: f64,
+}
+
+/// One round: a fresh proxy is warmed up, then relay and proxy take short turns, so that a machine that changes its
+/// speed changes it for both. Prints a row for each.
+async fn round(relay: MeasuredPath<'_>, program: &Path, seconds: f64) -> Result<CostRatio, BenchError> {
+    // A fresh proxy each time: the first moments of one are part of what is measured.
+    let limits = Holds { sockets: 1_024, memory_mb: 192 };
+    let (process, address) = start_proxy(program, relay.backends, limits)?;
+    await_listener("the proxy", address).await?;
+    let proxy = MeasuredPath { process: &process, address, ..relay };
+    let fresh = proxy.run(WARM_UP.as_secs_f64()).await?;
+    relay.run(WARM_UP.as_secs_f64()).await?;
+    let (mut through_relay, mut through_proxy) = (RunTotals::default(), RunTotals::default());
+    let turns = (seconds / TURN_SECONDS).ceil().max(1.0) as usize;
+    for _ in 0..turns {
+        through_relay.add(relay.run(TURN_SECONDS).await?);
+        through_proxy.add(proxy.run(TURN_SECONDS).await?);
+    }
+    println!("{}", through_relay.row("relay", relay.clients));
+    println!("{}", fresh.row("fresh proxy", relay.clients));
+    println!("{}", through_proxy.row("proxy", relay.clients));
+    Ok(CostRatio {
+        cpu: through_proxy.cpu_us() / through_relay.cpu_us(),
+        p50: through_proxy.latency_ms(0.5) / through_relay.latency_ms(0.5),
+    })
 }
 
-/// Relay and proxy in turn, for each number of callers.
-pub fn calls(program: &Path, callers: &[usize], seconds: f64, rounds: usize) -> Result<(), Broken> {
-    let site = stand()?;
+/// Measures relay and proxy in turn, for each number of concurrent clients, and prints the medians of their ratios.
+pub fn requests(program: &Path, clients: &[usize], seconds: f64, rounds: usize) -> Result<(), BenchError> {
+    let backends = start_backends()?;
     LocalSet::new().block_on(&runtime()?, async {
-        let relay_at = free_address()?;
-        let own = std::env::current_exe()?;
-        let relay = Measured::start(&own, |command| {
-            command.arg("relay").arg(relay_at.to_string());
-            command.args(site.servers.iter().map(ToString::to_string));
-        })?;
-        await_listener("the relay", relay_at).await?;
+        let (process, address) = start_relay(&backends).await?;
         println!("| callers | path | calls/s | p50 ms | p99 ms | CPU µs a call | calls/s of a core | refused | failed | opened | open |");
         println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         let mut ratios = Vec::new();
-        for callers in callers {
+        for clients in clients {
+            let relay = MeasuredPath { backends: &backends, process: &process, address, clients: *clients };
             let (mut cpu, mut p50) = (Vec::new(), Vec::new());
             for _ in 0..rounds {
-                // A fresh proxy each time: the first moments of one are part of what is measured.
-                let (proxy, proxy_at) =
-                    start_proxy(program, &site, Holds { sockets: 1_024, memory_mb: 192 })?;
-                await_listener("the proxy", proxy_at).await?;
-                let fresh = run(&site, &proxy, proxy_at, *callers, WARM_UP.as_secs_f64()).await?;
-                run(&site, &relay, relay_at, *callers, WARM_UP.as_secs_f64()).await?;
-                // Short turns: a machine that changes its speed changes it for both.
-                let (mut through_relay, mut through_proxy) = (Run::default(), Run::default());
-                let turns = (seconds / TURN).ceil().max(1.0) as usize;
-                for _ in 0..turns {
-                    through_relay.add(run(&site, &relay, relay_at, *callers, TURN).await?);
-                    through_proxy.add(run(&site, &proxy, proxy_at, *callers, TURN).await?);
-                }
-                println!("{}", through_relay.row("relay", *callers));
-                println!("{}", fresh.row("fresh proxy", *callers));
-                println!("{}", through_proxy.row("proxy", *callers));
-                cpu.push(through_proxy.cpu_us() / through_relay.cpu_us());
-                p50.push(through_proxy.p(0.5) / through_relay.p(0.5));
+                let ratio = round(relay, program, seconds).await?;
+                cpu.push(ratio.cpu);
+                p50.push(ratio.p50);
             }
-            ratios.push((*callers, median(cpu), median(p50)));
+            ratios.push((*clients, median(cpu), median(p50)));
         }
         println!("\n| callers | CPU a call, proxy over relay | p50, proxy over relay |");
         println!("| --- | --- | --- |");
-        for (callers, cpu, p50) in ratios {
-            println!("| {callers} | {cpu:.2} | {p50:.2} |");
+        for (clients, cpu, p50) in ratios {
+            println!("| {clients} | {cpu:.2} | {p50:.2} |");
         }
         Ok(())
     })
 }
 
-/// Memory of the proxy before and after so many connections that idle.
-pub fn idle(program: &Path, connections: usize) -> Result<(), Broken> {
-    let site = stand()?;
+/// Prints the proxy's memory before and after so many idle client connections.
+pub fn idle(program: &Path, connections: usize) -> Result<(), BenchError> {
+    let backends = start_backends()?;
     LocalSet::new().block_on(&runtime()?, async {
-        let holds = Holds { sockets: 2 * connections + 512, memory_mb: 2_048 };
-        let (proxy, address) = start_proxy(program, &site, holds)?;
+        let limits = Holds { sockets: 2 * connections + 512, memory_mb: 2_048 };
+        let (proxy, address) = start_proxy(program, &backends, limits)?;
         await_listener("the proxy", address).await?;
-        callers::run(address, 16, WARM_UP).await;
+        closed_loop_clients::run(address, IDLE_WARM_UP_CLIENTS, WARM_UP).await;
         let before = proxy.memory()?;
-        let kept = callers::idle(address, connections).await?;
+        let idle = closed_loop_clients::idle(address, connections).await?;
         let after = proxy.memory()?;
-        let each = after.saturating_sub(before) as f64 / kept.len().max(1) as f64;
+        let per_connection = after.saturating_sub(before) as f64 / idle.len().max(1) as f64;
         println!("| connections | MB before | MB with them | KiB each |");
         println!("| --- | --- | --- | --- |");
         let mb = |bytes: u64| bytes as f64 / 1e6;
-        println!("| {} | {:.1} | {:.1} | {:.2} |", kept.len(), mb(before), mb(after), each / 1024.0);
+        println!(
+            "| {} | {:.1} | {:.1} | {:.2} |",
+            idle.len(),
+            mb(before),
+            mb(after),
+            per_connection / 1024.0
+        );
         Ok(())
     })
 }
