--- a/crates/simulation/src/account.rs
+++ b/crates/simulation/src/account.rs
@@ -8,7 +8,7 @@
 use crate::sim::{self, Tally};
 
 /// The key of the number of copies.
-const COPIES: &str = "proxies";
+const INSTANCES_KEY: &str = "proxies";
 
 /// Runs of one load with one number of copies.
 pub struct Cell {
@@ -35,7 +35,7 @@
     ended: impl Fn() + Sync,
 ) -> Result<Account, NoSweep> {
     let numbers = copies.iter().map(|n| toml::Value::Integer(i64::from(*n))).collect();
-    let axes = [Axis::of_numbers(LOAD, loads), Axis { key: COPIES.to_string(), values: numbers }];
+    let axes = [Axis::of_numbers(LOAD, loads), Axis { key: INSTANCES_KEY.to_string(), values: numbers }];
     let scenarios = grid(text, &axes)?;
     let places = loads.iter().flat_map(|load| copies.iter().map(move |copies| (*load, *copies)));
     let runs = by_cell(&scenarios, seeds, |(_, scenario), seed| {
--- a/crates/simulation/src/callers.rs
+++ b/crates/simulation/src/callers.rs
@@ -31,7 +31,7 @@
 }
 
 /// One call after another on one connection, until the time is up or the connection ends.
-async fn caller(
+async fn run_client(
     address: SocketAddr,
     number: usize,
     until: Instant,
@@ -91,7 +91,7 @@
             let tally = tally.clone();
             spawn_local(async move {
                 while Instant::now() < until {
-                    if caller(address, number, until, &tally).await.is_err() {
+                    if run_client(address, number, until, &tally).await.is_err() {
                         tally.borrow_mut().failed += 1;
                         // A listener that is not there must not be asked in a tight loop.
                         tokio::time::sleep(Duration::from_millis(1)).await;
--- a/crates/simulation/src/servers.rs
+++ b/crates/simulation/src/servers.rs
@@ -9,8 +9,8 @@
 use tokio::task::spawn_local;
 
 /// The largest head that a stand-in reads.
-const HEAD_MOST: usize = 16 * 1024;
-const HEADERS_MOST: usize = 64;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+const MAX_HEADERS: usize = 64;
 
 /// What a server makes of a request: the body of its answer.
 pub type Answers = dyn Fn(&str, &str) -> Vec<u8>;
@@ -44,7 +44,7 @@
     let mut written = Vec::with_capacity(1024);
     loop {
         let Some(used) = take(&read, answers, &mut written) else {
-            if read.len() >= HEAD_MOST || stream.read_buf(&mut read).await? == 0 {
+            if read.len() >= MAX_HEAD_BYTES || stream.read_buf(&mut read).await? == 0 {
                 return Ok(());
             }
             continue;
@@ -67,7 +67,7 @@
 /// Reads one whole head and writes its answer; gives how long the request is, `None` if its head is not whole
 /// (or can't be read, which ends when the buffer is full).
 fn take(read: &[u8], answers: &Answers, written: &mut Vec<u8>) -> Option<usize> {
-    let mut headers = [EMPTY_HEADER; HEADERS_MOST];
+    let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut request = Request::new(&mut headers);
     let head = match request.parse(read) {
         Ok(httparse::Status::Complete(head)) => head,
--- a/crates/simulation/src/sim/arrivals.rs
+++ b/crates/simulation/src/sim/arrivals.rs
@@ -21,11 +21,11 @@
     pub zone: usize,
     /// Its work over all tiers, in core milliseconds.
     pub work: f64,
-    /// What it is worth: heavier calls of a class are worth more.
+    /// Its weight: in one class it grows with the work.
     pub worth: f64,
 }
 
-/// Which of some parts a number from 0 to 1 falls on.
+/// The part that a number from 0 to 1 falls on, with the parts scaled to add up to 1.
 pub fn drawn(number: f64, parts: impl Iterator<Item = f64> + Clone) -> usize {
     let mut left = number * parts.clone().sum::<f64>();
     let mut last = 0;
@@ -39,7 +39,7 @@
     last
 }
 
-/// The calls of one run, in order.
+/// The client requests of one run, in order.
 pub struct Arrivals {
     figures: Figures,
     rng: Xoshiro256PlusPlus,
@@ -52,19 +52,19 @@
         Arrivals { figures: figures.clone(), rng: chance(seed, Stream::Arrivals), at: 0.0 }
     }
 
-    /// How many times the usual load bursts make it at a moment.
+    /// The load factor of the burst in force at a time; 1 without one.
     fn burst(&self, now: f64) -> f64 {
         let bursts = |f: &&FailureOf| f.what == What::Burst && f.at <= now && now < f.at + f.lasts;
         self.figures.failures.iter().rfind(bursts).map_or(1.0, |f| f.times)
     }
 
-    fn call(&mut self) -> Option<Arrival> {
+    fn draw(&mut self) -> Option<Arrival> {
         let (now, of) = (self.at, &self.figures);
         let turn = now / of.period * std::f64::consts::TAU;
         let rate = of.rate * (1.0 + of.swing * turn.sin()) * of.factor(now) * self.burst(now) / 1e3;
-        // Drawn in any case, so that the stream is the same for all bursts.
+        // Drawn in any case, so that the random stream is the same with and without bursts.
         let [keep, class, zone, tenant] = [(); 4].map(|()| part(&mut self.rng));
-        // Shapes take different counts of draws, so each call's work has a stream of its own.
+        // Distributions take different numbers of draws, so each request's work has a stream of its own.
         let mut size = Xoshiro256PlusPlus::seed_from_u64(self.rng.next_u64());
         if keep * of.most_rate() >= rate {
             return None;
@@ -82,18 +82,18 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        let most = self.figures.most_rate();
-        // A rate of nothing has no gaps to draw.
-        if most <= 0.0 {
+        let max_rate = self.figures.most_rate();
+        // With a rate of zero there are no intervals to draw.
+        if max_rate <= 0.0 {
             return None;
         }
         loop {
-            self.at += -(1.0 - part(&mut self.rng)).ln() / most;
+            self.at += -(1.0 - part(&mut self.rng)).ln() / max_rate;
             if self.at > self.figures.length {
                 return None;
             }
-            if let Some(call) = self.call() {
-                return Some(call);
+            if let Some(arrival) = self.draw() {
+                return Some(arrival);
             }
         }
     }
--- a/crates/simulation/src/sim/clients.rs
+++ b/crates/simulation/src/sim/clients.rs
@@ -1,70 +1,71 @@
-//! The clients: an open loop. A call is to start when the arrival process says so, whatever became of the others.
+//! Open-loop clients: a request starts when the arrival process says so, whatever became of the others.
 
 use super::arrivals::{drawn, Arrival};
 use super::cuts::Way;
-use super::queue::{End, Happening};
+use super::queue::{ResponseKind, SimEvent};
 use super::tally::Ended;
-use super::{Call, Caller, World};
+use super::{ClientRequest, RequestSource, World};
 use crate::chance::part;
 use hillstall_decision::Event;
 
 impl World {
-    /// The next call sets out, and the one after it is put down.
+    /// The next client request starts, and the one after it is scheduled.
     pub(super) fn arrive(&mut self) {
-        if let Some(call) = self.coming.take() {
-            self.call(call);
+        if let Some(arrival) = self.next_arrival.take() {
+            self.start_client_request(arrival);
         }
-        self.coming = self.arrivals.next();
-        if let Some(next) = self.coming {
-            self.queue.put(next.at, Happening::Arrival);
+        self.next_arrival = self.arrivals.next();
+        if let Some(next) = self.next_arrival {
+            self.queue.put(next.at, SimEvent::Arrival);
         }
     }
 
-    fn call(&mut self, arrival: Arrival) {
+    fn start_client_request(&mut self, arrival: Arrival) {
         let Arrival { class, tenant, zone, work, worth, .. } = arrival;
-        self.tally.asked(self.now, tenant, worth);
-        self.calls.push(Call {
+        self.totals.asked(self.now, tenant, worth);
+        self.client_requests.push(ClientRequest {
             class,
             tenant,
             work,
-            worth,
+            weight: worth,
             first_at: self.now,
             deadline_at: self.now + self.figures.classes[class].deadline,
             zone,
             no: 0,
-            ask: None,
+            proxy_request: None,
             closed: false,
         });
-        self.make_try(self.calls.len() - 1, 0.0);
+        self.start_client_attempt(self.client_requests.len() - 1, 0.0);
     }
 
-    /// A client sets out on a try after a wait. Its patience counts from when it sets out.
-    fn make_try(&mut self, call: usize, wait: f64) {
-        let of = &self.calls[call];
+    /// A client starts an attempt after a wait. Its timeout counts from that start.
+    fn start_client_attempt(&mut self, client_request: usize, wait: f64) {
+        let of = &self.client_requests[client_request];
         let (no, at) = (of.no, self.now + wait);
-        let over = (at + self.patience(of.class)).min(of.deadline_at);
-        self.tally.tried(at);
-        self.queue.put(at + self.figures.client, Happening::Try { call, no });
-        self.queue.put(over, Happening::TryOver { call, no });
+        let timeout_at = (at + self.attempt_timeout(of.class)).min(of.deadline_at);
+        self.totals.tried(at);
+        self.queue
+            .put(at + self.figures.client, SimEvent::ClientAttempt { client_request, no });
+        self.queue.put(timeout_at, SimEvent::ClientAttemptTimeout { client_request, no });
     }
 
-    /// How long a client of a class waits for one try.
-    fn patience(&self, class: usize) -> f64 {
+    /// How long a client of a class waits for one attempt, in milliseconds.
+    fn attempt_timeout(&self, class: usize) -> f64 {
         self.figures.try_part * self.figures.classes[class].deadline
     }
 
-    /// A try comes to a proxy of its hall, or of another where that has none.
-    pub(super) fn try_at_proxy(&mut self, call: usize, no: u32) {
-        let of = &self.calls[call];
+    /// A client's attempt reaches a proxy of its zone, or of another where that has none.
+    pub(super) fn client_attempt_arrives(&mut self, client_request: usize, no: u32) {
+        let of = &self.client_requests[client_request];
         if of.closed || of.no != no {
             return;
         }
         let (class, tenant, work) = (of.class, of.tenant, of.work);
         let (zone, deadline) = (of.zone, of.deadline_at);
-        // The front layer sends past a proxy that is gone only once it has noticed.
+        // The load balancer in front avoids a proxy that is gone only once it has noticed.
         let alive = |p: &&usize| {
             let proxy = &self.proxies[**p];
-            !proxy.leaves && (proxy.alive || self.now - proxy.gone_at < self.figures.front_notice)
+            !proxy.draining && (proxy.alive || self.now - proxy.gone_at < self.figures.front_notice)
         };
         let near: Vec<usize> = (self.before[0].iter().filter(alive))
             .filter(|p| self.proxies[**p].zone == zone)
@@ -75,82 +76,94 @@
         if able.is_empty() {
             return;
         }
-        let heat = able.iter().map(|p| self.proxies[*p].heat);
-        let proxy = able[drawn(part(&mut self.network), heat)];
+        let weights = able.iter().map(|p| self.proxies[*p].traffic_weight);
+        let proxy = able[drawn(part(&mut self.network), weights)];
         if !self.proxies[proxy].alive {
-            // One that is gone with its machine says nothing, not even that.
+            // With its machine gone nobody refuses the connection: it times out.
             if !self.proxies[proxy].silent {
-                self.broken(call, no);
+                self.broken(client_request, no);
             }
             return;
         }
         match self.way_in(proxy) {
             Way::Open(_) => {}
-            Way::Held(_) => return,
-            Way::Refused | Way::Broken => return self.broken(call, no),
+            Way::Blocked(_) => return,
+            Way::Refused | Way::Broken => return self.broken(client_request, no),
         }
-        self.tally.came_to(proxy);
-        self.account.came(class);
-        let patience = self.patience(class);
-        // What is left when the answer must set out.
-        let ttl = patience.min(deadline - self.now + self.figures.client) - 2.0 * self.figures.client;
-        self.calls[call].ask = Some(self.asks.len());
-        self.ask(proxy, Caller::Client { call, no }, (class, tenant), work, ttl.max(0.0));
+        self.totals.came_to(proxy);
+        self.side_effects.on_arrival(class);
+        let attempt_timeout = self.attempt_timeout(class);
+        // The time left when the response must be sent.
+        let ttl = attempt_timeout.min(deadline - self.now + self.figures.client) - 2.0 * self.figures.client;
+        self.client_requests[client_request].proxy_request = Some(self.requests.len());
+        self.receive_request(
+            proxy,
+            RequestSource::Client { client_request, no },
+            (class, tenant),
+            work,
+            ttl.max(0.0),
+        );
     }
 
-    /// The client has waited long enough for this try.
-    pub(super) fn try_over(&mut self, call: usize, no: u32) {
-        if self.calls[call].closed || self.calls[call].no != no {
+    /// The client has waited long enough for this attempt.
+    pub(super) fn client_attempt_timed_out(&mut self, client_request: usize, no: u32) {
+        if self.client_requests[client_request].closed || self.client_requests[client_request].no != no {
             return;
         }
-        if let Some(ask) = self.calls[call].ask {
-            self.leave(ask);
+        if let Some(request) = self.client_requests[client_request].proxy_request {
+            self.client_leaves(request);
         }
-        self.next_try(call, Ended::Failed, 0.0);
+        self.retry_or_close(client_request, Ended::Failed, 0.0);
     }
 
-    /// Whoever asked has gone: nothing more is owed.
-    pub(super) fn leave(&mut self, ask: usize) {
-        let of = &mut self.asks[ask];
+    /// The client of a request has gone: it needs no response.
+    pub(super) fn client_leaves(&mut self, request: usize) {
+        let of = &mut self.requests[request];
         if of.answered || of.gone {
             return;
         }
         of.gone = true;
         let proxy = of.proxy;
         if self.proxies[proxy].alive {
-            self.tell(proxy, Event::ClientGone { request: ask as u64 });
+            self.notify(proxy, Event::ClientGone { request: request as u64 });
         }
     }
 
-    pub(super) fn final_at_client(&mut self, call: usize, no: u32, end: End, come_back: f64) {
-        if self.calls[call].closed || self.calls[call].no != no {
+    pub(super) fn final_at_client(
+        &mut self,
+        client_request: usize,
+        no: u32,
+        end: ResponseKind,
+        retry_after: f64,
+    ) {
+        if self.client_requests[client_request].closed || self.client_requests[client_request].no != no {
             return;
         }
         match end {
-            End::Served => {
-                let of = &mut self.calls[call];
+            ResponseKind::Served => {
+                let of = &mut self.client_requests[client_request];
                 of.closed = true;
                 let latency_ms = self.now - of.first_at;
-                let (first_at, tenant, worth) = (of.first_at, of.tenant, of.worth);
+                let (first_at, tenant, weight) = (of.first_at, of.tenant, of.weight);
                 let in_aim = latency_ms <= self.figures.classes[of.class].aim;
-                self.tally.ended(first_at, (tenant, worth), Ended::Answered { latency_ms, in_aim });
+                self.totals.ended(first_at, (tenant, weight), Ended::Answered { latency_ms, in_aim });
             }
-            End::Refused => self.next_try(call, Ended::Refused, come_back),
-            End::Failed => self.next_try(call, Ended::Failed, 0.0),
+            ResponseKind::Rejected => self.retry_or_close(client_request, Ended::Refused, retry_after),
+            ResponseKind::Failed => self.retry_or_close(client_request, Ended::Failed, 0.0),
         }
     }
 
-    fn next_try(&mut self, call: usize, ended: Ended, come_back: f64) {
-        let follows = come_back > 0.0 && part(&mut self.network) < self.figures.honour;
-        let wait = if follows { come_back.max(self.figures.wait) } else { self.figures.wait };
-        let of = &mut self.calls[call];
+    fn retry_or_close(&mut self, client_request: usize, ended: Ended, retry_after: f64) {
+        let follows = retry_after > 0.0 && part(&mut self.network) < self.figures.honour;
+        let wait = if follows { retry_after.max(self.figures.wait) } else { self.figures.wait };
+        let of = &mut self.client_requests[client_request];
         of.no += 1;
-        of.ask = None;
+        of.proxy_request = None;
         if of.no > self.figures.retries || self.now + wait >= of.deadline_at {
             of.closed = true;
             let first_at = of.first_at;
-            return self.tally.ended(first_at, (0, 0.0), ended);
+            return self.totals.ended(first_at, (0, 0.0), ended);
         }
-        self.make_try(call, wait);
+        self.start_client_attempt(client_request, wait);
     }
 }
--- a/crates/simulation/src/sim/cuts.rs
+++ b/crates/simulation/src/sim/cuts.rs
@@ -1,18 +1,18 @@
-//! Links that are no longer what they were.
+//! Faults of network links.
 
 use super::World;
 use crate::scenario::{Between, Mode};
 
-/// What a cut makes of something that is to pass.
+/// What becomes of a message on a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Way {
-    /// It comes so much later than usual (ms).
+    /// It arrives so much later than usual, in milliseconds.
     Open(f64),
-    /// Nothing passes until then (ms).
-    Held(f64),
+    /// Nothing passes until this time, in milliseconds.
+    Blocked(f64),
     /// Connections are refused.
     Refused,
-    /// Connections break.
+    /// Connections are reset.
     Broken,
 }
 
@@ -22,15 +22,15 @@
         if begins {
             return self.cuts.push(index);
         }
-        for (proxy, machine) in std::mem::take(&mut self.missed) {
-            match self.hears_nothing(proxy) {
-                true => self.missed.push((proxy, machine)),
-                false => self.tell_one(proxy, machine),
+        for (proxy, machine) in std::mem::take(&mut self.missed_notices) {
+            match self.is_cut_off_from_discovery(proxy) {
+                true => self.missed_notices.push((proxy, machine)),
+                false => self.notify_of_machine(proxy, machine),
             }
         }
     }
 
-    /// The links of a kind from a proxy, to a machine of a zone where that matters.
+    /// The state of a proxy's link of a kind; `to` is the zone of the machine at its other end.
     fn way_of(&self, link: Between, proxy: usize, to: Option<usize>) -> Way {
         let of = &self.proxies[proxy];
         let place = (of.rank, self.before[of.tier].len());
@@ -48,7 +48,7 @@
                 Mode::Delay => Way::Open(cut.delay),
                 Mode::Refuse => Way::Refused,
                 Mode::Reset => Way::Broken,
-                Mode::Silent | Mode::LoseForth | Mode::LoseBack => Way::Held(failure.at + failure.lasts),
+                Mode::Silent | Mode::LoseForth | Mode::LoseBack => Way::Blocked(failure.at + failure.lasts),
             };
         }
         Way::Open(0.0)
@@ -62,8 +62,8 @@
         self.way_of(Between::ClientFront, proxy, None)
     }
 
-    /// Whether a proxy is cut off from the list of servers.
-    pub(super) fn hears_nothing(&self, proxy: usize) -> bool {
+    /// Whether a proxy is cut off from the discovery service.
+    pub(super) fn is_cut_off_from_discovery(&self, proxy: usize) -> bool {
         !matches!(self.way_of(Between::ProxyDiscovery, proxy, None), Way::Open(_))
     }
 }
--- a/crates/simulation/src/sim/failures.rs
+++ b/crates/simulation/src/sim/failures.rs
@@ -1,17 +1,17 @@
-//! What goes wrong, and what the proxies learn of it.
+//! Failures, and how the proxies are notified of them.
 
-use super::queue::{Happening, Step};
+use super::queue::{SimEvent, Step};
 use super::setup::some_of;
 use super::World;
 use crate::scenario::What;
 use hillstall_decision::{BackendInfo, BackendState, Event, ListKind};
 
-/// How long a drained machine takes to start again.
+/// Restart time of a drained machine, in milliseconds.
 const RESTART_MS: f64 = 500.0;
 
 impl World {
-    /// The machines that a failure is about: those it names, or this part of its tier, from the first on, and at
-    /// least one.
+    /// The machines that a failure affects: those it names, or this part of its tier, from the first on, and at least
+    /// one.
     fn meant(&self, index: usize, part: f64) -> Vec<usize> {
         let failure = &self.figures.failures[index];
         if !failure.on.is_empty() {
@@ -25,18 +25,18 @@
         let failure = &self.figures.failures[index];
         let (what, zone, part, times) = (failure.what, failure.zone, failure.part, failure.times);
         match what {
-            // The arrivals know it themselves.
+            // The arrival process handles bursts.
             What::Burst => {}
             What::DiscoveryDown => {
                 self.discovery_down = begins;
                 if !begins {
-                    for machine in std::mem::take(&mut self.untold) {
-                        self.told(machine);
+                    for machine in std::mem::take(&mut self.unsent_notices) {
+                        self.announce(machine);
                     }
                 }
             }
             What::Slow => {
-                // Something that they share: all of the tier, whatever part is given.
+                // A shared dependency: the whole tier, whatever part is given.
                 for machine in self.meant(index, 1.0) {
                     let times = if begins { times.max(1e-3) } else { 1.0 };
                     self.hosts[machine].machine.slow(self.now, times, &mut self.done);
@@ -51,7 +51,7 @@
             }
             What::TurnAway => {
                 for machine in self.meant(index, part) {
-                    self.hosts[machine].turns_away = begins;
+                    self.hosts[machine].rejects_new = begins;
                 }
             }
             What::Crash => {
@@ -83,50 +83,50 @@
             }
             What::Release if begins => {
                 let machines = self.meant(index, part);
-                let each = self.figures.failures[index].lasts / machines.len() as f64;
+                let interval = self.figures.failures[index].lasts / machines.len() as f64;
                 for (i, machine) in machines.into_iter().enumerate() {
-                    let at = self.now + i as f64 * each;
-                    self.queue.put(at, Happening::Release { machine, step: Step::Drain });
-                    self.queue.put(at + 0.8 * each, Happening::Release { machine, step: Step::Stop });
+                    let at = self.now + i as f64 * interval;
+                    self.queue.put(at, SimEvent::Release { machine, step: Step::Drain });
+                    self.queue.put(at + 0.8 * interval, SimEvent::Release { machine, step: Step::Stop });
                 }
             }
             What::Release => {}
             What::KillProxies => {
-                for proxy in self.fronts(part) {
+                for proxy in self.first_tier_proxies(part) {
                     if begins {
-                        self.kill_front(proxy)
+                        self.kill_proxy(proxy)
                     } else {
-                        self.start_front(proxy)
+                        self.restart_proxy(proxy)
                     }
                 }
             }
             What::RollProxies if begins => {
-                let fronts = self.fronts(part);
-                let each = self.figures.failures[index].lasts / fronts.len() as f64;
-                for (i, proxy) in fronts.into_iter().enumerate() {
-                    self.queue.put(self.now + i as f64 * each, Happening::Roll { proxy });
+                let proxies = self.first_tier_proxies(part);
+                let interval = self.figures.failures[index].lasts / proxies.len() as f64;
+                for (i, proxy) in proxies.into_iter().enumerate() {
+                    self.queue.put(self.now + i as f64 * interval, SimEvent::Roll { proxy });
                 }
             }
-            // A file that says the same changes nothing; what stands still has no model here.
+            // A reload of the same file changes nothing; a stopped process has no model here.
             What::RollProxies | What::ReloadProxies | What::StopProxies => {}
             What::Cut => self.cut(index, begins),
         }
     }
 
-    /// A proxy is gone: what it held is lost to its callers, who find out by waiting.
+    /// A proxy is gone: its requests are lost, and their clients time out.
     fn abandon(&mut self, proxy: usize) {
-        for ask in self.asks.iter_mut().filter(|a| a.proxy == proxy && !a.answered) {
-            ask.gone = true;
+        for request in self.requests.iter_mut().filter(|a| a.proxy == proxy && !a.answered) {
+            request.gone = true;
         }
     }
 
     fn die(&mut self, machine: usize, reset: bool) {
         let mut done = Vec::new();
         self.hosts[machine].machine.kill(self.now, &mut done);
-        // What ended in this very moment is lost with the rest.
+        // Work that completed in this moment is lost with the rest.
         done.clear();
         self.hosts[machine].stamp += 1;
-        self.lose_held(machine, reset);
+        self.lose_attempts_on(machine, reset);
         let notice = if reset { self.figures.notice } else { self.figures.silent_notice };
         self.changed(machine, BackendState::Gone, notice);
     }
@@ -153,11 +153,11 @@
                 self.changed(machine, BackendState::Draining, self.figures.notice);
             }
             Step::Drain => {}
-            // A machine that something else took down meanwhile is not started again here.
+            // A machine that another failure has taken down is not restarted here.
             Step::Stop if self.hosts[machine].state == BackendState::Draining => {
                 self.die(machine, true);
                 let at = self.now + RESTART_MS;
-                self.queue.put(at, Happening::Release { machine, step: Step::Start });
+                self.queue.put(at, SimEvent::Release { machine, step: Step::Start });
             }
             Step::Stop => {}
             Step::Start => {
@@ -168,30 +168,30 @@
         }
     }
 
-    /// The list changes; the proxies are told after a while.
+    /// The endpoint list changes; the proxies are notified `notice` milliseconds later.
     fn changed(&mut self, machine: usize, state: BackendState, notice: f64) {
         self.hosts[machine].state = state;
-        self.queue.put(self.now + notice, Happening::Told { machine });
+        self.queue.put(self.now + notice, SimEvent::EndpointNotice { machine });
     }
 
-    pub(super) fn told(&mut self, machine: usize) {
+    pub(super) fn announce(&mut self, machine: usize) {
         if self.discovery_down {
-            return self.untold.push(machine);
+            return self.unsent_notices.push(machine);
         }
         let away = self.hosts[machine].state != BackendState::Ready;
         let host = &mut self.hosts[machine];
-        host.told_away = if away { Some(host.told_away.unwrap_or(self.now)) } else { None };
+        host.away_notified_at = if away { Some(host.away_notified_at.unwrap_or(self.now)) } else { None };
         for proxy in self.before[self.hosts[machine].tier].clone() {
-            match self.hears_nothing(proxy) {
-                true => self.missed.push((proxy, machine)),
-                false => self.tell_one(proxy, machine),
+            match self.is_cut_off_from_discovery(proxy) {
+                true => self.missed_notices.push((proxy, machine)),
+                false => self.notify_of_machine(proxy, machine),
             }
         }
     }
 
-    /// Tells one proxy of one machine.
-    pub(super) fn tell_one(&mut self, proxy: usize, machine: usize) {
+    /// Notifies one proxy of one machine's state.
+    pub(super) fn notify_of_machine(&mut self, proxy: usize, machine: usize) {
         let list: [BackendInfo; 1] = [self.info(machine)];
-        self.tell(proxy, Event::EndpointsChanged { kind: ListKind::Delta, version: 0, backends: &list });
+        self.notify(proxy, Event::EndpointsChanged { kind: ListKind::Delta, version: 0, backends: &list });
     }
 }
--- a/crates/simulation/src/sim/fronts.rs
+++ b/crates/simulation/src/sim/fronts.rs
@@ -1,62 +1,82 @@
-//! Proxies before the first tier that end and start again.
+//! Restarts of the first tier's proxies.
 
-use super::queue::{End, Happening};
+use super::queue::{ResponseKind, SimEvent};
 use super::setup::some_of;
-use super::{Caller, Proxy, World};
+use super::{Proxy, RequestSource, World};
 use rand_xoshiro::rand_core::RngCore;
 
-/// How long a proxy takes to start.
+/// Start time of a proxy, in milliseconds.
 const START_MS: f64 = 100.0;
 
 impl World {
-    /// This part of the proxies before the first tier, from the first on, and at least one.
-    pub(super) fn fronts(&self, part: f64) -> Vec<usize> {
+    /// This part of the first tier's proxies, from the first on, and at least one.
+    pub(super) fn first_tier_proxies(&self, part: f64) -> Vec<usize> {
         let all = &self.before[0];
         all[..some_of(part, all.len())].to_vec()
     }
 
-    /// Its process is gone at once: its connections are reset, and new ones refused.
-    pub(super) fn kill_front(&mut self, proxy: usize) {
+    /// The process is killed: its connections are reset, and new ones refused.
+    pub(super) fn kill_proxy(&mut self, proxy: usize) {
         self.proxies[proxy].alive = false;
         self.proxies[proxy].gone_at = self.now;
-        let open: Vec<usize> = (0..self.asks.len())
-            .filter(|a| self.asks[*a].proxy == proxy && !self.asks[*a].answered && !self.asks[*a].gone)
+        let open: Vec<usize> = (0..self.requests.len())
+            .filter(|a| {
+                self.requests[*a].proxy == proxy && !self.requests[*a].answered && !self.requests[*a].gone
+            })
             .collect();
-        for ask in open {
-            self.asks[ask].gone = true;
-            if let Some(attempt) = self.asks[ask].out {
-                self.queue.put(self.now, Happening::Cancel { attempt });
+        for request in open {
+            self.requests[request].gone = true;
+            if let Some(attempt) = self.requests[request].in_flight {
+                self.queue.put(self.now, SimEvent::Cancel { attempt });
             }
-            if let Caller::Client { call, no } = self.asks[ask].caller {
+            if let RequestSource::Client { client_request: call, no } = self.requests[request].source {
                 self.broken(call, no);
             }
         }
     }
 
-    /// A try that ends at once, as its connection broke or was refused.
-    pub(super) fn broken(&mut self, call: usize, no: u32) {
+    /// A client's attempt fails at once, as its connection broke or was refused.
+    pub(super) fn broken(&mut self, client_request: usize, no: u32) {
         let at = self.now + self.figures.client;
-        self.queue.put(at, Happening::Final { call, no, end: End::Failed, come_back: 0.0 });
+        self.queue.put(
+            at,
+            SimEvent::Final {
+                client_request,
+                no,
+                end: ResponseKind::Failed,
+                retry_after: 0.0,
+            },
+        );
     }
 
-    /// A process with nothing learned, in place of an older one.
+    /// A new process in place of an older one, with no learned state.
     fn fresh(&mut self, of: usize) -> Proxy {
         let old = &self.proxies[of];
-        let (tier, rank, zone, heat) = (old.tier, old.rank, old.zone, old.heat);
+        let (tier, rank, zone, traffic_weight) = (old.tier, old.rank, old.zone, old.traffic_weight);
         let settings = self.figures.settings(tier, rank, self.before[tier].len(), zone);
         let policy = self.named.start(settings, self.seeds.next_u64());
         let gone_at = f64::MIN;
-        Proxy { policy, tier, rank, zone, heat, alive: true, leaves: false, silent: false, gone_at }
+        Proxy {
+            policy,
+            tier,
+            rank,
+            zone,
+            traffic_weight,
+            alive: true,
+            draining: false,
+            silent: false,
+            gone_at,
+        }
     }
 
-    pub(super) fn start_front(&mut self, proxy: usize) {
+    pub(super) fn restart_proxy(&mut self, proxy: usize) {
         self.proxies[proxy] = self.fresh(proxy);
-        self.tell_all(proxy);
+        self.send_endpoint_list(proxy);
     }
 
-    /// It takes nothing new and ends what it has, while a fresh one starts in its place.
+    /// Restarts a proxy gracefully: it finishes what it has, while a new one starts in its place.
     pub(super) fn roll(&mut self, proxy: usize) {
-        if self.proxies[proxy].leaves {
+        if self.proxies[proxy].draining {
             // Second step: the new one is up.
             let new = self.fresh(proxy);
             let number = self.proxies.len();
@@ -64,11 +84,11 @@
             if let Some(place) = self.before[0].iter_mut().find(|p| **p == proxy) {
                 *place = number;
             }
-            return self.tell_all(number);
+            return self.send_endpoint_list(number);
         }
         if self.proxies[proxy].alive {
-            self.proxies[proxy].leaves = true;
-            self.queue.put(self.now + START_MS, Happening::Roll { proxy });
+            self.proxies[proxy].draining = true;
+            self.queue.put(self.now + START_MS, SimEvent::Roll { proxy });
         }
     }
 }
--- a/crates/simulation/src/sim/mod.rs
+++ b/crates/simulation/src/sim/mod.rs
@@ -1,5 +1,5 @@
-//! A scenario in simulated time: clients, proxies that run a policy, machines, and what goes wrong. One seed and one
-//! policy give one run, to the byte.
+//! A scenario in simulated time: clients, proxies that run a policy, machines, and failures. One seed and one policy
+//! give one run, byte for byte.
 
 pub mod arrivals;
 mod attempts;
@@ -21,13 +21,13 @@
 use crate::scenario::Scenario;
 use arrivals::{Arrival, Arrivals};
 use hillstall_decision::{Action, BackendInfo, BackendState, Event, ListKind};
-use queue::{Happening, Queue};
+use queue::{Queue, SimEvent};
 use rand_xoshiro::rand_core::RngCore;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use setup::{Figures, Stream};
 
-/// How often the machines' state is written down.
-const LOOK_MS: f64 = 100.0;
+/// Between two samples of the machines' capacity, in milliseconds.
+const SAMPLE_INTERVAL_MS: f64 = 100.0;
 
 struct Host {
     machine: Machine,
@@ -35,18 +35,18 @@
     /// Its place in the tier.
     place: usize,
     zone: usize,
-    /// Of the list: what is true now; proxies are told later.
+    /// Its true state; the endpoint list follows later.
     state: BackendState,
     started_at: Option<f64>,
     /// Cut off from the network.
     lost: bool,
-    /// Takes nothing new, as if it were full.
-    turns_away: bool,
+    /// Rejects new attempts, as if its queue were full.
+    rejects_new: bool,
     stamp: u64,
     /// Its own proxy to the next tier.
     proxy: Option<usize>,
-    /// When the proxies were told that it drains or is gone.
-    told_away: Option<f64>,
+    /// When the proxies were notified that it drains or is gone.
+    away_notified_at: Option<f64>,
 }
 
 struct Proxy {
@@ -54,63 +54,63 @@
     tier: usize,
     rank: usize,
     zone: usize,
-    /// How many times the calls of a common one it gets.
-    heat: f64,
+    /// Its traffic as a multiple of an average proxy's.
+    traffic_weight: f64,
     alive: bool,
-    /// It ends in order: it takes nothing new, and all know it.
-    leaves: bool,
-    /// It is gone with its machine, which refuses nothing and says nothing.
+    /// It shuts down gracefully: it accepts nothing new, and all know it.
+    draining: bool,
+    /// It is gone with its machine: connections are not refused, they time out.
     silent: bool,
     /// Since when it is gone.
     gone_at: f64,
 }
 
 #[derive(Clone, Copy)]
-enum Caller {
-    Client { call: usize, no: u32 },
+enum RequestSource {
+    Client { client_request: usize, no: u32 },
     Machine { attempt: usize },
 }
 
-struct Ask {
+struct ProxyRequest {
     proxy: usize,
-    caller: Caller,
+    source: RequestSource,
     class: usize,
     tenant: usize,
     work: f64,
-    give_up_at: f64,
+    deadline_at: f64,
     attempts: u32,
-    out: Option<usize>,
+    in_flight: Option<usize>,
     answered: bool,
     gone: bool,
 }
 
 struct Attempt {
-    ask: usize,
+    request: usize,
     no: u32,
     machine: usize,
     sent_at: f64,
-    /// Its end was told to the policy.
+    /// Its outcome was passed to the policy.
     over: bool,
-    /// The machine holds it; what a process held that has died is held no more.
-    held: bool,
-    /// Nobody waits for it any more.
+    /// It occupies a slot of its machine; false once the machine's process has died.
+    on_machine: bool,
+    /// It was cancelled.
     dropped: bool,
     phases_left: usize,
     phase_work: f64,
     below: Option<usize>,
 }
 
-struct Call {
+struct ClientRequest {
     class: usize,
     tenant: usize,
     work: f64,
-    worth: f64,
+    weight: f64,
     first_at: f64,
     deadline_at: f64,
     zone: usize,
     no: u32,
-    /// The request at the proxy that the current try became.
-    ask: Option<usize>,
+    /// The request at a proxy that the current client attempt became.
+    proxy_request: Option<usize>,
     closed: bool,
 }
 
@@ -123,25 +123,25 @@
     tiers: Vec<Vec<usize>>,
     proxies: Vec<Proxy>,
     before: Vec<Vec<usize>>,
-    asks: Vec<Ask>,
+    requests: Vec<ProxyRequest>,
     attempts: Vec<Attempt>,
-    calls: Vec<Call>,
+    client_requests: Vec<ClientRequest>,
     arrivals: Arrivals,
-    /// The next call to set out.
-    coming: Option<Arrival>,
+    /// The next client request to start.
+    next_arrival: Option<Arrival>,
     network: Xoshiro256PlusPlus,
     discovery_down: bool,
-    untold: Vec<usize>,
-    /// News that proxies cut off from the list have missed: proxy and machine.
-    missed: Vec<(usize, usize)>,
-    /// Cuts that are in force.
+    unsent_notices: Vec<usize>,
+    /// Endpoint updates that proxies cut off from discovery have missed: proxy and machine.
+    missed_notices: Vec<(usize, usize)>,
+    /// Link faults in force, by their place among the failures.
     cuts: Vec<usize>,
     named: Named,
     seeds: Xoshiro256PlusPlus,
     done: Vec<Job>,
-    tally: Tally,
-    account: harm::Account,
-    looked_at: f64,
+    totals: Tally,
+    side_effects: harm::SideEffectCounts,
+    sampled_at: f64,
 }
 
 /// Runs a scenario under a policy in simulated time.
@@ -149,10 +149,10 @@
     play(setup::draw(scenario, seed), policy, seed)
 }
 
-/// A day of the bench, read.
+/// A recorded day of the platform's simulator.
 pub struct Day {
     figures: Figures,
-    /// Troubles that the lab has no model for.
+    /// Failures in it that the simulation has no model for.
     pub unknown: Vec<String>,
 }
 
@@ -163,7 +163,7 @@
         Ok(Day { figures, unknown })
     }
 
-    /// Plays it under a policy in simulated time.
+    /// Runs it under a policy in simulated time.
     pub fn run(&self, policy: Named, seed: u64) -> Tally {
         play(self.figures.clone(), policy, seed)
     }
@@ -173,17 +173,17 @@
     let mut world = World::new(figures, policy, seed);
     while let Some((at, what)) = world.queue.next() {
         world.now = at;
-        world.happen(what);
-        world.look();
+        world.handle_event(what);
+        world.sample_capacity();
     }
-    let open = world.asks.iter().filter(|a| !a.answered && !a.gone).count() as u64;
-    world.tally.wrong_answers += open;
-    let account = std::mem::take(&mut world.account);
+    let open = world.requests.iter().filter(|a| !a.answered && !a.gone).count() as u64;
+    world.totals.wrong_answers += open;
+    let account = std::mem::take(&mut world.side_effects);
     let place = |host: usize| world.hosts[host].place;
     let start = |host: usize| world.figures.cold_start(world.hosts[host].tier, place(host));
-    world.tally.harm = account.close(&world.figures, world.tally.by_proxy(), start);
+    world.totals.harm = account.close(&world.figures, world.totals.by_proxy(), start);
     let chokes = world.hosts.iter().map(|h| u64::from(h.machine.chokes())).sum();
-    world.tally.close(chokes)
+    world.totals.close(chokes)
 }
 
 impl World {
@@ -195,22 +195,22 @@
             tiers: Vec::new(),
             proxies: Vec::new(),
             before: vec![Vec::new(); figures.tiers.len()],
-            asks: Vec::new(),
+            requests: Vec::new(),
             attempts: Vec::new(),
-            calls: Vec::new(),
+            client_requests: Vec::new(),
             arrivals: Arrivals::new(&figures, seed),
-            coming: None,
+            next_arrival: None,
             network: setup::chance(seed, Stream::Network),
             discovery_down: false,
-            untold: Vec::new(),
-            missed: Vec::new(),
+            unsent_notices: Vec::new(),
+            missed_notices: Vec::new(),
             cuts: Vec::new(),
             named: policy,
             seeds: setup::chance(seed, Stream::Policies),
             done: Vec::new(),
-            account: harm::Account::new(&figures),
-            tally: Tally::new(policy.name(), seed, figures.length, figures.shares()),
-            looked_at: f64::MIN,
+            side_effects: harm::SideEffectCounts::new(&figures),
+            totals: Tally::new(policy.name(), seed, figures.length, figures.shares()),
+            sampled_at: f64::MIN,
             figures,
         };
         world.build(policy);
@@ -230,58 +230,58 @@
                     state: BackendState::Ready,
                     started_at: None,
                     lost: false,
-                    turns_away: false,
+                    rejects_new: false,
                     stamp: 0,
                     proxy: None,
-                    told_away: None,
+                    away_notified_at: None,
                 });
             }
             self.tiers.push((first..self.hosts.len()).collect());
         }
         for tier in 0..self.tiers.len() {
             // The first tier's proxies stand alone; each machine has one of its own to the next tier.
-            let owners: Vec<Option<usize>> = match tier {
+            let hosts_of_proxies: Vec<Option<usize>> = match tier {
                 0 => vec![None; self.figures.proxies.len()],
                 _ => self.tiers[tier - 1].iter().copied().map(Some).collect(),
             };
-            for (rank, owner) in owners.iter().enumerate() {
-                let zone = owner.map_or_else(|| self.figures.proxies[rank], |host| self.hosts[host].zone);
-                let settings = self.figures.settings(tier, rank, owners.len(), zone);
+            for (rank, host) in hosts_of_proxies.iter().enumerate() {
+                let zone = host.map_or_else(|| self.figures.proxies[rank], |host| self.hosts[host].zone);
+                let settings = self.figures.settings(tier, rank, hosts_of_proxies.len(), zone);
                 let number = self.proxies.len();
                 self.proxies.push(Proxy {
                     policy: policy.start(settings, seeds.next_u64()),
                     tier,
                     rank,
                     zone,
-                    heat: self.figures.heat.get(number).copied().unwrap_or(1.0),
+                    traffic_weight: self.figures.heat.get(number).copied().unwrap_or(1.0),
                     alive: true,
-                    leaves: false,
+                    draining: false,
                     silent: false,
                     gone_at: f64::MIN,
                 });
                 self.before[tier].push(number);
-                if let Some(host) = *owner {
+                if let Some(host) = *host {
                     self.hosts[host].proxy = Some(number);
                 }
-                self.tell_all(number);
+                self.send_endpoint_list(number);
             }
         }
         self.seeds = seeds;
         for (index, failure) in self.figures.failures.iter().enumerate() {
-            self.queue.put(failure.at, Happening::Failure { index, begins: true });
-            self.queue.put(failure.at + failure.lasts, Happening::Failure { index, begins: false });
+            self.queue.put(failure.at, SimEvent::Failure { index, begins: true });
+            self.queue.put(failure.at + failure.lasts, SimEvent::Failure { index, begins: false });
         }
-        self.queue.put(0.0, Happening::Arrival);
+        self.queue.put(0.0, SimEvent::Arrival);
     }
 
-    /// Tells a proxy the whole list.
-    fn tell_all(&mut self, proxy: usize) {
+    /// Sends a proxy the whole endpoint list.
+    fn send_endpoint_list(&mut self, proxy: usize) {
         let tier = self.proxies[proxy].tier;
         let list: Vec<BackendInfo> = self.tiers[tier].iter().map(|h| self.info(*h)).collect();
-        self.tell(proxy, Event::EndpointsChanged { kind: ListKind::Cached, version: 0, backends: &list });
+        self.notify(proxy, Event::EndpointsChanged { kind: ListKind::Cached, version: 0, backends: &list });
     }
 
-    /// A machine as the list has it.
+    /// A machine as the endpoint list has it.
     fn info(&self, host: usize) -> BackendInfo {
         let h = &self.hosts[host];
         BackendInfo {
@@ -295,70 +295,76 @@
         }
     }
 
-    /// Tells a proxy's policy, and carries out what it wants.
-    fn tell(&mut self, proxy: usize, event: Event<'_>) {
+    /// Passes an event to a proxy's policy, and carries out its actions.
+    fn notify(&mut self, proxy: usize, event: Event<'_>) {
         let mut actions = Vec::new();
         self.proxies[proxy].policy.handle(self.now, event, &mut actions);
         for action in actions {
-            self.carry_out(proxy, action);
+            self.dispatch(proxy, action);
         }
     }
 
-    fn carry_out(&mut self, proxy: usize, action: Action) {
+    fn dispatch(&mut self, proxy: usize, action: Action) {
         match action {
             Action::Send { request, backend, timeout_ms } => {
                 self.send(request as usize, backend as usize, timeout_ms);
             }
             Action::Reject { request, retry_after_ms, .. } => {
-                self.answer(request as usize, queue::End::Refused, retry_after_ms);
+                self.answer(request as usize, queue::ResponseKind::Rejected, retry_after_ms);
             }
-            Action::Fail { request, .. } => self.answer(request as usize, queue::End::Failed, 0.0),
-            Action::Cancel { request, .. } => self.call_off(request as usize),
+            Action::Fail { request, .. } => self.answer(request as usize, queue::ResponseKind::Failed, 0.0),
+            Action::Cancel { request, .. } => self.cancel_attempt(request as usize),
             Action::SetTimer { after_ms, token } => {
-                self.queue.put(self.now + after_ms, Happening::Timer { proxy, token });
+                self.queue.put(self.now + after_ms, SimEvent::Timer { proxy, token });
             }
-            // The list comes by itself here, and nothing is probed.
+            // The endpoint list is pushed here, and nothing is probed.
             _ => {}
         }
     }
 
-    fn happen(&mut self, what: Happening) {
+    fn handle_event(&mut self, what: SimEvent) {
         match what {
-            Happening::Arrival => self.arrive(),
-            Happening::Try { call, no } => self.try_at_proxy(call, no),
-            Happening::TryOver { call, no } => self.try_over(call, no),
-            Happening::Final { call, no, end, come_back } => self.final_at_client(call, no, end, come_back),
-            Happening::Reach { attempt } => self.reach(attempt),
-            Happening::Due { machine, stamp } => {
+            SimEvent::Arrival => self.arrive(),
+            SimEvent::ClientAttempt { client_request, no } => {
+                self.client_attempt_arrives(client_request, no)
+            }
+            SimEvent::ClientAttemptTimeout { client_request, no } => {
+                self.client_attempt_timed_out(client_request, no)
+            }
+            SimEvent::Final { client_request, no, end, retry_after } => {
+                self.final_at_client(client_request, no, end, retry_after)
+            }
+            SimEvent::Reach { attempt } => self.reach(attempt),
+            SimEvent::Due { machine, stamp } => {
                 if self.hosts[machine].stamp == stamp {
                     let now = self.now;
                     self.hosts[machine].machine.advance(now, &mut self.done);
                     self.worked(machine);
                 }
             }
-            Happening::Back { attempt, outcome } => self.end_attempt(attempt, outcome),
-            Happening::TimeUp { attempt } => self.time_up(attempt),
-            Happening::Cancel { attempt } => self.cancel_at_machine(attempt),
-            Happening::Timer { proxy, token } => self.tell(proxy, Event::Timer { token }),
-            Happening::Failure { index, begins } => self.failure(index, begins),
-            Happening::Roll { proxy } => self.roll(proxy),
-            Happening::Release { machine, step } => self.release_step(machine, step),
-            Happening::Told { machine } => self.told(machine),
+            SimEvent::Back { attempt, outcome } => self.end_attempt(attempt, outcome),
+            SimEvent::TimeUp { attempt } => self.time_up(attempt),
+            SimEvent::Cancel { attempt } => self.cancel_at_machine(attempt),
+            SimEvent::Timer { proxy, token } => self.notify(proxy, Event::Timer { token }),
+            SimEvent::Failure { index, begins } => self.failure(index, begins),
+            SimEvent::Roll { proxy } => self.roll(proxy),
+            SimEvent::Release { machine, step } => self.release_step(machine, step),
+            SimEvent::EndpointNotice { machine } => self.announce(machine),
         }
     }
 
-    /// Writes down from time to time what the first tier can do.
-    fn look(&mut self) {
-        if self.now - self.looked_at < LOOK_MS || self.now > self.figures.length {
+    /// Samples the capacity of the first tier, once per [`SAMPLE_INTERVAL_MS`].
+    fn sample_capacity(&mut self) {
+        if self.now - self.sampled_at < SAMPLE_INTERVAL_MS || self.now > self.figures.length {
             return;
         }
-        self.looked_at = self.now;
+        self.sampled_at = self.now;
         let failing = self.hosts.iter().filter(|h| h.lost || !h.machine.works()).count();
-        self.account.failing(failing as f64 * LOOK_MS);
+        self.side_effects.failing(failing as f64 * SAMPLE_INTERVAL_MS);
         let whole = self.figures.tiers[0].able();
         let hosts = || self.tiers[0].iter().map(|h| &self.hosts[*h]).filter(|h| !h.lost);
         let able: f64 = hosts().map(|h| h.machine.capacity(self.now)).sum();
         let choked = hosts().filter(|h| h.machine.is_choked()).count() as u64;
-        self.tally.looked(self.now, able / whole, choked);
+        self.totals.looked(self.now, able / whole, choked);
     }
 }
--- a/crates/simulation/src/sim/queue.rs
+++ b/crates/simulation/src/sim/queue.rs
@@ -1,29 +1,29 @@
-//! What will happen, in the order of time; events of one moment come in the order in which they were put in, so that
-//! equal seeds give equal runs.
+//! Future events in the order of time. Events of one moment keep the order in which they were added, so that equal
+//! seeds give equal runs.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Something that will happen.
+/// A future event.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Happening {
-    /// The next call may be made; the arrival process thins itself.
+pub(super) enum SimEvent {
+    /// The next client request starts.
     Arrival,
-    /// A try reaches its proxy.
-    Try { call: usize, no: u32 },
-    /// A client has waited long enough for a try.
-    TryOver { call: usize, no: u32 },
-    /// The final answer of a try reaches its client.
-    Final { call: usize, no: u32, end: End, come_back: f64 },
+    /// A client's attempt reaches its proxy.
+    ClientAttempt { client_request: usize, no: u32 },
+    /// A client's attempt times out.
+    ClientAttemptTimeout { client_request: usize, no: u32 },
+    /// The final response to an attempt reaches its client.
+    Final { client_request: usize, no: u32, end: ResponseKind, retry_after: f64 },
     /// An attempt reaches its machine.
     Reach { attempt: usize },
-    /// Something changes at a machine by itself; an older stamp is out of date.
+    /// A machine completes work; the event is stale unless its stamp is the machine's.
     Due { machine: usize, stamp: u64 },
-    /// The end of an attempt reaches its proxy.
+    /// The outcome of an attempt reaches its proxy.
     Back { attempt: usize, outcome: hillstall_decision::Outcome },
-    /// An attempt's time is up.
+    /// An attempt times out at its proxy.
     TimeUp { attempt: usize },
-    /// A cancel reaches the machine.
+    /// A cancellation reaches the machine.
     Cancel { attempt: usize },
     /// A timer of a policy.
     Timer { proxy: usize, token: u64 },
@@ -31,10 +31,10 @@
     Failure { index: usize, begins: bool },
     /// A step in the release of a machine.
     Release { machine: usize, step: Step },
-    /// A proxy before the first tier is restarted in order.
+    /// A proxy of the first tier is restarted gracefully.
     Roll { proxy: usize },
-    /// The proxies before a tier are told of a machine.
-    Told { machine: usize },
+    /// The proxies of a tier are notified of a machine's state.
+    EndpointNotice { machine: usize },
 }
 
 /// Steps of a machine's release.
@@ -45,18 +45,18 @@
     Start,
 }
 
-/// How a proxy answered.
+/// Kind of a proxy's final response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum End {
+pub(super) enum ResponseKind {
     Served,
-    Refused,
+    Rejected,
     Failed,
 }
 
 struct Entry {
     at: f64,
     order: u64,
-    what: Happening,
+    what: SimEvent,
 }
 
 impl Ord for Entry {
@@ -79,7 +79,7 @@
 
 impl Eq for Entry {}
 
-/// The queue of happenings.
+/// The event queue.
 #[derive(Default)]
 pub(super) struct Queue {
     heap: BinaryHeap<Reverse<Entry>>,
@@ -87,12 +87,12 @@
 }
 
 impl Queue {
-    pub(super) fn put(&mut self, at: f64, what: Happening) {
+    pub(super) fn put(&mut self, at: f64, what: SimEvent) {
         self.order += 1;
         self.heap.push(Reverse(Entry { at, order: self.order, what }));
     }
 
-    pub(super) fn next(&mut self) -> Option<(f64, Happening)> {
+    pub(super) fn next(&mut self) -> Option<(f64, SimEvent)> {
         self.heap.pop().map(|Reverse(entry)| (entry.at, entry.what))
     }
 }
--- a/crates/simulation/src/sim/tally.rs
+++ b/crates/simulation/src/sim/tally.rs
@@ -11,36 +11,36 @@
 const LONGEST_US: u64 = 600_000_000;
 
 /// Seconds over which a tenant's worth is held against its share.
-const SHARE_OVER: usize = 5;
+const QUOTA_WINDOW_SECONDS: usize = 5;
 
-/// The tenants' shares. Worth that a tenant asks for, or is served, beyond its share counts as a part of it only; it
-/// is not single calls that lie beyond.
+/// The tenants' quotas. Weight that a tenant requests or is served beyond its quota counts only in part; this is counted
+/// over a window, not by request.
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
-    /// Worth a second; empty where there are no tenants.
+    /// Weight per second; empty where there are no tenants.
     pub quotas: Vec<f64>,
-    /// The part that counts of what goes beyond.
+    /// The part of the weight beyond a quota that counts.
     pub beyond: f64,
 }
 
 impl Shares {
-    fn counted(&self, tenant: usize, worth: f64, seconds: f64) -> f64 {
-        let share = self.quotas.get(tenant).map_or(f64::MAX, |quota| quota * seconds);
-        worth.min(share) + self.beyond * (worth - share).max(0.0)
+    fn counted(&self, tenant: usize, weight: f64, seconds: f64) -> f64 {
+        let quota = self.quotas.get(tenant).map_or(f64::MAX, |quota| quota * seconds);
+        weight.min(quota) + self.beyond * (weight - quota).max(0.0)
     }
 }
 
-/// How a call ended for its client.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ended {
-    /// Answered; the latency is from the first try's intended start.
+    /// Answered; the latency counts from the intended start of the first attempt.
     Answered {
         /// In milliseconds.
         latency_ms: f64,
-        /// Within the class's aim.
+        /// Within the class's latency objective.
         in_aim: bool,
     },
-    /// Turned away, at the last try.
+    /// Rejected, at the last attempt.
     Refused,
     /// Failed, or given up by its client.
     Failed,
@@ -49,13 +49,13 @@
 /// One second of a run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Second {
-    /// Calls that were to start in it.
+    /// Requests that were to start in it.
     pub offered: u64,
-    /// Answered within the aim.
+    /// Answered within the latency objective.
     pub in_aim: u64,
     /// Answered later.
     pub late: u64,
-    /// Turned away.
+    /// Rejected.
     pub refused: u64,
     /// Failed, or given up by the client.
     pub failed: u64,
@@ -75,7 +75,7 @@
     pub p50_ms: f64,
     /// 99th percentile, in milliseconds.
     pub p99_ms: f64,
-    /// Of each tenant: worth asked for, and worth answered within the aim.
+    /// Of each tenant: weight requested, and weight answered within the latency objective.
     #[serde(skip)]
     tenants: Vec<[f64; 2]>,
     #[serde(skip)]
@@ -94,48 +94,48 @@
     pub policy: String,
     /// The seed.
     pub seed: u64,
-    /// Worth answered within the aim over the worth asked for.
+    /// Weight answered within the latency objective over the weight requested.
     pub service: f64,
     /// The same in the worst ten seconds.
     pub worst: f64,
-    /// Calls.
+    /// Client requests.
     pub offered: u64,
-    /// Parts of the calls.
+    /// Answered late, as a part of the requests.
     pub late: f64,
-    /// Turned away at the last try.
+    /// Rejected at the last attempt, as a part of the requests.
     pub refused: f64,
     /// Failed, or given up by the client.
     pub failed: f64,
-    /// Of the tries at the quarter of the first tier's proxies that got most of them, the part refused ...
+    /// The part of client attempts rejected at the quarter of the first tier's proxies with most traffic ...
     #[serde(default)]
     pub refused_hot: f64,
-    /// ... and at the quarter that got fewest.
+    /// ... and at the quarter with least.
     #[serde(default)]
     pub refused_cool: f64,
-    /// Tries for each call.
+    /// Client attempts per request.
     pub tries: f64,
-    /// Attempts of all proxies for each call.
+    /// Attempts of all proxies per client request.
     pub attempts: f64,
-    /// Mean latency of the answers, in milliseconds.
+    /// Mean latency of the responses, in milliseconds.
     pub mean_ms: f64,
     /// Median latency, in milliseconds.
     pub p50_ms: f64,
     /// 99th percentile, in milliseconds.
     pub p99_ms: f64,
-    /// How often a machine choked.
+    /// Times that a machine choked (turned slow under a long queue).
     pub chokes: u64,
-    /// Sends to a machine more than 2 s after the proxy was told that it drains or is gone.
+    /// Attempts sent to a machine more than 2 s after the proxies were notified that it drains or is gone.
     pub late_sends: u64,
-    /// Final answers beyond the first, and calls that a proxy left without one.
+    /// Final responses beyond the first, and requests that a proxy left without one.
     pub wrong_answers: u64,
-    /// What the proxies did in the sum, where that was counted.
+    /// Side effects of all proxies together, where they were counted.
     #[serde(default)]
     pub harm: Harm,
     /// Each second.
     pub seconds: Vec<Second>,
     #[serde(skip)]
     histogram: Option<Histogram<u64>>,
-    /// Of each proxy before the first tier: tries that came to it, and tries it refused.
+    /// Of each proxy of the first tier: client attempts that reached it, and those it rejected.
     #[serde(skip)]
     by_proxy: Vec<[u64; 2]>,
     #[serde(skip)]
@@ -155,7 +155,7 @@
 }
 
 impl Tally {
-    /// An empty one of a run that is so long.
+    /// Empty totals of a run of a length in milliseconds.
     pub fn new(policy: &str, seed: u64, length_ms: f64, shares: Shares) -> Tally {
         let seconds = (length_ms / 1e3).ceil().max(1.0) as usize;
         Tally {
@@ -195,14 +195,14 @@
         &mut self.seconds[((at_ms / 1e3) as usize).min(last)]
     }
 
-    /// A call sets out.
-    pub fn asked(&mut self, at_ms: f64, tenant: usize, worth: f64) {
+    /// A client request starts.
+    pub fn asked(&mut self, at_ms: f64, tenant: usize, weight: f64) {
         let second = self.second(at_ms);
         second.offered += 1;
-        second.tenants[tenant][0] += worth;
+        second.tenants[tenant][0] += weight;
     }
 
-    /// A client makes a try.
+    /// A client starts an attempt.
     pub fn tried(&mut self, at_ms: f64) {
         self.second(at_ms).tries += 1;
     }
@@ -214,22 +214,22 @@
         &mut self.by_proxy[proxy]
     }
 
-    /// A try comes to a proxy before the first tier.
+    /// A client's attempt reaches a proxy of the first tier.
     pub fn came_to(&mut self, proxy: usize) {
         self.at_proxy(proxy)[0] += 1;
     }
 
-    /// Such a proxy refuses one.
+    /// Such a proxy rejects one.
     pub fn refused_by(&mut self, proxy: usize) {
         self.at_proxy(proxy)[1] += 1;
     }
 
-    /// Of each proxy before the first tier, by its number: tries that came to it, and tries it refused.
+    /// Of each proxy of the first tier, by its number: client attempts that reached it, and those it rejected.
     pub(super) fn by_proxy(&self) -> &[[u64; 2]] {
         &self.by_proxy
     }
 
-    /// The parts refused at the proxies with most and with fewest tries, a quarter of them each.
+    /// Computes the parts rejected at the quarters of the proxies with most and with least traffic.
     fn compare_proxies(&mut self) {
         self.by_proxy.retain(|[came, _]| *came > 0);
         self.by_proxy.sort_unstable();
@@ -250,7 +250,7 @@
         }
     }
 
-    /// What the first tier can do now, as a part of what it can do at best, and how many of its machines are choked.
+    /// A sample: the first tier's capacity as a part of its best, and its choked machines.
     pub fn looked(&mut self, at_ms: f64, capacity: f64, choked: u64) {
         let second = self.second(at_ms);
         second.samples += 1;
@@ -258,14 +258,14 @@
         second.choked = second.choked.max(choked);
     }
 
-    /// A call ends, for its client.
-    pub fn ended(&mut self, first_at_ms: f64, (tenant, worth): (usize, f64), ended: Ended) {
+    /// A request ends, for its client.
+    pub fn ended(&mut self, first_at_ms: f64, (tenant, weight): (usize, f64), ended: Ended) {
         let second = self.second(first_at_ms);
         match ended {
             Ended::Answered { latency_ms, in_aim } => {
                 if in_aim {
                     second.in_aim += 1;
-                    second.tenants[tenant][1] += worth;
+                    second.tenants[tenant][1] += weight;
                 } else {
                     second.late += 1;
                 }
@@ -279,10 +279,10 @@
         }
     }
 
-    /// Counts each tenant's worth as far as its share goes, over some seconds at a time, and spreads it over them.
+    /// Counts each tenant's weight up to its quota in each window, and spreads it evenly over the window's seconds.
     fn count_worth(&mut self) {
         let shares = std::mem::take(&mut self.shares);
-        for stretch in self.seconds.chunks_mut(SHARE_OVER) {
+        for stretch in self.seconds.chunks_mut(QUOTA_WINDOW_SECONDS) {
             for tenant in 0..shares.quotas.len().max(1) {
                 let part = [0, 1].map(|of| {
                     let worth: f64 = stretch.iter().map(|s| s.tenants[tenant][of]).sum();
@@ -296,18 +296,18 @@
         }
     }
 
-    /// Sums up what was told.
+    /// Computes the totals.
     pub fn close(mut self, chokes: u64) -> Tally {
         self.chokes = chokes;
         self.count_worth();
         self.compare_proxies();
         let sum = |f: fn(&Second) -> f64| self.seconds.iter().map(f).sum::<f64>();
         let offered = sum(|s| s.offered as f64).max(1.0);
-        let (late, refused, failed) =
+        let (late, rejected, failed) =
             (sum(|s| s.late as f64), sum(|s| s.refused as f64), sum(|s| s.failed as f64));
         let (tries, earned, worth) = (sum(|s| s.tries as f64), sum(|s| s.earned), sum(|s| s.worth).max(1e-9));
         self.offered = offered as u64;
-        (self.late, self.refused, self.failed) = (late / offered, refused / offered, failed / offered);
+        (self.late, self.refused, self.failed) = (late / offered, rejected / offered, failed / offered);
         (self.tries, self.attempts) = (tries / offered, self.all_attempts as f64 / offered);
         self.service = earned / worth;
         let part = |seconds: &[Second]| {
