--- a/crates/simulation/src/sim/clients.rs
+++ b/crates/simulation/src/sim/clients.rs
@@ -53,7 +53,24 @@
         self.figures.try_part * self.figures.classes[class].deadline
     }
 
-    /// A client's attempt reaches a proxy of its zone, or of another where that has none.
+    /// The proxy that the load balancer in front chooses: one of the client's zone, or of another where that has none.
+    fn choose_proxy(&mut self, zone: usize) -> Option<usize> {
+        // It avoids a proxy that is gone only once it has noticed.
+        let listed = |p: &&usize| {
+            let proxy = &self.proxies[**p];
+            !proxy.draining && (proxy.alive || self.now - proxy.gone_at < self.figures.front_notice)
+        };
+        let listed: Vec<usize> = self.before[0].iter().filter(listed).copied().collect();
+        let near: Vec<usize> = listed.iter().filter(|p| self.proxies[**p].zone == zone).copied().collect();
+        let candidates = if near.is_empty() { listed } else { near };
+        if candidates.is_empty() {
+            return None;
+        }
+        let weights = candidates.iter().map(|p| self.proxies[*p].traffic_weight);
+        Some(candidates[drawn(part(&mut self.network), weights)])
+    }
+
+    /// A client's attempt reaches the load balancer in front of the first tier's proxies.
     pub(super) fn client_attempt_arrives(&mut self, client_request: usize, no: u32) {
         let of = &self.client_requests[client_request];
         if of.closed || of.no != no {
@@ -61,22 +78,7 @@
         }
         let (class, tenant, work) = (of.class, of.tenant, of.work);
         let (zone, deadline) = (of.zone, of.deadline_at);
-        // The load balancer in front avoids a proxy that is gone only once it has noticed.
-        let alive = |p: &&usize| {
-            let proxy = &self.proxies[**p];
-            !proxy.draining && (proxy.alive || self.now - proxy.gone_at < self.figures.front_notice)
-        };
-        let near: Vec<usize> = (self.before[0].iter().filter(alive))
-            .filter(|p| self.proxies[**p].zone == zone)
-            .copied()
-            .collect();
-        let able =
-            if near.is_empty() { self.before[0].iter().filter(alive).copied().collect() } else { near };
-        if able.is_empty() {
-            return;
-        }
-        let weights = able.iter().map(|p| self.proxies[*p].traffic_weight);
-        let proxy = able[drawn(part(&mut self.network), weights)];
+        let Some(proxy) = self.choose_proxy(zone) else { return };
         if !self.proxies[proxy].alive {
             // With its machine gone nobody refuses the connection: it times out.
             if !self.proxies[proxy].silent {
