--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -270,6 +270,7 @@
     }
 
     /// Carries out the actions of the last event and checks each against the rules.
+    #[allow(clippy::too_many_lines, reason = "one scenario with its checks in order")]
     fn check(&mut self) -> Result<(), TestCaseError> {
         for action in self.p.last.clone() {
             match action {
--- a/crates/fault-injection/src/clients.rs
+++ b/crates/fault-injection/src/clients.rs
@@ -147,6 +147,7 @@
     }
 
     /// One attempt. A response after its timeout is recorded and has no other effect.
+    #[allow(clippy::too_many_lines, reason = "one attempt with its late response")]
     async fn run_attempt(
         self: &Rc<Clients>,
         number: usize,
--- a/crates/fault-injection/src/faults.rs
+++ b/crates/fault-injection/src/faults.rs
@@ -73,6 +73,7 @@
         (0..some_of(part, self.fleet.fronts)).collect()
     }
 
+    #[allow(clippy::too_many_lines, reason = "one arm per kind of failure")]
     async fn begin(self: &Rc<Faults>, failure: &FailureOf) {
         match failure.what {
             What::Burst => {}
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -253,6 +253,7 @@
 
 impl Fleet {
     /// Starts everything, and waits until all processes are ready.
+    #[allow(clippy::too_many_lines, reason = "starts the parts in order of dependency")]
     pub async fn start(plan: Plan<'_>) -> Result<Rc<Fleet>, NoDrill> {
         let Plan { program, figures, seed, lie, talk, folder } = plan;
         let history = Rc::new(History::default());
@@ -426,6 +427,7 @@
         self.history.note(|seen| seen.lives.push(Life { process, at, what }));
     }
 
+    #[allow(clippy::too_many_lines, reason = "writes a process's files and starts it")]
     fn launch(&self, number: usize, list: SocketAddr) -> Result<(), NoDrill> {
         let process = &self.processes[number];
         let config = process.folder.join("config.json");
--- a/crates/fault-injection/src/list.rs
+++ b/crates/fault-injection/src/list.rs
@@ -185,6 +185,7 @@
         }
     }
 
+    #[allow(clippy::too_many_lines, reason = "one request from its arrival to its last line")]
     async fn connection(&self, wire: &mut Wire, peer: SocketAddr) -> std::io::Result<()> {
         let Some(message) = wire.message(true).await? else { return Ok(()) };
         self.history.note(|seen| seen.list_calls += 1);
--- a/crates/fault-injection/src/platform.rs
+++ b/crates/fault-injection/src/platform.rs
@@ -5,6 +5,7 @@
 use std::net::SocketAddr;
 
 /// The settings as the platform writes them; reading them gives the same settings.
+#[allow(clippy::too_many_lines, reason = "one key per setting")]
 pub fn settings(of: &Settings) -> Value {
     let class = |c: &hillstall_decision::Class| {
         let effect = match c.retry_safety {
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -80,6 +80,7 @@
     LocalSet::new().block_on(&runtime, play(program, scenario, seed, options, &path))
 }
 
+#[allow(clippy::too_many_lines, reason = "one run from its start to its verdict")]
 async fn play(
     program: &Path,
     scenario: &Scenario,
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -350,6 +350,7 @@
     }
 
     /// Processes one request from its first phase to its last.
+    #[allow(clippy::too_many_lines, reason = "one request from its arrival to its end")]
     async fn serve_request(
         &self,
         wire: &mut Wire,
@@ -415,6 +416,7 @@
     }
 
     /// One request to the next tier; true if it was served.
+    #[allow(clippy::too_many_lines, reason = "one request from its arrival to its end")]
     async fn request_below(
         &self,
         id: &str,
@@ -478,6 +480,7 @@
 
 /// Sends a request to a proxy, on an idle connection if there is one. If the proxy has closed that meanwhile, it is sent
 /// once more on a new one. `untaken`: whether the proxy never accepted the connection from a local address.
+#[allow(clippy::too_many_lines, reason = "one request from its arrival to its end")]
 pub(crate) async fn send_request(
     kept: Option<Wire>,
     address: SocketAddr,
--- a/crates/hillstall/tests/proxy/harness.rs
+++ b/crates/hillstall/tests/proxy/harness.rs
@@ -1,6 +1,8 @@
 //! What a proxy stands between, in a few lines each: callers, backends and discovery, on loopback sockets
 //! with ports of the system's choice.
 
+#![allow(clippy::unwrap_used, reason = "helpers of tests panic, which fails the test")]
+
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -57,6 +57,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "one check per key")]
 fn every_key_is_read() {
     let class = |name: &str, effect, scope| Class {
         name: name.into(),
@@ -164,6 +165,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "one check per key")]
 fn every_word_of_a_key_that_knows_some_is_read() {
     let effects = [
         ("repeatable", RetrySafety::Idempotent),
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -99,6 +99,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "one check per field")]
 fn reads_every_field_of_the_events() {
     let frame = events(
         "02 00000003 0000000000000007 0000000000000000 0102 05 4028000000000000 06 406e000000000000
@@ -223,6 +224,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "one check per field")]
 fn writes_every_action() {
     let mut reply = Reply::default();
     reply.clear();
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -519,6 +519,7 @@
         Ok(scenario)
     }
 
+    #[allow(clippy::too_many_lines, reason = "one check per key")]
     fn check(&self) -> Result<(), Invalid> {
         let wrong = |key: String, why: &str| Err(Invalid::Sense { key, why: why.to_string() });
         if self.tiers.is_empty() {
--- a/crates/simulation/src/sim/attempts.rs
+++ b/crates/simulation/src/sim/attempts.rs
@@ -68,6 +68,7 @@
         }
     }
 
+    #[allow(clippy::too_many_lines, reason = "one attempt, in the order of its random draws")]
     pub(super) fn send(&mut self, request: usize, machine: usize, timeout: f64) {
         let proxy = self.requests[request].proxy;
         let tier = self.proxies[proxy].tier;
--- a/crates/simulation/src/sim/day.rs
+++ b/crates/simulation/src/sim/day.rs
@@ -161,6 +161,7 @@
 }
 
 /// The figures of a day; troubles that the lab does not know are named in the second part.
+#[allow(clippy::too_many_lines, reason = "one field of the recorded day after another")]
 pub(super) fn figures(text: &str) -> Result<(Figures, Vec<String>), NoDay> {
     let day: Day = serde_json::from_str(text)?;
     let wrong = |why: &str| Err(NoDay::Sense(why.to_string()));
--- a/crates/simulation/src/sim/failures.rs
+++ b/crates/simulation/src/sim/failures.rs
@@ -21,6 +21,7 @@
         all[..some_of(part, all.len())].to_vec()
     }
 
+    #[allow(clippy::too_many_lines, reason = "one arm per kind of failure")]
     pub(super) fn failure(&mut self, index: usize, begins: bool) {
         let failure = &self.figures.failures[index];
         let (what, zone, part, times) = (failure.what, failure.zone, failure.part, failure.times);
--- a/crates/simulation/src/sim/mod.rs
+++ b/crates/simulation/src/sim/mod.rs
@@ -217,6 +217,7 @@
         world
     }
 
+    #[allow(clippy::too_many_lines, reason = "builds machines, proxies and first events in order")]
     fn build(&mut self, policy: Named) {
         let mut seeds = self.seeds.clone();
         for (tier, of) in self.figures.tiers.iter().enumerate() {
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -206,6 +206,7 @@
 }
 
 /// Draws the figures of a run.
+#[allow(clippy::too_many_lines, reason = "one parameter after another, in the order of the random stream")]
 pub fn draw(scenario: &Scenario, seed: u64) -> Figures {
     let rng = &mut chance(seed, Stream::Figures);
     let tiers: Vec<TierOf> = (scenario.tiers.iter().enumerate())
@@ -358,6 +359,7 @@
     }
 
     /// What a proxy is told of the deployment.
+    #[allow(clippy::too_many_lines, reason = "one field per setting")]
     pub fn settings(&self, tier: usize, rank: usize, copies: usize, zone: usize) -> Settings {
         let kind = &self.tiers[tier].kind;
         let class = |c: &ClassOf| Class {
