--- a/crates/simulation/src/account.rs
+++ b/crates/simulation/src/account.rs
@@ -1,32 +1,32 @@
-//! The account of harm in the sum: one same load and set of servers, carried by one copy of the proxy, by two, by many.
-//! What a copy does is harmless alone; what counts is the *fleet ratio*, service with so many copies over service with
-//! one that carries it all.
+//! The effect of the number of proxy instances: the same load and machines, with one instance, with two, with many.
+//! The result is the *fleet ratio*: service with so many instances over service with
+//! one.
 
 use crate::experiment::{by_cell, grid, Axis, Mean, NoSweep, LOAD};
 use crate::policy::Named;
 use crate::report::{by_load, lines, markdown, page, NoPlot};
 use crate::sim::{self, Tally};
 
-/// The key of the number of copies.
+/// The scenario's key of the number of instances.
 const INSTANCES_KEY: &str = "proxies";
 
-/// Runs of one load with one number of copies.
+/// Runs of one load with one number of instances.
 pub struct Cell {
-    /// The load, as a part of what the servers can do.
+    /// The load, as a part of the capacity.
     pub load: f64,
-    /// Copies before the first tier.
+    /// Proxy instances before the first tier.
     pub copies: u32,
     /// One run for each seed.
     pub runs: Vec<Tally>,
 }
 
-/// The whole account, by load and then by number of copies.
+/// All results, by load and then by number of instances.
 pub struct Account {
     /// The cells; those of one load follow each other.
     pub cells: Vec<Cell>,
 }
 
-/// Plays a scenario with each load and number of copies. `ended` is called after each run.
+/// Runs a scenario with each load and number of instances. `ended` is called after each run.
 pub fn account(
     text: &str,
     loads: &[f64],
@@ -48,13 +48,13 @@
 }
 
 impl Account {
-    /// The runs with the fewest copies at a cell's load.
+    /// The runs with the fewest instances at a cell's load.
     fn alone<'a>(&'a self, cell: &'a Cell) -> &'a Cell {
         let same = self.cells.iter().filter(|other| other.load == cell.load);
         same.min_by_key(|other| other.copies).unwrap_or(cell)
     }
 
-    /// Service over that of the fewest copies, seed by seed: the calls are the same, so that their chance cancels out.
+    /// Service over that of the fewest instances, seed by seed: the requests are the same, so their randomness cancels out.
     pub fn ratio(&self, cell: &Cell) -> Mean {
         let pairs = cell.runs.iter().zip(&self.alone(cell).runs);
         Mean::of(&pairs.map(|(many, one)| many.service / one.service.max(1e-9)).collect::<Vec<_>>())
@@ -107,7 +107,7 @@
         markdown(&self.rows())
     }
 
-    /// One self-contained page: the table, and the figures over the number of copies, a curve for each load.
+    /// One self-contained page: the table, and plots over the number of instances, a curve for each load.
     pub fn html(&self, title: &str) -> Result<String, NoPlot> {
         let curves = |figure: &dyn Fn(&Cell) -> f64| {
             by_load(self.cells.iter().map(|cell| (cell.load, (f64::from(cell.copies), figure(cell)))))
--- a/crates/simulation/src/callers.rs
+++ b/crates/simulation/src/callers.rs
@@ -1,5 +1,5 @@
-//! Callers in a closed loop, on connections that are kept: each asks again as soon as it has its answer. That
-//! measures what a call costs; how a service stands up to load is for callers that do not wait.
+//! Closed-loop clients on persistent connections: each sends its next request as soon as it has its response. That
+//! measures the cost of a request; behaviour under load needs open-loop clients.
 
 use hdrhistogram::Histogram;
 use httparse::{Response, EMPTY_HEADER};
@@ -11,26 +11,26 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
-/// What came of the calls.
+/// Totals of the responses.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    /// Latencies of the answers that were served, in microseconds.
+    /// Latencies of the 200 responses, in microseconds.
     pub served: Histogram<u64>,
-    /// Answers 429 and 503.
+    /// Responses 429 and 503.
     pub refused: u64,
-    /// Any other answer, and connections that ended.
+    /// Any other response, and connections that ended.
     pub failed: u64,
 }
 
 impl Default for Tally {
     fn default() -> Tally {
-        // 3 digits up to 60 s: some KiB, and it can't fail for these figures.
+        // 3 digits up to 60 s: some KiB; it can't fail with these bounds.
         let served = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds in order");
         Tally { served, refused: 0, failed: 0 }
     }
 }
 
-/// One call after another on one connection, until the time is up or the connection ends.
+/// Sends one request after another on one connection, until the time is up or the connection ends.
 async fn run_client(
     address: SocketAddr,
     number: usize,
@@ -65,7 +65,7 @@
     Ok(())
 }
 
-/// A call that is safe to repeat.
+/// An idempotent request.
 pub fn request(id: &str) -> String {
     format!(
         "GET /api/7f3a HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: {id}\r\nRequest-Class: browse\r\n\
@@ -73,7 +73,7 @@
     )
 }
 
-/// The status and the length of an answer, once all of it is there.
+/// The status and the length of a response, once it is complete.
 fn whole(read: &[u8]) -> Option<(u16, usize)> {
     let mut headers = [EMPTY_HEADER; 32];
     let mut response = Response::new(&mut headers);
@@ -83,7 +83,7 @@
     (read.len() >= head + body).then_some((response.code.unwrap_or(0), head + body))
 }
 
-/// Runs so many callers for a time and gives what came of all their calls.
+/// Runs a number of clients for a time and returns their totals.
 pub async fn run(address: SocketAddr, callers: usize, time: Duration) -> Tally {
     let (tally, until) = (Rc::new(RefCell::new(Tally::default())), Instant::now() + time);
     let tasks: Vec<_> = (0..callers)
@@ -93,7 +93,7 @@
                 while Instant::now() < until {
                     if run_client(address, number, until, &tally).await.is_err() {
                         tally.borrow_mut().failed += 1;
-                        // A listener that is not there must not be asked in a tight loop.
+                        // No tight loop against a listener that is not there.
                         tokio::time::sleep(Duration::from_millis(1)).await;
                     }
                 }
@@ -106,7 +106,7 @@
     tally.take()
 }
 
-/// Connections that have made one call each and then say nothing.
+/// Connections that have carried one request each and are idle then.
 pub async fn idle(address: SocketAddr, count: usize) -> std::io::Result<Vec<TcpStream>> {
     let mut streams = Vec::with_capacity(count);
     for number in 0..count {
--- a/crates/simulation/src/calls.rs
+++ b/crates/simulation/src/calls.rs
@@ -1,6 +1,6 @@
-//! What the logs of a fleet tell: one record a call (`log.calls = true`), counted over all proxies by how much each of
-//! them was asked for, by why calls were not served, by tier and by second. Lines that are no such record are passed
-//! over, as are words before a record that whoever gathered the logs put there.
+//! A report on the access logs of a fleet (`log.calls = true`): requests over all proxies, by the traffic of each proxy, by
+//! the reason why they were not served, by tier and by second. Other lines are skipped, and so is text before a record
+//! that a log collector has added.
 
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::time::UNIX_EPOCH;
 
-/// Why logs can't be read.
+/// Why the logs can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum Unreadable {
     /// A file or the folder.
@@ -24,7 +24,7 @@
     Empty(PathBuf),
 }
 
-/// What is read of a record.
+/// The fields of a record that are used.
 #[derive(Deserialize)]
 struct Record {
     timestamp: String,
@@ -42,12 +42,12 @@
     last_ms: f64,
 }
 
-/// What came of some calls.
+/// Outcomes of a group of requests.
 #[derive(Clone, Debug, Default)]
 struct Ends {
     calls: u64,
     served: u64,
-    /// By why the proxy gave them up, or by how the last attempt ended.
+    /// By the reason why the proxy gave them up, or by the outcome of the last attempt.
     unserved: BTreeMap<String, u64>,
     /// Of the served ones, in milliseconds.
     took: Vec<f64>,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Calls, the part not served, its parts by reason, and the median time of the served ones.
+    /// A row: requests, the part not served, its parts by reason, and the median latency of the served ones.
     fn row(&self, reasons: &BTreeSet<&String>) -> String {
         let part = |count: u64| 100.0 * count as f64 / self.calls.max(1) as f64;
         let mut row = format!(" {} | {:.1} |", self.calls, part(self.calls - self.served));
@@ -87,14 +87,14 @@
     }
 }
 
-/// The calls of one tier.
+/// The requests of one tier.
 #[derive(Debug, Default)]
 struct Tier {
     proxies: BTreeMap<PathBuf, Ends>,
     seconds: BTreeMap<u64, Ends>,
 }
 
-/// The calls of a fleet.
+/// The requests of a fleet.
 #[derive(Debug, Default)]
 pub struct Fleet {
     tiers: BTreeMap<String, Tier>,
@@ -169,7 +169,7 @@
 }
 
 impl Tier {
-    /// The proxies with fewest calls, up to those with most, a quarter of them each.
+    /// The proxies in quarters, from least to most traffic.
     fn quarters(&self) -> [Ends; 4] {
         let mut by_load: Vec<&Ends> = self.proxies.values().collect();
         by_load.sort_by_key(|ends| ends.calls);
--- a/crates/simulation/src/discovery.rs
+++ b/crates/simulation/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The service that lists the servers, as the platform's protocol has it: the whole list at
-//! `GET /discovery/hosts`, and a watch that says an empty line every 2 s. The list here never changes.
+//! The discovery service, by the platform's protocol: the whole list at
+//! `GET /discovery/hosts`, and a watch with an empty line every 2 s. The list here never changes.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 
 const HEARTBEAT: Duration = Duration::from_secs(2);
 
-/// A whole list in which these servers are ready.
+/// An endpoint list in which these backends are ready.
 pub fn list(servers: &[SocketAddr]) -> Value {
     let endpoints: Vec<Value> = servers
         .iter()
@@ -21,7 +21,7 @@
     json!({"index": 1, "snapshot": true, "endpoints": endpoints})
 }
 
-/// Answers for ever with one list.
+/// Serves one list for ever.
 pub async fn serve(listener: TcpListener, list: Value) {
     while let Ok((stream, _)) = listener.accept().await {
         let list = list.clone();
--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Many runs of one question: over seeds, policies and parameters, on all cores, with the means held against chance.
+//! Experiments of many runs: over seeds, policies and parameters, on all cores, with confidence intervals of the means.
 
 use crate::policy::Named;
 use crate::scenario::{Invalid, Scenario};
@@ -16,7 +16,7 @@
     })
 }
 
-/// Plays a day of the bench with each policy and seed. The second part names the troubles without a model.
+/// Runs a recorded day with each policy and seed. The second part names its failures that have no model.
 pub fn days(text: &str, policies: &[Named], seeds: &[u64]) -> Result<(Vec<Tally>, Vec<String>), NoDay> {
     let day = Day::read(text)?;
     Ok((each(policies, seeds, |policy, seed| day.run(policy, seed)), day.unknown))
@@ -40,7 +40,7 @@
     cells.iter().map(|_| results.by_ref().take(seeds.len()).collect()).collect()
 }
 
-/// A mean, and how far off it may be at 95% confidence.
+/// A mean with its 95% confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Mean {
     /// The mean.
@@ -68,16 +68,16 @@
     }
 }
 
-/// What `b` gains over `a`, seed by seed: the calls are the same, so that their chance cancels out.
+/// What `b` gains over `a`, seed by seed: the requests are the same, so their randomness cancels out.
 pub fn gain(a: &[Tally], b: &[Tally], figure: fn(&Tally) -> f64) -> Mean {
     let differences: Vec<f64> = a.iter().zip(b).map(|(a, b)| figure(b) - figure(a)).collect();
     Mean::of(&differences)
 }
 
-/// The key of the load, as a part of what the servers can do.
+/// The scenario's key of the load, as a part of the capacity.
 pub(crate) const LOAD: &str = "load.of_capacity";
 
-/// A key of a scenario and the values it takes in a sweep.
+/// A scenario's key and its values in a sweep.
 #[derive(Clone, Debug)]
 pub struct Axis {
     /// Its place, as in `load.of_capacity` or `tier.0.servers`.
@@ -108,13 +108,13 @@
     }
 }
 
-/// Why a sweep can't be made.
+/// Why a sweep can't be built.
 #[derive(Debug, thiserror::Error)]
 pub enum NoSweep {
     /// A key leads nowhere.
     #[error("{0}: the scenario has no such place")]
     Key(String),
-    /// What comes out is no scenario.
+    /// A cell is not a valid scenario.
     #[error("with {cell}: {why}")]
     Scenario {
         /// The values.
@@ -122,7 +122,7 @@
         /// What is wrong with it.
         why: Invalid,
     },
-    /// The file is no TOML.
+    /// The file is not TOML.
     #[error("{0}")]
     Toml(#[from] toml::de::Error),
 }
@@ -149,7 +149,7 @@
     Some(())
 }
 
-/// All scenarios of a grid, each with the text that tells its values.
+/// All scenarios of a grid, each with a label of its values.
 pub fn grid(text: &str, axes: &[Axis]) -> Result<Vec<(String, Scenario)>, NoSweep> {
     let base: toml::Table = text.parse()?;
     let mut cells = vec![(String::new(), toml::Value::Table(base))];
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a proxy stands between, in two forms that are for measurements, rehearsals and a first look, and no part of
-//! the proxy. On loopback sockets: servers that answer at once, the service that lists them, a bare byte relay as the
-//! limit of what any proxy can do, and callers that measure. In simulated time: servers that crowd, choke, hang and
-//! die, clients that try again, and experiments that hold policies against each other. And what a fleet's logs tell.
+//! The surroundings of a proxy, for measurements, rehearsals and a first look, in two forms; no part of the proxy itself.
+//! On loopback sockets: backends that answer at once, their discovery service, a bare byte relay as the lower bound of any
+//! proxy's cost, and closed-loop clients. In simulated time: machines that saturate, choke, hang and die, clients that
+//! retry, and experiments that compare policies. Besides, a report on the access logs of a fleet.
 
 pub mod account;
 pub mod callers;
--- a/crates/simulation/src/model/cold.rs
+++ b/crates/simulation/src/model/cold.rs
@@ -1,33 +1,33 @@
-//! What a server that has just started bears: its capacity rises evenly from a part to the whole, and it falls over if
-//! it is sent more than so many times what it can do, over a stretch of time, by all proxies together.
+//! Slow start of a machine: its capacity rises linearly from a part to the whole, and it falls over if
+//! all proxies together send it more than a multiple of that capacity over a time window.
 
-/// A server's cold start.
+/// The slow start of a machine.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdStart {
-    /// Core milliseconds that it does in a millisecond, warm.
+    /// Capacity after the slow start, in core milliseconds per millisecond.
     pub able: f64,
-    /// The part of that it has at its start.
+    /// The part of that at its start.
     pub from: f64,
-    /// Until it has all (ms).
+    /// Duration of the slow start, in milliseconds.
     pub warm_after: f64,
-    /// Times what it can do that it bears ...
+    /// The multiple of its capacity that it bears ...
     pub multiple: f64,
-    /// ... over so long (ms).
+    /// ... over this window, in milliseconds.
     pub over: f64,
-    /// Core milliseconds beyond that, for chance: a call's work is not known when it is sent.
+    /// Tolerance beyond that, in core milliseconds: a request's work is not known when it is sent.
     pub slack: f64,
 }
 
 impl ColdStart {
-    /// What it can do from its start to a moment after it, in core milliseconds.
+    /// Its capacity from its start to a time after it, in core milliseconds.
     fn done_by(&self, after: f64) -> f64 {
         let warm = self.warm_after.max(1e-9);
         let t = after.clamp(0.0, warm);
         self.able * (self.from * t + (1.0 - self.from) * t * t / (2.0 * warm) + (after - warm).max(0.0))
     }
 
-    /// The most that it was sent against what it bears, and when that was; over 1 it falls over. Given are the moments
-    /// after its start at which work came, in order, and how much.
+    /// The largest load over what it bears, and when that was; above 1 it falls over. `sent`: the times
+    /// after its start at which work arrived, in order, and its amount.
     pub fn overshoot(&self, sent: &[(f64, f64)]) -> (f64, f64) {
         let (mut worst, mut when, mut first, mut sum) = (0.0, 0.0, 0, 0.0);
         for (at, work) in sent {
--- a/crates/simulation/src/model/machine.rs
+++ b/crates/simulation/src/model/machine.rs
@@ -1,33 +1,33 @@
-//! One server: cores that work first come, first served; slots for calls it has taken up; a bounded waiting room;
-//! and the ways in which it gets slower: cold after a start, crowded, choked, paused, or by something it shares.
+//! One machine: cores that work first come, first served; slots for requests in progress; a bounded queue;
+//! and the ways in which it gets slower: in slow start, saturated, choked, paused, or by a shared dependency.
 //!
 //! Work is in core milliseconds at speed 1. Between two changes the speed is constant, so the moment at which work
-//! ends is exact; a cold machine's speed rises in steps of 25 ms.
+//! ends is exact; in slow start the speed rises in steps of 25 ms.
 
 use std::collections::VecDeque;
 
 /// A time, in milliseconds.
 pub type Millis = f64;
-/// A piece of work at a machine; the caller gives the number.
+/// A request at a machine; the caller assigns the number.
 pub type Job = u64;
 
-/// Steps in which a cold machine gets faster.
+/// Steps of the speed in slow start, in milliseconds.
 const WARM_STEP: Millis = 25.0;
-/// How often a choked machine looks whether it has been idle.
+/// Between two checks whether a choked machine has been idle, in milliseconds.
 const CHOKE_STEP: Millis = 100.0;
-/// Time over which a choked machine averages how busy it is.
+/// Averaging time of a choked machine's utilization, in milliseconds.
 const BUSY_OVER: Millis = 1_000.0;
 /// Work under which a phase counts as done: far under any real one, and above the error of sums.
 const NOTHING: f64 = 1e-9;
 
-/// The slowdown of a machine that was crowded for too long.
+/// The slowdown of a machine whose queue was long for too long: it outlasts its cause.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choke {
-    /// Waiting calls for each core from which on it is crowded.
+    /// Queued requests per core from which on it counts as saturated.
     pub at: f64,
-    /// How long it must be crowded.
+    /// How long it must be saturated.
     pub over: Millis,
-    /// How many times slower it turns.
+    /// The slowdown factor.
     pub slower: f64,
     /// The part of its cores in use under which it is mostly idle.
     pub below: f64,
@@ -44,28 +44,28 @@
     pub cores: usize,
     /// Core milliseconds of work that one core does in a millisecond.
     pub speed: f64,
-    /// Calls it takes up at once, those that wait for another tier among them.
+    /// Slots: requests in progress, those waiting for another tier included.
     pub slots: usize,
-    /// Calls that may wait for a slot; the next is turned away.
+    /// Queue length; further requests are rejected.
     pub room: usize,
-    /// Calls held for each core from which on all run slower by `thrash_to`.
+    /// Requests per core from which on all run slower by `thrash_to`.
     pub thrash_at: f64,
     /// The part of its speed that is left then.
     pub thrash_to: f64,
-    /// The part of its speed that a fresh machine has.
+    /// The part of its speed right after a start.
     pub cold_from: f64,
-    /// How long it takes to be warm.
+    /// Duration of the slow start.
     pub cold: Millis,
     /// The slowdown that outlasts its cause, where there is one.
     pub choke: Option<Choke>,
 }
 
-/// Whether a call was taken.
+/// Whether a request was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// It is in a slot or in the waiting room.
+    /// It is in a slot or in the queue.
     Yes,
-    /// The waiting room is full; it never ran.
+    /// The queue is full; it never ran.
     Full,
 }
 
@@ -74,7 +74,7 @@
     left: f64,
 }
 
-/// A server in the model.
+/// A model of a machine.
 pub struct Machine {
     kind: Kind,
     running: Vec<Running>,
@@ -95,7 +95,7 @@
 }
 
 impl Machine {
-    /// A warm machine without work.
+    /// A machine at full speed without work.
     pub fn new(kind: Kind) -> Machine {
         Machine {
             kind,
@@ -127,7 +127,7 @@
         self.up && !self.hung
     }
 
-    /// Whether it is slower since it was crowded.
+    /// Whether it is choked.
     pub fn is_choked(&self) -> bool {
         self.choked_since.is_some()
     }
@@ -142,12 +142,12 @@
         self.worked
     }
 
-    /// Calls it holds: in slots and waiting for one.
+    /// Requests in slots and in the queue.
     pub fn holds(&self) -> usize {
         self.held + self.waiting.len()
     }
 
-    /// Core milliseconds that its cores do in a millisecond, as it is now.
+    /// Its capacity now, in core milliseconds per millisecond.
     pub fn capacity(&self, now: Millis) -> f64 {
         self.kind.cores as f64 * self.speed(now)
     }
@@ -174,7 +174,7 @@
         speed
     }
 
-    /// Takes a call whose first phase makes so much work, or turns it away.
+    /// Accepts a request whose first phase has an amount of work, or rejects it.
     pub fn offer(&mut self, now: Millis, job: Job, work: f64, done: &mut Vec<Job>) -> Taken {
         self.advance(now, done);
         if self.held >= self.kind.slots && self.waiting.len() >= self.kind.room {
@@ -190,21 +190,21 @@
         Taken::Yes
     }
 
-    /// A call that kept its slot while it was away has more work.
+    /// Gives more work to a request that kept its slot while it waited for another tier.
     pub fn resume(&mut self, now: Millis, job: Job, work: f64, done: &mut Vec<Job>) {
         self.advance(now, done);
         self.ready.push_back((job, work));
         self.fill(now);
     }
 
-    /// A call is over: its slot is free for the next in the waiting room.
+    /// Ends a request: its slot is free for the next in the queue.
     pub fn release(&mut self, now: Millis, done: &mut Vec<Job>) {
         self.advance(now, done);
         self.held = self.held.saturating_sub(1);
         self.fill(now);
     }
 
-    /// Drops a call that waits for a slot or a core; one that runs goes on, and `false` says so.
+    /// Drops a request that waits for a slot or a core; `false` if it runs, and goes on.
     pub fn cancel(&mut self, now: Millis, job: Job, done: &mut Vec<Job>) -> bool {
         self.advance(now, done);
         if let Some(place) = self.waiting.iter().position(|(j, _)| *j == job) {
@@ -221,7 +221,7 @@
         false
     }
 
-    /// The process dies: all it held is lost.
+    /// Kills the process: all its requests are lost.
     pub fn kill(&mut self, now: Millis, done: &mut Vec<Job>) {
         self.advance(now, done);
         self.up = false;
@@ -232,7 +232,7 @@
         (self.crowded_since, self.choked_since, self.quiet_since) = (None, None, None);
     }
 
-    /// The process starts, cold.
+    /// Starts the process, in slow start.
     pub fn start(&mut self, now: Millis) {
         self.at = now;
         self.started = now;
@@ -240,19 +240,19 @@
         self.hung = false;
     }
 
-    /// Falls silent, or goes on from where it was.
+    /// Hangs, or continues from where it was.
     pub fn hang(&mut self, now: Millis, hung: bool, done: &mut Vec<Job>) {
         self.advance(now, done);
         self.hung = hung;
     }
 
-    /// Something it depends on makes it so many times slower; 1 for no more.
+    /// Slows down by a factor, as a dependency does; 1 ends it.
     pub fn slow(&mut self, now: Millis, times: f64, done: &mut Vec<Job>) {
         self.advance(now, done);
         self.slow = times;
     }
 
-    /// Works up to `now`, and appends the calls whose phase ended, in the order of their ends.
+    /// Works up to `now`, and appends the requests whose phase ended, in the order of their ends.
     pub fn advance(&mut self, now: Millis, done: &mut Vec<Job>) {
         while self.at < now {
             let step = self.step_end().min(now);
@@ -261,7 +261,7 @@
         self.fill(now);
     }
 
-    /// When something changes by itself: work ends, or its speed changes.
+    /// When its state changes next without input: work ends, or its speed changes.
     pub fn due(&self) -> Option<Millis> {
         let end = self.step_end();
         (end < f64::MAX).then_some(end)
--- a/crates/simulation/src/model/mod.rs
+++ b/crates/simulation/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! Models of what a proxy stands between, without I/O: time and chance are arguments. The same machine runs in
+//! Models of a proxy's surroundings without I/O: time and randomness are arguments. The same machine runs in
 //! simulated time ([`crate::sim`]) and can be put behind a clock that is real.
 
 pub mod cold;
--- a/crates/simulation/src/model/work.rs
+++ b/crates/simulation/src/model/work.rs
@@ -1,10 +1,10 @@
-//! How much work a call makes, in milliseconds of one core at speed 1.
+//! The work of a request, in milliseconds of one core at speed 1.
 
 use rand_distr::{Distribution, Exp1, LogNormal};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde::Deserialize;
 
-/// The shape of the work of a class's calls. All have the mean that the class states.
+/// Distribution of the work of a class's requests. All have the mean of the class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Shape {
@@ -17,7 +17,7 @@
     Lognormal,
 }
 
-/// Draws the work of one call: `mean` in core milliseconds, `cv` the coefficient of variation (log-normal alone).
+/// Draws the work of one request: `mean` in core milliseconds, `cv` the coefficient of variation (log-normal alone).
 pub fn draw(shape: Shape, mean: f64, cv: f64, rng: &mut Xoshiro256PlusPlus) -> f64 {
     match shape {
         Shape::Fixed => mean,
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -1,4 +1,4 @@
-//! Who decides about calls in an experiment: the decision module, or a textbook rule to hold it against.
+//! The policies of an experiment: the decision module, and textbook policies to compare it with.
 
 use hillstall_decision::Balancer;
 use hillstall_decision::{
@@ -9,21 +9,21 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::HashMap;
 
-/// The policies that can be held against each other.
+/// The policies that can be compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Named {
     /// The decision module, as the proxy runs it.
     Hillstall,
-    /// Any ready server, by chance.
+    /// A random ready backend.
     Random,
-    /// The ready servers in turn.
+    /// Round robin over the ready backends.
     RoundRobin,
-    /// The ready server with the fewest calls of this proxy.
+    /// The ready backend with the fewest requests of this proxy in flight.
     LeastOutstanding,
-    /// The less loaded of two ready servers drawn by chance.
+    /// The less loaded of two random ready backends (power of two choices).
     TwoChoices,
-    /// The server that is least loaded in truth, by what it holds and can do at this moment: an upper bound for the
-    /// choice of a server, which no proxy can know. It turns nothing away.
+    /// The backend with the least true load, by its queue and capacity at this moment: an upper bound for the
+    /// selection that no real proxy can reach. It rejects nothing.
     Oracle,
 }
 
@@ -76,17 +76,17 @@
     }
 }
 
-/// What decides about the calls of one proxy.
+/// The policy of one proxy.
 pub trait Policy {
-    /// Takes an event and appends what is to be done.
+    /// Handles an event and appends the actions.
     fn handle(&mut self, now: Millis, event: Event<'_>, actions: &mut Vec<Action>);
 
-    /// Whether it is to be shown the true load before each request.
+    /// Whether it needs the true load before each request.
     fn sees(&self) -> bool {
         false
     }
 
-    /// The true load of each server: calls held over what it can do now; infinite for one that is down or silent.
+    /// Sets the true load of each backend: requests on it over its capacity now; infinite when it is down or silent.
     fn show(&mut self, _truth: &[(BackendId, f64)]) {}
 }
 
@@ -104,7 +104,7 @@
     tried: Vec<BackendId>,
 }
 
-/// The textbook rules: a server by the rule, and another one at once where the first never ran the call.
+/// The textbook policies: a backend by the rule, and another at once where the first never ran the request.
 struct Textbook {
     rule: Named,
     rng: Xoshiro256PlusPlus,
@@ -181,7 +181,7 @@
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             self.servers.iter_mut().for_each(|s| s.0.state = BackendState::Gone);
         }
-        // Places stay, as open calls name them.
+        // Places stay, as open requests refer to them.
         for info in list {
             match self.servers.iter_mut().find(|s| s.0.id == info.id) {
                 Some(known) => known.0 = *info,
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -1,4 +1,4 @@
-//! What people look at: a table for the terminal, and one HTML file with its plots inside.
+//! Reports: a table for the terminal, and one HTML file with its plots inside.
 
 use crate::experiment::Mean;
 use crate::sim::{Second, Tally};
@@ -144,7 +144,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// A part in points of 100; all where there is nothing to have a part of.
+/// A ratio in percent; 100 where the whole is 0.
 fn percent(part: f64, whole: f64) -> f64 {
     if whole > 0.0 {
         100.0 * part / whole
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,5 +1,5 @@
-//! An experiment as a TOML file: tiers, load, clients, discovery, and what goes wrong when. Any time or number may
-//! be a range `[low, high]`, of which each seed draws one value. Unknown keys and bad values are told with the line.
+//! A scenario as a TOML file: tiers, load, clients, discovery, and failures with their times. Any time or number may
+//! be a range `[low, high]`, of which each seed draws one value. Errors name the line of an unknown key or bad value.
 
 use crate::chance::part;
 use crate::model::machine::{Choke, Kind};
@@ -7,13 +7,13 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde::{Deserialize, Deserializer};
 
-/// Why a file is no scenario.
+/// Why a file is not a valid scenario.
 #[derive(Debug, thiserror::Error)]
 pub enum Invalid {
-    /// TOML, a key or a value is wrong; the text names line, column and key.
+    /// Invalid TOML, key or value; the text names line, column and key.
     #[error("{0}")]
     Form(#[from] toml::de::Error),
-    /// Each value is fine, but not together.
+    /// Values that contradict each other.
     #[error("{key}: {why}")]
     Sense {
         /// Where.
@@ -23,7 +23,7 @@
     },
 }
 
-/// A number, or a range of which each seed draws one. Negative numbers are refused.
+/// A number, or a range of which each seed draws one. Negative numbers are errors.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Number {
     low: f64,
@@ -113,7 +113,7 @@
     Number::of(1e9)
 }
 
-/// A slowdown that outlasts the crowd that caused it; see [`Choke`].
+/// A slowdown that outlasts its cause; see [`Choke`].
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Choking {
@@ -136,33 +136,33 @@
     /// Cores of each.
     #[serde(default = "one")]
     pub cores: Number,
-    /// Core milliseconds that a core does in a millisecond.
+    /// Speed: core milliseconds per millisecond of a core.
     #[serde(default = "one")]
     pub speed: Number,
-    /// Calls that a machine takes up at once, for each core.
+    /// Slots per core: requests in progress.
     #[serde(default = "far")]
     pub slots_per_core: Number,
-    /// Calls that wait for a slot, for each core.
+    /// Queue length per core.
     #[serde(default = "far")]
     pub room_per_core: Number,
-    /// Calls held for each core above which a machine gets slower ...
+    /// Requests per core above which a machine gets slower ...
     #[serde(default = "far")]
     pub thrash_at: Number,
     /// ... and the part of its speed left then.
     #[serde(default = "one")]
     pub thrash_to: Number,
-    /// The part of its speed that a fresh machine has ...
+    /// The part of its speed right after a start ...
     #[serde(default = "one")]
     pub cold_from: Number,
-    /// ... and the time until it has all.
+    /// ... and the duration of the slow start.
     #[serde(default = "warm")]
     pub cold: Span,
     /// The slowdown that outlasts its cause.
     pub choke: Option<Choking>,
-    /// This tier's part of a call's work; the rest falls to the tiers below.
+    /// This tier's part of a request's work; the rest falls to the tiers below.
     #[serde(default = "one")]
     pub work_part: Number,
-    /// Calls to the next tier for each call, on average, one after another.
+    /// Requests to the next tier per request, on average, one after another.
     #[serde(default = "one")]
     pub calls: Number,
 }
@@ -195,60 +195,60 @@
     }
 }
 
-/// Whether a class's calls may run again.
+/// Whether a class's requests may be retried.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Repeats {
     /// At any time.
     #[default]
     Safe,
-    /// With a key that all servers of the tier know for 2.5 s.
+    /// With an idempotency key that all backends of the tier remember for 2.5 s.
     Keyed,
     /// Never.
     Once,
 }
 
-/// A class of calls.
+/// A class of requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
     /// For people.
     pub name: String,
-    /// Its part of the calls, against the other classes' parts.
+    /// Its part of the requests, relative to the other classes.
     #[serde(default = "one")]
     pub share: Number,
-    /// Mean work of a call over all tiers.
+    /// Mean work of a request over all tiers.
     pub work: Span,
-    /// How the work is spread.
+    /// Distribution of the work.
     #[serde(default)]
     pub shape: Shape,
     /// Coefficient of variation, for `lognormal`.
     #[serde(default = "one")]
     pub cv: Number,
-    /// An answer within this time earns the worth.
+    /// The latency objective: later responses earn nothing.
     pub aim: Span,
-    /// How long a client waits in all.
+    /// The deadline, from the first attempt.
     pub deadline: Span,
-    /// Worth of a call.
+    /// Weight of a request.
     #[serde(default = "one")]
     pub worth: Number,
-    /// May it run again?
+    /// Whether it may be retried.
     #[serde(default)]
     pub repeats: Repeats,
 }
 
-/// How many calls come, and when. Arrivals wait for nothing (open loop) and are a Poisson process.
+/// The load: an open-loop Poisson process.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// First tries a second.
+    /// Client requests per second.
     pub rate: Option<Number>,
-    /// Instead of `rate`: the part of what the first tier's machines can do.
+    /// Instead of `rate`: a part of the first tier's capacity.
     pub of_capacity: Option<Number>,
-    /// How much the rate swings about its mean, as a part of it.
+    /// Amplitude of the rate's sine wave, as a part of its mean.
     #[serde(default = "none")]
     pub swing: Number,
-    /// The time of one swing.
+    /// Period of the sine wave.
     #[serde(default = "swing_time")]
     pub period: Span,
 }
@@ -261,17 +261,17 @@
     Span::ms(20_000.0)
 }
 
-/// What clients do beside asking.
+/// Retries and timeouts of the clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// Tries after the first.
+    /// Client retries.
     pub retries: Number,
     /// Wait before each.
     pub wait: Span,
-    /// The part of the deadline after which a try is given up.
+    /// The timeout of a client's attempt, as a part of the deadline.
     pub try_part: Number,
-    /// The part of clients that follow a stated wait.
+    /// The part of clients that follow Retry-After.
     pub honour: Number,
 }
 
@@ -304,13 +304,13 @@
     }
 }
 
-/// How late the list of servers is.
+/// Delays of discovery.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// Until the proxies know of a drain, a death or a start.
+    /// Until the proxies are notified of a drain, a death or a start.
     pub notice: Span,
-    /// How long a machine takes calls still after they know that it drains.
+    /// How long a draining machine still accepts requests after the notification.
     pub serves_on: Span,
 }
 
@@ -320,11 +320,11 @@
     }
 }
 
-/// The layer that shares clients' connections out over the proxies.
+/// The load balancer in front of the proxies.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Front {
-    /// Until it knows that a proxy is gone.
+    /// Until it notices that a proxy is gone.
     pub notice: Span,
 }
 
@@ -334,69 +334,69 @@
     }
 }
 
-/// What goes wrong.
+/// The failures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum What {
-    /// All machines of a zone are silent, and come back cold; its proxies answer nothing meanwhile.
+    /// All machines of a zone are silent, and return in slow start; its proxies answer nothing meanwhile.
     LoseZone,
-    /// A part of a tier's machines die (connections are reset) and start again cold.
+    /// A part of a tier's machines die (connections are reset) and restart in slow start.
     Crash,
-    /// A part of a tier's machines are silent, as if their network were gone, and come back cold.
+    /// A part of a tier's machines are cut off from the network, and return in slow start.
     Lose,
     /// A part of a tier's machines are silent for a while and then go on.
     Hang,
-    /// A part of a tier's machines turn all new calls away unseen, as if they were full.
+    /// A part of a tier's machines reject all new requests, as if their queues were full.
     TurnAway,
-    /// Something they share makes all machines of a tier so many times slower.
+    /// A shared dependency makes all machines of a tier slower by a factor.
     Slow,
-    /// So many times the usual load.
+    /// The load is multiplied by a factor.
     Burst,
-    /// A part of a tier's machines, one after another: drain, stop, start again cold.
+    /// A part of a tier's machines, one after another: drain, stop, restart in slow start.
     Release,
-    /// The list of servers tells nothing new.
+    /// Discovery sends no updates.
     DiscoveryDown,
-    /// A part of the proxies before the first tier are killed at once, and start again with nothing learned.
+    /// A part of the first tier's proxies are killed at once, and restart with no learned state.
     KillProxies,
-    /// A part of them stand still, and then go on with what they knew.
+    /// A part of them are stopped for a while, and continue with their state.
     StopProxies,
-    /// A part of them are restarted one after another, in order.
+    /// A part of them are restarted gracefully, one after another.
     RollProxies,
-    /// A part of them read their files again.
+    /// A part of them reload their files.
     ReloadProxies,
-    /// Links are no longer what they were; see [`Failure::link`] and [`Failure::mode`].
+    /// A fault of links; see [`Failure::link`] and [`Failure::mode`].
     Cut,
 }
 
-/// Which links a cut is about.
+/// Kind of a faulty link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Between {
-    /// Those of a tier's proxies to its machines.
+    /// From a tier's proxies to its machines.
     #[default]
     ProxyServer,
-    /// Those of clients to the proxies before the first tier.
+    /// From clients to the first tier's proxies.
     ClientFront,
-    /// Those of a tier's proxies to the list of servers.
+    /// From a tier's proxies to discovery.
     ProxyDiscovery,
 }
 
-/// What a cut does to a link.
+/// Kind of a link fault.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
-    /// Nothing passes, and nobody says so.
+    /// Nothing passes, without an error.
     #[default]
     Silent,
-    /// What the calling side sends is lost.
+    /// What the connecting side sends is lost.
     LoseForth,
-    /// What comes back is lost.
+    /// What the other side sends is lost.
     LoseBack,
     /// Connections are reset.
     Reset,
     /// New connections are refused.
     Refuse,
-    /// All comes later by `delay`, each way.
+    /// Everything is delayed by `delay`, each way.
     Delay,
 }
 
@@ -423,41 +423,41 @@
     /// How many times slower, or how many times the load.
     #[serde(default = "one")]
     pub times: Number,
-    /// Of a cut: which links; those of `part` of the proxies ...
+    /// Of a link fault: which links; those of `part` of the proxies ...
     #[serde(default)]
     pub link: Between,
     /// ... in this zone alone, if it is given, ...
     pub from_zone: Option<usize>,
     /// ... to the machines of this zone alone, if it is given.
     pub to_zone: Option<usize>,
-    /// Of a cut: what it does.
+    /// Of a link fault: its kind.
     #[serde(default)]
     pub mode: Mode,
-    /// Of a cut that delays: by how much.
+    /// Of a link fault that delays: by how much.
     #[serde(default = "warm")]
     pub delay: Span,
 }
 
-/// A tenant: who calls, and how much of the service is its own.
+/// A tenant, with its traffic and its quota.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sharer {
     /// For people.
     pub name: String,
-    /// Its part of the calls, against the other tenants' parts.
+    /// Its part of the requests, relative to the other tenants.
     #[serde(default = "one")]
     pub traffic: Number,
-    /// Calls within its share, as a part of what the fleet can do.
+    /// Its quota, as a part of the fleet's capacity.
     pub share: Number,
 }
 
-/// Proxies before the first tier that get more calls than the others.
+/// Proxies of the first tier with more traffic than the others.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Hot {
     /// How many.
     pub proxies: Number,
-    /// How many times the calls of a common one each of them gets; drawn for each.
+    /// Traffic of each, as a multiple of an ordinary one's; drawn for each.
     pub times: Number,
 }
 
@@ -471,19 +471,19 @@
 pub struct Scenario {
     /// For people.
     pub name: String,
-    /// How long calls come; the run ends when all are answered.
+    /// How long requests arrive; the run ends when all are answered.
     pub length: Span,
-    /// Zones; machines and proxies are dealt out to them in turn.
+    /// Number of zones; machines and proxies are assigned to them in turn.
     #[serde(default = "zones")]
     pub zones: usize,
     /// Proxies before the first tier.
     pub proxies: Number,
-    /// Of these, the ones that get more calls than the others.
+    /// Those of them with more traffic than the others.
     pub hot: Option<Hot>,
-    /// Who calls; without any, nobody has a share.
+    /// The tenants; without any, there are no quotas.
     #[serde(rename = "tenant", default)]
     pub tenants: Vec<Sharer>,
-    /// What worth beyond a tenant's share counts, as a part of it.
+    /// The part of the weight beyond a tenant's quota that counts.
     #[serde(default = "one")]
     pub over_share_worth: Number,
     /// The tiers, from the top. Each machine has a proxy of its own to the next.
@@ -500,13 +500,13 @@
     /// The network.
     #[serde(default)]
     pub net: Net,
-    /// The list.
+    /// Discovery.
     #[serde(default)]
     pub discovery: Discovery,
-    /// The layer before the proxies.
+    /// The load balancer in front of the proxies.
     #[serde(default)]
     pub front: Front,
-    /// What goes wrong.
+    /// The failures.
     #[serde(rename = "failure", default)]
     pub failures: Vec<Failure>,
 }
@@ -534,7 +534,7 @@
         if self.load.rate.is_some() == self.load.of_capacity.is_some() {
             return wrong("load".into(), "give either rate or of_capacity");
         }
-        // What goes beyond would not end, or not fit into memory; a slip of a unit is the likely cause.
+        // Larger values would not end, or not fit into memory; a wrong unit is the likely cause.
         let mut bounds = vec![
             ("length".to_string(), self.length.0.most() / 1e3, 86_400.0, "s"),
             ("proxies".to_string(), self.proxies.most(), 10_000.0, ""),
--- a/crates/simulation/src/scenarios.rs
+++ b/crates/simulation/src/scenarios.rs
@@ -2,7 +2,7 @@
 
 use crate::scenario::{Invalid, Scenario};
 
-/// A drill: what is its own, and the small fleet that all drills share.
+/// A scenario for fault injection: its own part, and the small fleet that all of them share.
 macro_rules! drill {
     ($file:literal) => {
         concat!(include_str!(concat!("../scenarios/", $file)), include_str!("../scenarios/drill-fleet.toml"))
@@ -41,7 +41,7 @@
     ALL.iter().find(|(known, _)| *known == name).map(|(_, text)| *text)
 }
 
-/// One of them, read. An error would be a fault of this package: the tests read them all.
+/// One of them, parsed. An error would be a bug of this package: the tests parse them all.
 pub fn find(name: &str) -> Result<Scenario, Invalid> {
     let text =
         text(name).ok_or_else(|| Invalid::Sense { key: name.into(), why: "no such scenario".into() })?;
--- a/crates/simulation/src/servers.rs
+++ b/crates/simulation/src/servers.rs
@@ -1,4 +1,4 @@
-//! Servers that answer every request at once.
+//! Backends that answer every request at once.
 
 use httparse::{Request, EMPTY_HEADER};
 use std::rc::Rc;
@@ -8,14 +8,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// The largest head that a stand-in reads.
+/// The largest request head that is read, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 64;
 
-/// What a server makes of a request: the body of its answer.
+/// Makes the body of a response from a request.
 pub type Answers = dyn Fn(&str, &str) -> Vec<u8>;
 
-/// Connections of servers: each has its price at a real one.
+/// Counts of the backends' connections, which are costly at real ones.
 #[derive(Debug, Default)]
 pub struct Connections {
     /// Opened since the start.
@@ -24,14 +24,14 @@
     pub open: AtomicU64,
 }
 
-/// Serves every connection until the listener's task is dropped. `answers` is given method and target.
+/// Serves every connection until its task is dropped. `answers` gets method and target.
 pub async fn serve(listener: TcpListener, answers: Rc<Answers>, connections: Arc<Connections>) {
     while let Ok((stream, _)) = listener.accept().await {
         let (answers, connections) = (answers.clone(), connections.clone());
         spawn_local(async move {
             connections.opened.fetch_add(1, Ordering::Relaxed);
             connections.open.fetch_add(1, Ordering::Relaxed);
-            // A peer that leaves, or sends what is no request, ends its own connection alone.
+            // A peer that leaves, or sends no valid request, ends only its own connection.
             let _ = connection(stream, &*answers).await;
             connections.open.fetch_sub(1, Ordering::Relaxed);
         });
@@ -64,7 +64,7 @@
     }
 }
 
-/// Reads one whole head and writes its answer; gives how long the request is, `None` if its head is not whole
+/// Reads one head and writes its response; returns the length of the request, `None` if its head is incomplete
 /// (or can't be read, which ends when the buffer is full).
 fn take(read: &[u8], answers: &Answers, written: &mut Vec<u8>) -> Option<usize> {
     let mut headers = [EMPTY_HEADER; MAX_HEADERS];
--- a/crates/simulation/src/sim/day.rs
+++ b/crates/simulation/src/sim/day.rs
@@ -1,5 +1,5 @@
-//! Reads a day of the bench: one draw of a site, with each machine's speed, the load and the troubles. What the lab
-//! has no model for is passed over (see `docs/measurements/simulation.md`); what it can't be without is an error.
+//! Reads a recorded day of the platform's simulator: each machine's speed, the load and the failures. What has no model
+//! here is skipped (see `docs/measurements/simulation.md`); a missing part is an error.
 
 use super::setup::{ClassOf, Cut, FailureOf, Figures, Place, TenantOf, TierOf};
 use crate::model::machine::{Choke, Kind};
@@ -7,13 +7,13 @@
 use crate::scenario::{Repeats, What};
 use serde::Deserialize;
 
-/// Why a file is no day.
+/// Why a file is not a valid day.
 #[derive(Debug, thiserror::Error)]
 pub enum NoDay {
-    /// It is no JSON, or a part is missing; the text names the line and the key.
+    /// Invalid JSON, or a part is missing; the text names the line and the key.
     #[error("{0}")]
     Form(#[from] serde_json::Error),
-    /// Its parts do not go together.
+    /// Its parts contradict each other.
     #[error("{0}")]
     Sense(String),
 }
@@ -160,7 +160,7 @@
     us / 1e3
 }
 
-/// The figures of a day; troubles that the lab does not know are named in the second part.
+/// The parameters of a day; the second part names failures that have no model.
 #[allow(clippy::too_many_lines, reason = "one field of the recorded day after another")]
 pub(super) fn figures(text: &str) -> Result<(Figures, Vec<String>), NoDay> {
     let day: Day = serde_json::from_str(text)?;
@@ -178,7 +178,7 @@
         return wrong("servers: a tier or zone that is not there");
     }
     let mut places: Vec<Vec<Place>> = day.tiers.iter().map(|_| Vec::new()).collect();
-    // A number of the file's list of servers, to the lab's: by tiers, in the order of the file.
+    // From a number of the file's list of machines to the one here: by tiers, in the order of the file.
     let mut within: Vec<(usize, usize)> = Vec::new();
     for server in &day.servers {
         within.push((server.tier, places[server.tier].len()));
@@ -190,7 +190,7 @@
     let starts: Vec<usize> = (0..places.len()).map(|t| places[..t].iter().map(Vec::len).sum()).collect();
     let tiers: Vec<TierOf> = (day.tiers.iter().enumerate())
         .map(|(i, tier)| {
-            // The file states the work of one call to a tier; the lab that of all that a client's call makes there.
+            // The file states the work of one request to a tier; here it is that of all requests there per client request.
             let calls: f64 = day.tiers[..=i].iter().map(|t| t.calls).product();
             let kind = tier.kinds.first().ok_or_else(|| NoDay::Sense(format!("{}: no kinds", tier.name)))?;
             Ok(TierOf {
@@ -198,7 +198,7 @@
                 kind: machine(kind, tier.choke.as_ref()),
                 places: std::mem::take(&mut places[i]),
                 part: tier.work * calls,
-                // The file states how often a tier is called by the one above.
+                // The file states how many requests the tier above sends to a tier.
                 calls: day.tiers.get(i + 1).map_or(0.0, |below| below.calls),
             })
         })
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -1,4 +1,4 @@
-//! From a scenario and a seed to the figures of one run, and what each proxy is told of it.
+//! Draws the parameters of one run from a scenario and a seed, and makes the settings of each proxy.
 
 use super::tally::Shares;
 use crate::model::machine::Kind;
@@ -11,15 +11,15 @@
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-/// Streams of chance, apart from each other: the clients' must not depend on what a policy does, so that runs of one
-/// seed with two policies get the same calls.
+/// Independent random streams: the clients' must not depend on a policy's actions, so that runs of one
+/// seed with two policies get the same requests.
 #[derive(Clone, Copy)]
 pub enum Stream {
-    /// The figures of the run.
+    /// The parameters of the run.
     Figures,
-    /// When calls come, and which.
+    /// The arrivals.
     Arrivals,
-    /// What chance does to messages, and the clients' choices.
+    /// The network, and the clients' choices.
     Network,
     /// The proxies' seeds.
     Policies,
@@ -31,37 +31,37 @@
     Xoshiro256PlusPlus::seed_from_u64(seed ^ number.wrapping_mul(0x9E37_79B9_7F4A_7C15))
 }
 
-/// A class of calls.
+/// A class of requests.
 #[derive(Clone)]
 pub struct ClassOf {
     /// For people.
     pub name: String,
-    /// Its part of the calls.
+    /// Its part of the requests.
     pub share: f64,
-    /// Mean work of a call over all tiers, in core milliseconds.
+    /// Mean work of a request over all tiers, in core milliseconds.
     pub work: f64,
-    /// How the work is spread.
+    /// Distribution of the work.
     pub shape: Shape,
     /// Coefficient of variation of the work.
     pub cv: f64,
-    /// How far one attempt's work is off the call's: coefficient of variation.
+    /// Coefficient of variation of an attempt's work around its request's.
     pub noise: f64,
-    /// An answer within this time earns the worth (ms).
+    /// The latency objective, in milliseconds: later responses earn nothing.
     pub aim: f64,
-    /// How long a client waits in all (ms).
+    /// The deadline, from the first attempt, in milliseconds.
     pub deadline: f64,
-    /// Worth of a call.
+    /// Weight of a request.
     pub worth: f64,
-    /// Whether it may run again.
+    /// Whether it may be retried.
     pub repeats: Repeats,
 }
 
-/// Where a machine stands, and how fast it is.
+/// Zone and speed of a machine.
 #[derive(Clone)]
 pub struct Place {
     /// Its zone.
     pub zone: usize,
-    /// Core milliseconds that a core does in a millisecond.
+    /// Speed: core milliseconds per millisecond of a core.
     pub speed: f64,
 }
 
@@ -70,9 +70,9 @@
 pub struct TenantOf {
     /// For people.
     pub name: String,
-    /// Its part of the calls, against the others' parts.
+    /// Its part of the requests, relative to the others.
     pub traffic: f64,
-    /// Calls a second within its share.
+    /// Its quota, in requests per second.
     pub quota: f64,
 }
 
@@ -85,16 +85,16 @@
     pub places: Vec<Place>,
     /// What each of them can do.
     pub kind: Kind,
-    /// A part: of the work of a call, or of the machines.
+    /// A part: of the work of a request, or of the machines.
     pub part: f64,
-    /// Calls to the next tier for each call, on average.
+    /// Requests to the next tier per request, on average.
     pub calls: f64,
 }
 
 /// A failure.
 #[derive(Clone)]
 pub struct FailureOf {
-    /// What goes wrong.
+    /// The failures.
     pub what: What,
     /// When (ms).
     pub at: f64,
@@ -104,17 +104,17 @@
     pub zone: usize,
     /// Which tier.
     pub tier: usize,
-    /// A part: of the work of a call, or of the machines.
+    /// A part: of the work of a request, or of the machines.
     pub part: f64,
     /// How many times slower, or how many times the load.
     pub times: f64,
-    /// The machines it is about, where they are named one by one.
+    /// The machines it affects, where they are named.
     pub on: Vec<usize>,
-    /// Of a cut.
+    /// Of a link fault.
     pub cut: Cut,
 }
 
-/// Which links a cut is about, and what it does to them.
+/// The links of a link fault, and its kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cut {
     /// Between whom.
@@ -125,31 +125,31 @@
     pub to_zone: Option<usize>,
     /// What it does.
     pub mode: Mode,
-    /// By how much it delays (ms).
+    /// Its delay, in milliseconds.
     pub delay: f64,
 }
 
-/// How many a part of so many is, where at least one is meant.
+/// A part of a number, rounded, and at least one.
 pub fn some_of(part: f64, all: usize) -> usize {
     ((part * all as f64).round() as usize).clamp(1, all)
 }
 
 impl Cut {
-    /// Whether the links from a proxy are meant that is the `rank`th of so many.
+    /// Whether it affects links from a proxy with a rank among a number of instances.
     pub fn is_from(&self, part: f64, (rank, copies): (usize, usize), zone: usize) -> bool {
         rank < some_of(part, copies) && self.from_zone.is_none_or(|from| from == zone)
     }
 
-    /// Whether the links to a machine of a zone are meant.
+    /// Whether it affects links to a machine of a zone.
     pub fn is_to(&self, zone: usize) -> bool {
         self.to_zone.is_none_or(|to| to == zone)
     }
 }
 
-/// The figures of one run.
+/// The parameters of one run.
 #[derive(Clone)]
 pub struct Figures {
-    /// How long calls come (ms).
+    /// How long requests arrive, in milliseconds.
     pub length: f64,
     /// Zones.
     pub zones: usize,
@@ -157,7 +157,7 @@
     pub zone_share: Vec<f64>,
     /// The zone of each proxy before the first tier.
     pub proxies: Vec<usize>,
-    /// How many times the calls of a common one each of them gets.
+    /// Traffic of each, as a multiple of an ordinary one's.
     pub heat: Vec<f64>,
     /// The tiers, from the top.
     pub tiers: Vec<TierOf>,
@@ -165,25 +165,25 @@
     pub classes: Vec<ClassOf>,
     /// The tenants.
     pub tenants: Vec<TenantOf>,
-    /// What worth beyond a share counts, as a part of it.
+    /// The part of the weight beyond a quota that counts.
     pub over_share_worth: f64,
-    /// Whether a call's work at a lower tier is drawn anew, or goes by the work of the call that makes it.
+    /// Whether a request's work at a lower tier is drawn anew, or follows from the request above it.
     pub own_work: bool,
-    /// First tries a second.
+    /// Client requests per second.
     pub rate: f64,
-    /// How much the rate swings about its mean, as a part of it.
+    /// Amplitude of the rate's sine wave, as a part of its mean.
     pub swing: f64,
-    /// The time of one swing (ms).
+    /// Period of the sine wave, in milliseconds.
     pub period: f64,
-    /// From which time on (ms) the rate is so many times itself.
+    /// Times, in milliseconds, from which on the rate is multiplied by a factor.
     pub shape: Vec<(f64, f64)>,
-    /// Tries after the first.
+    /// Client retries.
     pub retries: u32,
     /// Wait before each (ms).
     pub wait: f64,
-    /// The part of the deadline after which a try is given up.
+    /// The timeout of a client's attempt, as a part of the deadline.
     pub try_part: f64,
-    /// The part of clients that follow a stated wait.
+    /// The part of clients that follow Retry-After.
     pub honour: f64,
     /// One way within a zone (ms).
     pub same_zone: f64,
@@ -191,21 +191,21 @@
     pub cross_zone: f64,
     /// One way between a client and a proxy (ms).
     pub client: f64,
-    /// Until proxies know of a drain or a death (ms).
+    /// Until proxies are notified of a drain or a death, in milliseconds.
     pub notice: f64,
-    /// Until proxies know that a machine is silent.
+    /// Until proxies are notified that a machine is silent, in milliseconds.
     pub silent_notice: f64,
-    /// Until proxies know of a start.
+    /// Until proxies are notified of a start, in milliseconds.
     pub add_notice: f64,
-    /// How long machines take calls still after proxies know that they drain (ms).
+    /// How long a draining machine still accepts requests after the notification, in milliseconds.
     pub serves_on: f64,
-    /// Until clients are sent past proxies that are gone.
+    /// Until the load balancer avoids proxies that are gone, in milliseconds.
     pub front_notice: f64,
-    /// What goes wrong.
+    /// The failures.
     pub failures: Vec<FailureOf>,
 }
 
-/// Draws the figures of a run.
+/// Draws the parameters of a run.
 #[allow(clippy::too_many_lines, reason = "one parameter after another, in the order of the random stream")]
 pub fn draw(scenario: &Scenario, seed: u64) -> Figures {
     let rng = &mut chance(seed, Stream::Figures);
@@ -248,7 +248,7 @@
                 from_zone: f.from_zone,
                 to_zone: f.to_zone,
                 mode: f.mode,
-                // Drawn for cuts alone, so that the figures of all else stay as they were.
+                // Drawn for link faults alone, so that all other draws are the same without them.
                 delay: if f.what == What::Cut { f.delay.0.draw(rng) } else { 0.0 },
             },
         })
@@ -289,7 +289,7 @@
         (None, part) => part.map_or(0.0, |part| part.draw(rng)) * figures.capacity(),
     };
     if let Some(hot) = scenario.hot {
-        // The first ones: zones are dealt out in turn, so these are spread over them.
+        // The first ones: zones are assigned in turn, so these are spread over them.
         let many = hot.proxies.draw(rng).round() as usize;
         figures.heat.iter_mut().take(many).for_each(|heat| *heat = hot.times.draw(rng));
     }
@@ -306,20 +306,20 @@
 }
 
 impl TierOf {
-    /// Core milliseconds that all its machines do in a millisecond, warm and sound.
+    /// Full capacity of its machines, in core milliseconds per millisecond.
     pub fn able(&self) -> f64 {
         self.places.iter().map(|p| p.speed).sum::<f64>() * self.kind.cores as f64
     }
 }
 
 impl Figures {
-    /// The mean of a figure over the calls, by the classes' shares.
+    /// The mean of a value over the requests, weighted by the classes' traffic.
     fn mean(&self, figure: fn(&ClassOf) -> f64) -> f64 {
         let shares: f64 = self.classes.iter().map(|c| c.share).sum();
         self.classes.iter().map(|c| c.share / shares.max(1e-9) * figure(c)).sum()
     }
 
-    /// The highest rate of calls that there can be, a millisecond.
+    /// An upper bound of the request rate, per millisecond.
     pub fn most_rate(&self) -> f64 {
         let burst = self.failures.iter().map(|f| f.times).fold(1.0, f64::max);
         let shape = self.shape.iter().map(|(_, times)| *times).fold(1.0, f64::max);
@@ -332,19 +332,19 @@
         first..first + self.tiers[tier].places.len()
     }
 
-    /// Mean work of a call over all tiers, in core milliseconds.
+    /// Mean work of a request over all tiers, in core milliseconds.
     pub fn mean_work(&self) -> f64 {
         self.mean(|c| c.work)
     }
 
-    /// Calls a second that the fleet can do: the tier that is full first says so.
+    /// The fleet's capacity in requests per second: that of the tier that saturates first.
     pub fn capacity(&self) -> f64 {
         let work = self.mean_work();
         let able = |tier: &TierOf| tier.able() / (work * tier.part).max(1e-9);
         self.tiers.iter().map(able).fold(f64::MAX, f64::min) * 1e3
     }
 
-    /// The tenants' shares in worth a second, and what worth beyond them counts.
+    /// The tenants' quotas in weight per second, and the part of the weight beyond them that counts.
     pub fn shares(&self) -> Shares {
         let worth = self.mean(|c| c.worth);
         Shares {
@@ -353,12 +353,12 @@
         }
     }
 
-    /// How many times its usual the rate is, by the shape.
+    /// The factor of the rate at a time.
     pub fn factor(&self, now: f64) -> f64 {
         self.shape.iter().take_while(|(from, _)| *from <= now).last().map_or(1.0, |(_, times)| *times)
     }
 
-    /// What a proxy is told of the deployment.
+    /// The settings of a proxy.
     #[allow(clippy::too_many_lines, reason = "one field per setting")]
     pub fn settings(&self, tier: usize, rank: usize, copies: usize, zone: usize) -> Settings {
         let kind = &self.tiers[tier].kind;
@@ -438,5 +438,5 @@
     }
 }
 
-/// After this time an attempt at a machine that is gone from the network counts as not connected.
+/// Connect timeout to a machine that is cut off, in milliseconds.
 pub const CONNECT_TIMEOUT: f64 = 75.0;
--- a/crates/simulation/src/site.rs
+++ b/crates/simulation/src/site.rs
@@ -1,10 +1,10 @@
-//! A small deployment of our own: what the platform would tell a proxy, for stand-ins on loopback.
+//! A small deployment: the platform file of a proxy in front of stand-in backends on loopback.
 
 use crate::discovery::list;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// What a proxy may hold.
+/// Limits of a proxy process.
 #[derive(Clone, Copy, Debug)]
 pub struct Holds {
     /// Descriptors.
@@ -13,7 +13,7 @@
     pub memory_mb: usize,
 }
 
-/// The proxy's configuration: two classes, one safe to repeat and one with a key; no tenants.
+/// The proxy's configuration: two classes, one idempotent and one with an idempotency key; no tenants.
 pub fn config(listen: SocketAddr, discovery: SocketAddr, servers: &[SocketAddr], holds: Holds) -> Value {
     json!({
         "name": "n1", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
--- a/crates/simulation/src/stability.rs
+++ b/crates/simulation/src/stability.rs
@@ -1,35 +1,35 @@
-//! The map of stability: how a load and the part of the servers that is lost go together. A loss is harmless in the end
-//! where service returns by itself soon after its cause has gone; where it does not, load outlives its cause.
+//! The stability map of metastable overload, over load and the part of the machines that is lost. A point is stable
+//! where service recovers by itself soon after the loss has ended; elsewhere the overload outlives its cause.
 
 use crate::experiment::{by_cell, grid, Axis, Mean, NoSweep, LOAD};
 use crate::policy::Named;
 use crate::report::{by_load, lines, markdown, page, NoPlot};
 use crate::sim::{self, setup, Second, Tally};
 
-/// The key of the part that is lost, in the first failure.
+/// The scenario's key of the part that is lost, in the first failure.
 const LOST: &str = "failure.0.part";
-/// Seconds at the start that are no measure of what is usual.
+/// Seconds at the start that are left out of the baseline.
 const WARM: usize = 2;
-/// The part of the service before that counts as returned ...
+/// The part of the baseline service that counts as recovered ...
 const RETURNED: f64 = 0.95;
 /// ... once it is reached over so many seconds on end.
 const OVER: usize = 2;
-/// Points by which a cell may be worse by chance.
+/// Tolerance for a cell that is worse, in percentage points.
 const WORSE: f64 = 2.0;
 
-/// How one run went, by the loss.
+/// The course of one run around the loss.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Course {
     /// Service before the loss, as a part.
     pub before: f64,
     /// Service while it lasts.
     pub during: f64,
-    /// Seconds from its end until service is back; `None` if it never is.
+    /// Seconds from its end until service has recovered; `None` if it never does.
     pub back_after: Option<f64>,
 }
 
 impl Course {
-    /// Of the seconds of a run in which something is lost from a time on and for so long (s).
+    /// Measures a run with a loss at a time and of a duration, both in seconds.
     pub fn of(seconds: &[Second], from: f64, lasts: f64) -> Course {
         let service = |range: std::ops::Range<usize>| {
             let range = range.start.min(seconds.len())..range.end.min(seconds.len());
@@ -42,7 +42,7 @@
             }
         };
         let (begins, ends) = (from as usize, (from + lasts).ceil() as usize);
-        // Calls of the last second before it may still be out when it begins.
+        // Requests of the second before may still be in flight when it begins.
         let usual = begins.saturating_sub(1);
         let before = service(WARM.min(usual)..usual);
         let back = (ends..(seconds.len() + 1).saturating_sub(OVER))
@@ -53,18 +53,18 @@
 
 /// Runs with one load and one loss.
 pub struct Cell {
-    /// The load, as a part of what the servers can do.
+    /// The load, as a part of the capacity.
     pub load: f64,
-    /// The part of the servers that is lost.
+    /// The part of the machines that is lost.
     pub lost: f64,
     /// One run for each seed.
     pub runs: Vec<Tally>,
-    /// How each of them went.
+    /// The course of each run.
     pub courses: Vec<Course>,
 }
 
 impl Cell {
-    /// The part of the calls that what is left can serve.
+    /// The part of the load that the remaining machines can serve.
     pub fn bearable(&self) -> f64 {
         ((1.0 - self.lost) / self.load).min(1.0)
     }
@@ -74,12 +74,12 @@
         Mean::of(&self.courses.iter().map(figure).collect::<Vec<_>>())
     }
 
-    /// How many seeds never came back.
+    /// Number of seeds that never recovered.
     pub fn stuck(&self) -> usize {
         self.courses.iter().filter(|c| c.back_after.is_none()).count()
     }
 
-    /// The longest return among the seeds that did come back.
+    /// The longest recovery among the seeds that recovered, in seconds.
     fn slowest(&self) -> f64 {
         self.courses.iter().filter_map(|c| c.back_after).fold(0.0, f64::max)
     }
@@ -110,7 +110,7 @@
     NoFailure,
 }
 
-/// Plays a scenario, whose first failure is the loss, with each load and part lost. `ended` is called after each run.
+/// Runs a scenario, whose first failure is the loss, with each load and part lost. `ended` is called after each run.
 pub fn map(
     text: &str,
     (loads, lost): (&[f64], &[f64]),
@@ -183,8 +183,8 @@
         markdown(&self.rows())
     }
 
-    /// The cells held against the runs of an earlier map, seed by seed: service of the whole run, in points of 100.
-    /// The second part counts the cells that are worse by more than chance allows.
+    /// Compares the cells with an earlier map, seed by seed: service of the whole run, in percentage points.
+    /// The second part counts the cells that are significantly worse.
     pub fn beside(&self, earlier: &[Tally]) -> (String, usize) {
         let heading = ["load", "lost", "service before the change", "now", "gain", ""].map(String::from);
         let (mut rows, mut worse) = (vec![heading.to_vec()], 0);
@@ -213,7 +213,7 @@
         (markdown(&rows), worse)
     }
 
-    /// One self-contained page: the table, and the figures over the part that is lost, a curve for each load.
+    /// One self-contained page: the table, and plots over the part that is lost, a curve for each load.
     pub fn html(&self, title: &str) -> Result<String, NoPlot> {
         let curves = |figure: &dyn Fn(&Cell) -> f64| {
             by_load(self.cells.iter().map(|cell| (cell.load, (cell.lost, figure(cell)))))
--- a/crates/simulation/src/stand.rs
+++ b/crates/simulation/src/stand.rs
@@ -1,4 +1,4 @@
-//! Stand-ins that run on a thread of their own until the program ends: servers, and the service that lists them.
+//! Stand-in backends and discovery, on a thread of their own until the program ends.
 
 use crate::discovery;
 use crate::servers::{self, Answers, Connections};
@@ -9,11 +9,11 @@
 use tokio::runtime::Builder;
 use tokio::task::{spawn_local, LocalSet};
 
-/// Where stand-ins listen.
+/// Addresses of the stand-ins.
 pub struct Stand {
     /// The servers.
     pub servers: Vec<SocketAddr>,
-    /// The service that lists them.
+    /// Their discovery service.
     pub discovery: SocketAddr,
     /// The servers' connections.
     pub connections: Arc<Connections>,
@@ -28,7 +28,7 @@
 }
 
 impl Stand {
-    /// Starts so many servers; `answers` makes what each of them answers with, by its number.
+    /// Starts a number of backends; `answers` makes the responses of each, by its number.
     pub fn start(count: usize, answers: impl Fn(usize) -> Rc<Answers> + Send + 'static) -> Result<Stand> {
         let bound: Vec<_> = (0..count).map(|_| listener()).collect::<Result<_>>()?;
         let (list, discovery) = listener()?;
