--- a/crates/hillstall/tests/proxy/platform_file.rs
+++ b/crates/hillstall/tests/proxy/platform_file.rs
@@ -13,7 +13,8 @@
 
 fn good() -> String {
     let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
-    let config = site::config(nowhere, nowhere, &[nowhere], site::Holds { sockets: 64, memory_mb: 64 });
+    let config =
+        site::config(nowhere, nowhere, &[nowhere], site::ProcessLimits { sockets: 64, memory_mb: 64 });
     serde_json::to_string_pretty(&config).expect("it is JSON")
 }
 
--- a/crates/simulation/src/fleet_ratio.rs
+++ b/crates/simulation/src/fleet_ratio.rs
@@ -1,32 +1,32 @@
-//! The account of harm in the sum: one same load and set of servers, carried by one copy of the proxy, by two, by many.
-//! What a copy does is harmless alone; what counts is the *fleet ratio*, service with so many copies over service with
-//! one that carries it all.
+//! The effect of the number of proxy instances: the same load and machines, with one instance, with two, with many.
+//! The result is the *fleet ratio*: service with so many instances over service with
+//! one.
 
 use crate::experiment::{by_cell, grid, Axis, Mean, SweepError, LOAD};
 use crate::policy::PolicyName;
 use crate::report::{by_load, lines, markdown, page, PlotError};
 use crate::sim::{self, RunSummary};
 
-/// The key of the number of copies.
-const COPIES: &str = "proxies";
+/// The scenario's key of the number of instances.
+const INSTANCES_KEY: &str = "proxies";
 
-/// Runs of one load with one number of copies.
+/// Runs of one load with one number of instances.
 pub struct RatioCell {
-    /// The load, as a part of what the servers can do.
+    /// The load, as a part of the capacity.
     pub load: f64,
-    /// Copies before the first tier.
+    /// Proxy instances before the first tier.
     pub instances: u32,
     /// One run for each seed.
     pub runs: Vec<RunSummary>,
 }
 
-/// The whole account, by load and then by number of copies.
+/// All results, by load and then by number of instances.
 pub struct FleetRatio {
     /// The cells; those of one load follow each other.
     pub cells: Vec<RatioCell>,
 }
 
-/// Plays a scenario with each load and number of copies. `ended` is called after each run.
+/// Runs a scenario with each load and number of instances. `ended` is called after each run.
 pub fn measure(
     text: &str,
     loads: &[f64],
@@ -35,7 +35,7 @@
     ended: impl Fn() + Sync,
 ) -> Result<FleetRatio, SweepError> {
     let numbers = copies.iter().map(|n| toml::Value::Integer(i64::from(*n))).collect();
-    let axes = [Axis::of_numbers(LOAD, loads), Axis { key: COPIES.to_string(), values: numbers }];
+    let axes = [Axis::of_numbers(LOAD, loads), Axis { key: INSTANCES_KEY.to_string(), values: numbers }];
     let scenarios = grid(text, &axes)?;
     let places = loads.iter().flat_map(|load| copies.iter().map(move |copies| (*load, *copies)));
     let runs = by_cell(&scenarios, seeds, |(_, scenario), seed| {
@@ -48,13 +48,13 @@
 }
 
 impl FleetRatio {
-    /// The runs with the fewest copies at a cell's load.
+    /// The runs with the fewest instances at a cell's load.
     fn alone<'a>(&'a self, cell: &'a RatioCell) -> &'a RatioCell {
         let same = self.cells.iter().filter(|other| other.load == cell.load);
         same.min_by_key(|other| other.instances).unwrap_or(cell)
     }
 
-    /// Service over that of the fewest copies, seed by seed: the calls are the same, so that their chance cancels out.
+    /// Service over that of the fewest instances, seed by seed: the requests are the same, so their randomness cancels out.
     pub fn ratio(&self, cell: &RatioCell) -> Mean {
         let pairs = cell.runs.iter().zip(&self.alone(cell).runs);
         Mean::of(&pairs.map(|(many, one)| many.service / one.service.max(1e-9)).collect::<Vec<_>>())
@@ -107,7 +107,7 @@
         markdown(&self.rows())
     }
 
-    /// One self-contained page: the table, and the figures over the number of copies, a curve for each load.
+    /// One self-contained page: the table, and plots over the number of instances, a curve for each load.
     pub fn html(&self, title: &str) -> Result<String, PlotError> {
         let curves = |figure: &dyn Fn(&RatioCell) -> f64| {
             by_load(self.cells.iter().map(|cell| (cell.load, (f64::from(cell.instances), figure(cell)))))
