--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -102,7 +102,6 @@
         actions.extend(now.state.freeze().incidents().keys().map(|n| Act::Cools(*n)));
     }
 
-    #[allow(clippy::too_many_lines, reason = "one arm per action of the model")]
     fn next_state(&self, before: &Now, act: Act) -> Option<Now> {
         let mut now = before.clone();
         now.steps += 1;
--- a/crates/consensus/tests/samples/maintenance.rs
+++ b/crates/consensus/tests/samples/maintenance.rs
@@ -17,7 +17,6 @@
 }
 
 /// See the module's text.
-#[allow(clippy::too_many_lines, reason = "one sample per variant")]
 pub fn samples() -> Vec<Sample> {
     let mut samples = each_variant!(Sample::of, WindowCommand {
         "maintenance/command/plan": WindowCommand::Plan(_) =>
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -31,7 +31,6 @@
 }
 
 /// One copy, one repeatable class, no tenants.
-#[allow(clippy::too_many_lines, reason = "one field per setting")]
 pub fn settings() -> Settings {
     Settings {
         rank: 0,
