--- a/crates/change-freeze/src/detection.rs
+++ b/crates/change-freeze/src/detection.rs
@@ -200,7 +200,7 @@
                     severity: threshold.severity,
                     scope: scope.clone(),
                     evidence: format!("{symptom} at {:.2}, limit {:.2}", observed.level, threshold.opens_at),
-                    opened_by: Requester::Rule(token),
+                    opened_by: Requester::Coordinator(token),
                 });
             }
         }
@@ -219,7 +219,7 @@
         resolved
             .map(|(number, _)| FreezeCommand::ResolveIncident {
                 incident: *number,
-                resolved_by: Requester::Rule(token),
+                resolved_by: Requester::Coordinator(token),
             })
             .collect()
     }
--- a/crates/change-freeze/src/state/command.rs
+++ b/crates/change-freeze/src/state/command.rs
@@ -13,13 +13,13 @@
     /// A person, by the one name that all of their aliases stand for.
     Person(String),
     /// The coordinator, with this token. Whether it is the newest is checked before the command is applied.
-    Rule(u64),
+    Coordinator(u64),
 }
 
 impl Requester {
     /// Whether this is the coordinator and not a person.
     pub(super) fn is_coordinator(&self) -> bool {
-        matches!(self, Requester::Rule(_))
+        matches!(self, Requester::Coordinator(_))
     }
 }
 
@@ -28,7 +28,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Requester::Person(name) => write!(f, "Person({name:?})"),
-            Requester::Rule(token) => write!(f, "Rule({token})"),
+            Requester::Coordinator(token) => write!(f, "Rule({token})"),
         }
     }
 }
@@ -147,7 +147,7 @@
     Superseded,
     /// The coordinator may not resolve an incident that a person has opened or was assigned to.
     #[error("a person has opened it or taken it on, so only a person closes it")]
-    NotByRule,
+    RequiresPerson,
     /// The second approval of an emergency change came from the same person.
     #[error("the same person has asked already; an emergency takes two")]
     SamePerson,
--- a/crates/change-freeze/src/state/incident.rs
+++ b/crates/change-freeze/src/state/incident.rs
@@ -156,10 +156,10 @@
         let incident = self.incidents.get_mut(&number).ok_or(RejectReason::NotFound)?;
         match resolved_by {
             Requester::Person(person) => check_name(person)?,
-            Requester::Rule(_) if !incident.is_resolvable_by_coordinator() => {
-                return Err(RejectReason::NotByRule)
+            Requester::Coordinator(_) if !incident.is_resolvable_by_coordinator() => {
+                return Err(RejectReason::RequiresPerson)
             }
-            Requester::Rule(_) => {}
+            Requester::Coordinator(_) => {}
         }
         if incident.cooling_down {
             return Err(RejectReason::Superseded);
--- a/crates/consensus/src/follower_streams.rs
+++ b/crates/consensus/src/follower_streams.rs
@@ -175,7 +175,7 @@
     let mut frames = Vec::new();
     for stored in items.range(first..).take(window) {
         frames.push(Frame::Applied {
-            after: stored.previous_index,
+            previous_index: stored.previous_index,
             index: stored.index,
             item: stored.item.clone(),
         });
--- a/crates/consensus/src/frame.rs
+++ b/crates/consensus/src/frame.rs
@@ -69,7 +69,7 @@
     /// The next item of the stream.
     Applied {
         /// The index of the item before it.
-        after: u64,
+        previous_index: u64,
         /// The index of its entry.
         index: u64,
         /// The item.
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -122,7 +122,7 @@
 
     /// Checks that the entries reach the snapshot, and the commit index lies within what is known.
     fn check_range(&self) -> Result<(), CorruptLog> {
-        let (first, last) = (self.first(), self.last());
+        let (first, last) = (self.first(), self.last_entry_index());
         let snapshot = self.snapshot.get_metadata().index;
         let committed = self.hard_state.commit;
         let reaches_snapshot = first <= snapshot + 1 && last >= snapshot;
@@ -147,12 +147,12 @@
     }
 
     /// The index of the last entry, or of the snapshot if no entry follows it.
-    pub fn last(&self) -> u64 {
+    pub fn last_entry_index(&self) -> u64 {
         self.entries.last().map_or(self.snapshot.get_metadata().index, |entry| entry.index)
     }
 
     /// The index of the snapshot, and the encoded state in it.
-    pub fn state(&self) -> (u64, &[u8]) {
+    pub fn snapshot_state(&self) -> (u64, &[u8]) {
         (self.snapshot.get_metadata().index, &self.snapshot.data)
     }
 
@@ -234,7 +234,7 @@
         if low < self.first() {
             return Err(Error::Store(StorageError::Compacted));
         }
-        if high > self.last() + 1 {
+        if high > self.last_entry_index() + 1 {
             return Err(Error::Store(StorageError::Unavailable));
         }
         let from = (low - self.first()) as usize;
@@ -268,7 +268,7 @@
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        Ok(self.last())
+        Ok(self.last_entry_index())
     }
 
     fn snapshot(&self, request_index: u64, _: u64) -> raft::Result<Snapshot> {
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -136,7 +136,7 @@
 
     /// The age of [`Node::state`] in milliseconds; `None` if a follower has received no state yet. Always 0 on a
     /// replica, which doesn't know when the leader last sent something: 0 says only that nothing newer has arrived.
-    pub fn age(&self, now: Millis) -> Option<Millis> {
+    pub fn state_age(&self, now: Millis) -> Option<Millis> {
         match &self.replica {
             Some(_) => Some(0),
             None => self.followed.state_age(now),
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -199,7 +199,7 @@
 
     /// Starts the raft node over a log.
     fn open(&mut self, log: RaftLog) {
-        let (snapshot_index, snapshot) = log.state();
+        let (snapshot_index, snapshot) = log.snapshot_state();
         let state = if snapshot.is_empty() { Ok(State::default()) } else { State::from_bytes(snapshot) };
         match state {
             Ok(state) => self.state = state,
--- a/crates/consensus/src/replica/snapshots.rs
+++ b/crates/consensus/src/replica/snapshots.rs
@@ -37,7 +37,7 @@
     /// Makes a snapshot of the state, if one is due, and drops the entries that it replaces.
     pub(super) fn compact_log(&mut self) {
         let Some(node) = &mut self.raft else { return };
-        let (snapshot_index, _) = node.store().state();
+        let (snapshot_index, _) = node.store().snapshot_state();
         let is_due = self.applied_index >= snapshot_index + SNAPSHOT_INTERVAL_ENTRIES;
         // A new member accepts no snapshot that it isn't a member in, so one is made after each change.
         if !self.members_changed && !is_due {
--- a/crates/consensus/src/replica/status.rs
+++ b/crates/consensus/src/replica/status.rs
@@ -12,7 +12,7 @@
     }
 
     /// The index of the last entry that was applied.
-    pub fn applied(&self) -> u64 {
+    pub fn applied_index(&self) -> u64 {
         self.applied_index
     }
 
@@ -33,7 +33,7 @@
     }
 
     /// The ids of the members that vote.
-    pub fn members(&self) -> Vec<u64> {
+    pub fn voters(&self) -> Vec<u64> {
         self.raft.as_ref().map_or(Vec::new(), |node| node.store().members().voters.clone())
     }
 
@@ -56,7 +56,7 @@
     }
 
     /// Why this replica has stopped, if it has.
-    pub fn halted(&self) -> Option<&str> {
+    pub fn halt_reason(&self) -> Option<&str> {
         self.halt_reason.as_deref()
     }
 }
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -245,7 +245,7 @@
         _ => return None,
     };
     match requester {
-        Requester::Rule(token) => Some(FencingToken(*token)),
+        Requester::Coordinator(token) => Some(FencingToken(*token)),
         Requester::Person(_) => None,
     }
 }
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -76,7 +76,7 @@
 /// The storage has failed: it is full, corrupt or gone.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the keeper's disk: {0}")]
-pub struct StorageFailed(pub String);
+pub struct ReplicaStorageError(pub String);
 
 /// A durable storage.
 pub trait ReplicaStorage {
@@ -85,14 +85,14 @@
     /// # Errors
     ///
     /// Fails if the storage can't be read.
-    fn load(&mut self) -> Result<PersistentState, StorageFailed>;
+    fn load(&mut self) -> Result<PersistentState, ReplicaStorageError>;
 
     /// Applies a batch. Once this returns, the change survives a loss of power.
     ///
     /// # Errors
     ///
     /// Fails if the batch can't be stored.
-    fn save(&mut self, change: WriteBatch) -> Result<(), StorageFailed>;
+    fn save(&mut self, change: WriteBatch) -> Result<(), ReplicaStorageError>;
 
     /// Empties the storage and draws another id, so that a replica whose storage was put back from a backup comes back as a
     /// new member. Returns what the storage holds then.
@@ -100,5 +100,5 @@
     /// # Errors
     ///
     /// Fails if the storage can't be written.
-    fn reset(&mut self) -> Result<PersistentState, StorageFailed>;
+    fn reset(&mut self) -> Result<PersistentState, ReplicaStorageError>;
 }
--- a/crates/coordination/src/admin_commands/render.rs
+++ b/crates/coordination/src/admin_commands/render.rs
@@ -65,7 +65,7 @@
         let status = if incident.cooling_down { "cooling" } else { "active" };
         let opened_by = match &incident.opened_by {
             Requester::Person(name) => name.clone(),
-            Requester::Rule(token) => format!("rule/{token}"),
+            Requester::Coordinator(token) => format!("rule/{token}"),
         };
         let assignee = incident.assignee.as_deref().unwrap_or("-");
         let (severity, scope, evidence) = (incident.severity, &incident.scope, &incident.evidence);
--- a/crates/coordination/src/redb_storage.rs
+++ b/crates/coordination/src/redb_storage.rs
@@ -2,7 +2,7 @@
 //! is sent.
 
 use hillstall_consensus::replica::new_id;
-use hillstall_consensus::storage::{PersistentState, ReplicaStorage, StorageFailed, WriteBatch};
+use hillstall_consensus::storage::{PersistentState, ReplicaStorage, ReplicaStorageError, WriteBatch};
 use redb::{
     Database, Durability, ReadTransaction, ReadableDatabase, ReadableTable, TableDefinition, WriteTransaction,
 };
@@ -73,8 +73,8 @@
     },
 }
 
-fn failed(error: impl std::fmt::Display) -> StorageFailed {
-    StorageFailed(error.to_string())
+fn failed(error: impl std::fmt::Display) -> ReplicaStorageError {
+    ReplicaStorageError(error.to_string())
 }
 
 impl RedbStorage {
@@ -142,7 +142,7 @@
     }
 
     /// Writes the header of a new replica, with an id that no other start draws.
-    fn initialize(&mut self) -> Result<PersistentState, StorageFailed> {
+    fn initialize(&mut self) -> Result<PersistentState, ReplicaStorageError> {
         // The system's random hash keys differ at each start.
         let random = RandomState::new().hash_one(std::process::id());
         let id = new_id(self.slot, random);
@@ -191,7 +191,7 @@
 }
 
 impl ReplicaStorage for RedbStorage {
-    fn load(&mut self) -> Result<PersistentState, StorageFailed> {
+    fn load(&mut self) -> Result<PersistentState, ReplicaStorageError> {
         let Some(state) = self.read().map_err(failed)? else { return self.initialize() };
         self.header = StoredHeader {
             version: FORMAT_VERSION,
@@ -204,7 +204,7 @@
         Ok(state)
     }
 
-    fn save(&mut self, batch: WriteBatch) -> Result<(), StorageFailed> {
+    fn save(&mut self, batch: WriteBatch) -> Result<(), ReplicaStorageError> {
         let header = &mut self.header;
         header.boot = batch.boot.unwrap_or(header.boot);
         header.participates = batch.participates.unwrap_or(header.participates);
@@ -215,7 +215,7 @@
         self.write(&batch, &self.header).map_err(failed)
     }
 
-    fn reset(&mut self) -> Result<PersistentState, StorageFailed> {
+    fn reset(&mut self) -> Result<PersistentState, ReplicaStorageError> {
         self.database = None;
         // The last replaced file is kept for inspection.
         std::fs::rename(&self.path, self.path.with_extension(REPLACED_EXTENSION)).map_err(failed)?;
--- a/crates/coordination/src/runtime/admin.rs
+++ b/crates/coordination/src/runtime/admin.rs
@@ -55,8 +55,10 @@
     /// The status of this instance: its role, the leases, and the fraction of each site.
     fn render_status(&self, now: Millis) -> String {
         let instance = self.identity.instance;
-        let mut lines =
-            vec![format!("copy {} life {:016x} site {}", instance.rank, instance.life, self.location.site)];
+        let mut lines = vec![format!(
+            "copy {} life {:016x} site {}",
+            instance.rank, instance.incarnation, self.location.site
+        )];
         match self.node.replica() {
             Some(replica) => lines.extend(replica_status(replica)),
             None => lines.push(self.follower_status(now)),
@@ -81,7 +83,7 @@
     fn follower_status(&self, now: Millis) -> String {
         let (slot, is_connected) = self.node.following().unwrap_or((0, false));
         let connection = if is_connected { "connected" } else { "searching" };
-        format!("follows {slot} {connection} age {}", or_none(self.node.age(now)))
+        format!("follows {slot} {connection} age {}", or_none(self.node.state_age(now)))
     }
 }
 
@@ -89,11 +91,11 @@
 fn replica_status<S: ReplicaStorage>(replica: &Replica<S>) -> impl Iterator<Item = String> {
     let role = if replica.is_leader() { " leads" } else { "" };
     let leader = or_none(replica.leader());
-    let members: Vec<String> = replica.members().iter().map(|id| format!("{id:x}")).collect();
+    let members: Vec<String> = replica.voters().iter().map(|id| format!("{id:x}")).collect();
     let members = members.join(",");
     let change = if replica.changes_members() { " changing" } else { "" };
     let status = format!("keeper {:x}{role} leader {leader} members {members}{change}", replica.id());
-    let halted = replica.halted().map(|reason| format!("halted {reason}"));
+    let halted = replica.halt_reason().map(|reason| format!("halted {reason}"));
     std::iter::once(status).chain(halted)
 }
 
--- a/crates/coordination/src/runtime/audit.rs
+++ b/crates/coordination/src/runtime/audit.rs
@@ -50,7 +50,7 @@
 
 /// Writes an audit line. `unix_ms` is the time of day.
 pub fn log_audit_event(event: &AuditEvent, instance: Instance, unix_ms: u64, limiter: &mut LogLimiter) {
-    let (copy, life, at) = (instance.rank, instance.life, unix_ms);
+    let (copy, life, at) = (instance.rank, instance.incarnation, unix_ms);
     match event {
         AuditEvent::LeaseAcquired(lease, token) => {
             tracing::info!(
--- a/crates/coordination/src/runtime/event_loop.rs
+++ b/crates/coordination/src/runtime/event_loop.rs
@@ -288,7 +288,7 @@
         thresholds: Default::default(),
         command_ttl: millis(settings.command_ttl),
         ramp_duration: millis(settings.ramp_duration),
-        seed: identity.instance.life,
+        seed: identity.instance.incarnation,
     }
 }
 
--- a/crates/coordination/src/runtime/startup.rs
+++ b/crates/coordination/src/runtime/startup.rs
@@ -73,7 +73,7 @@
     let incarnation = RandomState::new().hash_one(std::process::id());
     let identity = LocalIdentity {
         fleet: settings.name.clone(),
-        instance: Instance { rank: location.rank, life: incarnation },
+        instance: Instance { rank: location.rank, incarnation },
         slot: settings.local_replica.as_ref().map(|replica| replica.slot),
     };
     let (event_sender, events) = unbounded_channel();
--- a/crates/decision/src/balancer.rs
+++ b/crates/decision/src/balancer.rs
@@ -117,13 +117,13 @@
 
     /// So many other balancers send for the same instance, as while one process takes over from another: this
     /// one keeps to its part of the slow start budgets.
-    pub fn share_with(&mut self, others: usize) {
+    pub fn set_sharing_processes(&mut self, others: usize) {
         self.process_fraction = 1.0 / (others + 1) as f64;
     }
 
     /// How many backends are listed, and how many of those the selection avoids: they are not ready, or so
     /// unhealthy that they get little more than probes.
-    pub fn listed(&self, now: Millis) -> (usize, usize) {
+    pub fn backend_counts(&self, now: Millis) -> (usize, usize) {
         self.endpoints.counts(now)
     }
 
--- a/crates/fault-injection/src/discovery_server.rs
+++ b/crates/fault-injection/src/discovery_server.rs
@@ -83,7 +83,7 @@
 }
 
 impl DiscoveryServer {
-    /// A service that [`Roster::serve`] runs.
+    /// A service that [`DiscoveryServer::serve`] runs.
     pub fn new(
         history: Rc<History>,
         (callers, who): (Callers, WhoCalls),
--- a/crates/fault-injection/src/faults.rs
+++ b/crates/fault-injection/src/faults.rs
@@ -107,21 +107,9 @@
                 }
             }
             FailureKind::Release => self.release(failure),
-            FailureKind::KillProxies => {
-                for front in self.first_tier_proxies(failure.part) {
-                    self.record_error(self.fleet.signal(front, ProcessSignal::Kill));
-                }
-            }
-            FailureKind::StopProxies => {
-                for front in self.first_tier_proxies(failure.part) {
-                    self.record_error(self.fleet.signal(front, ProcessSignal::Stop));
-                }
-            }
-            FailureKind::ReloadProxies => {
-                for front in self.first_tier_proxies(failure.part) {
-                    self.record_error(self.fleet.signal(front, ProcessSignal::Reload));
-                }
-            }
+            FailureKind::KillProxies => self.signal_first_tier(failure.part, ProcessSignal::Kill),
+            FailureKind::StopProxies => self.signal_first_tier(failure.part, ProcessSignal::Stop),
+            FailureKind::ReloadProxies => self.signal_first_tier(failure.part, ProcessSignal::Reload),
             FailureKind::RollProxies => self.roll(failure).await,
             FailureKind::Cut => self.cut(failure, true),
         }
@@ -158,11 +146,7 @@
             FailureKind::KillProxies => {
                 self.first_tier_proxies(failure.part).into_iter().for_each(|front| self.start(front))
             }
-            FailureKind::StopProxies => {
-                for front in self.first_tier_proxies(failure.part) {
-                    self.record_error(self.fleet.signal(front, ProcessSignal::Go));
-                }
-            }
+            FailureKind::StopProxies => self.signal_first_tier(failure.part, ProcessSignal::Go),
             FailureKind::Cut => self.cut(failure, false),
             FailureKind::Burst
             | FailureKind::Release
@@ -171,6 +155,13 @@
         }
     }
 
+    /// Sends a signal to a fraction of the first tier's proxies.
+    fn signal_first_tier(&self, fraction: f64, signal: ProcessSignal) {
+        for proxy in self.first_tier_proxies(fraction) {
+            self.record_error(self.fleet.signal(proxy, signal));
+        }
+    }
+
     /// Starts a proxy again, in its own time.
     fn start(self: &Rc<Faults>, process: usize) {
         let faults = self.clone();
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -3,7 +3,7 @@
 //! processes goes through a TCP proxy of this package that can lose, block, delay or reset what passes. Afterwards the
 //! invariant checker joins what clients and backends recorded, and judges it by the platform's rules alone.
 //!
-//! [`run()`] runs one scenario. [`link`] and [`keeper`] are of use by themselves.
+//! [`run()`] runs one scenario. [`tcp_proxy`] and [`process_supervisor`] are of use by themselves.
 
 pub mod coordination_fleet;
 pub mod discovery_server;
--- a/crates/fault-injection/src/process_supervisor.rs
+++ b/crates/fault-injection/src/process_supervisor.rs
@@ -119,46 +119,54 @@
         .spawn()
 }
 
-/// Supervises processes until the standard input ends; the program's hidden command.
-pub fn serve() {
-    let children = Children::default();
-    let watched = children.clone();
-    std::thread::spawn(move || loop {
+/// Reports each process that ends, for as long as the program runs.
+fn report_ended_processes(children: Children) {
+    loop {
         std::thread::sleep(POLL_INTERVAL);
-        lock(&watched).retain(|number, child| match child.try_wait() {
+        lock(&children).retain(|number, child| match child.try_wait() {
             Ok(Some(status)) => {
-                report(&SupervisorEvent::Ended {
-                    number: *number,
-                    code: status.code(),
-                    signal: status.signal(),
-                });
+                let (code, signal) = (status.code(), status.signal());
+                report(&SupervisorEvent::Ended { number: *number, code, signal });
                 false
             }
             _ => true,
         });
-    });
-    for line in std::io::stdin().lock().lines() {
-        let Ok(line) = line else { break };
-        match serde_json::from_str(&line) {
-            Ok(SupervisorCommand::Start(order)) => {
-                let number = order.number;
-                let mut children = lock(&children);
-                match start(&order) {
-                    Ok(child) => {
-                        report(&SupervisorEvent::Started { number, pid: child.id() });
-                        children.insert(number, child);
-                    }
-                    Err(why) => report(&SupervisorEvent::Failed { number, why: why.to_string() }),
+    }
+}
+
+fn execute(command: SupervisorCommand, children: &Children) {
+    match command {
+        SupervisorCommand::Start(order) => {
+            let number = order.number;
+            let mut children = lock(children);
+            match start(&order) {
+                Ok(child) => {
+                    report(&SupervisorEvent::Started { number, pid: child.id() });
+                    children.insert(number, child);
                 }
+                Err(error) => report(&SupervisorEvent::Failed { number, why: error.to_string() }),
             }
-            Ok(SupervisorCommand::Signal { number, name }) => {
-                if let Some(child) = lock(&children).get(&number) {
-                    let pid = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
-                    // Not reaped yet, so the process id is still its own; it may be dead already.
-                    let _ = pid.map(|pid| kill_process(pid, name.signal()));
-                }
+        }
+        SupervisorCommand::Signal { number, name } => {
+            if let Some(child) = lock(children).get(&number) {
+                let pid = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
+                // Not reaped yet, so the process id is still its own; it may be dead already.
+                let _ = pid.map(|pid| kill_process(pid, name.signal()));
             }
-            Err(why) => eprintln!("keeper: {why}: {line}"),
+        }
+    }
+}
+
+/// Supervises processes until the standard input ends; the program's hidden command.
+pub fn serve() {
+    let children = Children::default();
+    let watched = children.clone();
+    std::thread::spawn(move || report_ended_processes(watched));
+    for line in std::io::stdin().lock().lines() {
+        let Ok(line) = line else { break };
+        match serde_json::from_str(&line) {
+            Ok(command) => execute(command, &children),
+            Err(error) => eprintln!("keeper: {error}: {line}"),
         }
     }
     for child in lock(&children).values_mut() {
--- a/crates/hillstall/src/admin.rs
+++ b/crates/hillstall/src/admin.rs
@@ -2,7 +2,7 @@
 
 use hillstall_coordination::CoordinationHandle;
 use hillstall_http1::client::HttpClient;
-use hillstall_http1::front::Server;
+use hillstall_http1::server::HttpServer;
 use hillstall_proxy_core::driver::Driver;
 use hillstall_proxy_core::lifecycle::{Lifecycle, Phase};
 use hillstall_proxy_core::limits::MAX_ADMIN_CONNECTIONS;
@@ -33,7 +33,7 @@
     /// Knows the backends.
     pub driver: Rc<Driver<HttpClient>>,
     /// Knows whether clients can be served.
-    pub server: Rc<Server>,
+    pub server: Rc<HttpServer>,
     /// The coordination runtime, where it is on.
     pub coordination: Option<Rc<CoordinationHandle>>,
 }
--- a/crates/hillstall/src/config.rs
+++ b/crates/hillstall/src/config.rs
@@ -178,7 +178,7 @@
         sockets: raw.limits.sockets.unwrap_or(DEFAULT_SOCKETS),
         memory_mb: raw.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB),
         known: raw.known,
-        settings: hillstall_settings::settings(raw.settings.to_string().as_bytes())?,
+        settings: hillstall_settings::parse_settings(raw.settings.to_string().as_bytes())?,
     })
 }
 
--- a/crates/hillstall/src/coordination.rs
+++ b/crates/hillstall/src/coordination.rs
@@ -52,12 +52,6 @@
     Runtime(#[from] hillstall_coordination::StartError),
 }
 
-impl From<StartError> for String {
-    fn from(error: StartError) -> String {
-        error.to_string()
-    }
-}
-
 /// A running runtime, and the advisories that it sends.
 type Started = (CoordinationHandle, UnboundedReceiver<Advisory>);
 
@@ -86,7 +80,7 @@
 }
 
 /// The proxy's parts that coordination reads and steers.
-pub struct Calls {
+pub struct TierTraffic {
     /// Counts the attempts to each zone, and takes the zones' fractions.
     pub driver: Rc<Driver<HttpClient>>,
     /// Counts requests and rejections.
@@ -97,9 +91,9 @@
     pub tier: u32,
 }
 
-impl Calls {
+impl TierTraffic {
     /// Reports load and follows advisories from now on, in tasks of the current [`tokio::task::LocalSet`].
-    pub fn join(
+    pub fn spawn(
         self,
         runtime: Rc<CoordinationHandle>,
         advisories: UnboundedReceiver<Advisory>,
@@ -133,7 +127,7 @@
 }
 
 impl LoadCounters {
-    fn read(proxy: &Calls) -> LoadCounters {
+    fn read(proxy: &TierTraffic) -> LoadCounters {
         let (requests, rejected) = proxy.metrics.ended();
         LoadCounters { read_at: Instant::now(), zones: proxy.driver.zone_traffic(), requests, rejected }
     }
@@ -176,7 +170,7 @@
 
 /// Passes advisories on to the decision module.
 struct AdvisoryFollower {
-    proxy: Rc<Calls>,
+    proxy: Rc<TierTraffic>,
     zones: Vec<String>,
     /// How much later than the entry tier this one lowers a fraction.
     tier_delay: Duration,
@@ -188,7 +182,7 @@
 }
 
 impl AdvisoryFollower {
-    fn new(proxy: Rc<Calls>, settings: &Settings) -> AdvisoryFollower {
+    fn new(proxy: Rc<TierTraffic>, settings: &Settings) -> AdvisoryFollower {
         AdvisoryFollower {
             zones: settings.zones.clone(),
             tier_delay: TIER_DELAY * proxy.tier,
--- a/crates/hillstall/src/handover.rs
+++ b/crates/hillstall/src/handover.rs
@@ -1,7 +1,7 @@
 //! The handover from an older process of the same proxy to a newer one during an upgrade. They find each other by a
 //! Unix socket in a shared folder; while it is connected, each uses half of the proxy's resources.
 
-use hillstall_http1::front::Server;
+use hillstall_http1::server::HttpServer;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -54,15 +54,15 @@
     }
 
     /// Follows the end of the older process and the arrival of newer ones, in the background.
-    pub fn start(self: &Rc<Self>, server: Rc<Server>) {
+    pub fn start(self: &Rc<Self>, server: Rc<HttpServer>) {
         spawn_local(self.clone().run(server));
     }
 
     /// Waits for the end of the older process, if there is one, and from then on serves newer ones.
-    async fn run(self: Rc<Self>, server: Rc<Server>) {
+    async fn run(self: Rc<Self>, server: Rc<HttpServer>) {
         if let Some(older) = self.older.take() {
             until_closed(older).await;
-            server.share_with(0);
+            server.apply_resource_share(0);
         }
         let Some(listener) = self.bind_socket() else { return };
         loop {
@@ -88,11 +88,11 @@
     }
 
     /// Reduces this process to its half, notifies the newer one, and stays so until that one ends.
-    async fn serve_newer(&self, mut newer: UnixStream, server: &Server) {
+    async fn serve_newer(&self, mut newer: UnixStream, server: &HttpServer) {
         self.has_newer.set(true);
-        server.share_with(1);
+        server.apply_resource_share(1);
         let reduced = async {
-            while !server.fits() {
+            while !server.is_within_limits() {
                 sleep(REDUCE_POLL_INTERVAL).await;
             }
         };
@@ -101,7 +101,7 @@
             until_closed(newer).await;
         }
         self.has_newer.set(false);
-        server.share_with(0);
+        server.apply_resource_share(0);
     }
 
     /// Removes the socket at the end. A newer process creates its own only once this one has ended.
--- a/crates/hillstall/src/platform.rs
+++ b/crates/hillstall/src/platform.rs
@@ -134,7 +134,7 @@
     let mut settings = valid.clone();
     let path_in_valid = path.with_first_indices();
     path_in_valid.replace_in(&mut settings, leaf.clone());
-    let error = hillstall_settings::settings(settings.to_string().as_bytes()).err()?.to_string();
+    let error = hillstall_settings::parse_settings(settings.to_string().as_bytes()).err()?.to_string();
     // Other errors are about what goes with the value, not about the value.
     let reason = error.strip_prefix(&format!("settings: {path_in_valid}: "))?;
     // The line and column are those of the text that was made for this check.
--- a/crates/hillstall/src/proxy.rs
+++ b/crates/hillstall/src/proxy.rs
@@ -11,7 +11,7 @@
 use hillstall_decision::Settings;
 use hillstall_http1::client::HttpClient;
 use hillstall_http1::discovery::HttpDiscovery;
-use hillstall_http1::front::Server;
+use hillstall_http1::server::HttpServer;
 use hillstall_proxy_core::driver::{Driver, DriverConfig};
 use hillstall_proxy_core::lifecycle::Lifecycle;
 use hillstall_proxy_core::limits::Limits;
@@ -69,7 +69,7 @@
 struct Proxy {
     driver: Rc<Driver<HttpClient>>,
     client: Rc<HttpClient>,
-    server: Rc<Server>,
+    server: Rc<HttpServer>,
     limits: Rc<Limits>,
     lifecycle: Rc<Lifecycle>,
     metrics: Rc<Metrics>,
@@ -97,11 +97,11 @@
         spawn_local(Rc::new(proxy.admin()).serve(listener));
     }
     if handover.has_older() {
-        proxy.server.share_with(1);
+        proxy.server.apply_resource_share(1);
     }
     proxy.join_coordination(advisories, &settings);
     handover.start(proxy.server.clone());
-    spawn_local(proxy.server.clone().tidy());
+    spawn_local(proxy.server.clone().maintain_connections());
     let listener = match early_listener {
         Some(listener) => listener,
         None => {
@@ -146,7 +146,7 @@
 }
 
 /// Waits until the server can serve clients.
-async fn until_ready(server: &Server) {
+async fn until_ready(server: &HttpServer) {
     while !server.is_ready() {
         sleep(READINESS_POLL_INTERVAL).await;
     }
@@ -161,7 +161,7 @@
     ) -> Proxy {
         let settings = config.settings.clone();
         let limits = Limits::new(config.sockets, config.memory_mb);
-        limits.tune(keys::tuning(operator));
+        limits.set_tuning(keys::tuning(operator));
         let client = Rc::new(HttpClient::new(
             limits.clone(),
             settings.permissions.connect_timeout_ms,
@@ -174,12 +174,12 @@
             settings: config.settings,
             seed: config.seed,
             known_endpoints: config.known,
-            discovery: config.discovery,
+            discovery_address: config.discovery,
             max_open_requests: limits.client_connections.limit(),
         };
         let driver = Driver::start(driver_config, client.clone(), Rc::new(HttpDiscovery), metrics.clone());
         let state = (lifecycle.clone(), metrics.clone());
-        let server = Server::new(
+        let server = HttpServer::new(
             driver.clone(),
             client.clone(),
             limits.clone(),
@@ -214,13 +214,13 @@
     /// Connects the request path with the coordination runtime, where that is on.
     fn join_coordination(&self, advisories: Option<UnboundedReceiver<Advisory>>, settings: &Settings) {
         let Some((coordination, advisories)) = self.coordination.clone().zip(advisories) else { return };
-        let calls = coordination::Calls {
+        let calls = coordination::TierTraffic {
             driver: self.driver.clone(),
             metrics: self.metrics.clone(),
             lifecycle: self.lifecycle.clone(),
             tier: settings.stage,
         };
-        calls.join(coordination, advisories, settings);
+        calls.spawn(coordination, advisories, settings);
     }
 
     /// Drains the server. Meanwhile other instances can take over the leases of this one.
@@ -230,7 +230,7 @@
                 coordination.release_leases().await;
             }
         };
-        tokio::join!(self.server.stop(handover.has_newer()), release_leases);
+        tokio::join!(self.server.shut_down(handover.has_newer()), release_leases);
         handover.remove_socket();
     }
 }
--- a/crates/hillstall/src/reload.rs
+++ b/crates/hillstall/src/reload.rs
@@ -62,8 +62,8 @@
         for key in self.operator.borrow().changes_needing_restart(&operator) {
             tracing::warn!(target: LOG_TARGET, "{key} has changed and needs a restart");
         }
-        self.limits.tune(keys::tuning(&operator));
-        self.client.tune();
+        self.limits.set_tuning(keys::tuning(&operator));
+        self.client.apply_tuning();
         self.operator.replace(operator);
     }
 }
--- a/crates/http1/src/client/attempt.rs
+++ b/crates/http1/src/client/attempt.rs
@@ -46,7 +46,7 @@
     /// One attempt of a request, which ends at its deadline or after its timeout. When this returns, the request is
     /// no longer on any open connection.
     async fn attempt(self: Rc<Self>, attempt: Attempt<HttpClient>) -> AttemptResult<HttpClient> {
-        let Attempt { request, backend, address, deadline, timeout, sent_counter, permit } = attempt;
+        let Attempt { payload: request, backend, address, deadline, timeout, sent_counter, permit } = attempt;
         let target = Target { backend, address, permit: Rc::new(permit) };
         let started_at = Instant::now();
         let mut idle = self.take_idle(backend, address).await;
@@ -65,7 +65,7 @@
             };
             let mut connection = match connection {
                 Ok(connection) => connection,
-                Err(outcome) => return AttemptResult::now(outcome),
+                Err(outcome) => return AttemptResult::without_response(outcome),
             };
             let error = match self.exchange(&attempt, &target, &mut connection).await {
                 Ok(response) => {
@@ -177,7 +177,7 @@
         if matches!(error, AttemptError::TimedOut) {
             self.pool.borrow_mut().remove_older_than(backend, started_at);
         }
-        AttemptResult::now(match (error, connection.stream().is_request_sent()) {
+        AttemptResult::without_response(match (error, connection.stream().is_request_sent()) {
             (AttemptError::NotStarted(outcome), _) => *outcome,
             // A backend begins to process a request with its last byte: this one never began.
             (_, false) => Outcome::ConnectFailed,
--- a/crates/http1/src/client/health_check.rs
+++ b/crates/http1/src/client/health_check.rs
@@ -28,12 +28,12 @@
         let until = Instant::now() + self.connect_timeout * TIMEOUT_FACTOR;
         let mut connection = match self.connect(address, until).await {
             Ok(connection) => connection,
-            Err(outcome) => return AttemptResult::now(outcome),
+            Err(outcome) => return AttemptResult::without_response(outcome),
         };
         let request = health_check_request(address, if wants_load_report { LOAD_PATH } else { ALIVE_PATH });
         match timeout_at(until.into(), connection.exchange(request, &self.limits)).await {
-            Err(_elapsed) => AttemptResult::now(Outcome::Timeout),
-            Ok(Err(_)) => AttemptResult::now(Outcome::Reset),
+            Err(_elapsed) => AttemptResult::without_response(Outcome::Timeout),
+            Ok(Err(_)) => AttemptResult::without_response(Outcome::Reset),
             Ok(Ok(response)) => self.health_check_result(&connection, response),
         }
     }
--- a/crates/http1/src/client/mod.rs
+++ b/crates/http1/src/client/mod.rs
@@ -63,8 +63,8 @@
     }
 
     /// Applies the tuning in force.
-    pub fn tune(&self) {
-        self.pool.borrow_mut().limit(pool_limits(&self.limits.tuning(), self.max_idle));
+    pub fn apply_tuning(&self) {
+        self.pool.borrow_mut().set_limits(pool_limits(&self.limits.tuning(), self.max_idle));
     }
 
     /// Drops idle connections that are too old, or that the backend has closed.
@@ -74,7 +74,7 @@
 
     /// Drops the connection that has been idle longest; false if there is none.
     pub fn shed(&self) -> bool {
-        self.pool.borrow_mut().shed().is_some()
+        self.pool.borrow_mut().remove_longest_idle().is_some()
     }
 
     /// Puts a connection into the pool, unless its backend has been removed or replaced.
--- a/crates/http1/src/discovery.rs
+++ b/crates/http1/src/discovery.rs
@@ -199,14 +199,14 @@
         Some(from) => from,
         None => {
             let Some(list) = fetch(address).await else { return WatchError::NoSnapshot };
-            let from = *index.insert(list.index);
+            let from = *index.insert(list.version);
             take(list);
             from
         }
     };
     let path = format!("{HOSTS_PATH}?stream=1&index={from}");
     read_lists(address, &path, |list| {
-        *index = Some(list.index);
+        *index = Some(list.version);
         take(list);
     })
     .await
@@ -225,7 +225,7 @@
             _ = &mut connection => body.await,
         };
         let list: EndpointList = serde_json::from_slice(&body.ok()?.to_bytes()).ok()?;
-        Some(EndpointList { snapshot: true, ..list })
+        Some(EndpointList { is_snapshot: true, ..list })
     };
     timeout(RESPONSE_TIMEOUT, response).await.ok()?
 }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -15,6 +15,3 @@
 pub mod server;
 pub mod stream;
 mod write_progress;
-
-/// The former name of [`server`], until all packages use the new one.
-pub use server as front;
--- a/crates/http1/src/server/accept.rs
+++ b/crates/http1/src/server/accept.rs
@@ -1,7 +1,7 @@
 //! The accept loop, and the admission of connections.
 
 use super::client_connection::ClientConnection;
-use super::Server;
+use super::HttpServer;
 use hillstall_proxy_core::limits::Reservation;
 use hillstall_proxy_core::sockets::out_of_descriptors;
 use std::rc::Rc;
@@ -17,7 +17,7 @@
 /// Pause of the accept loop after any other error.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(1);
 
-impl Server {
+impl HttpServer {
     /// Accepts connections until a newer process has the address to itself. Without a newer process it goes on
     /// during shutdown: the connections in the kernel's queue count as accepted.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
--- a/crates/http1/src/server/connection_task.rs
+++ b/crates/http1/src/server/connection_task.rs
@@ -1,7 +1,7 @@
 //! The task of one client connection: serving HTTP on it, and parking it while it is idle.
 
 use super::client_connection::{ClientConnection, CloseMode};
-use super::Server;
+use super::HttpServer;
 use crate::stream::HyperStream;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -21,7 +21,7 @@
     Parked,
 }
 
-impl Server {
+impl HttpServer {
     /// Runs a connection to its end.
     pub(super) async fn run_connection(self: Rc<Self>, id: u64, connection: Rc<ClientConnection>) {
         // The future is boxed so that a parked connection does not keep memory for it. A new connection is read
--- a/crates/http1/src/server/maintenance.rs
+++ b/crates/http1/src/server/maintenance.rs
@@ -1,7 +1,7 @@
 //! Periodic work on the connections: timeouts, parking, and closing the least useful ones.
 
 use super::client_connection::{ClientConnection, CloseMode};
-use super::Server;
+use super::HttpServer;
 use hillstall_proxy_core::tuning::Tuning;
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,9 +12,9 @@
 /// How many connections are examined to find one to shed.
 const MAX_SHED_CANDIDATES: usize = 8;
 
-impl Server {
+impl HttpServer {
     /// Maintains the connections on both sides, for ever.
-    pub async fn tidy(self: Rc<Self>) {
+    pub async fn maintain_connections(self: Rc<Self>) {
         loop {
             sleep(MAINTENANCE_INTERVAL).await;
             self.close_timed_out();
--- a/crates/http1/src/server/mod.rs
+++ b/crates/http1/src/server/mod.rs
@@ -28,7 +28,7 @@
 use tokio::sync::Notify;
 
 /// The HTTP/1.1 server for clients.
-pub struct Server {
+pub struct HttpServer {
     driver: Rc<Driver<HttpClient>>,
     client: Rc<HttpClient>,
     classes: Vec<Class>,
@@ -50,7 +50,7 @@
     stop_accepting: Notify,
 }
 
-impl Server {
+impl HttpServer {
     /// A server for the clients of a deployment. `has_known_backends` says that a list of backends is known from
     /// before, so that `/up` waits less long for discovery.
     pub fn new(
@@ -60,8 +60,8 @@
         (lifecycle, metrics): (Rc<Lifecycle>, Rc<Metrics>),
         settings: &Settings,
         has_known_backends: bool,
-    ) -> Rc<Server> {
-        Rc::new(Server {
+    ) -> Rc<HttpServer> {
+        Rc::new(HttpServer {
             driver,
             client,
             classes: settings.classes.clone(),
@@ -81,13 +81,13 @@
     }
 
     /// Restricts this process to its part of the limits, beside so many other processes.
-    pub fn share_with(&self, others: usize) {
+    pub fn apply_resource_share(&self, others: usize) {
         self.limits.share_with(others);
         self.driver.share_quota_with(others);
     }
 
     /// Whether this process is within its part of the connection limits; closes what it can to get there.
-    pub fn fits(&self) -> bool {
+    pub fn is_within_limits(&self) -> bool {
         if self.limits.client_connections.is_exceeded() {
             self.shed_connection();
         }
--- a/crates/http1/src/server/readiness.rs
+++ b/crates/http1/src/server/readiness.rs
@@ -1,7 +1,7 @@
 //! `/up`: whether this proxy serves requests.
 
 use super::response::{text_response, ClientResponse};
-use super::Server;
+use super::HttpServer;
 use hillstall_proxy_core::lifecycle::Phase;
 use hyper::StatusCode;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 /// How long `/up` waits for discovery where no backend is known.
 const READY_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-impl Server {
+impl HttpServer {
     /// Whether requests can be served: there is an endpoint list, or discovery has been waited for long enough.
     pub fn is_ready(&self) -> bool {
         let timeout = if self.has_known_backends { READY_TIMEOUT_WITH_KNOWN_BACKENDS } else { READY_TIMEOUT };
--- a/crates/http1/src/server/request.rs
+++ b/crates/http1/src/server/request.rs
@@ -6,7 +6,7 @@
 use super::request_error::RequestError;
 use super::request_head::{check_transfer_coding, single_value, OpenRequestId, REQUEST_ID};
 use super::response::{rejection, served, text_response, with_outcome, ClientResponse};
-use super::{Server, MAINTENANCE_INTERVAL};
+use super::{HttpServer, MAINTENANCE_INTERVAL};
 use crate::client::HttpClient;
 use crate::message::{ClientRequest, ClientRequestBody};
 use crate::request_body::{discard, StreamingRequestBody};
@@ -70,7 +70,7 @@
     Rejected(ClientResponse),
 }
 
-impl Server {
+impl HttpServer {
     /// Answers one request of a connection.
     pub(super) async fn serve(
         &self,
@@ -111,7 +111,7 @@
         let path = head.uri.path_and_query().ok_or(RequestError::MissingPath)?.clone();
         let tuning = self.limits.tuning();
         let Some(reservation) = self.reserve_body(&body, &tuning)? else {
-            self.metrics.count(metadata.class, RequestOutcome::Deferred);
+            self.metrics.count_outcome(metadata.class, RequestOutcome::Deferred);
             return Ok(self.capacity_rejection());
         };
         let prefix = BodyPrefix::read(body, tuning.max_buffered_body).await?;
--- a/crates/http1/src/server/request_head.rs
+++ b/crates/http1/src/server/request_head.rs
@@ -2,11 +2,11 @@
 
 use super::client_connection::ClientConnection;
 use super::request_error::RequestError;
-use super::Server;
+use super::HttpServer;
 use crate::message::TIMEOUT_HEADER;
 use hillstall_decision::RetrySafety;
 use hillstall_proxy_core::driver::RequestMetadata;
-use hillstall_proxy_core::endpoints::hash;
+use hillstall_proxy_core::endpoints::fnv1a;
 use hyper::header::{HeaderMap, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::Method;
@@ -28,7 +28,7 @@
 const MAX_REQUEST_ID_BYTES: usize = 128;
 const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
-impl Server {
+impl HttpServer {
     /// Reads and checks everything before the body: what the request is, and how long its client waits.
     pub(super) fn read_head(&self, head: &Parts) -> Result<(RequestMetadata, Duration), RequestError> {
         check_request_id(&head.headers)?;
@@ -136,7 +136,7 @@
 /// The key by which a request is routed: the last segment of its path, a hexadecimal number or a name to hash.
 fn routing_key(path: &str) -> Option<u64> {
     let last = path.rsplit('/').next().filter(|last| !last.is_empty())?;
-    Some(u64::from_str_radix(last, 16).unwrap_or_else(|_| hash(last.as_bytes())))
+    Some(u64::from_str_radix(last, 16).unwrap_or_else(|_| fnv1a(last.as_bytes())))
 }
 
 /// The id of an open request, free again once this is dropped.
--- a/crates/http1/src/server/shutdown.rs
+++ b/crates/http1/src/server/shutdown.rs
@@ -5,7 +5,7 @@
 //! are closed as they become idle. Requests that are open at the end are failed before the process could be killed:
 //! that is no sooner than the longest deadline of a class, 3 s at most, and a margin.
 
-use super::Server;
+use super::HttpServer;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
@@ -26,10 +26,10 @@
 /// Time between two checks for open requests, once these have been failed.
 const REQUESTS_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-impl Server {
+impl HttpServer {
     /// Shuts down gracefully: returns when all accepted requests are answered. With a newer process at the same
     /// address (`has_newer`), clients are sent there at once.
-    pub async fn stop(&self, has_newer: bool) {
+    pub async fn shut_down(&self, has_newer: bool) {
         let stopped_at = Instant::now();
         let max_duration = self.max_stop_duration();
         self.lifecycle.stop(if has_newer { Duration::ZERO } else { max_duration / 2 });
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -78,7 +78,7 @@
     /// The instance's position in the fleet; the same over restarts.
     pub rank: u32,
     /// Chosen at random at each start.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// Increases with each grant of any lease and never decreases, also across snapshots, restores and changes of replicas.
--- a/crates/maintenance/src/windows/command.rs
+++ b/crates/maintenance/src/windows/command.rs
@@ -101,16 +101,16 @@
 pub enum WindowError {
     /// There is no such window.
     #[error("there is no window of that number")]
-    Unknown,
+    NotFound,
     /// The command does not apply in the window's stage.
     #[error("the window is {0}")]
     Stage(Stage),
     /// Another site is without its traffic; holds the number of its window.
     #[error("window {0} has its site away")]
-    OtherAway(Number),
+    OtherSiteAway(Number),
     /// The fraction does not change in the direction of the command.
     #[error("a site that gets {from} in a thousand can't go to {to} this way")]
-    Part {
+    InvalidFraction {
         /// The current fraction.
         from: TrafficFraction,
         /// The fraction in the command.
@@ -121,8 +121,8 @@
     NoPermit(String),
     /// There are [`MAX_WINDOWS`] windows, and none of them is over.
     #[error("there are {MAX_WINDOWS} windows")]
-    Full,
+    CapacityReached,
     /// The plan is invalid; holds the reason.
     #[error("{0}")]
-    Plan(&'static str),
+    InvalidPlan(&'static str),
 }
--- a/crates/maintenance/src/windows/mod.rs
+++ b/crates/maintenance/src/windows/mod.rs
@@ -52,7 +52,7 @@
     }
 
     fn window_mut(&mut self, number: Number) -> Result<&mut Window, WindowError> {
-        self.all.get_mut(&number).ok_or(WindowError::Unknown)
+        self.all.get_mut(&number).ok_or(WindowError::NotFound)
     }
 
     /// Another window whose site is without its usual traffic.
@@ -77,7 +77,7 @@
 
     fn drop_oldest_finished(&mut self) -> Result<(), WindowError> {
         let finished = self.all.iter().find(|(_, window)| window.stage.is_final());
-        let number = *finished.ok_or(WindowError::Full)?.0;
+        let number = *finished.ok_or(WindowError::CapacityReached)?.0;
         self.all.remove(&number);
         Ok(())
     }
--- a/crates/maintenance/src/windows/permit.rs
+++ b/crates/maintenance/src/windows/permit.rs
@@ -75,7 +75,7 @@
     match reason {
         RejectReason::NotFound => "Unknown",
         RejectReason::Superseded => "Over",
-        RejectReason::NotByRule => "NotByRule",
+        RejectReason::RequiresPerson => "NotByRule",
         RejectReason::SamePerson => "SamePerson",
         RejectReason::InvalidName => "Name",
         RejectReason::InvalidDuration => "Runs",
--- a/crates/maintenance/src/windows/plan.rs
+++ b/crates/maintenance/src/windows/plan.rs
@@ -42,16 +42,16 @@
 impl WindowPlan {
     pub(super) fn validate(&self) -> Result<(), WindowError> {
         if !is_valid_name(&self.site) {
-            return Err(WindowError::Plan(
+            return Err(WindowError::InvalidPlan(
                 "a site's name has 1 to 64 letters, digits, '-', '.', '_', '/' or '@'",
             ));
         }
         let has_valid_duration = (1..=MAX_DURATION_MS).contains(&self.duration);
         if !has_valid_duration || self.lead_time > MAX_LEAD_TIME_MS {
-            return Err(WindowError::Plan("a window lasts up to 12 hours, and its lead up to 6"));
+            return Err(WindowError::InvalidPlan("a window lasts up to 12 hours, and its lead up to 6"));
         }
         if self.reserve_percent > MAX_RESERVE_PERCENT {
-            return Err(WindowError::Plan("a reserve is at most 90 in a hundred"));
+            return Err(WindowError::InvalidPlan("a reserve is at most 90 in a hundred"));
         }
         Ok(())
     }
--- a/crates/maintenance/src/windows/window.rs
+++ b/crates/maintenance/src/windows/window.rs
@@ -123,7 +123,7 @@
     ) -> Result<(), WindowError> {
         self.require_stage(&[Stage::Planned])?;
         if let Some(other) = other_away {
-            return Err(WindowError::OtherAway(other));
+            return Err(WindowError::OtherSiteAway(other));
         }
         self.change = Some(request_permit(&self.plan, freeze)?);
         self.stage = Stage::Admitted;
@@ -145,7 +145,7 @@
         self.require_stage(&[Stage::Admitted, Stage::Shifting])?;
         check_permit(self.change, freeze)?;
         if fraction >= self.fraction {
-            return Err(WindowError::Part { from: self.fraction, to: fraction });
+            return Err(WindowError::InvalidFraction { from: self.fraction, to: fraction });
         }
         self.stage = Stage::Shifting;
         self.fraction = fraction;
@@ -179,7 +179,7 @@
     ) -> Result<(), WindowError> {
         self.require_stage(&[Stage::Shifting, Stage::Empty, Stage::Running, Stage::Returning])?;
         if fraction < self.fraction || fraction > FULL_TRAFFIC {
-            return Err(WindowError::Part { from: self.fraction, to: fraction });
+            return Err(WindowError::InvalidFraction { from: self.fraction, to: fraction });
         }
         self.stage = Stage::Returning;
         self.fraction = fraction;
--- a/crates/proxy-core/src/driver/attempts.rs
+++ b/crates/proxy-core/src/driver/attempts.rs
@@ -67,7 +67,7 @@
             let Some(driver) = weak_self.upgrade() else { return };
             let permit = SendPermit::new(driver.clone(), request, backend, address);
             let attempt = Attempt {
-                request: payload,
+                payload,
                 backend,
                 address: address.address,
                 deadline,
@@ -80,7 +80,7 @@
                 biased;
                 result = attempt => result,
                 // The attempt was dropped, and its connection closed, before this is reported.
-                Ok(()) = cancelled => AttemptResult::now(Outcome::Cancelled),
+                Ok(()) = cancelled => AttemptResult::without_response(Outcome::Cancelled),
             };
             driver.attempt_ended(request, backend, sent_at, result);
         });
@@ -163,7 +163,7 @@
         spawn_local(async move {
             let result = match address {
                 Some(address) => transport.probe(address.address, with_report).await,
-                None => AttemptResult::now(Outcome::NotSent),
+                None => AttemptResult::without_response(Outcome::NotSent),
             };
             let Some(driver) = weak_self.upgrade() else { return };
             driver.handle_event(Event::ProbeResult {
--- a/crates/proxy-core/src/driver/discovery_watch.rs
+++ b/crates/proxy-core/src/driver/discovery_watch.rs
@@ -23,14 +23,14 @@
     /// Applies the list that this process starts from, as it was known last.
     pub(super) fn apply_cached_list(&self, list: EndpointList) {
         // Whatever it says of itself, it is all that this proxy knows.
-        self.apply_list(&EndpointList { snapshot: true, ..list }, ListKind::Cached);
+        self.apply_list(&EndpointList { is_snapshot: true, ..list }, ListKind::Cached);
     }
 
     /// Applies a list that discovery has sent.
     fn apply_received_list(&self, list: &EndpointList) {
         self.endpoint_list_received.set(true);
         self.watch_failure_logged.set(false);
-        self.apply_list(list, if list.snapshot { ListKind::Full } else { ListKind::Delta });
+        self.apply_list(list, if list.is_snapshot { ListKind::Full } else { ListKind::Delta });
     }
 
     fn apply_list(&self, list: &EndpointList, kind: ListKind) {
@@ -44,8 +44,8 @@
         }
         let in_use = state.requests.backends_in_flight();
         state.directory.remove_gone(|backend| in_use.contains(&backend));
-        state.list_version = Some(list.index);
-        let version = list.index as u32;
+        state.list_version = Some(list.version);
+        let version = list.version as u32;
         self.handle(state, QueuedEvent::EndpointList { kind, version, backends: changes.infos });
     }
 
--- a/crates/proxy-core/src/driver/mod.rs
+++ b/crates/proxy-core/src/driver/mod.rs
@@ -88,7 +88,7 @@
     /// The endpoint list as it was known last.
     pub known_endpoints: EndpointList,
     /// The address of discovery.
-    pub discovery: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// The maximum of open requests, beside that of the settings.
     pub max_open_requests: usize,
 }
@@ -109,7 +109,7 @@
             transport,
             discovery,
             metrics,
-            discovery_address: Cell::new(config.discovery),
+            discovery_address: Cell::new(config.discovery_address),
             must_subscribe: settings.must_subscribe,
             max_attempts: settings.permissions.max_attempts.min(u32::from(u8::MAX)),
             max_open_requests: config.max_open_requests.min(settings.permissions.max_open as usize),
@@ -118,7 +118,7 @@
             endpoint_list_received: Cell::new(false),
             watch_failure_logged: Cell::new(false),
             drain_grace: duration_from_ms(settings.rules.drain_grace_ms * DRAIN_GRACE_FRACTION),
-            state: RefCell::new(State::new(settings, config.seed, config.known_endpoints.index)),
+            state: RefCell::new(State::new(settings, config.seed, config.known_endpoints.version)),
         });
         driver.apply_cached_list(config.known_endpoints);
         if !driver.must_subscribe {
@@ -146,7 +146,7 @@
     /// Has the decision module keep to its part of the quotas that the rules count by proxy, while this many other
     /// processes of the proxy run beside this one.
     pub fn share_quota_with(&self, others: usize) {
-        self.state.borrow_mut().balancer.share_with(others);
+        self.state.borrow_mut().balancer.set_sharing_processes(others);
     }
 
     /// Counts from now on what is sent to each of this many zones.
@@ -167,7 +167,7 @@
 
     /// The number of backends, and of those that the decision module avoids.
     pub fn cluster(&self) -> ClusterSize {
-        let (size, unhealthy) = self.state.borrow().balancer.listed(self.clock.now_ms());
+        let (size, unhealthy) = self.state.borrow().balancer.backend_counts(self.clock.now_ms());
         ClusterSize { size, unhealthy }
     }
 
--- a/crates/proxy-core/src/endpoints.rs
+++ b/crates/proxy-core/src/endpoints.rs
@@ -18,10 +18,10 @@
 pub struct EndpointList {
     /// Its version.
     #[serde(rename = "index")]
-    pub index: u64,
+    pub version: u64,
     /// Whether it names all backends; otherwise only those that changed.
     #[serde(rename = "snapshot")]
-    pub snapshot: bool,
+    pub is_snapshot: bool,
     /// The entries.
     pub endpoints: Vec<Endpoint>,
 }
@@ -130,7 +130,7 @@
 }
 
 /// The FNV-1a hash. It is fixed, so that a backend has the same id at every proxy and after every restart.
-pub fn hash(bytes: &[u8]) -> u64 {
+pub fn fnv1a(bytes: &[u8]) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
     bytes.iter().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
@@ -155,7 +155,7 @@
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
-        let wide = hash(name.as_bytes());
+        let wide = fnv1a(name.as_bytes());
         let mut id = (wide ^ (wide >> 32)) as BackendId;
         // If two names have the same hash, the later one takes the next free number.
         while self.names.contains_key(&id) {
@@ -170,7 +170,7 @@
     pub fn apply(&mut self, list: &EndpointList, now: Instant) -> EndpointChanges {
         let infos = Vec::with_capacity(list.endpoints.len());
         let mut changes = EndpointChanges { infos, ..EndpointChanges::default() };
-        if list.snapshot {
+        if list.is_snapshot {
             self.mark_missing_as_gone(list, &mut changes);
         }
         for endpoint in &list.endpoints {
--- a/crates/proxy-core/src/limits.rs
+++ b/crates/proxy-core/src/limits.rs
@@ -136,7 +136,7 @@
     }
 
     /// Replaces the tuning.
-    pub fn tune(&self, tuning: Tuning) {
+    pub fn set_tuning(&self, tuning: Tuning) {
         self.tuning.set(tuning);
         // The minimum of memory for bodies depends on the largest that is buffered.
         self.share_with(self.other_processes.get());
--- a/crates/proxy-core/src/metrics.rs
+++ b/crates/proxy-core/src/metrics.rs
@@ -100,7 +100,7 @@
     }
 
     /// Counts a request of a class that ended.
-    pub fn count(&self, class: u8, outcome: RequestOutcome) {
+    pub fn count_outcome(&self, class: u8, outcome: RequestOutcome) {
         let Some(class) = self.class(class) else { return };
         increment(match outcome {
             RequestOutcome::Answered => &class.answered,
@@ -152,7 +152,7 @@
 impl InProgress {
     /// Counts how the request ended.
     pub fn end(self, outcome: RequestOutcome) {
-        self.metrics.count(self.class, outcome);
+        self.metrics.count_outcome(self.class, outcome);
     }
 }
 
--- a/crates/proxy-core/src/pool.rs
+++ b/crates/proxy-core/src/pool.rs
@@ -103,7 +103,7 @@
     }
 
     /// Replaces the limits.
-    pub fn limit(&mut self, limits: PoolLimits) {
+    pub fn set_limits(&mut self, limits: PoolLimits) {
         self.limits = limits;
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// Takes out the connection that has been idle for longest, of all backends.
-    pub fn shed(&mut self) -> Option<T> {
+    pub fn remove_longest_idle(&mut self) -> Option<T> {
         let oldest_of_each = self
             .backends
             .iter()
--- a/crates/proxy-core/src/transport.rs
+++ b/crates/proxy-core/src/transport.rs
@@ -21,7 +21,7 @@
 /// One attempt to have a request served.
 pub struct Attempt<C: Transport> {
     /// The request's payload.
-    pub request: Rc<C::Request>,
+    pub payload: Rc<C::Request>,
     /// The backend to send to.
     pub backend: BackendId,
     /// The address at which the backend listens.
@@ -52,7 +52,7 @@
 
 impl<C: Transport> AttemptResult<C> {
     /// An attempt that ends now without a response.
-    pub fn now(outcome: Outcome) -> AttemptResult<C> {
+    pub fn without_response(outcome: Outcome) -> AttemptResult<C> {
         AttemptResult {
             outcome,
             ended_at: Instant::now(),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -49,7 +49,7 @@
 }
 
 /// Reads the settings of an instance. The error names the key that can't be used.
-pub fn settings(json: &[u8]) -> Result<Settings, SettingsError> {
+pub fn parse_settings(json: &[u8]) -> Result<Settings, SettingsError> {
     let mut deserializer = serde_json::Deserializer::from_slice(json);
     let raw: RawSettings = serde_path_to_error::deserialize(&mut deserializer).map_err(SettingsError::Key)?;
     deserializer.end().map_err(SettingsError::TrailingText)?;
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -52,7 +52,7 @@
     }
 
     fn provision(&mut self, instance: u32, seed: u64, settings: &[u8]) {
-        match hillstall_settings::settings(settings) {
+        match hillstall_settings::parse_settings(settings) {
             Ok(settings) => {
                 self.instances.insert(instance, Balancer::new(settings, seed));
             }
