--- a/crates/http1/src/backend_connection.rs
+++ b/crates/http1/src/backend_connection.rs
@@ -11,7 +11,6 @@
 use hyper::header::{self, HeaderMap, HeaderName};
 use hyper::{Method, Request, StatusCode};
 use std::collections::VecDeque;
-use std::fmt;
 use std::future::poll_fn;
 use std::future::Future;
 use std::pin::Pin;
@@ -104,44 +103,28 @@
 }
 
 /// Why a request got no usable response.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
     /// The connection ended before the head of a response came.
-    Connection(hyper::Error),
+    #[error("no response: {0}")]
+    Connection(#[source] hyper::Error),
     /// The head gives no length, or more than one, that can be relied on.
+    #[error("the length of the response is ambiguous")]
     AmbiguousLength,
     /// The body is longer than this proxy forwards.
+    #[error("the response is too large")]
     BodyTooLarge,
     /// There is no memory left for buffered bodies.
+    #[error("no memory is left for the response")]
     OutOfCapacity,
     /// The body ended early.
-    Body(hyper::Error),
+    #[error("the response ended early: {0}")]
+    Body(#[source] hyper::Error),
     /// The body made no progress for the response timeout.
+    #[error("the response timed out")]
     TimedOut,
 }
 
-impl fmt::Display for ExchangeError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ExchangeError::Connection(error) => write!(f, "no response: {error}"),
-            ExchangeError::AmbiguousLength => f.write_str("the length of the response is ambiguous"),
-            ExchangeError::BodyTooLarge => f.write_str("the response is too large"),
-            ExchangeError::OutOfCapacity => f.write_str("no memory is left for the response"),
-            ExchangeError::Body(error) => write!(f, "the response ended early: {error}"),
-            ExchangeError::TimedOut => f.write_str("the response timed out"),
-        }
-    }
-}
-
-impl std::error::Error for ExchangeError {
-    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        match self {
-            ExchangeError::Connection(error) | ExchangeError::Body(error) => Some(error),
-            _ => None,
-        }
-    }
-}
-
 /// The response to one request.
 pub struct ReceivedResponse {
     /// The status.
--- a/crates/http1/src/discovery.rs
+++ b/crates/http1/src/discovery.rs
@@ -8,7 +8,6 @@
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::{Frame, Incoming};
 use hyper::{header::HOST, Request, StatusCode};
-use std::fmt;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -45,52 +44,43 @@
 }
 
 /// Why a watch ended, or a list could not be had. The texts go to the log.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 enum WatchError {
     /// No connection came up in time.
+    #[error("no connection")]
     ConnectTimeout,
     /// The connection was refused.
-    Connect(std::io::Error),
+    #[error("{0}")]
+    Connect(#[source] std::io::Error),
     /// The HTTP exchange failed.
-    Http(hyper::Error),
+    #[error("{0}")]
+    Http(#[source] hyper::Error),
     /// The request could not be built.
-    InvalidRequest(hyper::http::Error),
+    #[error("{0}")]
+    InvalidRequest(#[source] hyper::http::Error),
     /// The service answered with another status than 200.
+    #[error("status {0}")]
     Status(StatusCode),
     /// No head of a response came in time.
+    #[error("no answer")]
     ResponseTimeout,
     /// The whole list, from which the watch starts, could not be had.
+    #[error("no whole list")]
     NoSnapshot,
     /// Nothing came for too long.
+    #[error("it fell silent")]
     Silent,
     /// A line is not an endpoint list.
-    InvalidList(serde_json::Error),
+    #[error("garbled list: {0}")]
+    InvalidList(#[source] serde_json::Error),
     /// A line is longer than any list.
+    #[error("a line is too long")]
     LineTooLong,
     /// The service ended the watch.
+    #[error("it ended")]
     Ended,
 }
 
-impl fmt::Display for WatchError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            WatchError::ConnectTimeout => f.write_str("no connection"),
-            WatchError::Connect(error) => error.fmt(f),
-            WatchError::Http(error) => error.fmt(f),
-            WatchError::InvalidRequest(error) => error.fmt(f),
-            WatchError::Status(status) => write!(f, "status {status}"),
-            WatchError::ResponseTimeout => f.write_str("no answer"),
-            WatchError::NoSnapshot => f.write_str("no whole list"),
-            WatchError::Silent => f.write_str("it fell silent"),
-            WatchError::InvalidList(error) => write!(f, "garbled list: {error}"),
-            WatchError::LineTooLong => f.write_str("a line is too long"),
-            WatchError::Ended => f.write_str("it ended"),
-        }
-    }
-}
-
-impl std::error::Error for WatchError {}
-
 /// Sends a GET request. Gives the body of the response, and the connection that has to be driven to read it.
 async fn get(
     address: SocketAddr,
--- a/crates/http1/src/server/request_error.rs
+++ b/crates/http1/src/server/request_error.rs
@@ -1,10 +1,10 @@
 //! Requests that the client itself is at fault for, and how each of them is answered.
 
 use hyper::StatusCode;
-use std::fmt;
 
 /// Why a request is answered with a client error.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{}", self.message())]
 pub(super) enum RequestError {
     /// The head has both a `Content-Length` and a transfer coding, or more than one transfer coding.
     AmbiguousLength,
@@ -81,11 +81,3 @@
         }
     }
 }
-
-impl fmt::Display for RequestError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.message())
-    }
-}
-
-impl std::error::Error for RequestError {}
