--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -7,8 +7,6 @@
 
 use hillstall_decision::Settings;
 use raw::RawSettings;
-use std::error::Error;
-use std::fmt;
 
 /// Classes are numbered by one byte.
 const MAX_CLASSES: usize = 256;
@@ -18,36 +16,19 @@
 const MAX_REPORT_FIELDS: usize = 4;
 
 /// Why settings can't be used.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// A key is missing, or its value is invalid.
-    Key(serde_path_to_error::Error<serde_json::Error>),
+    #[error("settings: {}: {}", .0.path(), .0.inner())]
+    Key(#[source] serde_path_to_error::Error<serde_json::Error>),
     /// Something follows the JSON text.
-    TrailingText(serde_json::Error),
+    #[error("settings: {0}")]
+    TrailingText(#[source] serde_json::Error),
     /// Values that don't go together; the text begins with the key.
+    #[error("settings: {0}")]
     Inconsistent(String),
 }
 
-impl fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            SettingsError::Key(error) => write!(f, "settings: {}: {}", error.path(), error.inner()),
-            SettingsError::TrailingText(error) => write!(f, "settings: {error}"),
-            SettingsError::Inconsistent(problem) => write!(f, "settings: {problem}"),
-        }
-    }
-}
-
-impl Error for SettingsError {
-    fn source(&self) -> Option<&(dyn Error + 'static)> {
-        match self {
-            SettingsError::Key(error) => Some(error.inner()),
-            SettingsError::TrailingText(error) => Some(error),
-            SettingsError::Inconsistent(_) => None,
-        }
-    }
-}
-
 /// Reads the settings of an instance. The error names the key that can't be used.
 pub fn parse_settings(json: &[u8]) -> Result<Settings, SettingsError> {
     let mut deserializer = serde_json::Deserializer::from_slice(json);
