--- a/crates/http1/src/client/mod.rs
+++ b/crates/http1/src/client/mod.rs
@@ -38,7 +38,7 @@
 struct Target {
     backend: BackendId,
     address: SocketAddr,
-    permit: Rc<SendPermit<HttpClient>>,
+    permit: Rc<SendPermit>,
 }
 
 impl HttpClient {
--- a/crates/proxy-core/src/permit.rs
+++ b/crates/proxy-core/src/permit.rs
@@ -2,7 +2,6 @@
 
 use crate::endpoints::BackendAddress;
 use hillstall_decision::{BackendId, RequestId};
-use std::marker::PhantomData;
 use std::rc::Rc;
 
 /// The present state of requests and backends, as far as a [`SendPermit`] depends on it.
@@ -14,25 +13,24 @@
     fn is_backend_current(&self, backend: BackendId, address: &BackendAddress) -> bool;
 }
 
-/// Tells an attempt over transport `C` what it may do at the moment it asks. Since the attempt was decided on,
+/// Tells an attempt what it may do at the moment it asks. Since the attempt was decided on,
 /// the backend may have begun to drain, another process may listen at its address, or the request may have its
 /// final response.
-pub struct SendPermit<C> {
+pub struct SendPermit {
     check: Rc<dyn SendCheck>,
     request: RequestId,
     backend: BackendId,
     address: BackendAddress,
-    transport: PhantomData<C>,
 }
 
-impl<C> SendPermit<C> {
+impl SendPermit {
     pub(crate) fn new(
         check: Rc<dyn SendCheck>,
         request: RequestId,
         backend: BackendId,
         address: BackendAddress,
-    ) -> SendPermit<C> {
-        SendPermit { check, request, backend, address, transport: PhantomData }
+    ) -> SendPermit {
+        SendPermit { check, request, backend, address }
     }
 
     /// Whether the first byte may be written.
--- a/crates/proxy-core/src/transport.rs
+++ b/crates/proxy-core/src/transport.rs
@@ -33,7 +33,7 @@
     /// Incremented when the last byte of the attempt is written.
     pub sent_counter: Counter,
     /// To be checked right before the first byte is written, and before a connection is kept for reuse.
-    pub permit: SendPermit<C>,
+    pub permit: SendPermit,
 }
 
 /// How an attempt or a health check ended.
