--- a/crates/http1/src/backend_connection.rs
+++ b/crates/http1/src/backend_connection.rs
@@ -39,7 +39,8 @@
         tuning: &Tuning,
     ) -> Result<BackendConnection, hyper::Error> {
         let stream = TrackedStream::new(socket, tuning);
-        let handshake = Builder::new().max_buf_size(tuning.read_ahead).handshake(HyperStream(stream.clone()));
+        let handshake =
+            Builder::new().max_buf_size(tuning.read_buffer_bytes).handshake(HyperStream(stream.clone()));
         let (sender, protocol) = handshake.await?;
         let protocol = Box::pin(protocol);
         Ok(BackendConnection { sender, protocol, closed: false, stream, _reservation: reservation })
@@ -152,7 +153,7 @@
     limits: &Limits,
 ) -> Result<ReceivedBody, ExchangeError> {
     let tuning = limits.tuning();
-    let max_buffered = tuning.max_buffered_body;
+    let max_buffered = tuning.max_buffered_body_bytes;
     let mut reservation = limits
         .buffered_bytes
         .reserve(length.bytes_to_reserve(&tuning)?)
@@ -164,7 +165,7 @@
     loop {
         let is_streaming = is_long || (is_unsized && Instant::now() >= stream_at);
         if buffered > 0 && (is_streaming || buffered > max_buffered) {
-            let stream = BodyStream::new(pieces, body, tuning.max_message);
+            let stream = BodyStream::new(pieces, body, tuning.max_message_bytes);
             return Ok(ReceivedBody::Partial(stream, reservation));
         }
         let times_out_at = Instant::now() + tuning.response_timeout;
@@ -207,9 +208,11 @@
     /// How much memory to reserve for buffering.
     fn bytes_to_reserve(self, tuning: &Tuning) -> Result<usize, ExchangeError> {
         match self {
-            BodyLength::Known(bytes) if bytes > tuning.max_message as u64 => Err(ExchangeError::BodyTooLarge),
-            BodyLength::Known(bytes) => Ok((bytes as usize).min(tuning.max_buffered_body)),
-            BodyLength::Unknown => Ok(tuning.max_buffered_body),
+            BodyLength::Known(bytes) if bytes > tuning.max_message_bytes as u64 => {
+                Err(ExchangeError::BodyTooLarge)
+            }
+            BodyLength::Known(bytes) => Ok((bytes as usize).min(tuning.max_buffered_body_bytes)),
+            BodyLength::Unknown => Ok(tuning.max_buffered_body_bytes),
         }
     }
 
@@ -217,7 +220,7 @@
     fn max_buffering_time(self, tuning: &Tuning) -> Duration {
         match self {
             BodyLength::Known(_) => tuning.response_timeout,
-            BodyLength::Unknown => tuning.unsized_response_hold,
+            BodyLength::Unknown => tuning.max_unsized_buffering,
         }
     }
 }
--- a/crates/http1/src/client/mod.rs
+++ b/crates/http1/src/client/mod.rs
@@ -114,9 +114,9 @@
 
 fn pool_limits(tuning: &Tuning, max_idle: Duration) -> PoolLimits {
     PoolLimits {
-        min_rest: tuning.min_connection_rest,
+        min_reuse_delay: tuning.min_connection_reuse_delay,
         max_idle,
         max_idle_per_backend: tuning.max_idle_per_backend,
-        max_waits: tuning.max_rest_waits,
+        max_reuse_waits: tuning.max_reuse_waits,
     }
 }
--- a/crates/http1/src/server/body_prefix.rs
+++ b/crates/http1/src/server/body_prefix.rs
@@ -62,7 +62,7 @@
             reservation.shrink_to(bytes.len());
             return ClientRequestBody::Buffered(BufferedBody::new(bytes, reservation));
         };
-        let stream = BodyStream::new(self.pieces, remainder, tuning.max_message);
+        let stream = BodyStream::new(self.pieces, remainder, tuning.max_message_bytes);
         let client_stream = connection.stream.clone();
         ClientRequestBody::Streaming(StreamingRequestBody::new(client_stream, timeout, stream, reservation))
     }
--- a/crates/http1/src/server/connection_task.rs
+++ b/crates/http1/src/server/connection_task.rs
@@ -41,8 +41,9 @@
         let service =
             service_fn(|request| async move { Ok::<_, Infallible>(self.serve(connection, request).await) });
         let io = HyperStream(connection.stream.clone());
-        let http =
-            http1::Builder::new().max_buf_size(self.limits.tuning().read_ahead).serve_connection(io, service);
+        let http = http1::Builder::new()
+            .max_buf_size(self.limits.tuning().read_buffer_bytes)
+            .serve_connection(io, service);
         tokio::pin!(http);
         loop {
             tokio::select! {
--- a/crates/http1/src/server/request.rs
+++ b/crates/http1/src/server/request.rs
@@ -84,7 +84,7 @@
         let discards_body = !is_streaming && finish_request(connection);
         // What follows an invalid request on its connection may be part of it, so nothing more is read there. A pipelined
         // request would be lost with its connection, so that is closed behind the last one.
-        let closes_idle = self.lifecycle.closes_idle(self.limits.tuning().drain_notice);
+        let closes_idle = self.lifecycle.closes_idle(self.limits.tuning().drain_close_delay);
         let must_close =
             result.is_err() || discards_body || (closes_idle && !connection.has_waiting_request());
         let mut response = result.unwrap_or_else(|error| text_response(error.status(), error.message()));
@@ -117,7 +117,7 @@
             self.metrics.count_outcome(metadata.class, RequestOutcome::Deferred);
             return Ok(self.capacity_rejection());
         };
-        let prefix = BodyPrefix::read(body, tuning.max_buffered_body).await?;
+        let prefix = BodyPrefix::read(body, tuning.max_buffered_body_bytes).await?;
         prefix.check(connection, &head.method)?;
         let body = prefix.into_request_body(connection, timeout, reservation, &tuning);
         let request = ClientRequest { method: head.method, path, headers: head.headers, body };
@@ -175,10 +175,10 @@
     /// Reserves memory for the part of a body that may be buffered; `None` if there is not enough.
     fn reserve_body(&self, body: &Incoming, tuning: &Tuning) -> Result<Option<Reservation>, RequestError> {
         let length = body.size_hint().exact();
-        if length.is_some_and(|length| length > tuning.max_message as u64) {
+        if length.is_some_and(|length| length > tuning.max_message_bytes as u64) {
             return Err(RequestError::BodyTooLarge);
         }
-        let max_buffered = tuning.max_buffered_body;
+        let max_buffered = tuning.max_buffered_body_bytes;
         let needed = length.map_or(max_buffered, |length| (length as usize).min(max_buffered));
         Ok(self.limits.buffered_bytes.reserve(needed))
     }
--- a/crates/http1/src/stream.rs
+++ b/crates/http1/src/stream.rs
@@ -80,7 +80,7 @@
         // This fails only on a connection that has ended, which the first read reports.
         let _ = socket.set_nodelay(true);
         let options = SockRef::from(&socket);
-        let buffer_bytes = tuning.socket_buffer;
+        let buffer_bytes = tuning.socket_buffer_bytes;
         let _ = options.set_send_buffer_size(buffer_bytes).and(options.set_recv_buffer_size(buffer_bytes));
         let now = Instant::now();
         Rc::new(TrackedStream {
--- a/crates/proxy-core/src/lifecycle.rs
+++ b/crates/proxy-core/src/lifecycle.rs
@@ -23,7 +23,7 @@
     phase: Cell<Phase>,
     phase_since: Cell<Instant>,
     /// How long after the begin of a stop idle connections are left open.
-    stop_notice: Cell<Duration>,
+    stop_close_delay: Cell<Duration>,
 }
 
 impl Lifecycle {
@@ -32,7 +32,7 @@
         Rc::new(Lifecycle {
             phase: Cell::new(Phase::Starting),
             phase_since: Cell::new(Instant::now()),
-            stop_notice: Cell::default(),
+            stop_close_delay: Cell::default(),
         })
     }
 
@@ -79,16 +79,16 @@
 
     /// Begins the stop. Idle connections are left open for the time of the notice.
     pub fn stop(&self, notice: Duration) {
-        self.stop_notice.set(notice);
+        self.stop_close_delay.set(notice);
         self.enter(Phase::Stopping);
     }
 
     /// Whether connections are to be closed as they become idle. A drain leaves them open for its notice first.
-    pub fn closes_idle(&self, drain_notice: Duration) -> bool {
+    pub fn closes_idle(&self, drain_close_delay: Duration) -> bool {
         let notice = match self.phase() {
             Phase::Starting | Phase::Serving => return false,
-            Phase::Draining => drain_notice,
-            Phase::Stopping => self.stop_notice.get(),
+            Phase::Draining => drain_close_delay,
+            Phase::Stopping => self.stop_close_delay.get(),
         };
         self.phase_since.get().elapsed() >= notice
     }
--- a/crates/proxy-core/src/limits.rs
+++ b/crates/proxy-core/src/limits.rs
@@ -149,7 +149,7 @@
         let sockets = (self.total_sockets / processes).saturating_sub(RESERVED_SOCKETS).max(MIN_SOCKETS);
         let sockets_per_side = sockets / 2;
         let memory = self.total_memory_mb.saturating_mul(BYTES_PER_MB) / BODY_MEMORY_DIVISOR / processes;
-        let min_memory = MIN_BUFFERED_BODIES * self.tuning().max_buffered_body;
+        let min_memory = MIN_BUFFERED_BODIES * self.tuning().max_buffered_body_bytes;
         self.client_connections.limit.set(sockets_per_side);
         self.backend_connections.limit.set(sockets_per_side);
         self.buffered_bytes.limit.set(memory.max(min_memory));
--- a/crates/proxy-core/src/pool.rs
+++ b/crates/proxy-core/src/pool.rs
@@ -18,14 +18,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolLimits {
     /// How long a connection rests after a response.
-    pub min_rest: Duration,
+    pub min_reuse_delay: Duration,
     /// How long an idle connection is kept. Backends close idle connections too, and a request that crosses such a
     /// close is lost, so this is well below their timeout.
     pub max_idle: Duration,
     /// The maximum of idle connections to one backend.
     pub max_idle_per_backend: usize,
     /// The number of waits for a rest within [`WAIT_COUNT_WINDOW`] after which another connection is opened.
-    pub max_waits: u32,
+    pub max_reuse_waits: u32,
 }
 
 /// The window in which waits for a rest are counted.
@@ -83,8 +83,8 @@
     }
 
     /// Takes out the most recently used of the connections that have rested. The others can grow old and expire.
-    fn take_rested(&mut self, now: Instant, min_rest: Duration) -> Option<T> {
-        let rested = self.idle.partition_point(|idle| idle.idle_time(now) >= min_rest);
+    fn take_reusable(&mut self, now: Instant, min_reuse_delay: Duration) -> Option<T> {
+        let rested = self.idle.partition_point(|idle| idle.idle_time(now) >= min_reuse_delay);
         let latest = rested.checked_sub(1)?;
         self.idle.remove(latest).map(|idle| idle.connection)
     }
@@ -121,19 +121,20 @@
         let limits = self.limits;
         let Some(pool) = self.backends.get_mut(&backend) else { return Checkout::Open };
         pool.idle.retain(|idle| idle.address == address && idle.idle_time(now) < limits.max_idle);
-        if let Some(connection) = pool.take_rested(now, limits.min_rest) {
+        if let Some(connection) = pool.take_reusable(now, limits.min_reuse_delay) {
             return Checkout::Reuse(connection);
         }
         let Some(next) = pool.idle.front() else { return Checkout::Open };
-        let remaining_rest = limits.min_rest.saturating_sub(next.idle_time(now));
+        let remaining_delay = limits.min_reuse_delay.saturating_sub(next.idle_time(now));
         if !has_waited {
             pool.count_wait(now);
         }
-        let should_grow = pool.waits > limits.max_waits && pool.idle.len() < limits.max_idle_per_backend;
+        let should_grow =
+            pool.waits > limits.max_reuse_waits && pool.idle.len() < limits.max_idle_per_backend;
         if should_grow && can_open {
             return Checkout::Open;
         }
-        Checkout::Wait(remaining_rest)
+        Checkout::Wait(remaining_delay)
     }
 
     /// Keeps a connection whose response has just ended. Returns the connection that must be closed for it, if any.
--- a/crates/proxy-core/tests/pool.rs
+++ b/crates/proxy-core/tests/pool.rs
@@ -5,10 +5,10 @@
 use std::time::{Duration, Instant};
 
 const LIMITS: PoolLimits = PoolLimits {
-    min_rest: Duration::from_millis(2),
+    min_reuse_delay: Duration::from_millis(2),
     max_idle: Duration::from_secs(1),
     max_idle_per_backend: 3,
-    max_waits: 2,
+    max_reuse_waits: 2,
 };
 
 fn address(port: u16) -> SocketAddr {
