--- a/crates/hillstall/src/admin.rs
+++ b/crates/hillstall/src/admin.rs
@@ -89,7 +89,7 @@
     fn execute_proxy_command(&self, line: &[u8]) -> String {
         match line {
             b"PING" => self.serving_state().to_string(),
-            b"INFO" => self.metrics.render(self.driver.cluster()) + "EOF\n",
+            b"INFO" => self.metrics.render(self.driver.cluster_size()) + "EOF\n",
             b"LAMEDUCK" if self.lifecycle.drain() => "200 draining\n".to_string(),
             b"REJOIN" if self.lifecycle.rejoin() => "200 serving\n".to_string(),
             b"LAMEDUCK" | b"REJOIN" => "400 starting or stopping\n".to_string(),
--- a/crates/hillstall/src/coordination.rs
+++ b/crates/hillstall/src/coordination.rs
@@ -128,7 +128,7 @@
 
 impl LoadCounters {
     fn read(proxy: &TierTraffic) -> LoadCounters {
-        let (requests, rejected) = proxy.metrics.ended();
+        let (requests, rejected) = proxy.metrics.ended_and_rejected();
         LoadCounters { read_at: Instant::now(), zones: proxy.driver.zone_traffic(), requests, rejected }
     }
 
@@ -152,8 +152,8 @@
 }
 
 fn site_counts(current: &ZoneTraffic, previous: &ZoneTraffic) -> SiteCounts {
-    let utilization = current.busy.0 - previous.busy.0;
-    let samples = current.busy.1 - previous.busy.1;
+    let utilization = current.reported_cpu.0 - previous.reported_cpu.0;
+    let samples = current.reported_cpu.1 - previous.reported_cpu.1;
     let utilization_percent = match samples {
         0 => u8::MAX,
         _ => (100.0 * utilization / samples as f64).clamp(0.0, 100.0) as u8,
--- a/crates/hillstall/src/handover.rs
+++ b/crates/hillstall/src/handover.rs
@@ -92,7 +92,7 @@
         self.has_newer.set(true);
         server.apply_resource_share(1);
         let reduced = async {
-            while !server.is_within_limits() {
+            while !server.enforce_connection_limits() {
                 sleep(REDUCE_POLL_INTERVAL).await;
             }
         };
--- a/crates/http1/src/backend_connection.rs
+++ b/crates/http1/src/backend_connection.rs
@@ -58,14 +58,14 @@
 
     /// Lets the protocol see the end of the last exchange. True if the connection can carry another one, once it
     /// has rested and nothing unexpected has come.
-    pub fn is_settled(&mut self, cx: &mut Context<'_>) -> bool {
+    pub fn check_reusable(&mut self, cx: &mut Context<'_>) -> bool {
         self.drive(cx);
         !self.closed && self.sender.is_ready()
     }
 
-    /// [`is_settled`](Self::is_settled) for async code; never waits.
-    pub async fn settle(&mut self) -> bool {
-        poll_fn(|cx| Poll::Ready(self.is_settled(cx))).await
+    /// [`check_reusable`](Self::check_reusable) for async code; never waits.
+    pub async fn is_reusable(&mut self) -> bool {
+        poll_fn(|cx| Poll::Ready(self.check_reusable(cx))).await
     }
 
     /// Sends a request and reads the response, with as much of its body as is buffered.
--- a/crates/http1/src/client/attempt.rs
+++ b/crates/http1/src/client/attempt.rs
@@ -71,7 +71,7 @@
                 Ok(response) => {
                     let ended_at = connection.stream().last_read();
                     let is_complete = matches!(response.body, Some(ReceivedBody::Complete(_)));
-                    let is_reusable = is_complete && connection.settle().await;
+                    let is_reusable = is_complete && connection.is_reusable().await;
                     return self.response_result(target, connection, is_reusable, response, ended_at);
                 }
                 Err(error) => error,
--- a/crates/http1/src/client/connect.rs
+++ b/crates/http1/src/client/connect.rs
@@ -83,7 +83,7 @@
         let stream = match timeout_at(until.into(), TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) if out_of_descriptors(&e) => {
-                self.shed();
+                self.close_longest_idle();
                 return Err(Outcome::NotSent);
             }
             _ => return Err(Outcome::ConnectFailed),
@@ -99,7 +99,7 @@
             if let Some(reservation) = self.limits.backend_connections.reserve(1) {
                 return Some(reservation);
             }
-            if !self.shed() {
+            if !self.close_longest_idle() {
                 return None;
             }
         }
--- a/crates/http1/src/client/mod.rs
+++ b/crates/http1/src/client/mod.rs
@@ -68,12 +68,12 @@
     }
 
     /// Drops idle connections that are too old, or that the backend has closed.
-    pub fn reap(&self) {
-        self.pool.borrow_mut().expire(Instant::now(), |connection| connection.stream().is_quiet());
+    pub fn drop_expired_idle(&self) {
+        self.pool.borrow_mut().expire(Instant::now(), |connection| connection.stream().is_idle_and_open());
     }
 
     /// Drops the connection that has been idle longest; false if there is none.
-    pub fn shed(&self) -> bool {
+    pub fn close_longest_idle(&self) -> bool {
         self.pool.borrow_mut().remove_longest_idle().is_some()
     }
 
@@ -95,7 +95,9 @@
                 self.pool.borrow_mut().check_out(backend, address, Instant::now(), has_capacity, has_waited);
             match checkout {
                 // The socket itself is asked, at the last moment before the write.
-                Checkout::Reuse(connection) if connection.stream().is_quiet() => return Some(connection),
+                Checkout::Reuse(connection) if connection.stream().is_idle_and_open() => {
+                    return Some(connection)
+                }
                 // It was closed, or more bytes followed its response than belong to it.
                 Checkout::Reuse(_) => {}
                 Checkout::Wait(rest) => {
--- a/crates/http1/src/request_body.rs
+++ b/crates/http1/src/request_body.rs
@@ -210,7 +210,7 @@
         let polled = remainder.poll_data(cx);
         if polled.is_pending() && !source.waiting_for_client.get() {
             // Only now does the client's time run: until now the backend read nothing.
-            source.client_stream.restart_read_step();
+            source.client_stream.restart_read_window();
         }
         source.waiting_for_client.set(polled.is_pending());
         if matches!(polled, Poll::Ready(None)) || remainder.is_end_stream() {
--- a/crates/http1/src/response_body.rs
+++ b/crates/http1/src/response_body.rs
@@ -72,7 +72,7 @@
         if let (Some(mut connection), Some(return_connection)) =
             (self.connection.take(), self.return_connection.take())
         {
-            if connection.is_settled(cx) {
+            if connection.check_reusable(cx) {
                 return_connection(connection);
             }
         }
--- a/crates/http1/src/server/accept.rs
+++ b/crates/http1/src/server/accept.rs
@@ -3,7 +3,7 @@
 use super::client_connection::ClientConnection;
 use super::HttpServer;
 use hillstall_proxy_core::limits::Reservation;
-use hillstall_proxy_core::sockets::{out_of_descriptors, stop_handshakes, HANDSHAKE_DURATION};
+use hillstall_proxy_core::sockets::{out_of_descriptors, stop_handshakes, MAX_HANDSHAKE_DURATION};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -31,7 +31,7 @@
                 Ok((stream, _)) => self.admit(stream).await,
                 // An error must not end the loop: out of descriptors, idle connections are closed.
                 Err(e) if out_of_descriptors(&e) => {
-                    let _ = self.shed_connection() || self.client.shed();
+                    let _ = self.shed_connection() || self.client.close_longest_idle();
                     sleep(OUT_OF_DESCRIPTORS_PAUSE).await;
                 }
                 // The client left before it was accepted.
@@ -47,7 +47,7 @@
     async fn close_listener(self: &Rc<Self>, listener: TcpListener) {
         // Where the system has no socket filters, a connection that comes up right before the close is reset.
         if stop_handshakes(&listener).is_ok() {
-            sleep(HANDSHAKE_DURATION).await;
+            sleep(MAX_HANDSHAKE_DURATION).await;
         }
         let mut queued = Vec::new();
         if let Ok(listener) = listener.into_std() {
--- a/crates/http1/src/server/client_connection.rs
+++ b/crates/http1/src/server/client_connection.rs
@@ -68,7 +68,7 @@
             && self.stream.message_started_at().is_none()
             && !self.has_read_ahead()
             && !self.stream.is_write_blocked();
-        is_between && self.close_mode.get() == CloseMode::Open && self.stream.is_quiet()
+        is_between && self.close_mode.get() == CloseMode::Open && self.stream.is_idle_and_open()
     }
 
     /// Whether the client has sent more than the requests that were taken: a pipelined request, or part of one.
@@ -78,7 +78,7 @@
 
     /// Whether a whole request was read that was not taken yet: a pipelined one, between the answer before it and its turn.
     fn has_read_ahead(&self) -> bool {
-        self.stream.completed_requests() > self.requests_taken.get()
+        self.stream.received_requests() > self.requests_taken.get()
     }
 
     /// Whether the client has taken too long to send a complete request: it sends nothing, its head does not end,
@@ -96,7 +96,7 @@
             None => !self.request_in_progress.get(),
         };
         let is_late = |since: Instant| {
-            since.elapsed() >= request_timeout && self.stream.read_step_elapsed() >= request_timeout
+            since.elapsed() >= request_timeout && self.stream.read_window_elapsed() >= request_timeout
         };
         is_waiting && waiting_since.is_some_and(is_late)
     }
@@ -110,7 +110,7 @@
         is_between
             && !self.stream.is_write_blocked()
             && self.last_used_at.get().elapsed() >= min_idle
-            && self.stream.is_quiet()
+            && self.stream.is_idle_and_open()
     }
 
     /// A valid request has been read; its body may still be coming.
--- a/crates/http1/src/server/connection_task.rs
+++ b/crates/http1/src/server/connection_task.rs
@@ -86,7 +86,7 @@
             () = connection.wake.notified() => match connection.close_mode.get() {
                 CloseMode::Open => {}
                 CloseMode::Immediate => return false,
-                CloseMode::Graceful if connection.stream.is_quiet() => return false,
+                CloseMode::Graceful if connection.stream.is_idle_and_open() => return false,
                 CloseMode::Graceful => {
                     // A request has just come: it is served, and then the connection is closed.
                     connection.wake.notify_one();
--- a/crates/http1/src/server/maintenance.rs
+++ b/crates/http1/src/server/maintenance.rs
@@ -19,11 +19,11 @@
             sleep(MAINTENANCE_INTERVAL).await;
             self.close_timed_out();
             let tuning = self.limits.tuning();
-            let is_closing = self.lifecycle.closes_idle(tuning.drain_close_delay);
+            let is_closing = self.lifecycle.should_close_idle(tuning.drain_close_delay);
             self.close_idle(if is_closing { tuning.drain_idle_timeout } else { tuning.client_idle_timeout });
             self.release_written_responses();
             self.park_idle(&tuning);
-            self.client.reap();
+            self.client.drop_expired_idle();
         }
     }
 
--- a/crates/http1/src/server/mod.rs
+++ b/crates/http1/src/server/mod.rs
@@ -90,11 +90,11 @@
     }
 
     /// Whether this process is within its part of the connection limits; closes what it can to get there.
-    pub fn is_within_limits(&self) -> bool {
+    pub fn enforce_connection_limits(&self) -> bool {
         if self.limits.client_connections.is_exceeded() {
             self.shed_connection();
         }
-        while self.limits.backend_connections.is_exceeded() && self.client.shed() {}
+        while self.limits.backend_connections.is_exceeded() && self.client.close_longest_idle() {}
         !self.limits.client_connections.is_exceeded() && !self.limits.backend_connections.is_exceeded()
     }
 }
--- a/crates/http1/src/server/request.rs
+++ b/crates/http1/src/server/request.rs
@@ -84,9 +84,9 @@
         let discards_body = !is_streaming && finish_request(connection);
         // What follows an invalid request on its connection may be part of it, so nothing more is read there. A pipelined
         // request would be lost with its connection, so that is closed behind the last one.
-        let closes_idle = self.lifecycle.closes_idle(self.limits.tuning().drain_close_delay);
+        let should_close_idle = self.lifecycle.should_close_idle(self.limits.tuning().drain_close_delay);
         let must_close =
-            result.is_err() || discards_body || (closes_idle && !connection.has_waiting_request());
+            result.is_err() || discards_body || (should_close_idle && !connection.has_waiting_request());
         let mut response = result.unwrap_or_else(|error| text_response(error.status(), error.message()));
         if must_close {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/http1/src/stream.rs
+++ b/crates/http1/src/stream.rs
@@ -36,28 +36,28 @@
     last_read: Cell<Instant>,
     message_started_at: Cell<Option<Instant>>,
     /// Whether a message of the peer has been completed.
-    had_message: Cell<bool>,
+    has_completed_message: Cell<bool>,
     /// Whether bytes wait for the peer to read.
     write_blocked: Cell<bool>,
     last_write_progress: Cell<Instant>,
-    read_step: Cell<ReadStep>,
+    read_window: Cell<ReadWindow>,
     request_progress: RefCell<WriteProgress>,
     /// The framing of the peer's requests, where the peer is a client.
     framing: Option<RefCell<RequestFraming>>,
     /// How many bytes the peer has to send within the request timeout.
-    bytes_per_step: usize,
+    min_bytes_per_window: usize,
 }
 
 /// A part of the peer's message that has to come within the request timeout.
 #[derive(Clone, Copy)]
-struct ReadStep {
+struct ReadWindow {
     started_at: Instant,
     bytes_read: usize,
 }
 
-impl ReadStep {
-    fn starting_at(started_at: Instant) -> ReadStep {
-        ReadStep { started_at, bytes_read: 0 }
+impl ReadWindow {
+    fn starting_at(started_at: Instant) -> ReadWindow {
+        ReadWindow { started_at, bytes_read: 0 }
     }
 }
 
@@ -87,13 +87,13 @@
             socket: RefCell::new(socket),
             last_read: Cell::new(now),
             message_started_at: Cell::new(None),
-            had_message: Cell::new(false),
+            has_completed_message: Cell::new(false),
             write_blocked: Cell::new(false),
             last_write_progress: Cell::new(now),
-            read_step: Cell::new(ReadStep::starting_at(now)),
+            read_window: Cell::new(ReadWindow::starting_at(now)),
             request_progress: RefCell::default(),
             framing,
-            bytes_per_step: tuning.request_bytes_per_timeout,
+            min_bytes_per_window: tuning.request_bytes_per_timeout,
         })
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// How many requests of the peer have been read whole, where the peer is a client.
-    pub fn completed_requests(&self) -> u64 {
+    pub fn received_requests(&self) -> u64 {
         self.framing.as_ref().map_or(0, |framing| framing.borrow().completed())
     }
 
@@ -126,7 +126,7 @@
     /// Ends the present message.
     pub fn message_completed(&self) {
         self.message_started_at.set(None);
-        self.had_message.set(true);
+        self.has_completed_message.set(true);
     }
 
     /// Whether a head had two lengths, or the framing of what was read can't be followed.
@@ -135,13 +135,13 @@
     }
 
     /// Starts a new read step: from now on the proxy waits for the peer to go on with its message.
-    pub fn restart_read_step(&self) {
-        self.read_step.set(ReadStep::starting_at(Instant::now()));
+    pub fn restart_read_window(&self) {
+        self.read_window.set(ReadWindow::starting_at(Instant::now()));
     }
 
     /// The time since the present read step began. A step is a fixed number of bytes, or the rest of a message.
-    pub fn read_step_elapsed(&self) -> Duration {
-        self.read_step.get().started_at.elapsed()
+    pub fn read_window_elapsed(&self) -> Duration {
+        self.read_window.get().started_at.elapsed()
     }
 
     fn on_read(&self, bytes: &[u8]) {
@@ -150,14 +150,14 @@
         if self.message_started_at.get().is_none() {
             self.message_started_at.set(Some(now));
             // The step of the first message began with the connection: a peer may not be idle before it.
-            if self.had_message.get() {
-                self.read_step.set(ReadStep::starting_at(now));
+            if self.has_completed_message.get() {
+                self.read_window.set(ReadWindow::starting_at(now));
             }
         }
-        let mut step = self.read_step.get();
+        let mut step = self.read_window.get();
         step.bytes_read += bytes.len();
-        let is_complete = step.bytes_read >= self.bytes_per_step;
-        self.read_step.set(if is_complete { ReadStep::starting_at(now) } else { step });
+        let is_complete = step.bytes_read >= self.min_bytes_per_window;
+        self.read_window.set(if is_complete { ReadWindow::starting_at(now) } else { step });
         if let Some(framing) = &self.framing {
             framing.borrow_mut().advance(bytes);
         }
@@ -207,7 +207,7 @@
 
     /// Whether the peer keeps the connection open and has sent nothing that is still unread. This asks the socket:
     /// what the runtime knows may be one turn old.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle_and_open(&self) -> bool {
         matches!(self.peek(), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 }
--- a/crates/proxy-core/src/driver/discovery_watch.rs
+++ b/crates/proxy-core/src/driver/discovery_watch.rs
@@ -39,14 +39,14 @@
         for backend in changes.stale {
             self.transport.close_idle(backend);
         }
-        for backend in changes.leaving {
+        for backend in changes.newly_draining {
             self.close_idle_after_grace(backend);
         }
         let in_use = state.requests.backends_in_flight();
         state.directory.remove_gone(|backend| in_use.contains(&backend));
         state.list_version = Some(list.version);
         let version = list.version as u32;
-        self.handle(state, QueuedEvent::EndpointList { kind, version, backends: changes.infos });
+        self.handle(state, QueuedEvent::EndpointList { kind, version, backends: changes.backends });
     }
 
     /// Closes the idle connections to a draining backend once it accepts nothing new.
--- a/crates/proxy-core/src/driver/mod.rs
+++ b/crates/proxy-core/src/driver/mod.rs
@@ -169,7 +169,7 @@
     }
 
     /// The number of backends, and of those that the decision module avoids.
-    pub fn cluster(&self) -> ClusterSize {
+    pub fn cluster_size(&self) -> ClusterSize {
         let (size, unhealthy) = self.state.borrow().balancer.backend_counts(self.clock.now_ms());
         ClusterSize { size, unhealthy }
     }
--- a/crates/proxy-core/src/driver/zone_traffic.rs
+++ b/crates/proxy-core/src/driver/zone_traffic.rs
@@ -12,7 +12,7 @@
     /// Attempts without a response: no connection, a reset one, or a timeout.
     pub unanswered: u64,
     /// The sum of the CPU fractions in the load reports of attempts, and the number of these reports.
-    pub busy: (f64, u64),
+    pub reported_cpu: (f64, u64),
 }
 
 impl ZoneTraffic {
@@ -24,8 +24,8 @@
             Outcome::Cancelled | Outcome::NotSent => {}
         }
         if let Some(cpu) = cpu.filter(|cpu| cpu.is_finite()) {
-            self.busy.0 += f64::from(cpu);
-            self.busy.1 += 1;
+            self.reported_cpu.0 += f64::from(cpu);
+            self.reported_cpu.1 += 1;
         }
     }
 }
--- a/crates/proxy-core/src/endpoints.rs
+++ b/crates/proxy-core/src/endpoints.rs
@@ -112,11 +112,11 @@
 #[derive(Default)]
 pub struct EndpointChanges {
     /// Its entries in the decision module's terms.
-    pub infos: Vec<BackendInfo>,
+    pub backends: Vec<BackendInfo>,
     /// Backends whose idle connections are of no more use, as they are gone, were restarted or have moved.
     pub stale: Vec<BackendId>,
     /// Backends that were ready and are draining from now on.
-    pub leaving: Vec<BackendId>,
+    pub newly_draining: Vec<BackendId>,
 }
 
 /// The known backends by name and by id.
@@ -168,8 +168,8 @@
 
     /// Applies a list that arrived at `now`.
     pub fn apply(&mut self, list: &EndpointList, now: Instant) -> EndpointChanges {
-        let infos = Vec::with_capacity(list.endpoints.len());
-        let mut changes = EndpointChanges { infos, ..EndpointChanges::default() };
+        let backends = Vec::with_capacity(list.endpoints.len());
+        let mut changes = EndpointChanges { backends, ..EndpointChanges::default() };
         if list.is_snapshot {
             self.mark_missing_as_gone(list, &mut changes);
         }
@@ -203,7 +203,7 @@
         let was_ready = same_process.is_some_and(|previous| previous.state == BackendState::Ready);
         if state == BackendState::Draining && was_ready {
             address.draining_since = Some(now);
-            changes.leaving.push(id);
+            changes.newly_draining.push(id);
         } else {
             address.draining_since = same_process.and_then(|previous| previous.draining_since);
             if previous.is_some() && same_process.is_none_or(|previous| previous.state != state) {
@@ -211,7 +211,7 @@
             }
         }
         self.addresses.insert(id, address);
-        changes.infos.push(BackendInfo {
+        changes.backends.push(BackendInfo {
             id,
             zone,
             kind,
--- a/crates/proxy-core/src/lifecycle.rs
+++ b/crates/proxy-core/src/lifecycle.rs
@@ -84,7 +84,7 @@
     }
 
     /// Whether connections are to be closed as they become idle. A drain leaves them open for its notice first.
-    pub fn closes_idle(&self, drain_close_delay: Duration) -> bool {
+    pub fn should_close_idle(&self, drain_close_delay: Duration) -> bool {
         let notice = match self.phase() {
             Phase::Starting | Phase::Serving => return false,
             Phase::Draining => drain_close_delay,
--- a/crates/proxy-core/src/metrics.rs
+++ b/crates/proxy-core/src/metrics.rs
@@ -110,7 +110,7 @@
     }
 
     /// The number of requests that have ended, and of those of them that were rejected.
-    pub fn ended(&self) -> (u64, u64) {
+    pub fn ended_and_rejected(&self) -> (u64, u64) {
         let sum = |count: fn(&ClassMetrics) -> u64| self.classes.iter().map(count).sum::<u64>();
         let deferred = sum(|class| class.deferred.get());
         let others = sum(|class| class.answered.get() + class.errored.get());
--- a/crates/proxy-core/src/sockets.rs
+++ b/crates/proxy-core/src/sockets.rs
@@ -11,7 +11,7 @@
 const LISTEN_BACKLOG: u32 = 1_024;
 
 /// Longer than a handshake takes within a site.
-pub const HANDSHAKE_DURATION: Duration = Duration::from_millis(5);
+pub const MAX_HANDSHAKE_DURATION: Duration = Duration::from_millis(5);
 
 /// Listens at an address at which another process of this proxy may listen too.
 ///
@@ -26,7 +26,7 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// Lets no further handshake begin at a listener. Those that have begun go on, for [`HANDSHAKE_DURATION`] at most; once
+/// Lets no further handshake begin at a listener. Those that have begun go on, for [`MAX_HANDSHAKE_DURATION`] at most; once
 /// their connections are accepted, the listener can be closed without a connection in its queue, which would be reset.
 /// Clients that connect meanwhile try again by themselves.
 ///
--- a/crates/proxy-core/tests/endpoints.rs
+++ b/crates/proxy-core/tests/endpoints.rs
@@ -37,31 +37,35 @@
     let mut directory = EndpointDirectory::default();
     let now = Instant::now();
     let changes = directory.apply(&list(true, &[("s-5be2a07c", "127.0.0.1:1", "ready")]), now);
-    let id = changes.infos[0].id;
+    let id = changes.backends[0].id;
     // Changing the hash would give backends other ids at proxies of another version.
     assert_eq!(id, 0x5124_5f7b);
     directory.apply(&list(true, &[]), now);
     assert_eq!(directory.backend(id).map(|backend| backend.state), Some(BackendState::Gone));
     let changes = directory.apply(&list(false, &[("s-5be2a07c", "127.0.0.1:2", "ready")]), now);
-    assert_eq!((changes.infos[0].id, changes.stale), (id, vec![id]));
+    assert_eq!((changes.backends[0].id, changes.stale), (id, vec![id]));
 }
 
 #[test]
 fn only_a_backend_that_was_ready_accepts_new_requests_for_a_while_after_its_drain_was_announced() {
     let (mut directory, now, grace) = (EndpointDirectory::default(), Instant::now(), Duration::from_secs(1));
     let with_status = |status| list(false, &[("a", "127.0.0.1:1", status)]);
-    let ready = directory.apply(&with_status("ready"), now).infos[0].id;
+    let ready = directory.apply(&with_status("ready"), now).backends[0].id;
     let before = directory.backend(ready).expect("it is listed");
     let changes = directory.apply(&with_status("draining"), now);
-    assert_eq!((changes.leaving, changes.stale), (vec![ready], vec![]), "its connections are still of use");
+    assert_eq!(
+        (changes.newly_draining, changes.stale),
+        (vec![ready], vec![]),
+        "its connections are still of use"
+    );
     // A repeated announcement does not extend the grace period.
     let repeated = directory.apply(&with_status("draining"), now + grace / 2);
-    assert!(repeated.leaving.is_empty() && repeated.stale.is_empty());
+    assert!(repeated.newly_draining.is_empty() && repeated.stale.is_empty());
     let draining = directory.backend(ready).expect("it is listed");
     assert!(draining.is_same_process(&before) && draining.accepts_new(now + grace * 9 / 10, grace));
     assert!(!draining.accepts_new(now + grace, grace));
     let changes = directory.apply(&list(false, &[("b", "127.0.0.1:2", "draining")]), now);
-    let unknown = directory.backend(changes.infos[0].id).expect("it is listed");
+    let unknown = directory.backend(changes.backends[0].id).expect("it is listed");
     assert!(!unknown.accepts_new(now, grace), "it may have been draining for long");
     assert_eq!(directory.apply(&with_status("gone"), now).stale, vec![ready]);
     assert!(!directory.backend(ready).expect("it was listed").accepts_new(now, grace));
@@ -72,8 +76,9 @@
     let mut directory = EndpointDirectory::default();
     for n in 0..100 {
         let name = format!("s-{n}");
-        let infos = directory.apply(&list(true, &[(&name, "127.0.0.1:1", "ready")]), Instant::now()).infos;
-        directory.remove_gone(|id| id != infos[0].id && n % 2 == 0);
+        let backends =
+            directory.apply(&list(true, &[(&name, "127.0.0.1:1", "ready")]), Instant::now()).backends;
+        directory.remove_gone(|id| id != backends[0].id && n % 2 == 0);
     }
     assert_eq!(directory.table_sizes(), (1, 1, 1));
     directory.apply(&list(false, &[("s-99", "127.0.0.1:1", "gone")]), Instant::now());
@@ -86,19 +91,19 @@
     let mut directory = EndpointDirectory::default();
     let (first, second) = colliding_names();
     let entries = [(first.as_str(), "127.0.0.1:1", "ready"), (second.as_str(), "127.0.0.1:2", "ready")];
-    let infos = directory.apply(&list(true, &entries), Instant::now()).infos;
-    assert_eq!(infos[0].id, expected_id(&first));
-    assert_eq!(infos[1].id, infos[0].id.wrapping_add(1));
+    let backends = directory.apply(&list(true, &entries), Instant::now()).backends;
+    assert_eq!(backends[0].id, expected_id(&first));
+    assert_eq!(backends[1].id, backends[0].id.wrapping_add(1));
 }
 
 #[test]
 fn the_last_entry_of_a_repeated_name_counts_and_an_address_that_changes_hands_drops_connections() {
     let (mut directory, now) = (EndpointDirectory::default(), Instant::now());
     let repeated = list(true, &[("a", "127.0.0.1:1", "ready"), ("a", "127.0.0.1:1", "draining")]);
-    let a = directory.apply(&repeated, now).infos[0].id;
+    let a = directory.apply(&repeated, now).backends[0].id;
     assert_eq!(directory.backend(a).map(|backend| backend.state), Some(BackendState::Draining));
     let both = list(true, &[("a", "127.0.0.1:1", "ready"), ("b", "127.0.0.1:2", "ready")]);
-    let b = directory.apply(&both, now).infos[1].id;
+    let b = directory.apply(&both, now).backends[1].id;
     let before = directory.backend(a).expect("it is listed");
     let swapped = list(true, &[("a", "127.0.0.1:2", "ready"), ("b", "127.0.0.1:1", "ready")]);
     assert_eq!(directory.apply(&swapped, now).stale, vec![a, b], "their connections lead elsewhere");
@@ -108,6 +113,6 @@
 #[test]
 fn an_unknown_status_is_treated_as_draining() {
     let list = list(true, &[("a", "127.0.0.1:1", "resting")]);
-    let infos = EndpointDirectory::default().apply(&list, Instant::now()).infos;
-    assert_eq!(infos[0].state, BackendState::Draining);
+    let backends = EndpointDirectory::default().apply(&list, Instant::now()).backends;
+    assert_eq!(backends[0].state, BackendState::Draining);
 }
--- a/crates/proxy-core/tests/sockets.rs
+++ b/crates/proxy-core/tests/sockets.rs
@@ -1,6 +1,6 @@
 //! Closing a listener while clients connect.
 
-use hillstall_proxy_core::sockets::{listen, stop_handshakes, HANDSHAKE_DURATION};
+use hillstall_proxy_core::sockets::{listen, stop_handshakes, MAX_HANDSHAKE_DURATION};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -56,7 +56,7 @@
         }
     }
     stop_handshakes(&listener).expect("the system has socket filters");
-    thread::sleep(HANDSHAKE_DURATION);
+    thread::sleep(MAX_HANDSHAKE_DURATION);
     let queued: Vec<TcpStream> = std::iter::from_fn(|| listener.accept().ok()).map(|taken| taken.0).collect();
     drop(listener);
     queued.into_iter().for_each(answer);
