--- a/crates/http1/src/client/attempt.rs
+++ b/crates/http1/src/client/attempt.rs
@@ -85,8 +85,8 @@
     }
 
     /// Checks a backend once; `report` asks for its load as well.
-    async fn probe(self: Rc<Self>, address: SocketAddr, report: bool) -> AttemptResult<HttpClient> {
-        self.health_check(address, report).await
+    async fn probe(self: Rc<Self>, address: SocketAddr, with_load_report: bool) -> AttemptResult<HttpClient> {
+        self.health_check(address, with_load_report).await
     }
 
     /// Drops the idle connections to a backend, and what is known of its connect times.
--- a/crates/proxy-core/src/connect_hedging.rs
+++ b/crates/proxy-core/src/connect_hedging.rs
@@ -1,36 +1,39 @@
-//! How long a connection attempt to a backend may take before a second one is started beside it. It does no I/O.
+//! Hedged connects: how long a connect to a backend may take before a second one is started. It does no I/O.
 //!
-//! A network now and then loses the first packet of a connection, and the operating system retries only after a long
-//! while; a second connection started in the meantime mostly succeeds at once. Nothing is sent on either before it
-//! is established, so no request is ever sent twice; the connection that comes late is pooled for the next request.
+//! If the network loses the SYN of a connection, the operating system retransmits it only after a long
+//! time-out, while a second connect started in the meantime mostly succeeds at once. The request is written
+//! to the connection that is established first, so it is never sent twice; the other connection goes into the
+//! pool.
 //!
-//! Three bounds keep hedging from making an overload worse. The delay is a multiple of the backend's recent connect
-//! times. Only a fraction of all connections earns a second one. And a backend to which the last connection failed
-//! is taken to be unreachable rather than late, until one succeeds.
+//! Three bounds keep hedging from making an overload worse: the delay is a multiple of the backend's recent
+//! connect times, a budget limits hedges to a fraction of all connects, and a backend whose last connect
+//! failed is treated as unreachable and gets no hedge until a connect to it succeeds.
 
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 use std::hash::Hash;
 use std::time::Duration;
 
-/// Recent connect times kept per backend. Their median counts, so less than half of them may be late.
+/// Number of recent connect times kept per backend. The median stays typical while less than half of them are
+/// late.
 const CONNECT_TIMES_PER_BACKEND: usize = 9;
-/// The fewest connect times from which a delay is derived.
+/// Minimum number of connect times from which a delay is derived.
 const MIN_CONNECT_TIMES: usize = 3;
-/// The delay as a multiple of the median connect time.
+/// The hedge delay as a multiple of the median connect time.
 const HEDGE_DELAY_FACTOR: u32 = 4;
-/// The shortest delay, as a short stall of a machine is no packet loss.
+/// The shortest hedge delay. Shorter delays may come from a brief stall of a machine rather than a lost
+/// packet.
 pub const MIN_HEDGE_DELAY: Duration = Duration::from_millis(10);
-/// Hedges earned by each first connection.
+/// Hedges added to the budget by each first connect.
 const HEDGES_PER_CONNECTION: f64 = 0.5;
-/// The most hedges that can be saved up.
+/// The maximum of the hedge budget, and its initial value.
 const MAX_HEDGE_BUDGET: f64 = 10.0;
 
 #[derive(Default)]
 struct BackendHistory {
-    /// The latest last.
+    /// Most recent last; at most [`CONNECT_TIMES_PER_BACKEND`].
     connect_times: VecDeque<Duration>,
-    /// Whether the last connection failed.
+    /// Whether the last connect, and any hedge of it, failed.
     is_unreachable: bool,
 }
 
@@ -42,24 +45,24 @@
     }
 }
 
-/// Recent connect times by backend, and the budget of second connections.
+/// Recent connect times by backend, and the hedge budget that all backends share.
 pub struct ConnectHedging<K> {
     backends: FxHashMap<K, BackendHistory>,
-    /// Second connections that may be started.
-    budget: f64,
+    /// Number of hedges that may be started now.
+    hedge_budget: f64,
 }
 
 impl<K> Default for ConnectHedging<K> {
     fn default() -> ConnectHedging<K> {
-        ConnectHedging { backends: FxHashMap::default(), budget: MAX_HEDGE_BUDGET }
+        ConnectHedging { backends: FxHashMap::default(), hedge_budget: MAX_HEDGE_BUDGET }
     }
 }
 
 impl<K: Eq + Hash> ConnectHedging<K> {
-    /// Called when a first connection to a backend is started. Returns after what time a second one is of use, or
-    /// `None` where too little is known of the backend or it is unreachable.
+    /// Called when a first connect to a backend is started. Returns the time after which it may be hedged;
+    /// `None` if too few connect times of the backend are known, or its last connect failed.
     pub fn hedge_delay(&mut self, backend: &K) -> Option<Duration> {
-        self.budget = (self.budget + HEDGES_PER_CONNECTION).min(MAX_HEDGE_BUDGET);
+        self.hedge_budget = (self.hedge_budget + HEDGES_PER_CONNECTION).min(MAX_HEDGE_BUDGET);
         let history = self.backends.get(backend)?;
         if history.is_unreachable || history.connect_times.len() < MIN_CONNECT_TIMES {
             return None;
@@ -67,16 +70,16 @@
         Some((history.median_connect_time() * HEDGE_DELAY_FACTOR).max(MIN_HEDGE_DELAY))
     }
 
-    /// Whether a second connection may be started now. If so, it is taken from the budget.
+    /// Takes one hedge from the budget; false if the budget is used up.
     pub fn try_hedge(&mut self) -> bool {
-        if self.budget < 1.0 {
+        if self.hedge_budget < 1.0 {
             return false;
         }
-        self.budget -= 1.0;
+        self.hedge_budget -= 1.0;
         true
     }
 
-    /// Records that a connection was established.
+    /// Records that a connection was established after `connect_time`.
     pub fn on_connected(&mut self, backend: K, connect_time: Duration) {
         let history = self.backends.entry(backend).or_default();
         history.is_unreachable = false;
@@ -86,14 +89,14 @@
         history.connect_times.push_back(connect_time);
     }
 
-    /// Records that a connection failed, and any second one beside it as well.
+    /// Records that a connect failed, together with any hedge of it.
     pub fn on_failed(&mut self, backend: &K) {
         if let Some(history) = self.backends.get_mut(backend) {
             history.is_unreachable = true;
         }
     }
 
-    /// Forgets a backend that has left or was replaced.
+    /// Drops the connect times of a backend that was removed or replaced.
     pub fn remove(&mut self, backend: &K) {
         self.backends.remove(backend);
     }
--- a/crates/proxy-core/src/driver/attempts.rs
+++ b/crates/proxy-core/src/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks: each runs in a task of its own, and its outcome becomes an event.
+//! Attempts and health checks. Each runs in its own task and reports its outcome to the decision module.
 
 use super::dispatch::QueuedEvent;
 use super::{Driver, State};
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use tokio::task::spawn_local;
 
-/// The timeout of an attempt; 0 means none.
+/// Converts the timeout of an attempt, for which 0 means that there is none.
 fn attempt_timeout(timeout_ms: Millis) -> Duration {
     if timeout_ms == 0.0 {
         MAX_DURATION
@@ -33,7 +33,7 @@
 }
 
 impl<C: Transport> State<C> {
-    /// Counts an attempt that is sent to a zone, if traffic is counted by zone.
+    /// Counts an attempt at a backend of this zone, if traffic is counted by zone.
     fn count_sent(&mut self, zone: u16) {
         if let Some(traffic) = self.zone_traffic.get_mut(usize::from(zone)) {
             traffic.sent += 1;
@@ -42,7 +42,8 @@
 }
 
 impl<C: Transport> Driver<C> {
-    /// Starts an attempt, if the interface's promises allow it, whatever the decision module says.
+    /// Starts an attempt that the decision module has chosen. Reports [`Outcome::NotSent`] instead if the
+    /// backend is unknown, or if `OpenRequest::may_start_attempt` does not allow the attempt.
     pub(super) fn send(
         &self,
         state: &mut State<C>,
@@ -79,7 +80,7 @@
             let result = tokio::select! {
                 biased;
                 result = attempt => result,
-                // The attempt was dropped, and its connection closed, before this is reported.
+                // This drops the attempt, which closes its connection, before the outcome is reported.
                 Ok(()) = cancelled => AttemptResult::without_response(Outcome::Cancelled),
             };
             driver.attempt_ended(request, backend, sent_at, result);
@@ -117,14 +118,15 @@
         } else if let Some(fault) = result.invalid_request {
             open.respond(FinalResponse::InvalidRequest(fault));
         }
-        // A backend begins a request with its last byte, which a slow client may send much later.
-        let begun_at = open.payload.completed_at().map_or(sent_at, |completed| completed.max(sent_at));
+        // A backend starts to process a request at its last byte, which a slow client may send much later.
+        let processing_started_at =
+            open.payload.completed_at().map_or(sent_at, |completed| completed.max(sent_at));
         let event = Event::Outcome {
             request,
             attempt: attempt.number,
             backend,
             outcome: result.outcome,
-            took_ms: ms_from_duration(result.ended_at.saturating_duration_since(begun_at)),
+            took_ms: ms_from_duration(result.ended_at.saturating_duration_since(processing_started_at)),
             ended: open.has_response(),
             report: result.load_report,
         };
@@ -133,7 +135,7 @@
         state.requests.remove_if_finished(request);
     }
 
-    /// Counts an attempt that ended with the zone of its backend.
+    /// Counts an attempt that ended in the traffic of its backend's zone.
     fn record_zone_outcome(
         &self,
         state: &mut State<C>,
@@ -141,7 +143,7 @@
         outcome: Outcome,
         report: &LoadReport,
     ) {
-        // Most deployments don't count by zone; these pay for no lookup.
+        // Saves the lookup in deployments that don't count traffic by zone.
         if state.zone_traffic.is_empty() {
             return;
         }
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Starts a health check.
+    /// Starts a health check of a backend.
     pub(super) fn probe(&self, state: &State<C>, backend: BackendId) {
         let weak_self = self.weak_self.clone();
         let transport = self.transport.clone();
--- a/crates/proxy-core/src/driver/discovery_watch.rs
+++ b/crates/proxy-core/src/driver/discovery_watch.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: the watch on discovery, single fetches, and what a new list changes.
+//! Receives endpoint lists from discovery, by a watch or by single fetches, and applies them.
 
 use super::dispatch::QueuedEvent;
 use super::{Driver, State};
@@ -11,7 +11,7 @@
 use tokio::task::spawn_local;
 
 impl<C: Transport> State<C> {
-    /// Ends the watch on discovery, if there is one.
+    /// Stops the discovery watch, if there is one.
     pub(super) fn stop_watch(&mut self) {
         if let Some(task) = self.watch_task.take() {
             task.abort();
@@ -20,9 +20,9 @@
 }
 
 impl<C: Transport> Driver<C> {
-    /// Applies the list that this process starts from, as it was known last.
+    /// Applies the cached list with which this process starts.
     pub(super) fn apply_cached_list(&self, list: EndpointList) {
-        // Whatever it says of itself, it is all that this proxy knows.
+        // No earlier list is known, so this one is treated as full even if it was stored from a delta.
         self.apply_list(&EndpointList { is_snapshot: true, ..list }, ListKind::Cached);
     }
 
@@ -49,7 +49,7 @@
         self.handle(state, QueuedEvent::EndpointList { kind, version, backends: changes.backends });
     }
 
-    /// Closes the idle connections to a draining backend once it accepts nothing new.
+    /// Closes the idle connections to a draining backend once its drain grace period has passed.
     fn close_idle_after_grace(&self, backend: BackendId) {
         let grace = self.drain_grace;
         self.run_after(grace, move |driver| {
@@ -60,8 +60,9 @@
         });
     }
 
-    /// Follows the list from the version known. Where lists are pushed, a watch that ends is opened again for
-    /// ever; where they are polled, the decision module is notified of its end and decides when to subscribe again.
+    /// Starts a watch from the known version of the list. If the decision module subscribes
+    /// (`must_subscribe`), it is told when the watch ends and decides when to subscribe again; otherwise the
+    /// driver reopens the watch itself.
     pub(super) fn start_watch(&self, state: &mut State<C>) {
         state.stop_watch();
         let address = self.discovery_address.get();
@@ -87,20 +88,20 @@
             let cause = discovery.watch(address, &mut version, &mut on_list).await;
             if let Some(driver) = weak_self.upgrade() {
                 driver.log_watch_end(address, &cause);
-                driver.list_failed();
+                driver.report_list_failure();
             }
         });
         state.watch_task = Some(task.abort_handle());
     }
 
-    /// Logs why a watch ended: once until discovery is heard from again, not for each retry.
+    /// Logs why a watch ended, once until discovery sends a list again rather than for each retry.
     fn log_watch_end(&self, address: SocketAddr, cause: &str) {
         if !self.watch_failure_logged.replace(true) {
-            tracing::warn!(%address, "discovery watch: {cause}; opening it again");
+            tracing::warn!(%address, "discovery watch: {cause}; keeping the last list and retrying");
         }
     }
 
-    /// Fetches the whole list once.
+    /// Fetches the full list once.
     pub(super) fn fetch_list(&self) {
         let weak_self = self.weak_self.clone();
         let address = self.discovery_address.get();
@@ -108,16 +109,17 @@
         spawn_local(async move {
             let list = discovery.fetch(address).await;
             let Some(driver) = weak_self.upgrade() else { return };
-            // A list of an address that is no longer followed counts as none.
+            // If discovery has moved to another address meanwhile, this list is dropped and reported as a
+            // failure.
             match list.filter(|_| driver.discovery_address.get() == address) {
                 Some(list) => driver.apply_received_list(&list),
-                None => driver.list_failed(),
+                None => driver.report_list_failure(),
             }
         });
     }
 
-    /// Notifies the decision module that a watch or a fetch failed.
-    fn list_failed(&self) {
+    /// Reports to the decision module that a watch or a fetch failed.
+    fn report_list_failure(&self) {
         let state = &mut *self.state.borrow_mut();
         let version = state.list_version.unwrap_or_default() as u32;
         let kind = ListKind::Failed;
--- a/crates/proxy-core/src/driver/dispatch.rs
+++ b/crates/proxy-core/src/driver/dispatch.rs
@@ -1,4 +1,4 @@
-//! Events go to the decision module one by one, and the actions that it returns are carried out in order.
+//! Passes events to the decision module one by one, and carries out the returned actions in order.
 
 use super::{Driver, State};
 use crate::clock::duration_from_ms;
@@ -8,11 +8,11 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// An event that the decision module has not seen yet.
+/// An event that has not yet been passed to the decision module.
 pub(super) enum QueuedEvent {
     /// An endpoint list, or the failure to get one.
     EndpointList { kind: ListKind, version: u32, backends: Vec<BackendInfo> },
-    /// Any other event; it borrows nothing.
+    /// Any other event, which has no borrowed data.
     Event(Event<'static>),
 }
 
@@ -32,9 +32,9 @@
         self.handle(&mut self.state.borrow_mut(), QueuedEvent::Event(event));
     }
 
-    /// Gives an event to the decision module and carries out its actions, and so on with the events that these
-    /// raise at once. An action only queues an event or spawns a task, so the module is never entered from
-    /// within itself.
+    /// Passes an event to the decision module and carries out the returned actions, then does the same for
+    /// the events that these actions queue. Actions only queue events or spawn tasks, so the decision module
+    /// is never re-entered.
     pub(super) fn handle(&self, state: &mut State<C>, event: QueuedEvent) {
         state.events.push_back(event);
         while let Some(event) = state.events.pop_front() {
@@ -43,7 +43,7 @@
             for action in actions.drain(..) {
                 self.dispatch(state, action);
             }
-            // Kept for its capacity.
+            // Reuses the allocation for the next event.
             state.actions = actions;
         }
     }
@@ -66,17 +66,17 @@
             }
             Action::Probe { backend } => self.probe(state, backend),
             Action::CloseIdle { backend } => self.transport.close_idle(backend),
-            // The protocol has no form for messages between proxies, and the settings permit none.
+            // Instances exchange no such messages: the protocol has none, and the settings permit none.
             Action::Message { .. } => {}
             Action::Subscribe { on: true } => self.start_watch(state),
             Action::Subscribe { on: false } => state.stop_watch(),
             Action::Fetch => self.fetch_list(),
-            // The module limits the rate of these itself.
+            // The decision module limits the rate of its log lines.
             Action::Log(line) => tracing::info!(target: "hillstall::module", "{line}"),
         }
     }
 
-    /// Sends the final response of a request that the decision module gives up.
+    /// Sends the final response of a request that the decision module rejects or fails.
     fn finish(
         &self,
         state: &mut State<C>,
@@ -92,7 +92,7 @@
         state.requests.remove_if_finished(request);
     }
 
-    /// Runs an action after a delay, unless the driver is gone by then.
+    /// Runs `action` after a delay, unless the driver has been dropped by then.
     pub(super) fn run_after(&self, delay: Duration, action: impl FnOnce(&Driver<C>) + 'static) {
         let weak_self = self.weak_self.clone();
         spawn_local(async move {
--- a/crates/proxy-core/src/driver/mod.rs
+++ b/crates/proxy-core/src/driver/mod.rs
@@ -1,9 +1,10 @@
-//! The only owner of the decision module.
+//! The driver owns the decision module and connects it to the network.
 //!
-//! What happens on the sockets becomes an event for the decision module ([`hillstall_decision::Event`]); the
-//! actions that it returns ([`hillstall_decision::Action`]) are carried out in order. The driver itself decides
-//! nothing. It keeps the table of open requests and the promises of the decision module's interface: one final
-//! response to each request, one attempt in flight at a time, and one outcome for each attempt.
+//! It turns network activity into events for the decision module ([`hillstall_decision::Event`]) and carries
+//! out the returned actions ([`hillstall_decision::Action`]) in order. The driver itself makes no decisions.
+//! It keeps the table of open requests and upholds the guarantees of the decision module's interface: exactly
+//! one final response to each request, at most one attempt in flight per request, and exactly one outcome for
+//! each attempt.
 
 mod attempts;
 mod discovery_watch;
@@ -33,71 +34,73 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-/// The part of the rules' drain grace in which the driver still lets new attempts begin at a draining backend.
-/// The rest is for those that are on their way when it ends.
+/// The fraction of the configured drain grace period in which new attempts may start at a draining backend.
+/// The remainder covers attempts that have been started and have not reached the backend yet.
 const DRAIN_GRACE_FRACTION: f64 = 0.75;
 
-/// The mutable part of a driver. It is borrowed for the length of one event, never over an `await`.
+/// The mutable state of a driver. It is borrowed while one event is handled, never across an `await`.
 struct State<C: Transport> {
     balancer: Balancer,
-    /// By zone; empty where traffic is not counted by zone.
+    /// By zone index; empty if traffic is not counted by zone.
     zone_traffic: Vec<ZoneTraffic>,
-    /// Events that the decision module has not seen yet.
+    /// Events not yet passed to the decision module.
     events: VecDeque<QueuedEvent>,
-    /// Empty between events; kept for its capacity.
+    /// Empty between events; kept to reuse its allocation.
     actions: Vec<Action>,
     directory: EndpointDirectory,
     requests: RequestTable<C>,
-    /// The version of the endpoint list; `None` until the discovery followed now has sent one.
+    /// Version of the endpoint list; `None` after a change of the discovery address, until that address has
+    /// sent one.
     list_version: Option<u64>,
     watch_task: Option<AbortHandle>,
 }
 
-/// Takes requests in and carries out what the decision module decides about them, over the transport `C`.
+/// Accepts requests and carries out the decisions of the decision module, over the transport `C`.
 pub struct Driver<C: Transport> {
     weak_self: Weak<Driver<C>>,
     clock: Clock,
     transport: Rc<C>,
     discovery: Rc<dyn Discovery>,
     metrics: Rc<Metrics>,
-    /// The discovery that is followed.
+    /// Address of the discovery service in use.
     discovery_address: Cell<SocketAddr>,
-    /// Whether the decision module subscribes to the list, which is otherwise watched from the start.
+    /// Whether the decision module subscribes to the endpoint list by an action; otherwise the driver watches
+    /// it from the start.
     must_subscribe: bool,
     max_attempts: u32,
     max_open_requests: usize,
-    /// Whether this process is about to end: no request is accepted any more.
+    /// Whether the process is about to exit, so that no more requests are accepted.
     is_closed: Cell<bool>,
     /// Whether health checks ask for the load report.
     probe_load_report: bool,
-    /// The index of the CPU fraction in a load report, if there is one.
+    /// Index of the CPU utilization in a load report, if the settings have that field.
     cpu_report_index: Option<usize>,
-    /// Whether discovery has sent a list since the start.
+    /// Whether discovery has sent a list since this process started.
     endpoint_list_received: Cell<bool>,
-    /// Whether the end of a watch was logged since discovery last sent a list.
+    /// Whether the end of a watch has been logged since discovery last sent a list.
     watch_failure_logged: Cell<bool>,
-    /// How long after the announcement of its drain a backend is still sent new attempts.
+    /// How long after the start of its drain a backend still gets new attempts.
     drain_grace: Duration,
     state: RefCell<State<C>>,
 }
 
-/// What a driver starts from.
+/// The initial configuration of a [`Driver`].
 pub struct DriverConfig {
-    /// The decision module's settings.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The seed of the decision module's random numbers.
+    /// Seed of the decision module's random numbers.
     pub seed: u64,
-    /// The endpoint list as it was known last.
+    /// The cached endpoint list of an earlier run; empty if there is none.
     pub known_endpoints: EndpointList,
-    /// The address of discovery.
+    /// Address of the discovery service.
     pub discovery_address: SocketAddr,
-    /// The maximum of open requests, beside that of the settings.
+    /// Maximum number of open requests. The lower of this and the limit in the settings applies.
     pub max_open_requests: usize,
 }
 
 impl<C: Transport> Driver<C> {
-    /// Starts the decision module on the list that is known, and the watch on discovery. Must be called within a
-    /// `tokio` local task set.
+    /// Starts the decision module with the cached endpoint list, and the discovery watch. Must be called
+    /// within a `tokio` local task set.
     pub fn start(
         config: DriverConfig,
         transport: Rc<C>,
@@ -130,8 +133,8 @@
         driver
     }
 
-    /// Follows discovery at another address from now on. The present list stays in use until one has arrived from
-    /// there.
+    /// Switches to the discovery service at another address. The current endpoint list stays in use until
+    /// that service has sent one.
     pub fn set_discovery(&self, discovery: SocketAddr) {
         if self.discovery_address.replace(discovery) != discovery {
             self.watch_failure_logged.set(false);
@@ -141,41 +144,42 @@
         }
     }
 
-    /// Whether discovery has sent an endpoint list since the start.
+    /// Whether discovery has sent an endpoint list since this process started.
     pub fn has_endpoint_list(&self) -> bool {
         self.endpoint_list_received.get()
     }
 
-    /// Has the decision module keep to its part of the quotas that the rules count by proxy, while this many other
-    /// processes of the proxy run beside this one.
+    /// Limits the decision module to this process's share of the per-instance quotas, while `others` more
+    /// processes of the same instance run (during an upgrade). 0 gives it the whole quota.
     pub fn share_quota_with(&self, others: usize) {
         self.state.borrow_mut().balancer.set_sharing_processes(others);
     }
 
-    /// Counts from now on what is sent to each of this many zones.
+    /// Starts counting traffic by zone, for this number of zones.
     pub fn track_zones(&self, zones: usize) {
         self.state.borrow_mut().zone_traffic.resize(zones, ZoneTraffic::default());
     }
 
-    /// What was sent to each zone; empty unless [`Driver::track_zones`] was called.
+    /// The traffic of each zone, by zone index; empty unless [`Driver::track_zones`] was called.
     pub fn zone_traffic(&self) -> Vec<ZoneTraffic> {
         self.state.borrow().zone_traffic.clone()
     }
 
-    /// Advises the decision module that a zone gets this fraction of its usual load. The advice was given `age_ms`
+    /// Tells the decision module to send a zone this fraction (0 to 1) of its usual load, as decided `age_ms`
     /// milliseconds ago.
     pub fn set_zone_fraction(&self, zone: u16, fraction: f64, age_ms: Millis) {
         self.handle_event(Event::ZoneFraction { zone, fraction, age_ms });
     }
 
-    /// The number of backends, and of those that the decision module avoids.
+    /// The number of known backends, and of those that the decision module currently avoids.
     pub fn cluster_size(&self) -> ClusterSize {
         let (size, unhealthy) = self.state.borrow().balancer.backend_counts(self.clock.now_ms());
         ClusterSize { size, unhealthy }
     }
 
-    /// Accepts a request; `None` if this proxy has its maximum of open requests, or is about to end. The completion
-    /// arrives exactly once, if the guard is kept until then; dropping it earlier says that the client has disconnected.
+    /// Accepts a request; `None` if the maximum number of requests is open, or the process is about to exit.
+    /// The completion is delivered exactly once, provided that the guard is kept until then. Dropping the
+    /// guard earlier reports that the client has disconnected.
     pub fn request(&self, metadata: RequestMetadata, payload: C::Request) -> Option<AcceptedRequest<C>> {
         let state = &mut *self.state.borrow_mut();
         if self.is_closed.get() || state.requests.len() >= self.max_open_requests {
@@ -205,7 +209,8 @@
         Some((RequestGuard::new(self.weak_self.clone(), id), completion))
     }
 
-    /// Fails a request that has no final response yet: its client has disconnected, or can wait no longer.
+    /// Fails a request that has no final response yet, because its client has disconnected or its deadline is
+    /// over.
     fn close(&self, id: RequestId) {
         let state = &mut *self.state.borrow_mut();
         let Some(open) = state.requests.get_mut(id).filter(|open| !open.has_response()) else { return };
@@ -214,7 +219,7 @@
         state.requests.remove_if_finished(id);
     }
 
-    /// Fails all open requests and accepts no more, as the process is about to end.
+    /// Fails all open requests and accepts no more. Called when the process is about to exit.
     pub fn close_all(&self) {
         self.is_closed.set(true);
         let ids = self.state.borrow().requests.ids();
--- a/crates/proxy-core/src/driver/request_table.rs
+++ b/crates/proxy-core/src/driver/request_table.rs
@@ -1,4 +1,4 @@
-//! The table of open requests, and what the server side of a protocol holds of a request in it.
+//! The table of open requests, and the guard by which the server side of a protocol refers to one of them.
 
 use super::Driver;
 use crate::request::RequestTrace;
@@ -13,10 +13,10 @@
 
 /// The attempt of a request that is in flight.
 pub(super) struct InFlightAttempt {
-    /// Its number within the request, from 0.
+    /// Number of the attempt within its request, from 0.
     pub(super) number: u8,
     pub(super) backend: BackendId,
-    /// Taken when the attempt is cancelled.
+    /// Cancels the attempt; `None` once that is done.
     pub(super) cancel: Option<oneshot::Sender<()>>,
 }
 
@@ -25,28 +25,28 @@
     pub(super) class: u8,
     pub(super) payload: Rc<C::Request>,
     pub(super) deadline: Instant,
-    /// Taken by the final response.
+    /// `None` once the final response has been sent.
     pub(super) responder: Option<oneshot::Sender<Completion<C>>>,
     pub(super) trace: RequestTrace,
     pub(super) in_flight: Option<InFlightAttempt>,
 }
 
 impl<C: Transport> OpenRequest<C> {
-    /// Sends the final response, unless there was one.
+    /// Sends the final response, unless one has been sent.
     pub(super) fn respond(&mut self, response: FinalResponse<C>) {
         if let Some(responder) = self.responder.take() {
-            // Fails only where the client has just disconnected.
+            // Fails only if the client has just disconnected.
             let _ = responder.send(Completion { response, trace: self.trace });
         }
     }
 
-    /// Whether the final response was sent.
+    /// Whether the final response has been sent.
     pub(super) fn has_response(&self) -> bool {
         self.responder.is_none()
     }
 
-    /// Whether another attempt may start: there is no response, none is in flight, attempts are left, and the
-    /// payload can still be sent.
+    /// Whether another attempt may start: there is no final response, no attempt is in flight, fewer than
+    /// `max_attempts` have been sent, and the payload can still be sent.
     pub(super) fn may_start_attempt(&self, max_attempts: u32) -> bool {
         !self.has_response()
             && self.in_flight.is_none()
@@ -54,7 +54,7 @@
             && !self.payload.is_consumed()
     }
 
-    /// Records that an attempt starts; what this returns is resolved when the attempt is cancelled.
+    /// Records that an attempt starts. The returned receiver completes when the attempt is cancelled.
     pub(super) fn start_attempt(
         &mut self,
         backend: BackendId,
@@ -72,13 +72,13 @@
     pub(super) fn cancel_attempt(&mut self, number: u8) {
         let in_flight = self.in_flight.as_mut().filter(|attempt| attempt.number == number);
         if let Some(cancel) = in_flight.and_then(|attempt| attempt.cancel.take()) {
-            // Fails only where the attempt has just ended.
+            // Fails only if the attempt has just ended.
             let _ = cancel.send(());
         }
     }
 }
 
-/// The open requests by id.
+/// The open requests by id. Ids are not reused.
 pub(super) struct RequestTable<C: Transport> {
     requests: FxHashMap<RequestId, OpenRequest<C>>,
     next_id: RequestId,
@@ -126,10 +126,10 @@
     }
 }
 
-/// An accepted request: the guard that stands for its client, and the channel of its completion.
+/// An accepted request: the guard held on behalf of its client, and the channel that delivers its completion.
 pub type AcceptedRequest<C> = (RequestGuard<C>, oneshot::Receiver<Completion<C>>);
 
-/// Stands for a client that waits for its response; dropping it says that the client has disconnected.
+/// Held while a client waits for its response. Dropping it reports that the client has disconnected.
 pub struct RequestGuard<C: Transport> {
     driver: Weak<Driver<C>>,
     id: RequestId,
--- a/crates/proxy-core/src/driver/zone_traffic.rs
+++ b/crates/proxy-core/src/driver/zone_traffic.rs
@@ -1,22 +1,22 @@
-//! What was sent to each zone, for the control of traffic shifts between zones.
+//! Counters of attempts by zone, which control traffic shifts between zones.
 
 use hillstall_decision::Outcome;
 
-/// What was sent to a zone since the start of the process.
+/// Attempts at the backends of one zone since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneTraffic {
-    /// Attempts sent.
+    /// Attempts started.
     pub sent: u64,
-    /// Attempts that a backend answered, whatever it said.
+    /// Attempts with a response, whatever its status.
     pub answered: u64,
-    /// Attempts without a response: no connection, a reset one, or a timeout.
+    /// Attempts without a response: the connect failed, the connection was reset, or the attempt timed out.
     pub unanswered: u64,
-    /// The sum of the CPU fractions in the load reports of attempts, and the number of these reports.
+    /// The sum of the CPU utilizations (0 to 1) reported with responses, and the number of these reports.
     pub reported_cpu: (f64, u64),
 }
 
 impl ZoneTraffic {
-    /// Counts an attempt that ended, and the CPU fraction that the backend reported with it.
+    /// Counts an attempt that ended, and the CPU utilization that the backend reported with it.
     pub(super) fn record(&mut self, outcome: Outcome, cpu: Option<f32>) {
         match outcome {
             Outcome::Ok | Outcome::Error | Outcome::Rejected => self.answered += 1,
--- a/crates/proxy-core/src/endpoints.rs
+++ b/crates/proxy-core/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The backends by name: the endpoint list as discovery sends it, and the ids and addresses behind it.
+//! The endpoint list as discovery sends it, and the directory of backends (name, id, address) built from it.
 
 use hillstall_decision::{BackendId, BackendInfo, BackendState, Settings};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -6,27 +6,27 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The zone of a backend whose zone the settings don't name.
+/// Zone index of a backend whose zone is not in the settings.
 const UNKNOWN_ZONE: u16 = u16::MAX;
-/// The machine kind of a backend whose kind the settings don't name.
-const UNKNOWN_KIND: u8 = u8::MAX;
-/// The weight of a backend whose entry states none.
+/// Machine kind index of a backend whose machine kind is not in the settings.
+const UNKNOWN_MACHINE_KIND: u8 = u8::MAX;
+/// Weight of a backend whose entry has no `weight`.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// A whole endpoint list, or the changes to one.
+/// A full endpoint list, or the changes since an earlier version.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct EndpointList {
-    /// Its version.
+    /// The version of the list after this update, called `index` in the discovery protocol.
     #[serde(rename = "index")]
     pub version: u64,
-    /// Whether it names all backends; otherwise only those that changed.
+    /// Whether `endpoints` has all backends; otherwise it has only those that changed.
     #[serde(rename = "snapshot")]
     pub is_snapshot: bool,
-    /// The entries.
+    /// One entry per backend.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// The entry of one backend in a list.
+/// The entry of one backend in an [`EndpointList`].
 #[derive(Clone, Debug, Deserialize)]
 pub struct Endpoint {
     name: String,
@@ -34,13 +34,13 @@
     #[serde(default)]
     zone: String,
     #[serde(rename = "type", default)]
-    kind: String,
+    machine_kind: String,
     #[serde(default)]
     group: u16,
-    status: Status,
+    status: EndpointStatus,
     #[serde(default = "default_weight")]
     weight: f64,
-    /// When the process started, as Unix time in milliseconds; 0 if that is not known.
+    /// Start of the backend process, as Unix time in milliseconds; 0 if unknown.
     #[serde(rename = "since_ms", default)]
     started_at_ms: f64,
 }
@@ -53,21 +53,22 @@
 
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Status {
+enum EndpointStatus {
     Ready,
     Draining,
     Gone,
-    /// A status of a later version. It counts as draining, as it is not known to be ready.
+    /// A status that this version does not know. It is treated as draining, because the backend may not be
+    /// ready.
     #[serde(other)]
     Unknown,
 }
 
-impl From<Status> for BackendState {
-    fn from(status: Status) -> BackendState {
+impl From<EndpointStatus> for BackendState {
+    fn from(status: EndpointStatus) -> BackendState {
         match status {
-            Status::Ready => BackendState::Ready,
-            Status::Draining | Status::Unknown => BackendState::Draining,
-            Status::Gone => BackendState::Gone,
+            EndpointStatus::Ready => BackendState::Ready,
+            EndpointStatus::Draining | EndpointStatus::Unknown => BackendState::Draining,
+            EndpointStatus::Gone => BackendState::Gone,
         }
     }
 }
@@ -76,27 +77,29 @@
     DEFAULT_WEIGHT
 }
 
-/// Where a backend listens, and its last known state.
+/// Address and last known state of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendAddress {
-    /// Its address.
+    /// Address on which the backend listens.
     pub address: SocketAddr,
-    /// Its state.
+    /// State in the last endpoint list that named the backend.
     pub state: BackendState,
-    /// Index of its zone in the settings; `u16::MAX` if they don't name it.
+    /// Index of the zone in the settings; `u16::MAX` if the settings don't have it.
     pub zone: u16,
     started_at_ms: Option<f64>,
-    /// When its drain was first announced, if it was ready before that.
+    /// When a list first showed the backend as draining; `None` if this process was never seen ready.
     draining_since: Option<Instant>,
 }
 
 impl BackendAddress {
-    /// Whether the same process listens there as `earlier`, whatever became of its state since.
+    /// Whether this is the same backend process as `earlier`, by address and start time. The state may
+    /// differ.
     pub fn is_same_process(&self, earlier: &BackendAddress) -> bool {
         self.address == earlier.address && self.started_at_ms == earlier.started_at_ms
     }
 
-    /// Whether a new attempt may begin there: it is ready, or was until less than `grace` ago and is now draining.
+    /// Whether a new attempt may start at `now`: the backend is ready, or has been draining for less than
+    /// `grace`.
     pub fn accepts_new(&self, now: Instant, grace: Duration) -> bool {
         match self.state {
             BackendState::Ready => true,
@@ -108,18 +111,19 @@
     }
 }
 
-/// What an endpoint list changed.
+/// The changes made by [`EndpointDirectory::apply`].
 #[derive(Default)]
 pub struct EndpointChanges {
-    /// Its entries in the decision module's terms.
+    /// The entries of the list as input of the decision module.
     pub backends: Vec<BackendInfo>,
-    /// Backends whose idle connections are of no more use, as they are gone, were restarted or have moved.
+    /// Backends whose idle connections must be closed: they are gone, were restarted or have a new address.
     pub stale: Vec<BackendId>,
-    /// Backends that were ready and are draining from now on.
+    /// Backends that were ready and now drain; their idle connections are used until the drain grace period
+    /// ends.
     pub newly_draining: Vec<BackendId>,
 }
 
-/// The known backends by name and by id.
+/// The known backends. The id of a backend is a hash of its name.
 #[derive(Default)]
 pub struct EndpointDirectory {
     zones: Vec<String>,
@@ -129,7 +133,7 @@
     addresses: FxHashMap<BackendId, BackendAddress>,
 }
 
-/// The FNV-1a hash. It is fixed, so that a backend has the same id at every proxy and after every restart.
+/// The 64-bit FNV-1a hash. Backend ids depend on it, and must be equal in all instances and after a restart.
 pub fn fnv1a(bytes: &[u8]) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
@@ -150,14 +154,15 @@
         }
     }
 
-    /// The id of a name. A backend that returns after it was forgotten gets the same, as the hash is fixed.
+    /// The id of a name, which is added if it is unknown. A backend that was removed and returns gets the
+    /// same id again, unless another name has taken it.
     fn id(&mut self, name: &str) -> BackendId {
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
-        let wide = fnv1a(name.as_bytes());
-        let mut id = (wide ^ (wide >> 32)) as BackendId;
-        // If two names have the same hash, the later one takes the next free number.
+        let hash = fnv1a(name.as_bytes());
+        let mut id = (hash ^ (hash >> 32)) as BackendId;
+        // On a hash collision, the name that is added later takes the next free id.
         while self.names.contains_key(&id) {
             id = id.wrapping_add(1);
         }
@@ -166,7 +171,7 @@
         id
     }
 
-    /// Applies a list that arrived at `now`.
+    /// Applies a list that was received at `now`.
     pub fn apply(&mut self, list: &EndpointList, now: Instant) -> EndpointChanges {
         let backends = Vec::with_capacity(list.endpoints.len());
         let mut changes = EndpointChanges { backends, ..EndpointChanges::default() };
@@ -179,7 +184,7 @@
         changes
     }
 
-    /// Backends that a whole list does not name are gone.
+    /// Marks the backends that a full list does not contain as gone.
     fn mark_missing_as_gone(&mut self, list: &EndpointList, changes: &mut EndpointChanges) {
         let listed: FxHashSet<&str> = list.endpoints.iter().map(|endpoint| endpoint.name.as_str()).collect();
         for (id, address) in &mut self.addresses {
@@ -194,7 +199,8 @@
         let id = self.id(&endpoint.name);
         let state = BackendState::from(endpoint.status);
         let zone = position(&self.zones, &endpoint.zone).map_or(UNKNOWN_ZONE, |index| index as u16);
-        let kind = position(&self.machine_kinds, &endpoint.kind).map_or(UNKNOWN_KIND, |index| index as u8);
+        let kind = position(&self.machine_kinds, &endpoint.machine_kind)
+            .map_or(UNKNOWN_MACHINE_KIND, |index| index as u8);
         let started_at_ms = endpoint.started_at_ms();
         let mut address =
             BackendAddress { address: endpoint.address, state, zone, started_at_ms, draining_since: None };
@@ -222,21 +228,21 @@
         });
     }
 
-    /// Forgets the backends that are gone, except those in use. Over a long life all backends are replaced, again
-    /// and again, and the tables would grow without bound.
+    /// Removes the backends that are gone and not in use. Backends are replaced again and again while a proxy
+    /// runs, so the tables would otherwise grow without bound.
     pub fn remove_gone(&mut self, in_use: impl Fn(BackendId) -> bool) {
         self.addresses.retain(|id, address| address.state != BackendState::Gone || in_use(*id));
         self.names.retain(|id, _| self.addresses.contains_key(id));
         self.ids.retain(|_, id| self.addresses.contains_key(id));
     }
 
-    /// Entries in the tables by address, name and id, for tests of what is forgotten.
+    /// Sizes of the address, name and id tables, for tests of [`EndpointDirectory::remove_gone`].
     #[doc(hidden)]
     pub fn table_sizes(&self) -> (usize, usize, usize) {
         (self.addresses.len(), self.names.len(), self.ids.len())
     }
 
-    /// The address of a backend; `None` if no list has named it, or it was forgotten since.
+    /// Address and state of a backend; `None` if it was never listed, or was removed since.
     pub fn backend(&self, id: BackendId) -> Option<BackendAddress> {
         self.addresses.get(&id).copied()
     }
--- a/crates/proxy-core/src/lib.rs
+++ b/crates/proxy-core/src/lib.rs
@@ -1,10 +1,12 @@
-//! The protocol-neutral part of the proxy. It promises of every request, whatever protocol it came by: one final
-//! response, one attempt in flight at a time, one outcome for each attempt, and nothing new to a draining backend.
+//! The protocol-independent part of the proxy. It guarantees for every request, whatever its protocol:
+//! exactly one final response, at most one attempt in flight, exactly one outcome per attempt, and no new
+//! attempt at a backend whose drain grace period is over.
 //!
-//! The server side of a protocol takes requests and hands them to the [`driver::Driver`]. The driver notifies the
-//! decision module, which says which backend to try. A [`transport::Transport`], the client side of the protocol,
-//! carries the request there and says how that ended. Both sides bring payloads and responses of their own;
-//! nothing here knows any protocol, and nothing here decides anything about a request.
+//! The server side of a protocol accepts requests and hands them to the [`driver::Driver`]. The driver
+//! reports each one to the decision module, which selects the backend to try. A [`transport::Transport`], the
+//! client side of the protocol, sends the request there and returns the outcome. Payload and response types
+//! belong to the protocol. All decisions about requests (admission, backend selection, retries) are made by
+//! the decision module.
 
 mod clock;
 pub mod connect_hedging;
--- a/crates/proxy-core/src/lifecycle.rs
+++ b/crates/proxy-core/src/lifecycle.rs
@@ -1,33 +1,33 @@
-//! Whether this process serves clients: the one state that health checks, the second address, keep-alive, the
-//! closing of idle connections and SIGTERM all go by.
+//! The lifecycle phase of this process. Health checks, the admin address, keep-alive, the closing of idle
+//! connections and the handling of SIGTERM all depend on it.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The phases in the life of a process.
+/// The lifecycle phases of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It does not listen yet.
+    /// The process does not listen yet.
     Starting,
-    /// It serves clients.
+    /// The process serves clients.
     Serving,
-    /// Clients are to leave; the process goes on running and may serve again.
+    /// Clients are made to leave. The process keeps running, and can return to [`Phase::Serving`].
     Draining,
-    /// It ends once all accepted requests have their responses.
+    /// The process exits once all accepted requests have their responses.
     Stopping,
 }
 
-/// The phase of this process, and since when.
+/// The current phase of this process, and when it began.
 pub struct Lifecycle {
     phase: Cell<Phase>,
     phase_since: Cell<Instant>,
-    /// How long after the begin of a stop idle connections are left open.
+    /// Time from the start of a stop until idle connections are closed.
     stop_close_delay: Cell<Duration>,
 }
 
 impl Lifecycle {
-    /// A process that is starting.
+    /// The lifecycle of a process in [`Phase::Starting`].
     pub fn new() -> Rc<Lifecycle> {
         Rc::new(Lifecycle {
             phase: Cell::new(Phase::Starting),
@@ -36,7 +36,7 @@
         })
     }
 
-    /// The present phase.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
@@ -47,19 +47,19 @@
         }
     }
 
-    /// Whether a drain may begin or be reverted.
+    /// Whether a drain can be started or reverted in the current phase.
     fn is_running(&self) -> bool {
         matches!(self.phase(), Phase::Serving | Phase::Draining)
     }
 
-    /// Records that the process listens now.
+    /// Records that the process listens; it moves from [`Phase::Starting`] to [`Phase::Serving`].
     pub fn serve(&self) {
         if self.phase() == Phase::Starting {
             self.enter(Phase::Serving);
         }
     }
 
-    /// Begins a drain; false if the process does not serve yet, or is stopping, which can't be reverted.
+    /// Starts a drain; false if the process is starting or stopping. A stop can't be reverted.
     pub fn drain(&self) -> bool {
         let allowed = self.is_running();
         if allowed {
@@ -68,7 +68,7 @@
         allowed
     }
 
-    /// Reverts a drain; false if the process does not serve yet, or is stopping.
+    /// Reverts a drain; false if the process is starting or stopping.
     pub fn rejoin(&self) -> bool {
         let allowed = self.is_running();
         if allowed {
@@ -77,19 +77,20 @@
         allowed
     }
 
-    /// Begins the stop. Idle connections are left open for the time of the notice.
-    pub fn stop(&self, notice: Duration) {
-        self.stop_close_delay.set(notice);
+    /// Starts the stop. Idle connections are closed after `close_delay`.
+    pub fn stop(&self, close_delay: Duration) {
+        self.stop_close_delay.set(close_delay);
         self.enter(Phase::Stopping);
     }
 
-    /// Whether connections are to be closed as they become idle. A drain leaves them open for its notice first.
+    /// Whether connections must be closed as they become idle. In a drain, that begins after
+    /// `drain_close_delay`.
     pub fn should_close_idle(&self, drain_close_delay: Duration) -> bool {
-        let notice = match self.phase() {
+        let close_delay = match self.phase() {
             Phase::Starting | Phase::Serving => return false,
             Phase::Draining => drain_close_delay,
             Phase::Stopping => self.stop_close_delay.get(),
         };
-        self.phase_since.get().elapsed() >= notice
+        self.phase_since.get().elapsed() >= close_delay
     }
 }
--- a/crates/proxy-core/src/limits.rs
+++ b/crates/proxy-core/src/limits.rs
@@ -1,37 +1,38 @@
-//! The resources that the process may use at once: sockets, in a fixed quota for clients and for backends, and
-//! memory for buffered bodies. Both sides of a protocol reserve them here, so that neither uses up the other's.
+//! Limits on sockets and on memory for buffered bodies. Client and backend connections have separate quotas,
+//! so that neither side can exhaust the sockets of the other.
 
 use crate::tuning::Tuning;
 use bytes::Bytes;
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Descriptors reserved for the listeners, discovery, the runtime, the standard streams and the second address.
+/// File descriptors reserved for the listeners, discovery, the runtime, the standard streams and the admin
+/// address.
 pub const RESERVED_SOCKETS: usize = 32;
-/// The maximum of connections to the second address, which come from the reserved descriptors.
+/// Maximum number of connections to the admin address. They use the reserved descriptors.
 pub const MAX_ADMIN_CONNECTIONS: usize = 12;
-/// Buffered bodies may take the memory divided by this. In transit each byte is held up to three times: as it was
-/// read, as it is passed on, and in the buffer that is written.
+/// Buffered bodies may use the total memory divided by this. In transit there are up to three copies of each
+/// byte: in the read buffer, in the forwarded body, and in the write buffer.
 const BODY_MEMORY_DIVISOR: usize = 4;
 const BYTES_PER_MB: usize = 1 << 20;
-/// The fewest sockets that are divided between the two sides, so that each has one.
+/// Minimum number of sockets for both sides together, so that each side has one.
 const MIN_SOCKETS: usize = 2;
-/// Bodies of maximum size for which there is always memory.
+/// Number of bodies of the maximum buffered size for which there is always memory.
 const MIN_BUFFERED_BODIES: usize = 2;
 
-/// An amount of a resource that may be reserved at once.
+/// A limited resource of which parts are reserved and released.
 pub struct ResourceQuota {
     limit: Cell<usize>,
     reserved: Cell<usize>,
 }
 
 impl ResourceQuota {
-    /// A quota of this amount, none of it reserved.
+    /// A quota of `limit` units, none of them reserved.
     pub fn new(limit: usize) -> Rc<ResourceQuota> {
         Rc::new(ResourceQuota { limit: Cell::new(limit), reserved: Cell::new(0) })
     }
 
-    /// Reserves an amount until the result is dropped; `None` if less than that is left.
+    /// Reserves `amount` units until the result is dropped; `None` if fewer are left.
     pub fn reserve(self: &Rc<ResourceQuota>, amount: usize) -> Option<Reservation> {
         let reserved = self.reserved.get().checked_add(amount)?;
         if reserved > self.limit.get() {
@@ -41,17 +42,17 @@
         Some(Reservation { quota: self.clone(), amount })
     }
 
-    /// Whether any of it is left.
+    /// Whether at least one unit is left.
     pub fn has_capacity(&self) -> bool {
         self.reserved.get() < self.limit.get()
     }
 
-    /// The amount in all.
+    /// The total number of units.
     pub fn limit(&self) -> usize {
         self.limit.get()
     }
 
-    /// Whether more is reserved than the limit, which happens when the limit was lowered.
+    /// Whether more is reserved than the limit allows, which happens after the limit is lowered.
     pub fn is_exceeded(&self) -> bool {
         self.reserved.get() > self.limit.get()
     }
@@ -74,7 +75,7 @@
 }
 
 impl Reservation {
-    /// Releases all but this amount.
+    /// Releases all but `amount` units.
     pub fn shrink_to(&mut self, amount: usize) {
         let surplus = self.amount.saturating_sub(amount);
         self.quota.release(surplus);
@@ -82,7 +83,7 @@
     }
 }
 
-/// A complete body and the reservation of the memory that it takes.
+/// A complete body, and the reservation of the memory that it uses.
 pub struct BufferedBody {
     /// The bytes of the body.
     pub bytes: Bytes,
@@ -90,32 +91,32 @@
 }
 
 impl BufferedBody {
-    /// A body in memory that was reserved for it.
+    /// A body whose memory is covered by `reservation`.
     pub fn new(bytes: Bytes, reservation: Reservation) -> BufferedBody {
         BufferedBody { bytes, _reservation: reservation }
     }
 }
 
-/// The limits of this process.
+/// The resource limits of this process, and the tuning in force.
 pub struct Limits {
-    /// Descriptors of all processes of the proxy together.
+    /// File descriptors of all processes of this instance together.
     total_sockets: usize,
-    /// Memory of all processes of the proxy together, in MiB.
+    /// Memory of all processes of this instance together, in MiB.
     total_memory_mb: usize,
     /// Connections from clients.
     pub client_connections: Rc<ResourceQuota>,
     /// Connections to backends.
     pub backend_connections: Rc<ResourceQuota>,
-    /// Bytes of buffered bodies, from clients and from backends.
+    /// Bytes of buffered request and response bodies.
     pub buffered_bytes: Rc<ResourceQuota>,
     tuning: Cell<Tuning>,
-    /// Other processes of the proxy, which the totals hold for as well.
+    /// Number of other processes of this instance, with which the totals are shared.
     other_processes: Cell<usize>,
 }
 
 impl Limits {
-    /// Divides up the platform's limits: a number of descriptors, and memory in MiB. Each open request takes one
-    /// connection from a client and one to a backend.
+    /// Divides the limits given by the platform: a number of file descriptors, and memory in MiB. Clients and
+    /// backends get the same number of sockets, because each open request uses one connection on either side.
     pub fn new(sockets: usize, memory_mb: usize) -> Rc<Limits> {
         let limits = Limits {
             total_sockets: sockets,
@@ -135,14 +136,15 @@
         self.tuning.get()
     }
 
-    /// Replaces the tuning.
+    /// Replaces the tuning, and adapts the limits that depend on it.
     pub fn set_tuning(&self, tuning: Tuning) {
         self.tuning.set(tuning);
-        // The minimum of memory for bodies depends on the largest that is buffered.
+        // The minimum memory for bodies depends on `max_buffered_body_bytes`.
         self.share_with(self.other_processes.get());
     }
 
-    /// Keeps to this process's part of the limits, while this many other processes of the proxy run beside it.
+    /// Limits this process to its share of the totals, while `others` more processes of the same instance
+    /// run.
     pub fn share_with(&self, others: usize) {
         self.other_processes.set(others);
         let processes = others + 1;
--- a/crates/proxy-core/src/metrics.rs
+++ b/crates/proxy-core/src/metrics.rs
@@ -1,25 +1,26 @@
-//! Counters and gauges of this process, and their form for the operators.
+//! Counters and gauges of this process, and the text form in which the admin address returns them. Operators'
+//! tools read the metric names, so they are fixed.
 
 use hillstall_decision::{Class, UnservedReason};
 use std::cell::Cell;
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// A count that only grows.
+/// A shared counter that only increases.
 pub type Counter = Rc<Cell<u64>>;
 
 fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
 
-/// How a request ended.
+/// How a request ended, as counted in the metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// A backend's response was sent completely.
+    /// The response of a backend was sent completely (`svc_answered`).
     Answered,
-    /// It was rejected and is safe to retry.
+    /// The request was rejected and is safe to retry (`svc_deferred`).
     Deferred,
-    /// It failed.
+    /// The request failed (`svc_errored`).
     Errored,
 }
 
@@ -29,8 +30,8 @@
     answered: Cell<u64>,
     deferred: Cell<u64>,
     errored: Cell<u64>,
-    sends: Counter,
-    /// By reason, in the order of [`UnservedReason::ALL`].
+    sent_attempts: Counter,
+    /// Rejected and failed requests by reason, in the order of [`UnservedReason::ALL`].
     unserved: [Cell<u64>; UnservedReason::ALL.len()],
 }
 
@@ -39,17 +40,17 @@
         ClassMetrics { name: class.name.clone(), ..ClassMetrics::default() }
     }
 
-    /// Appends the figures of this class, one a line.
+    /// Appends the metrics of this class, one per line.
     fn render(&self, text: &mut String) {
         let counters = [
             ("answered", &self.answered),
             ("deferred", &self.deferred),
             ("errored", &self.errored),
-            ("sends", &*self.sends),
+            ("sends", &*self.sent_attempts),
         ];
         let name = escape_label(&self.name);
-        for (figure, counter) in counters {
-            let _ = writeln!(text, "svc_{figure}{{group=\"{name}\"}} {}", counter.get());
+        for (metric, counter) in counters {
+            let _ = writeln!(text, "svc_{metric}{{group=\"{name}\"}} {}", counter.get());
         }
         for (reason, counter) in UnservedReason::ALL.iter().zip(&self.unserved) {
             if counter.get() > 0 {
@@ -61,35 +62,35 @@
     }
 }
 
-/// Escapes the value of a label: class names come from the settings, and a quote in one must not end the label.
+/// Escapes a label value. Class names come from the settings and may contain quotes.
 fn escape_label(value: &str) -> String {
     value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
 
-/// The number of backends.
+/// The number of known backends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClusterSize {
     /// Backends in the endpoint list.
     pub size: usize,
-    /// Those of them that the decision module avoids at present.
+    /// Backends of these that the decision module currently avoids.
     pub unhealthy: usize,
 }
 
-/// The figures of this process. All start at 0.
+/// The metrics of this process. All start at 0.
 pub struct Metrics {
     classes: Vec<ClassMetrics>,
-    /// Requests that have begun and not ended.
+    /// Number of requests that have begun and not ended.
     in_progress: Cell<u64>,
 }
 
 impl Metrics {
-    /// Figures for these classes.
+    /// Metrics for these request classes.
     pub fn new(classes: &[Class]) -> Rc<Metrics> {
         let classes = classes.iter().map(ClassMetrics::new).collect();
         Rc::new(Metrics { classes, in_progress: Cell::new(0) })
     }
 
-    /// Records that a request of a class begins; it is in progress until the result is dropped.
+    /// Records that a request of a class begins. It counts as in progress until the result is dropped.
     pub fn begin(self: &Rc<Metrics>, class: u8) -> InProgress {
         increment(&self.in_progress);
         InProgress { metrics: self.clone(), class }
@@ -99,7 +100,7 @@
         self.classes.get(usize::from(class))
     }
 
-    /// Counts a request of a class that ended.
+    /// Counts a request of a class that has ended.
     pub fn count_outcome(&self, class: u8, outcome: RequestOutcome) {
         let Some(class) = self.class(class) else { return };
         increment(match outcome {
@@ -109,27 +110,27 @@
         });
     }
 
-    /// The number of requests that have ended, and of those of them that were rejected.
+    /// The number of requests that have ended, and how many of them were rejected.
     pub fn ended_and_rejected(&self) -> (u64, u64) {
-        let sum = |count: fn(&ClassMetrics) -> u64| self.classes.iter().map(count).sum::<u64>();
+        let sum = |counter: fn(&ClassMetrics) -> u64| self.classes.iter().map(counter).sum::<u64>();
         let deferred = sum(|class| class.deferred.get());
         let others = sum(|class| class.answered.get() + class.errored.get());
         (others + deferred, deferred)
     }
 
-    /// Counts a request of a class that the decision module gave up, and why.
+    /// Counts a request of a class that the decision module rejected or failed.
     pub fn count_unserved(&self, class: u8, reason: UnservedReason) {
         if let Some(class) = self.class(class) {
             increment(&class.unserved[reason as usize]);
         }
     }
 
-    /// The counter of attempts of a class that were written completely, to be incremented where that is observed.
+    /// The counter of attempts of a class whose request was written completely. The transport increments it.
     pub fn sent_counter(&self, class: u8) -> Counter {
-        self.class(class).map(|class| class.sends.clone()).unwrap_or_default()
+        self.class(class).map(|class| class.sent_attempts.clone()).unwrap_or_default()
     }
 
-    /// All figures, one a line.
+    /// All metrics as text, one per line.
     pub fn render(&self, cluster: ClusterSize) -> String {
         let mut text = String::new();
         for class in &self.classes {
@@ -142,8 +143,8 @@
     }
 }
 
-/// A request that has begun and not ended. If it is dropped without [`InProgress::end`], its client has
-/// disconnected.
+/// A request that has begun and not ended. Dropping it without [`InProgress::end`], as when the client has
+/// disconnected, counts no outcome.
 pub struct InProgress {
     metrics: Rc<Metrics>,
     class: u8,
--- a/crates/proxy-core/src/permit.rs
+++ b/crates/proxy-core/src/permit.rs
@@ -1,21 +1,21 @@
-//! The last check before an attempt writes to a backend.
+//! The check that an attempt makes right before it writes to a backend.
 
 use crate::endpoints::BackendAddress;
 use hillstall_decision::{BackendId, RequestId};
 use std::rc::Rc;
 
-/// The present state of requests and backends, as far as a [`SendPermit`] depends on it.
+/// The state of requests and backends on which a [`SendPermit`] depends.
 pub(crate) trait SendCheck {
     /// Whether the request still has no final response.
     fn is_request_open(&self, request: RequestId) -> bool;
 
-    /// Whether the backend is still the process at `address`, and accepts new requests.
+    /// Whether the backend is still the process described by `address`, and accepts new attempts.
     fn is_backend_current(&self, backend: BackendId, address: &BackendAddress) -> bool;
 }
 
-/// Tells an attempt what it may do at the moment it asks. Since the attempt was decided on,
-/// the backend may have begun to drain, another process may listen at its address, or the request may have its
-/// final response.
+/// Tells an attempt, each time it asks, whether it may still use its backend. After the decision module has
+/// chosen the backend, that backend may begin to drain, another process may take over its address, or the
+/// request may get its final response.
 pub struct SendPermit {
     check: Rc<dyn SendCheck>,
     request: RequestId,
@@ -33,12 +33,12 @@
         SendPermit { check, request, backend, address }
     }
 
-    /// Whether the first byte may be written.
+    /// Whether the first byte of the request may be written now.
     pub fn may_send(&self) -> bool {
         self.check.is_request_open(self.request) && self.is_backend_current()
     }
 
-    /// Whether a connection to the backend is still of use.
+    /// Whether a connection to the backend can still be used for new attempts.
     pub fn is_backend_current(&self) -> bool {
         self.check.is_backend_current(self.backend, &self.address)
     }
--- a/crates/proxy-core/src/pool.rs
+++ b/crates/proxy-core/src/pool.rs
@@ -1,12 +1,13 @@
-//! Which connection to a backend carries the next attempt: a pooled one, a new one, or one that must rest first.
+//! The pool of idle connections to backends. For each attempt it returns a pooled connection, asks for a new
+//! one, or makes the attempt wait until a pooled one may be reused.
 //!
-//! The pool does no I/O and takes the time as an argument; the connections in it are the protocol's own.
+//! The pool does no I/O and takes the time as an argument. The connection type is the protocol's.
 //!
-//! A backend may send more than belongs to a response, right behind it. On a connection that is used again at
-//! once, that would be taken for the next response. So a connection rests after each response, and is checked for
-//! stray bytes when the rest is over, right before it is written to. A busy pool keeps enough connections that some
-//! have always rested. It opens these only when attempts had to wait for a rest several times within a short
-//! window, as a new connection costs the backend work and the request a round trip.
+//! A faulty backend may send extra bytes right after a response. On a connection that is reused at once, they
+//! would be read as the next response. A connection is therefore reused only after a delay, and is checked
+//! for stray bytes right before the next request is written. A busy pool needs enough connections that one is
+//! always past its delay. It grows only after several attempts had to wait within a short window, because a
+//! new connection costs the backend work and the request a round trip.
 
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
@@ -14,30 +15,31 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The limits of a pool.
+/// The limits of a [`Pool`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolLimits {
-    /// How long a connection rests after a response.
+    /// The shortest time between a response and the next request on the same connection.
     pub min_reuse_delay: Duration,
-    /// How long an idle connection is kept. Backends close idle connections too, and a request that crosses such a
-    /// close is lost, so this is well below their timeout.
+    /// How long an idle connection is kept. It must be well below the idle time-out of the backends: a
+    /// request that is sent while the backend closes the connection is lost.
     pub max_idle: Duration,
-    /// The maximum of idle connections to one backend.
+    /// The maximum number of idle connections to one backend.
     pub max_idle_per_backend: usize,
-    /// The number of waits for a rest within [`WAIT_COUNT_WINDOW`] after which another connection is opened.
+    /// Number of waits for the reuse delay, within [`WAIT_COUNT_WINDOW`], above which another connection is
+    /// opened.
     pub max_reuse_waits: u32,
 }
 
-/// The window in which waits for a rest are counted.
+/// The window in which waits for the reuse delay are counted.
 pub const WAIT_COUNT_WINDOW: Duration = Duration::from_millis(250);
 
-/// What an attempt is to do for a connection.
+/// How an attempt gets its connection.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Checkout<T> {
-    /// Use this connection, which has rested. It must still be checked for stray bytes; if there are any, check
-    /// out again.
+    /// Use this connection, whose reuse delay has passed. The caller checks it for stray bytes, and if there
+    /// are any drops it and calls [`Pool::check_out`] again.
     Reuse(T),
-    /// All idle connections rest; check out again after this time.
+    /// No idle connection may be reused yet; call [`Pool::check_out`] again after this time.
     Wait(Duration),
     /// Open a new connection.
     Open,
@@ -57,9 +59,9 @@
 
 /// The idle connections to one backend.
 struct BackendPool<T> {
-    /// In order of last use, the latest last.
+    /// In order of last use, most recent last.
     idle: VecDeque<IdleConnection<T>>,
-    /// Attempts that had to wait for a rest within the present window.
+    /// Number of attempts that had to wait for the reuse delay in the current window.
     waits: u32,
     wait_window_start: Instant,
 }
@@ -69,7 +71,7 @@
         BackendPool { idle: VecDeque::new(), waits: 0, wait_window_start: now }
     }
 
-    /// Whether waits that were counted are still within the window.
+    /// Whether the window in which `waits` was counted is still current.
     fn is_in_wait_window(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.wait_window_start) < WAIT_COUNT_WINDOW
     }
@@ -82,15 +84,16 @@
         self.waits = self.waits.saturating_add(1);
     }
 
-    /// Takes out the most recently used of the connections that have rested. The others can grow old and expire.
+    /// Removes and returns the most recently used connection past its reuse delay, so that surplus
+    /// connections expire.
     fn take_reusable(&mut self, now: Instant, min_reuse_delay: Duration) -> Option<T> {
-        let rested = self.idle.partition_point(|idle| idle.idle_time(now) >= min_reuse_delay);
-        let latest = rested.checked_sub(1)?;
-        self.idle.remove(latest).map(|idle| idle.connection)
+        let reusable_count = self.idle.partition_point(|idle| idle.idle_time(now) >= min_reuse_delay);
+        let last_reusable = reusable_count.checked_sub(1)?;
+        self.idle.remove(last_reusable).map(|idle| idle.connection)
     }
 }
 
-/// The idle connections by backend, for backends of key `K` and connections of type `T`.
+/// The idle connections by backend. `K` is the backend's key, `T` the connection.
 pub struct Pool<K, T> {
     limits: PoolLimits,
     backends: FxHashMap<K, BackendPool<T>>,
@@ -107,9 +110,9 @@
         self.limits = limits;
     }
 
-    /// Chooses a connection for an attempt at a backend that now listens at `address`. `can_open` says whether
-    /// another connection could be opened without closing one; `has_waited`, whether this attempt has waited
-    /// already.
+    /// Selects a connection for an attempt at `backend`, which listens at `address`. `can_open` says whether
+    /// a new connection fits the limits without closing another. `has_waited` says that this attempt has
+    /// already got [`Checkout::Wait`], so that its wait is not counted twice.
     pub fn check_out(
         &mut self,
         backend: K,
@@ -137,10 +140,12 @@
         Checkout::Wait(remaining_delay)
     }
 
-    /// Keeps a connection whose response has just ended. Returns the connection that must be closed for it, if any.
+    /// Adds a connection whose response has just ended. If the backend then has more than
+    /// `max_idle_per_backend`, the one that has been idle longest is removed and returned for the caller to
+    /// close.
     pub fn check_in(&mut self, backend: K, address: SocketAddr, connection: T, now: Instant) -> Option<T> {
         let pool = self.backends.entry(backend).or_insert_with(|| BackendPool::new(now));
-        // Keeps the order if `now` is older than at the last call.
+        // Keeps the queue ordered by time even if `now` is before that of the last call.
         let idle_since = pool.idle.back().map_or(now, |last| last.idle_since.max(now));
         pool.idle.push_back(IdleConnection { connection, address, idle_since });
         if pool.idle.len() <= self.limits.max_idle_per_backend {
@@ -154,15 +159,16 @@
         self.backends.remove(&backend);
     }
 
-    /// Drops the connections to a backend that have been idle since `instant` or longer. If one of that age turned
-    /// out to be cut off without notice, the others likely are too, though they look open.
+    /// Drops the connections to a backend that became idle at `instant` or before. If one of them timed out
+    /// because the backend's machine is unreachable, the others probably are dead too, although their sockets
+    /// look open.
     pub fn remove_older_than(&mut self, backend: K, instant: Instant) {
         if let Some(pool) = self.backends.get_mut(&backend) {
             pool.idle.retain(|idle| idle.idle_since > instant);
         }
     }
 
-    /// Drops the connections that have been idle for too long or that `is_alive` denies.
+    /// Drops the connections that have been idle for `max_idle`, or for which `is_alive` returns false.
     pub fn expire(&mut self, now: Instant, mut is_alive: impl FnMut(&T) -> bool) {
         let max_idle = self.limits.max_idle;
         self.backends.retain(|_, pool| {
@@ -171,7 +177,7 @@
         });
     }
 
-    /// Takes out the connection that has been idle for longest, of all backends.
+    /// Removes and returns the connection that has been idle longest, over all backends.
     pub fn remove_longest_idle(&mut self) -> Option<T> {
         let oldest_of_each = self
             .backends
@@ -181,7 +187,7 @@
         self.backends.get_mut(&backend)?.idle.pop_front().map(|idle| idle.connection)
     }
 
-    /// The number of idle connections.
+    /// The number of idle connections to all backends.
     pub fn len(&self) -> usize {
         self.backends.values().map(|pool| pool.idle.len()).sum()
     }
--- a/crates/proxy-core/src/request.rs
+++ b/crates/proxy-core/src/request.rs
@@ -1,48 +1,48 @@
-//! What a request is to the decision module, and the history of its attempts.
+//! The properties of a request that the decision module uses, and the history of its attempts.
 
 use hillstall_decision::{Millis, Outcome, UnservedReason};
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// The properties of a request that the decision module goes by.
+/// The properties of a request on which the decision module bases its decisions.
 pub struct RequestMetadata {
     /// Index of its class in the settings.
     pub class: u8,
     /// Index of its tenant in the settings.
     pub tenant: u16,
-    /// Hash of the entity that it is about, if it names one.
+    /// Routing key: a hash of the entity that the request names; `None` if it names none.
     pub key: Option<u64>,
-    /// Expected work in milliseconds, if the client states it.
+    /// Expected processing time in milliseconds, if the client states it.
     pub expected_work_ms: Option<Millis>,
     /// Whether the client marks it as a retry.
     pub is_retry: bool,
-    /// Whether it changes state at the backend.
+    /// Whether the request changes state at the backend.
     pub is_write: bool,
-    /// When the client stops waiting.
+    /// When the client stops waiting for its response.
     pub deadline: Instant,
 }
 
 /// The history of a request's attempts, for the access log.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestTrace {
-    /// Number of attempts sent.
+    /// Number of attempts started.
     pub attempts: u32,
-    /// The backend of the last attempt.
+    /// Address of the backend of the last attempt; `None` without attempts.
     pub backend_address: Option<SocketAddr>,
     /// When the request was accepted.
     pub accepted_at: Instant,
-    /// When the first attempt was sent.
+    /// When the first attempt was started.
     pub first_attempt_at: Option<Instant>,
-    /// When the last attempt was sent.
+    /// When the last attempt was started.
     pub last_attempt_at: Option<Instant>,
-    /// Outcome of the last attempt that ended.
+    /// Outcome of the last attempt that has ended.
     pub last_outcome: Option<Outcome>,
-    /// Why the decision module rejected or failed the request, if it did.
+    /// Why the decision module rejected or failed the request; `None` if it did neither.
     pub reason: Option<UnservedReason>,
 }
 
 impl RequestTrace {
-    /// The trace of a request that is accepted now.
+    /// The trace of a request that has just been accepted.
     pub(crate) fn new() -> RequestTrace {
         RequestTrace {
             attempts: 0,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Records that an attempt is sent.
+    /// Records that an attempt is started.
     pub(crate) fn record_attempt(&mut self, backend_address: SocketAddr, sent_at: Instant) {
         self.attempts += 1;
         self.backend_address = Some(backend_address);
--- a/crates/proxy-core/src/response.rs
+++ b/crates/proxy-core/src/response.rs
@@ -1,4 +1,4 @@
-//! The end of a request: its final response and how it came about.
+//! The final response of a request, and its completion with the history of its attempts.
 
 use crate::request::RequestTrace;
 use crate::transport::Transport;
@@ -6,20 +6,21 @@
 
 /// The final response to a client.
 pub enum FinalResponse<C: Transport> {
-    /// A backend's response.
+    /// The response of a backend.
     Served(C::Response),
-    /// The request was not admitted and is safe to retry, after this many milliseconds if above 0.
+    /// The request was not processed and is safe to retry. Above 0, the value is the suggested delay in
+    /// milliseconds.
     Rejected(Millis),
-    /// The request failed; it may or may not have run.
+    /// The request failed; a backend may or may not have processed it.
     Failed,
-    /// A backend found the request itself at fault, and so would any other.
+    /// A backend rejected the request as invalid, as any other backend would.
     InvalidRequest(C::InvalidRequest),
 }
 
-/// What the client of a request receives exactly once.
+/// The end of a request, delivered exactly once for each accepted request.
 pub struct Completion<C: Transport> {
     /// The final response.
     pub response: FinalResponse<C>,
-    /// The attempts that led to it.
+    /// The attempts that led to the response.
     pub trace: RequestTrace,
 }
--- a/crates/proxy-core/src/sockets.rs
+++ b/crates/proxy-core/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Listening sockets, and the errors of the operating system when descriptors run out.
+//! Opening and closing listening sockets, and recognising that file descriptors have run out.
 
 use socket2::{SockFilter, SockRef};
 use std::io::Result;
@@ -7,17 +7,18 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// The maximum of connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1_024;
 
-/// Longer than a handshake takes within a site.
+/// Upper bound of the duration of a TCP handshake with a client in the same site.
 pub const MAX_HANDSHAKE_DURATION: Duration = Duration::from_millis(5);
 
-/// Listens at an address at which another process of this proxy may listen too.
+/// Listens on an address on which another process may listen at the same time (`SO_REUSEPORT`), as during an
+/// upgrade.
 ///
 /// # Errors
 ///
-/// What the operating system says if the address can't be bound.
+/// The error of the operating system if the address can't be bound.
 pub fn listen(address: SocketAddr) -> Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
@@ -26,20 +27,20 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// Lets no further handshake begin at a listener. Those that have begun go on, for [`MAX_HANDSHAKE_DURATION`] at most; once
-/// their connections are accepted, the listener can be closed without a connection in its queue, which would be reset.
-/// Clients that connect meanwhile try again by themselves.
+/// Makes a listener ignore new connects (SYN segments). Handshakes in progress complete within
+/// [`MAX_HANDSHAKE_DURATION`]. After their connections are accepted the queue of the listener is empty, so
+/// that closing it resets no connection. Clients whose SYN was ignored retransmit it.
 ///
 /// # Errors
 ///
-/// What the operating system says if it has no socket filters.
+/// The error of the operating system if it does not support socket filters.
 pub fn stop_handshakes(listener: &impl AsFd) -> Result<()> {
     SockRef::from(listener).attach_filter(&acknowledgements_only())
 }
 
-/// A packet filter that drops TCP segments without the ACK flag, as only the first one of a connection has.
+/// A packet filter that drops TCP segments without the ACK flag, such as the initial SYN of a connection.
 fn acknowledgements_only() -> [SockFilter; 4] {
-    // Instructions of the classic packet filter; offsets count from the TCP header.
+    // Classic BPF instructions; offsets are relative to the TCP header.
     const LOAD_BYTE: u16 = 0x30;
     const JUMP_IF_SET: u16 = 0x45;
     const RETURN: u16 = 0x06;
@@ -55,7 +56,7 @@
     ]
 }
 
-/// Whether an operation failed because this process, or the whole system, may open no more descriptors.
+/// Whether an operation failed because the process or the whole system has no file descriptors left.
 pub fn out_of_descriptors(error: &std::io::Error) -> bool {
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
--- a/crates/proxy-core/src/transport.rs
+++ b/crates/proxy-core/src/transport.rs
@@ -1,4 +1,4 @@
-//! The interface to a protocol's client side, which carries requests to backends.
+//! The interface of the client side of a protocol, which sends requests to backends.
 
 use crate::metrics::Counter;
 use crate::permit::SendPermit;
@@ -8,50 +8,51 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What the driver must know of a request in its protocol's own form.
+/// A request in the form of its protocol, as far as the driver has to know about it.
 pub trait RequestPayload {
-    /// Whether a part of it was sent and is no longer buffered, so that it can't be sent again.
+    /// Whether a part of the payload was sent and is no longer buffered, so that the request can't be sent
+    /// again.
     fn is_consumed(&self) -> bool;
 
-    /// When its last byte arrived, for a payload that is read while it is sent; `None` for one that was complete
-    /// from the start, or is not complete yet.
+    /// When the last byte of a streamed payload arrived; `None` if it has not arrived yet, or if the payload
+    /// was complete before the first attempt.
     fn completed_at(&self) -> Option<Instant>;
 }
 
-/// One attempt to have a request served.
+/// One attempt to send a request to a backend.
 pub struct Attempt<C: Transport> {
-    /// The request's payload.
+    /// The payload of the request.
     pub payload: Rc<C::Request>,
     /// The backend to send to.
     pub backend: BackendId,
-    /// The address at which the backend listens.
+    /// The address on which the backend listens.
     pub address: SocketAddr,
-    /// When the client stops waiting, where the payload was complete from the start.
+    /// When the client stops waiting. Does not apply to a streamed payload, whose deadline is not known yet.
     pub deadline: Instant,
-    /// How long the attempt may take, counted from its last byte where the payload is still being read.
+    /// Maximum duration of the attempt; for a streamed payload it is counted from the last byte.
     pub timeout: Duration,
-    /// Incremented when the last byte of the attempt is written.
+    /// Incremented when the last byte of the request is written.
     pub sent_counter: Counter,
-    /// To be checked right before the first byte is written, and before a connection is kept for reuse.
+    /// Checked right before the first byte is written, and before a connection is kept for reuse.
     pub permit: SendPermit,
 }
 
 /// How an attempt or a health check ended.
 pub struct AttemptResult<C: Transport> {
-    /// The outcome.
+    /// The outcome, as reported to the decision module.
     pub outcome: Outcome,
-    /// When it ended; the time of the last read, if there was a response.
+    /// When the attempt ended: at the last read, if there was a response.
     pub ended_at: Instant,
-    /// The backend's load report; empty if there was none.
+    /// The load report of the backend; empty if it sent none.
     pub load_report: LoadReport,
-    /// The response, for [`Outcome::Ok`] alone.
+    /// The response; present only with [`Outcome::Ok`].
     pub response: Option<C::Response>,
-    /// What the backend found at fault with the request itself, which any other would find as well.
+    /// Present if the backend rejected the request as invalid, as any other backend would.
     pub invalid_request: Option<C::InvalidRequest>,
 }
 
 impl<C: Transport> AttemptResult<C> {
-    /// An attempt that ends now without a response.
+    /// The result of an attempt that ends now without a response.
     pub fn without_response(outcome: Outcome) -> AttemptResult<C> {
         AttemptResult {
             outcome,
@@ -65,22 +66,26 @@
 
 /// The client side of one protocol.
 ///
-/// Dropping the future of an attempt must end the attempt on the wire as well: from then on no byte of it is
-/// written, and no open connection awaits its response.
+/// Dropping the future of an attempt must also end the attempt on the wire: no further byte of it is written,
+/// and the connection that awaits its response is closed.
 pub trait Transport: Sized + 'static {
-    /// A request's payload.
+    /// The payload of a request.
     type Request: RequestPayload + 'static;
-    /// A backend's response.
+    /// The response of a backend.
     type Response: 'static;
-    /// What a backend says of a request that is itself at fault.
+    /// How a backend reports that a request is invalid.
     type InvalidRequest: 'static;
 
-    /// Sends a request to a backend. When the future is ready, the request is in flight on no open connection,
-    /// unless a part of its response is still to come.
+    /// Sends a request to a backend. When the future is ready, no open connection carries the request any
+    /// more, except one on which the rest of the response is still being streamed.
     fn attempt(self: Rc<Self>, attempt: Attempt<Self>) -> impl Future<Output = AttemptResult<Self>>;
 
-    /// Checks a backend's health once; `report` asks for its load as well.
-    fn probe(self: Rc<Self>, address: SocketAddr, report: bool) -> impl Future<Output = AttemptResult<Self>>;
+    /// Checks the health of a backend once. `with_load_report` requests its load report as well.
+    fn probe(
+        self: Rc<Self>,
+        address: SocketAddr,
+        with_load_report: bool,
+    ) -> impl Future<Output = AttemptResult<Self>>;
 
     /// Closes the idle connections to a backend.
     fn close_idle(&self, backend: BackendId);
--- a/crates/proxy-core/src/tuning.rs
+++ b/crates/proxy-core/src/tuning.rs
@@ -1,49 +1,52 @@
-//! What operators may tune. The defaults are the platform's; the operator file checks the bounds.
+//! Settings of the operator file for connections and buffers. Their bounds are checked where the file is
+//! read.
 
 use std::time::Duration;
 
-/// Timeouts and sizes. A change applies to a connection from when it is next checked.
+/// Timeouts and sizes. Most changes also take effect on open connections, at their next periodic check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// A client's connection that has been idle for this long is closed.
+    /// A client connection that has been idle for this long is closed.
     pub client_idle_timeout: Duration,
-    /// The longest wait for a client's whole request, counted from connecting, or on a reused connection from its
-    /// first byte. A longer body has as long for each `request_bytes_per_timeout` bytes.
+    /// Time within which a client must send a complete request, from the connect or, on a reused connection,
+    /// from the first byte of the request. It starts again with every `request_bytes_per_timeout` bytes
+    /// received.
     pub request_timeout: Duration,
-    /// The bytes of a body that may take one `request_timeout`.
+    /// Number of bytes of a request that a client must send within each `request_timeout`.
     pub request_bytes_per_timeout: usize,
-    /// When a client that was rejected for lack of capacity may retry.
+    /// The `Retry-After` of a request that is rejected because the proxy is out of memory or request slots.
     pub retry_after: Duration,
-    /// How long a client's connection has been silent when the protocol's buffers for it are released.
+    /// Idle time of a client connection after which its protocol buffers are released.
     pub buffer_release_after: Duration,
-    /// The largest body that is buffered, of a request or a response, in bytes. A buffered request can be sent
-    /// again; a longer one is streamed.
+    /// The largest request or response body that is buffered, in bytes. Longer bodies are streamed; only a
+    /// buffered request can be retried.
     pub max_buffered_body_bytes: usize,
-    /// The longest message, of a client or a backend, in bytes.
+    /// The largest request or response body that is forwarded, in bytes.
     pub max_message_bytes: usize,
-    /// The most that is read ahead on one connection, in bytes; also the largest head of a message.
+    /// Size of the read buffer of one connection, in bytes; also the largest head of a message.
     pub read_buffer_bytes: usize,
-    /// The longest wait for a peer to read, or to write, the next bytes of a message that is streamed.
+    /// Time without progress, in reading or writing, after which the transfer of a message is aborted.
     pub stall_timeout: Duration,
-    /// The size of the operating system's buffers of a connection, in bytes. Larger ones would only hide how slow a
-    /// peer is.
+    /// Size of the kernel's send and receive buffers of a connection, in bytes. Larger buffers would delay
+    /// the detection of a slow peer.
     pub socket_buffer_bytes: usize,
-    /// The longest wait for the next bytes of a response that is buffered.
+    /// The longest wait for the next bytes of a response while it is buffered.
     pub response_timeout: Duration,
-    /// How long a response of unstated length is buffered before it is streamed.
+    /// How long a response without `Content-Length` is buffered before it is streamed.
     pub max_unsized_buffering: Duration,
-    /// How long a connection to a backend rests after a response.
+    /// The shortest time between a response on a backend connection and the next request on it.
     pub min_connection_reuse_delay: Duration,
-    /// The maximum of idle connections to one backend.
+    /// The maximum number of idle connections to one backend.
     pub max_idle_per_backend: usize,
-    /// The number of waits for a rest within a short window after which another connection is opened.
+    /// Number of waits for the reuse delay, within [`WAIT_COUNT_WINDOW`](crate::pool::WAIT_COUNT_WINDOW),
+    /// above which another connection is opened.
     pub max_reuse_waits: u32,
-    /// How long a drain leaves idle connections open.
+    /// Time from the start of a drain until idle client connections are closed.
     pub drain_close_delay: Duration,
-    /// How long a connection must have been idle to be closed by a drain or a stop. One that was just opened may be
-    /// about to carry a request.
+    /// Idle time after which a drain or a stop closes a client connection. A connection that has just been
+    /// opened probably carries a request soon.
     pub drain_idle_timeout: Duration,
-    /// Whether the access log has a record of each request.
+    /// Whether each request is written to the access log.
     pub log_requests: bool,
 }
 
@@ -66,8 +69,8 @@
             min_connection_reuse_delay: ms(2),
             max_idle_per_backend: 64,
             max_reuse_waits: 3,
-            // The load balancer checks health every 0.1 s and routes new connections here for 0.2 s more; clients
-            // whose connections were closed before that would come straight back.
+            // The load balancer in front checks health every 0.1 s and routes new connections here for
+            // another 0.2 s. Clients whose connections are closed sooner would reconnect to this process.
             drain_close_delay: ms(400),
             drain_idle_timeout: ms(250),
             log_requests: false,
--- a/crates/proxy-core/tests/common/mod.rs
+++ b/crates/proxy-core/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! Helpers shared by the tests of this crate.
+//! Helpers for the tests of this crate.
 
 use hillstall_decision::{Class, DedupScope, RetrySafety};
 
-/// A request class of this name with plain settings.
+/// A non-idempotent, buffered request class with this name.
 pub fn class(name: &str) -> Class {
     Class {
         name: name.into(),
--- a/crates/proxy-core/tests/endpoints.rs
+++ b/crates/proxy-core/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! The directory of backends: ids, changes from list to list, and what is forgotten.
+//! The endpoint directory: ids of backends, changes between lists, and removal of backends that are gone.
 
 use hillstall_decision::{BackendId, BackendState};
 use hillstall_proxy_core::endpoints::{fnv1a, EndpointDirectory, EndpointList};
@@ -14,13 +14,13 @@
     EndpointList { version: 1, is_snapshot: snapshot, endpoints: endpoints.collect() }
 }
 
-/// The id of a name that no other name has taken.
+/// The id of a name without a hash collision.
 fn expected_id(name: &str) -> BackendId {
-    let wide = fnv1a(name.as_bytes());
-    (wide ^ (wide >> 32)) as BackendId
+    let hash = fnv1a(name.as_bytes());
+    (hash ^ (hash >> 32)) as BackendId
 }
 
-/// Two names whose hashes fold to the same id.
+/// Two names whose hashes give the same id.
 fn colliding_names() -> (String, String) {
     let mut names_by_id: HashMap<BackendId, String> = HashMap::new();
     for number in 0..u32::MAX {
@@ -33,12 +33,12 @@
 }
 
 #[test]
-fn ids_are_fixed_by_the_name_and_outlive_a_restart() {
+fn id_depends_only_on_the_name_and_survives_a_restart_of_the_backend() {
     let mut directory = EndpointDirectory::default();
     let now = Instant::now();
     let changes = directory.apply(&list(true, &[("s-5be2a07c", "127.0.0.1:1", "ready")]), now);
     let id = changes.backends[0].id;
-    // Changing the hash would give backends other ids at proxies of another version.
+    // Instances of different versions must give a backend the same id, so the hash must not change.
     assert_eq!(id, 0x5124_5f7b);
     directory.apply(&list(true, &[]), now);
     assert_eq!(directory.backend(id).map(|backend| backend.state), Some(BackendState::Gone));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn only_a_backend_that_was_ready_accepts_new_requests_for_a_while_after_its_drain_was_announced() {
+fn draining_backend_accepts_requests_during_the_grace_period_only_if_it_was_seen_ready() {
     let (mut directory, now, grace) = (EndpointDirectory::default(), Instant::now(), Duration::from_secs(1));
     let with_status = |status| list(false, &[("a", "127.0.0.1:1", status)]);
     let ready = directory.apply(&with_status("ready"), now).backends[0].id;
@@ -56,7 +56,7 @@
     assert_eq!(
         (changes.newly_draining, changes.stale),
         (vec![ready], vec![]),
-        "its connections are still of use"
+        "idle connections stay usable during the grace period"
     );
     // A repeated announcement does not extend the grace period.
     let repeated = directory.apply(&with_status("draining"), now + grace / 2);
@@ -66,13 +66,13 @@
     assert!(!draining.accepts_new(now + grace, grace));
     let changes = directory.apply(&list(false, &[("b", "127.0.0.1:2", "draining")]), now);
     let unknown = directory.backend(changes.backends[0].id).expect("it is listed");
-    assert!(!unknown.accepts_new(now, grace), "it may have been draining for long");
+    assert!(!unknown.accepts_new(now, grace), "the start of its drain is unknown");
     assert_eq!(directory.apply(&with_status("gone"), now).stale, vec![ready]);
     assert!(!directory.backend(ready).expect("it was listed").accepts_new(now, grace));
 }
 
 #[test]
-fn gone_backends_are_forgotten_once_out_of_use() {
+fn gone_backends_are_removed_unless_in_use() {
     let mut directory = EndpointDirectory::default();
     for n in 0..100 {
         let name = format!("s-{n}");
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn two_names_with_one_hash_get_two_ids() {
+fn names_with_a_hash_collision_get_different_ids() {
     let mut directory = EndpointDirectory::default();
     let (first, second) = colliding_names();
     let entries = [(first.as_str(), "127.0.0.1:1", "ready"), (second.as_str(), "127.0.0.1:2", "ready")];
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn the_last_entry_of_a_repeated_name_counts_and_an_address_that_changes_hands_drops_connections() {
+fn last_entry_of_a_repeated_name_wins_and_changed_addresses_make_connections_stale() {
     let (mut directory, now) = (EndpointDirectory::default(), Instant::now());
     let repeated = list(true, &[("a", "127.0.0.1:1", "ready"), ("a", "127.0.0.1:1", "draining")]);
     let a = directory.apply(&repeated, now).backends[0].id;
@@ -106,7 +106,11 @@
     let b = directory.apply(&both, now).backends[1].id;
     let before = directory.backend(a).expect("it is listed");
     let swapped = list(true, &[("a", "127.0.0.1:2", "ready"), ("b", "127.0.0.1:1", "ready")]);
-    assert_eq!(directory.apply(&swapped, now).stale, vec![a, b], "their connections lead elsewhere");
+    assert_eq!(
+        directory.apply(&swapped, now).stale,
+        vec![a, b],
+        "connections to the old addresses reach another backend"
+    );
     assert!(!directory.backend(a).expect("it is listed").is_same_process(&before));
 }
 
--- a/crates/proxy-core/tests/fleet.rs
+++ b/crates/proxy-core/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Many instances of the proxy behind one slow discovery service: what each does alone must not harm all together.
-//! Everything runs in simulated time, from seeds.
+//! Many instances of the proxy that retry against one slow discovery service must all receive the endpoint
+//! list. Runs in simulated time with fixed seeds.
 
 #[path = "../../decision/tests/common/mod.rs"]
 mod common;
@@ -9,14 +9,14 @@
 use hillstall_decision::{Action, Event, ListKind, Millis, Settings};
 use hillstall_proxy_core::discovery::RESPONSE_TIMEOUT;
 
-/// How long the simulation goes on, in milliseconds.
+/// End of the simulation, in milliseconds from its start.
 const END_MS: Millis = 30_000.0;
 const INSTANCES: u32 = 40;
 const BACKENDS: u32 = 12;
 
-/// A discovery service that handles requests one after another. It answers those that have waited up to
-/// `max_wait_ms`, rejects at once those that would have to wait longer, and does not notice that a client has given
-/// up.
+/// A discovery service that handles requests one after another. It immediately rejects requests whose
+/// response would take longer than `max_wait_ms`. It does not notice that a client has given up, and
+/// processes its request anyway.
 struct DiscoveryService {
     service_time_ms: Millis,
     max_wait_ms: Millis,
@@ -25,7 +25,7 @@
 }
 
 impl DiscoveryService {
-    /// When a request made now is answered; `None` if it is rejected.
+    /// When the response to a request made at `now` is sent; `None` if the request is rejected.
     fn request(&mut self, now: Millis) -> Option<Millis> {
         let done = now.max(self.busy_until_ms) + self.service_time_ms;
         if now < self.down_until_ms || done - now > self.max_wait_ms {
@@ -41,11 +41,11 @@
 enum Step {
     Request,
     GiveUp,
-    /// It receives the list, after which it does nothing more.
+    /// Receives the list; the last step of an instance.
     ReceiveList,
 }
 
-/// An instance of the proxy, its next step, and when it takes it.
+/// An instance of the proxy with its next step.
 struct Instance {
     balancer: Balancer,
     next_at: Millis,
@@ -53,7 +53,7 @@
 }
 
 impl Instance {
-    /// An instance of a fleet whose watch ends at the start.
+    /// An instance whose watch ends at the start of the simulation.
     fn new(rank: u32, fleet_size: u32, seed: u64) -> Instance {
         let settings = Settings { rank, fleet_size, ..settings() };
         let mut balancer = Balancer::new(settings, seed * 1_000 + u64::from(rank));
@@ -65,7 +65,7 @@
         instance
     }
 
-    /// Notifies the decision module of a failed request; the next one is made when the module says.
+    /// Reports a failed request to the decision module, which determines when the next one is made.
     fn on_failure(&mut self, now: Millis) {
         let mut actions = Vec::new();
         let failed = Event::EndpointsChanged { kind: ListKind::Failed, version: 0, backends: &[] };
@@ -77,7 +77,7 @@
         (self.next_at, self.next) = (now + backoff_ms.expect("it retries"), Step::Request);
     }
 
-    /// Takes the next step. A client gives up on a response after `timeout_ms`.
+    /// Takes the next step. An instance gives up waiting for a response after `timeout_ms`.
     fn step(&mut self, service: &mut DiscoveryService, timeout_ms: Millis) {
         let now = self.next_at;
         let answered_at = if self.next == Step::Request { service.request(now) } else { None };
@@ -93,8 +93,8 @@
     }
 }
 
-/// Simulates a fleet whose watches have all ended at once, while the service is down for 2 s. Returns when each
-/// instance received the list.
+/// Simulates a fleet whose watches all end at once, with the service down for the first 2 s. Returns when
+/// each instance received the list; `None` if it did not.
 fn simulate(timeout_ms: Millis, seed: u64) -> Vec<Option<Millis>> {
     let mut service = DiscoveryService {
         service_time_ms: 240.0,
@@ -114,18 +114,22 @@
 }
 
 #[test]
-fn a_whole_fleet_receives_the_list_again_from_a_slow_service() {
+fn all_instances_receive_the_list_from_a_slow_discovery_service() {
     for seed in 0..5 {
         let received_at = simulate(RESPONSE_TIMEOUT.as_secs_f64() * 1000.0, seed);
         let last = received_at.iter().map(|at| at.unwrap_or(f64::MAX)).fold(0.0, f64::max);
-        // 40 requests take 9.6 s one after another, from 2 s on.
+        // The service needs 9.6 s for 40 requests, and is up from 2 s on.
         assert!(last < 20_000.0, "seed {seed}: the last instance received the list after {last} ms");
     }
 }
 
 #[test]
-fn instances_that_give_up_sooner_than_the_service_answers_receive_next_to_nothing() {
-    // Shows that the test above can fail: this is the fault that it is about.
+fn too_short_a_timeout_keeps_instances_from_receiving_the_list() {
+    // Shows that the test above detects the failure: clients that give up too soon re-enter the queue at its
+    // end, while the service still processes their abandoned requests.
     let received_at = simulate(2_500.0, 1);
-    assert!(received_at.iter().flatten().count() < 30, "a service that works for clients that gave up");
+    assert!(
+        received_at.iter().flatten().count() < 30,
+        "with a timeout of 2.5 s most of the requests processed have been abandoned"
+    );
 }
--- a/crates/proxy-core/tests/limits.rs
+++ b/crates/proxy-core/tests/limits.rs
@@ -1,9 +1,9 @@
-//! Quotas of sockets and buffered bytes.
+//! Quotas for sockets and buffered bytes.
 
 use hillstall_proxy_core::limits::{Limits, ResourceQuota, RESERVED_SOCKETS};
 
 #[test]
-fn a_quota_grants_no_more_than_its_limit_and_reclaims_what_is_dropped() {
+fn quota_enforces_its_limit_and_releases_dropped_reservations() {
     let quota = ResourceQuota::new(10);
     let first = quota.reserve(7).expect("there is capacity");
     assert!(quota.reserve(4).is_none() && quota.reserve(usize::MAX).is_none());
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn two_processes_together_reserve_no_more_than_one() {
+fn two_processes_share_the_limits_of_one() {
     let (alone, shared) = (Limits::new(384, 48), Limits::new(384, 48));
     let sockets = |limits: &Limits| {
         limits.client_connections.limit() + limits.backend_connections.limit() + RESERVED_SOCKETS
--- a/crates/proxy-core/tests/metrics.rs
+++ b/crates/proxy-core/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of requests, and their form for operators.
+//! Request counters, and the text in which they are returned.
 
 mod common;
 
@@ -7,9 +7,9 @@
 use hillstall_proxy_core::metrics::{ClusterSize, Metrics, RequestOutcome};
 
 #[test]
-fn every_request_is_current_until_it_ends_and_counted_by_its_outcome() {
+fn requests_are_in_progress_until_dropped_and_counted_by_outcome() {
     let metrics = Metrics::new(&[class("a\"b")]);
-    let [first, second, left] = [0; 3].map(|class| metrics.begin(class));
+    let [first, second, abandoned] = [0; 3].map(|class| metrics.begin(class));
     first.end(RequestOutcome::Answered);
     second.end(RequestOutcome::Errored);
     metrics.count_outcome(0, RequestOutcome::Deferred);
@@ -26,6 +26,6 @@
         )
     };
     assert_eq!(metrics.render(cluster), expected(1));
-    drop(left);
+    drop(abandoned);
     assert_eq!(metrics.render(cluster), expected(0));
 }
--- a/crates/proxy-core/tests/words.rs
+++ b/crates/proxy-core/tests/output_names.rs
@@ -1,4 +1,5 @@
-//! The words of reasons and outcomes in metrics and access log records, which other programs read.
+//! The names of reasons and outcomes in metrics, log lines and access log records. Other programs read them,
+//! so they must not change.
 
 mod common;
 
@@ -7,7 +8,7 @@
 use hillstall_proxy_core::metrics::{ClusterSize, Metrics};
 
 #[test]
-fn each_reason_has_a_metric_in_this_order() {
+fn unserved_reasons_have_fixed_metric_labels_in_fixed_order() {
     let metrics = Metrics::new(&[class("a")]);
     UnservedReason::ALL.iter().for_each(|reason| metrics.count_unserved(0, *reason));
     let metrics_text = metrics.render(ClusterSize { size: 1, unhealthy: 0 });
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn each_reason_has_this_text_for_people() {
+fn unserved_reasons_have_fixed_descriptions() {
     let texts = UnservedReason::ALL.map(|reason| reason.text());
     let expected = [
         "over a learned count",
@@ -41,9 +42,9 @@
     assert_eq!(texts, expected);
 }
 
-/// The access log record of a request shows an outcome in this form (`outcome`).
+/// The access log has these names in its field `outcome`.
 #[test]
-fn each_outcome_has_this_word_in_the_access_log() {
+fn outcomes_have_fixed_names_in_the_access_log() {
     let outcomes = [
         Outcome::Ok,
         Outcome::Error,
--- a/crates/proxy-core/tests/pool.rs
+++ b/crates/proxy-core/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Which connection the pool reuses, when it grows, and what it drops.
+//! Which connection the pool reuses, when it grows, and which connections it drops.
 
 use hillstall_proxy_core::pool::{Checkout, Pool, PoolLimits, WAIT_COUNT_WINDOW};
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
     Duration::from_millis(milliseconds)
 }
 
-/// A pool that holds these connections of backend 1, each checked in so many milliseconds after the start.
+/// A pool with connections to backend 1, given as (connection, milliseconds from the start to its check-in).
 fn pool(connections: &[(u32, u64)]) -> (Pool<u8, u32>, Instant) {
     let (mut pool, start) = (Pool::new(LIMITS), Instant::now());
     for (connection, after_ms) in connections {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_connection_rests_before_reuse_and_the_most_recently_used_goes_first() {
+fn connections_are_reused_after_the_delay_most_recently_used_first() {
     let (mut pool, start) = pool(&[(10, 0), (11, 1), (12, 3)]);
     assert_eq!(pool.check_out(1, address(1), start + ms(4), true, false), Checkout::Reuse(11));
     assert_eq!(pool.check_out(1, address(1), start + ms(4), true, false), Checkout::Reuse(10));
@@ -39,16 +39,16 @@
 }
 
 #[test]
-fn only_repeated_waits_open_another_connection_and_only_within_capacity() {
+fn pool_grows_only_after_repeated_waits_and_within_capacity() {
     let (mut pool, start) = pool(&[(10, 0)]);
     for _ in 0..2 {
         assert_eq!(pool.check_out(1, address(1), start, true, false), Checkout::Wait(ms(2)));
-        // An attempt that has waited before is not counted a second time.
+        // The second wait of the same attempt is not counted.
         assert_eq!(pool.check_out(1, address(1), start + ms(1), true, true), Checkout::Wait(ms(1)));
     }
     assert_eq!(pool.check_out(1, address(1), start, false, false), Checkout::Wait(ms(2)));
     assert_eq!(pool.check_out(1, address(1), start, true, false), Checkout::Open);
-    // Waits outside the window no longer count.
+    // Waits before the current window are not counted.
     let later = start + WAIT_COUNT_WINDOW;
     assert_eq!(pool.check_in(1, address(1), 11, later), None);
     assert_eq!(pool.check_out(1, address(1), later, true, false), Checkout::Reuse(10));
@@ -56,13 +56,13 @@
 }
 
 #[test]
-fn idle_connections_per_backend_are_bounded_and_the_oldest_is_closed() {
+fn idle_connections_per_backend_are_limited_and_the_oldest_is_closed() {
     let (mut pool, start) = pool(&[(10, 0), (11, 0), (12, 0)]);
     for _ in 0..9 {
         assert_eq!(
             pool.check_out(1, address(1), start, true, false),
             Checkout::Wait(ms(2)),
-            "no more than three"
+            "the limit of three idle connections is reached"
         );
     }
     assert_eq!(pool.check_in(1, address(1), 13, start), Some(10));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn old_dead_moved_and_silent_connections_are_dropped() {
+fn expired_closed_and_outdated_connections_are_dropped() {
     let (mut dead, start) = pool(&[(10, 0), (11, 0), (12, 500)]);
     dead.expire(start + ms(600), |connection| *connection != 11);
     assert_eq!(dead.len(), 2);
@@ -82,18 +82,18 @@
     assert_eq!(
         moved.check_out(1, address(2), start + ms(9), true, false),
         Checkout::Open,
-        "the backend listens elsewhere now"
+        "the backend has a new address"
     );
     let (mut old, start) = pool(&[(10, 0)]);
     assert_eq!(
         old.check_out(1, address(1), start + ms(1_000), true, false),
         Checkout::Open,
-        "the backend may have closed it"
+        "the connection has been idle for the maximum time"
     );
 }
 
 #[test]
-fn the_connection_idle_longest_is_closed_first_across_backends() {
+fn longest_idle_connection_of_all_backends_is_removed_first() {
     let (mut pool, start) = pool(&[(10, 5), (11, 6)]);
     pool.check_in(2, address(2), 20, start);
     assert_eq!(
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_clock_that_goes_back_keeps_the_order() {
+fn check_in_with_an_earlier_time_keeps_the_order() {
     let (mut pool, start) = pool(&[(10, 5)]);
     pool.check_in(1, address(1), 11, start);
     assert_eq!(pool.check_out(1, address(1), start + ms(6), true, false), Checkout::Wait(ms(1)));
--- a/crates/proxy-core/tests/sockets.rs
+++ b/crates/proxy-core/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Closing a listener while clients connect.
+//! Closing a listener while clients connect to it.
 
 use hillstall_proxy_core::sockets::{listen, stop_handshakes, MAX_HANDSHAKE_DURATION};
 use std::io::{ErrorKind, Read, Write};
@@ -9,16 +9,15 @@
 use std::time::Duration;
 
 const CLIENTS: usize = 4;
-/// How often a listener is closed.
+/// Number of times that a listener is opened and closed.
 const ROUNDS: usize = 30;
-/// Far above what a connection takes that is accepted.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// A connection that does not come up within this was not taken.
+/// Far longer than an accepted connection takes to get its response.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 /// How long connections are accepted before the listener is closed.
-const SERVING: Duration = Duration::from_millis(10);
+const ACCEPT_DURATION: Duration = Duration::from_millis(10);
 
-/// A listener at a free port, which blocks.
+/// A listener in blocking mode on a free port.
 fn blocking_listener() -> TcpListener {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let _entered = runtime.enter();
@@ -26,45 +25,47 @@
     listener.into_std().expect("a listener")
 }
 
-/// Connects again and again. Returns how many connections came up and got no answer.
+/// Connects repeatedly until `stop` is set. Returns how many established connections got no response.
 fn connect_until(stop: &AtomicBool, address: SocketAddr) -> usize {
     let mut lost = 0;
     while !stop.load(Ordering::SeqCst) {
         let Ok(mut stream) = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) else { continue };
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        let asked = stream.write_all(b"?").is_ok();
-        let mut answer = [0];
-        lost += usize::from(!asked || !matches!(stream.read(&mut answer), Ok(1)));
+        stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a time-out");
+        let is_request_sent = stream.write_all(b"?").is_ok();
+        let mut response = [0];
+        lost += usize::from(!is_request_sent || !matches!(stream.read(&mut response), Ok(1)));
     }
     lost
 }
 
-fn answer(mut stream: TcpStream) {
-    let mut asked = [0];
+fn respond(mut stream: TcpStream) {
+    let mut request = [0];
     stream.set_nonblocking(false).expect("it can block");
-    let _ = stream.read(&mut asked).and_then(|_| stream.write(b"!"));
+    let _ = stream.read(&mut request).and_then(|_| stream.write(b"!"));
 }
 
-/// Accepts for a while, then closes the listener as a proxy does.
+/// Serves connections for [`ACCEPT_DURATION`], then closes the listener in the same way as the proxy.
 fn serve_and_close(listener: TcpListener) {
     listener.set_nonblocking(true).expect("it need not block");
-    let end = std::time::Instant::now() + SERVING;
+    let end = std::time::Instant::now() + ACCEPT_DURATION;
     while std::time::Instant::now() < end {
         match listener.accept() {
-            Ok((stream, _)) => answer(stream),
+            Ok((stream, _)) => respond(stream),
             Err(error) => assert_eq!(error.kind(), ErrorKind::WouldBlock),
         }
     }
     stop_handshakes(&listener).expect("the system has socket filters");
     thread::sleep(MAX_HANDSHAKE_DURATION);
-    let queued: Vec<TcpStream> = std::iter::from_fn(|| listener.accept().ok()).map(|taken| taken.0).collect();
+    let queued: Vec<TcpStream> =
+        std::iter::from_fn(|| listener.accept().ok()).map(|accepted| accepted.0).collect();
     drop(listener);
-    queued.into_iter().for_each(answer);
+    queued.into_iter().for_each(respond);
 }
 
-// Guards against connections that the system completes between the last accept and the close, which are reset.
+// Guards against connections that the kernel completes between the last accept and the close: they would be
+// reset.
 #[test]
-fn no_connection_that_came_up_is_reset_with_its_listener() {
+fn closing_a_listener_resets_no_established_connection() {
     let mut lost = 0;
     for _ in 0..ROUNDS {
         let listener = blocking_listener();
@@ -80,5 +81,5 @@
         stop.store(true, Ordering::SeqCst);
         lost += clients.into_iter().map(|client| client.join().expect("it ends")).sum::<usize>();
     }
-    assert_eq!(lost, 0, "connections were reset");
+    assert_eq!(lost, 0, "established connections without a response");
 }
