--- a/crates/hillstall/tests/proxy/commands.rs
+++ b/crates/hillstall/tests/proxy/commands.rs
@@ -112,7 +112,7 @@
     assert_eq!(proxy.call(&ask("read", "a1", 20_000, "")).status(), 200);
     until("the reason is told", || {
         discovery.say("{\"index\":6,\"snapshot\":true,\"endpoints\":[{\"name\":");
-        files.log().contains("discovery watch: garbled list")
+        files.log().contains("discovery watch: invalid endpoint list")
     });
     assert_eq!(proxy.call(&ask("read", "a2", 20_000, "")).status(), 200, "the list held is still of use");
 }
--- a/crates/http1/src/discovery.rs
+++ b/crates/http1/src/discovery.rs
@@ -15,14 +15,14 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A watch sends something every 2 s. One that is silent for this long is dead: a machine that was cut off never
-/// closes its connections, and the endpoint list counts as outdated soon after.
-const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(3_500);
-/// Longest wait for a connection: a machine that was cut off never accepts one.
+/// Maximum time without data on a watch; the service sends something every 2 s. An unreachable machine does
+/// not close its connections, so a dead watch must be detected before the endpoint list counts as outdated.
+const WATCH_READ_TIMEOUT: Duration = Duration::from_millis(3_500);
+/// Longest wait for a connection. A connect to an unreachable machine never completes.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Longest line of a watch, and longest response with a whole list, in bytes.
+/// Maximum length of one line of a watch, and of a response with the full list, in bytes.
 const MAX_LIST_BYTES: usize = 4 << 20;
-/// Where the whole list is; a watch adds its parameters.
+/// Path of the full list. A watch adds query parameters.
 const HOSTS_PATH: &str = "/discovery/hosts";
 
 /// A client of the platform's discovery service.
@@ -32,10 +32,10 @@
     fn watch<'a>(
         &'a self,
         address: SocketAddr,
-        index: &'a mut Option<u64>,
-        take: &'a mut dyn FnMut(EndpointList),
+        version: &'a mut Option<u64>,
+        on_list: &'a mut dyn FnMut(EndpointList),
     ) -> BoxFuture<'a, String> {
-        Box::pin(async move { watch(address, index, take).await.to_string() })
+        Box::pin(async move { watch(address, version, on_list).await.to_string() })
     }
 
     fn fetch(&self, address: SocketAddr) -> BoxFuture<'_, Option<EndpointList>> {
@@ -43,45 +43,46 @@
     }
 }
 
-/// Why a watch ended, or a list could not be had. The texts go to the log.
+/// Why a watch ended. The text is logged as the cause.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
-    /// No connection came up in time.
-    #[error("no connection")]
+    /// The connect did not complete in time.
+    #[error("connect timed out after {} ms", CONNECT_TIMEOUT.as_millis())]
     ConnectTimeout,
-    /// The connection was refused.
-    #[error("{0}")]
+    /// The connect failed.
+    #[error("connect failed: {0}")]
     Connect(#[source] std::io::Error),
     /// The HTTP exchange failed.
-    #[error("{0}")]
+    #[error("HTTP exchange failed: {0}")]
     Http(#[source] hyper::Error),
     /// The request could not be built.
-    #[error("{0}")]
+    #[error("invalid request: {0}")]
     InvalidRequest(#[source] hyper::http::Error),
-    /// The service answered with another status than 200.
-    #[error("status {0}")]
+    /// The service answered with a status other than 200.
+    #[error("unexpected response status {0}")]
     Status(StatusCode),
-    /// No head of a response came in time.
-    #[error("no answer")]
+    /// The head of the response did not arrive in time.
+    #[error("no response within {} ms", RESPONSE_TIMEOUT.as_millis())]
     ResponseTimeout,
-    /// The whole list, from which the watch starts, could not be had.
-    #[error("no whole list")]
+    /// The full list, from whose version the watch starts, could not be fetched.
+    #[error("the full endpoint list could not be fetched")]
     NoSnapshot,
-    /// Nothing came for too long.
-    #[error("it fell silent")]
-    Silent,
+    /// No data arrived for [`WATCH_READ_TIMEOUT`].
+    #[error("no data within {} ms", WATCH_READ_TIMEOUT.as_millis())]
+    ReadTimeout,
     /// A line is not an endpoint list.
-    #[error("garbled list: {0}")]
+    #[error("invalid endpoint list: {0}")]
     InvalidList(#[source] serde_json::Error),
-    /// A line is longer than any list.
-    #[error("a line is too long")]
+    /// A line exceeds [`MAX_LIST_BYTES`].
+    #[error("a line of the watch exceeds {MAX_LIST_BYTES} bytes")]
     LineTooLong,
     /// The service ended the watch.
-    #[error("it ended")]
+    #[error("ended by the discovery service")]
     Ended,
 }
 
-/// Sends a GET request. Gives the body of the response, and the connection that has to be driven to read it.
+/// Sends a GET request. Returns the response body, and the connection, which must be polled while the body is
+/// read.
 async fn get(
     address: SocketAddr,
     path: &str,
@@ -107,15 +108,15 @@
     if response.status() != StatusCode::OK {
         return Err(WatchError::Status(response.status()));
     }
-    // The sender goes along: without one the connection would end.
+    // Kept with the connection, which ends when its sender is dropped.
     Ok((response.into_body(), async move {
         let _sender = sender;
         connection.await
     }))
 }
 
-/// Reads a response line by line, and gives each list to `take`; returns why it ended.
-async fn read_lists(address: SocketAddr, path: &str, mut take: impl FnMut(EndpointList)) -> WatchError {
+/// Reads a watch line by line and passes each list to `on_list`. Returns why the watch ended.
+async fn read_lists(address: SocketAddr, path: &str, mut on_list: impl FnMut(EndpointList)) -> WatchError {
     let (mut body, connection) = match timeout(RESPONSE_TIMEOUT, get(address, path)).await {
         Ok(Ok(opened)) => opened,
         Ok(Err(error)) => return error,
@@ -126,20 +127,20 @@
     let mut text: Vec<u8> = Vec::new();
     loop {
         let frame = next_frame(&mut body, connection.as_mut(), &mut is_connected);
-        let has_ended = match timeout(WATCH_SILENCE_TIMEOUT, frame).await {
-            Err(_elapsed) => return WatchError::Silent,
+        let has_ended = match timeout(WATCH_READ_TIMEOUT, frame).await {
+            Err(_elapsed) => return WatchError::ReadTimeout,
             Ok(Some(Err(error))) => return WatchError::Http(error),
             Ok(Some(Ok(frame))) => {
                 text.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new()));
                 false
             }
-            // The last line may have no line end.
+            // The last line may lack its line end.
             Ok(None) => {
                 text.push(b'\n');
                 true
             }
         };
-        if let Err(error) = take_complete_lines(&mut text, &mut take) {
+        if let Err(error) = parse_complete_lines(&mut text, &mut on_list) {
             return error;
         }
         if has_ended {
@@ -151,7 +152,7 @@
     }
 }
 
-/// The next frame of a body, while its connection is driven; `None` at the end of the body.
+/// Waits for the next frame of a body while polling its connection; `None` at the end of the body.
 async fn next_frame(
     body: &mut Incoming,
     mut connection: Pin<&mut impl Future<Output = hyper::Result<()>>>,
@@ -166,43 +167,46 @@
     }
 }
 
-/// Takes the complete lines out of `text` and gives their lists to `take`.
-fn take_complete_lines(text: &mut Vec<u8>, take: &mut impl FnMut(EndpointList)) -> Result<(), WatchError> {
+/// Removes the complete lines from `text` and passes their lists to `on_list`.
+fn parse_complete_lines(
+    text: &mut Vec<u8>,
+    on_list: &mut impl FnMut(EndpointList),
+) -> Result<(), WatchError> {
     let complete = text.iter().rposition(|byte| *byte == b'\n').map_or(0, |last| last + 1);
     for line in text[..complete].split(|byte| *byte == b'\n') {
         if !line.trim_ascii().is_empty() {
-            take(serde_json::from_slice(line).map_err(WatchError::InvalidList)?);
+            on_list(serde_json::from_slice(line).map_err(WatchError::InvalidList)?);
         }
     }
     text.drain(..complete);
     Ok(())
 }
 
-/// Watches from version `index` until the watch ends, and gives why. Where no version is known, the whole list is
-/// fetched first: versions of one address mean nothing at another.
+/// Watches from `version` until the watch ends, and returns why it ended. If `version` is `None`, the full
+/// list is fetched first, because a version is meaningful only at the address that sent it.
 async fn watch(
     address: SocketAddr,
-    index: &mut Option<u64>,
-    take: &mut dyn FnMut(EndpointList),
+    version: &mut Option<u64>,
+    on_list: &mut dyn FnMut(EndpointList),
 ) -> WatchError {
-    let from = match *index {
+    let from = match *version {
         Some(from) => from,
         None => {
             let Some(list) = fetch(address).await else { return WatchError::NoSnapshot };
-            let from = *index.insert(list.version);
-            take(list);
+            let from = *version.insert(list.version);
+            on_list(list);
             from
         }
     };
     let path = format!("{HOSTS_PATH}?stream=1&index={from}");
     read_lists(address, &path, |list| {
-        *index = Some(list.version);
-        take(list);
+        *version = Some(list.version);
+        on_list(list);
     })
     .await
 }
 
-/// Fetches the whole list once; it may span several lines.
+/// Fetches the full list once. The JSON text may span several lines.
 async fn fetch(address: SocketAddr) -> Option<EndpointList> {
     let response = async {
         let (body, connection) = get(address, HOSTS_PATH).await.ok()?;
