--- a/crates/http1/src/backend_connection.rs
+++ b/crates/http1/src/backend_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a backend, and the exchanges on it.
+//! One connection to a backend, and the request-response exchanges on it.
 
 use crate::request_body::{AttemptBody, BodyStream};
 use crate::stream::{HyperStream, TrackedStream};
@@ -20,19 +20,20 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout_at;
 
-/// A connection together with its protocol state machine. Dropping it closes the socket at once, also during an
-/// exchange, so that no attempt outlives its cancellation.
+/// A connection to a backend with hyper's state machine. Dropping it closes the socket at once, even during
+/// an exchange, so that a cancelled attempt ends on the wire as well.
 pub struct BackendConnection {
     sender: SendRequest<AttemptBody>,
     protocol: Pin<Box<Connection<HyperStream, AttemptBody>>>,
-    /// The protocol has ended.
+    /// Whether hyper has ended the connection.
     closed: bool,
     stream: Rc<TrackedStream>,
     _reservation: Reservation,
 }
 
 impl BackendConnection {
-    /// Starts HTTP/1.1 on a connected socket.
+    /// Starts HTTP/1.1 on a connected socket, which `reservation` counts against the limit on backend
+    /// connections.
     pub async fn open(
         socket: TcpStream,
         reservation: Reservation,
@@ -46,33 +47,33 @@
         Ok(BackendConnection { sender, protocol, closed: false, stream, _reservation: reservation })
     }
 
-    /// The socket, and what is known of its traffic.
+    /// The stream of the connection, with the state of its traffic.
     pub fn stream(&self) -> &TrackedStream {
         &self.stream
     }
 
-    /// Lets the protocol make progress.
+    /// Polls the connection, so that data is read and written.
     pub fn drive(&mut self, cx: &mut Context<'_>) {
         self.closed = self.closed || self.protocol.as_mut().poll(cx).is_ready();
     }
 
-    /// Lets the protocol see the end of the last exchange. True if the connection can carry another one, once it
-    /// has rested and nothing unexpected has come.
+    /// Lets hyper complete the last exchange. Returns whether the connection can be reused, after the reuse
+    /// delay and provided that no stray bytes arrive.
     pub fn check_reusable(&mut self, cx: &mut Context<'_>) -> bool {
         self.drive(cx);
         !self.closed && self.sender.is_ready()
     }
 
-    /// [`check_reusable`](Self::check_reusable) for async code; never waits.
+    /// Like [`check_reusable`](Self::check_reusable), for async code. It never waits.
     pub async fn is_reusable(&mut self) -> bool {
         poll_fn(|cx| Poll::Ready(self.check_reusable(cx))).await
     }
 
-    /// Sends a request and reads the response, with as much of its body as is buffered.
+    /// Sends a request and reads the response, with its body as far as it is buffered.
     ///
     /// # Errors
-    /// A response with status 200 is an error if its body can't be had: it is incomplete, ambiguous or too large.
-    /// Any other response is complete with its head.
+    /// No response was received, or a response with status 200 has a body that is incomplete, ambiguous in
+    /// length or too large. Responses with any other status are returned without such a body.
     pub async fn exchange(
         &mut self,
         request: Request<AttemptBody>,
@@ -96,7 +97,7 @@
         tokio::select! {
             biased;
             response = &mut response => return response,
-            // What the protocol has read before its end is still delivered below.
+            // hyper still delivers the data that it read before the connection ended.
             _ = &mut self.protocol, if !self.closed => self.closed = true,
         }
         response.await
@@ -106,47 +107,47 @@
 /// Why a request got no usable response.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
-    /// The connection ended before the head of a response came.
+    /// The connection ended before the head of the response was received.
     #[error("no response: {0}")]
     Connection(#[source] hyper::Error),
-    /// The head gives no length, or more than one, that can be relied on.
+    /// The head has conflicting or invalid lengths.
     #[error("the length of the response is ambiguous")]
     AmbiguousLength,
-    /// The body is longer than this proxy forwards.
-    #[error("the response is too large")]
+    /// The body is longer than the proxy forwards (`messages.longest`).
+    #[error("the response is longer than the maximum message size")]
     BodyTooLarge,
     /// There is no memory left for buffered bodies.
-    #[error("no memory is left for the response")]
+    #[error("no memory left to buffer the response")]
     OutOfCapacity,
     /// The body ended early.
     #[error("the response ended early: {0}")]
     Body(#[source] hyper::Error),
-    /// The body made no progress for the response timeout.
-    #[error("the response timed out")]
+    /// No data of the body arrived within the response timeout.
+    #[error("no data of the response within the response timeout")]
     TimedOut,
 }
 
 /// The response to one request.
 pub struct ReceivedResponse {
-    /// The status.
+    /// HTTP status; only 200 counts as success.
     pub status: StatusCode,
-    /// The headers.
+    /// The headers as received.
     pub headers: HeaderMap,
-    /// The body, if it could be had.
+    /// The body; `None` if it could not be read and the status is not 200.
     pub body: Option<ReceivedBody>,
 }
 
-/// What was read of a response's body.
+/// The part of a response body that was read.
 pub enum ReceivedBody {
-    /// All of it.
+    /// The complete body.
     Complete(BufferedBody),
-    /// The first pieces and the source of the rest, with the memory reserved for them.
+    /// The first pieces and the source of the rest, with the reservation of their memory.
     Partial(BodyStream, Reservation),
 }
 
-/// Reads a body until it is complete, or is to be streamed: because it is too long to buffer, or because its length
-/// is unknown and it has been buffered for long enough. A client then gains more from its first bytes than from a
-/// retry.
+/// Reads a body until it is complete or must be streamed. It is streamed if it is too long to buffer, or if
+/// its length is unknown and `max_unsized_buffering` has passed; from then on a client benefits more from the
+/// first bytes than from a possible retry.
 async fn read_response_body(
     mut body: Incoming,
     length: BodyLength,
@@ -187,7 +188,7 @@
     Ok(ReceivedBody::Complete(BufferedBody::new(concatenate(pieces), reservation)))
 }
 
-/// The pieces of a body in one; a single piece is not copied.
+/// Joins the pieces of a body. A single piece is not copied.
 pub fn concatenate(mut pieces: VecDeque<Bytes>) -> Bytes {
     match (pieces.len(), pieces.pop_front()) {
         (1, Some(only)) => only,
@@ -195,17 +196,17 @@
     }
 }
 
-/// How long a body is by the head of its message.
+/// The length of a body according to the head of its message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyLength {
     /// This many bytes.
     Known(u64),
-    /// Known only at its end: it comes in chunks, or ends with the connection.
+    /// Known only at the end: the body is chunked, or ends with the connection.
     Unknown,
 }
 
 impl BodyLength {
-    /// How much memory to reserve for buffering.
+    /// Number of bytes to reserve for buffering.
     fn bytes_to_reserve(self, tuning: &Tuning) -> Result<usize, ExchangeError> {
         match self {
             BodyLength::Known(bytes) if bytes > tuning.max_message_bytes as u64 => {
@@ -216,7 +217,7 @@
         }
     }
 
-    /// How long a body is buffered before it is streamed.
+    /// Maximum time for which a body is buffered before it is streamed.
     fn max_buffering_time(self, tuning: &Tuning) -> Duration {
         match self {
             BodyLength::Known(_) => tuning.response_timeout,
@@ -225,7 +226,7 @@
     }
 }
 
-/// The length of a response's body by its head.
+/// The length of a response body according to its headers.
 fn body_length(headers: &HeaderMap) -> Result<BodyLength, ExchangeError> {
     let content_length = HeaderOccurrence::of(headers, header::CONTENT_LENGTH);
     let transfer_encoding = HeaderOccurrence::of(headers, header::TRANSFER_ENCODING);
@@ -242,11 +243,11 @@
     length.ok_or(ExchangeError::AmbiguousLength)
 }
 
-/// How a header occurs in a message.
+/// How often a header occurs in a message, and its value.
 enum HeaderOccurrence<'a> {
     Absent,
     Once(&'a str),
-    /// More than once, or not as text.
+    /// The header occurs more than once, or its value is not text.
     Invalid,
 }
 
--- a/crates/http1/src/client/attempt.rs
+++ b/crates/http1/src/client/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to have a request answered by a backend.
+//! One attempt to send a request to a backend and get its response.
 
 use super::forwarding::{forwarded_request, response_outcome};
 use super::{HttpClient, Target};
@@ -14,27 +14,27 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, sleep_until};
 
-/// How often an attempt with a streaming body is checked for progress.
+/// Time between two progress checks of an attempt with a streamed body.
 const STREAMING_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why an attempt has no response.
+/// Why an attempt got no response.
 enum AttemptError {
     /// Nothing was sent; the attempt ends with this outcome.
     NotStarted(Outcome),
-    /// The connection ended, or the response can't be used.
+    /// The connection ended, or the response is unusable.
     ExchangeFailed,
-    /// It took too long.
+    /// The attempt reached its timeout or the deadline of the client.
     TimedOut,
 }
 
 /// An attempt in progress.
 struct ActiveAttempt<'a> {
     request: &'a ClientRequest,
-    /// When it ends; with a streaming body, when the connection has to be up.
+    /// When the attempt times out; with a streamed body, when the connect times out.
     until: Instant,
-    /// How long it may take; with a streaming body, from its last byte.
+    /// Maximum duration of the attempt; with a streamed body, counted from its last byte.
     timeout: Duration,
-    /// Incremented once the request is sent.
+    /// Incremented when the request has been sent completely.
     sent_counter: Counter,
 }
 
@@ -43,14 +43,13 @@
     type Response = BackendResponse;
     type InvalidRequest = StatusCode;
 
-    /// One attempt of a request, which ends at its deadline or after its timeout. When this returns, the request is
-    /// no longer on any open connection.
+    /// Makes one attempt, which ends at the latest at its deadline or after its timeout.
     async fn attempt(self: Rc<Self>, attempt: Attempt<HttpClient>) -> AttemptResult<HttpClient> {
         let Attempt { payload: request, backend, address, deadline, timeout, sent_counter, permit } = attempt;
         let target = Target { backend, address, permit: Rc::new(permit) };
         let started_at = Instant::now();
         let mut idle = self.take_idle(backend, address).await;
-        // The wait for an idle connection does not count: the timeout may be as short as that.
+        // The wait for an idle connection does not count, as it may take as long as a short timeout.
         let until = match &request.body {
             ClientRequestBody::Buffered(_) => deadline.min(Instant::now() + timeout),
             ClientRequestBody::Streaming(_) => Instant::now() + self.connect_timeout,
@@ -60,7 +59,7 @@
             let is_reused = idle.is_some();
             let connection = match idle.take() {
                 Some(connection) => Ok(connection),
-                // Boxed, as it is rare and would make the future of every attempt larger.
+                // Boxed to keep the future of an attempt small, as new connections are rare.
                 None => Box::pin(self.connect_hedged(&target, until)).await,
             };
             let mut connection = match connection {
@@ -76,20 +75,19 @@
                 }
                 Err(error) => error,
             };
-            if is_reused && error.is_lost_idle_connection(&connection) {
-                // No byte of the request was sent: a new connection will do.
+            if is_reused && error.is_closed_before_sending(&connection) {
+                // No byte of the request was sent, so it is sent on a new connection.
                 continue;
             }
             return self.failure_result(backend, &connection, &error, started_at);
         }
     }
 
-    /// Checks a backend once; `report` asks for its load as well.
     async fn probe(self: Rc<Self>, address: SocketAddr, with_load_report: bool) -> AttemptResult<HttpClient> {
         self.health_check(address, with_load_report).await
     }
 
-    /// Drops the idle connections to a backend, and what is known of its connect times.
+    /// Drops the idle connections to a backend, and its connect times.
     fn close_idle(&self, backend: BackendId) {
         self.pool.borrow_mut().remove(backend);
         self.connect_hedging.borrow_mut().remove(&backend);
@@ -104,7 +102,7 @@
         target: &Target,
         connection: &mut BackendConnection,
     ) -> Result<ReceivedResponse, AttemptError> {
-        // The backend may have begun to drain while the connection came up: nothing new may start then.
+        // The backend may have begun to drain during the connect.
         if !target.permit.may_send() {
             return Err(AttemptError::NotStarted(Outcome::ConnectFailed));
         }
@@ -121,8 +119,8 @@
         }
     }
 
-    /// The result of an attempt that was answered. The connection goes back to the pool if it is reusable; a
-    /// streaming body keeps it until its end.
+    /// The result of an attempt with a response. A reusable connection is returned to the pool, with a
+    /// streamed body after its end.
     fn response_result(
         self: &Rc<Self>,
         target: Target,
@@ -132,7 +130,7 @@
         ended_at: Instant,
     ) -> AttemptResult<HttpClient> {
         let ReceivedResponse { status, headers, body } = response;
-        let load_report = self.load_reports.from_headers(&headers);
+        let load_report = self.load_report_parser.from_headers(&headers);
         let outcome = response_outcome(status, &headers);
         let body = match body {
             Some(ReceivedBody::Complete(body)) => {
@@ -171,15 +169,16 @@
         error: &AttemptError,
         started_at: Instant,
     ) -> AttemptResult<HttpClient> {
-        // A machine that was cut off sends nothing, so its pooled connections look alive for ever. A new one fails
-        // soon, with nothing sent. Connections that carried a response since the start are alive, and any other
-        // error says something about its own connection alone.
+        // The pooled connections to an unreachable machine look open for ever, so a time-out drops those that
+        // have been idle since before the attempt. Later attempts then open a new connection, which fails
+        // before anything is sent. Connections with a response since the start of the attempt are alive.
+        // Other errors concern only the connection itself.
         if matches!(error, AttemptError::TimedOut) {
             self.pool.borrow_mut().remove_older_than(backend, started_at);
         }
         AttemptResult::without_response(match (error, connection.stream().is_request_sent()) {
             (AttemptError::NotStarted(outcome), _) => *outcome,
-            // A backend begins to process a request with its last byte: this one never began.
+            // A backend starts to process a request at its last byte, so this one was not processed.
             (_, false) => Outcome::ConnectFailed,
             (AttemptError::ExchangeFailed, true) => Outcome::Reset,
             (AttemptError::TimedOut, true) => Outcome::Timeout,
@@ -188,14 +187,14 @@
 }
 
 impl AttemptError {
-    /// Whether a connection from the pool was closed before any byte of the request was sent on it.
-    fn is_lost_idle_connection(&self, connection: &BackendConnection) -> bool {
+    /// Whether the connection was closed before any byte of the request was sent on it.
+    fn is_closed_before_sending(&self, connection: &BackendConnection) -> bool {
         matches!(self, AttemptError::ExchangeFailed) && !connection.stream().has_sent_request_bytes()
     }
 }
 
 impl ActiveAttempt<'_> {
-    /// How much time the backend has to respond.
+    /// The time left for the backend to respond.
     fn remaining_time(&self) -> Duration {
         match &self.request.body {
             ClientRequestBody::Buffered(_) => self.until.saturating_duration_since(Instant::now()),
@@ -203,8 +202,9 @@
         }
     }
 
-    /// Waits until the attempt has to end: at `until`, or with a streaming body, at the client's deadline or the
-    /// timeout after its last byte, or once the backend has stopped reading it for `stall_timeout`.
+    /// Waits until the attempt must end. With a buffered body that is at `until`. With a streamed body it is
+    /// at the client's deadline, after the timeout from the last byte, or when the backend has not read for
+    /// `stall_timeout`.
     async fn wait_for_timeout(&self, stall_timeout: Duration) {
         let ClientRequestBody::Streaming(body) = &self.request.body else {
             return sleep_until(self.until.into()).await;
--- a/crates/http1/src/client/connect.rs
+++ b/crates/http1/src/client/connect.rs
@@ -1,4 +1,4 @@
-//! New connections to backends.
+//! Opening connections to backends, with hedged connects.
 
 use super::{HttpClient, Target};
 use crate::backend_connection::BackendConnection;
@@ -13,12 +13,12 @@
 use tokio::task::spawn_local;
 use tokio::time::{timeout, timeout_at};
 
-/// The end of one connection attempt.
+/// The result of one connect. The error is the outcome of an attempt that needed the connection.
 type ConnectResult = Result<BackendConnection, Outcome>;
 
 impl HttpClient {
-    /// A new connection for an attempt. If it is late, a second one is opened as a hedge: nothing is written
-    /// before one of them is up, and the other one goes into the pool.
+    /// Opens a connection for an attempt. If the connect is slow, a second one is started as a hedge. The
+    /// connection that is established first is returned, and the other one goes into the pool.
     pub(super) async fn connect_hedged(self: &Rc<Self>, target: &Target, until: Instant) -> ConnectResult {
         let hedge_delay = self.connect_hedging.borrow_mut().hedge_delay(&target.backend);
         let (sender, mut results) = mpsc::unbounded_channel();
@@ -50,12 +50,13 @@
         }
     }
 
-    /// Whether a second connection may be opened beside one that is late.
+    /// Whether a slow connect may be hedged; takes the hedge from the budget.
     fn try_hedge(&self) -> bool {
         self.limits.backend_connections.has_capacity() && self.connect_hedging.borrow_mut().try_hedge()
     }
 
-    /// Opens a connection in a task of its own. If nobody waits for it any more, it goes into the pool.
+    /// Opens a connection in its own task. If the receiver of `sender` is gone by then, it goes into the
+    /// pool.
     fn spawn_connect(
         self: &Rc<Self>,
         target: &Target,
@@ -75,8 +76,8 @@
         });
     }
 
-    /// Opens a connection. Want of sockets in this process is [`Outcome::NotSent`]: it says nothing about the
-    /// backend.
+    /// Opens a connection. If this process is out of sockets the outcome is [`Outcome::NotSent`], because
+    /// that is no sign of a problem at the backend.
     pub(super) async fn connect(&self, address: SocketAddr, until: Instant) -> ConnectResult {
         let reservation = self.reserve_connection().ok_or(Outcome::NotSent)?;
         let until = until.min(Instant::now() + self.connect_timeout);
@@ -93,7 +94,8 @@
             .map_err(|_| Outcome::ConnectFailed)
     }
 
-    /// Counts a new connection against the limit; idle ones make way for it.
+    /// Reserves a new connection, and closes idle ones if the limit is reached; `None` if there are none to
+    /// close.
     fn reserve_connection(&self) -> Option<Reservation> {
         loop {
             if let Some(reservation) = self.limits.backend_connections.reserve(1) {
--- a/crates/http1/src/client/forwarding.rs
+++ b/crates/http1/src/client/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests as they are forwarded, and responses in terms of the decision module.
+//! Conversion of client requests to forwarded requests, and of response heads to outcomes.
 
 use crate::message::{ClientRequest, ClientRequestBody, TIMEOUT_HEADER};
 use crate::request_body::AttemptBody;
@@ -8,7 +8,7 @@
 use hyper::{Request, StatusCode, Uri};
 use std::time::Duration;
 
-/// Headers that belong to one connection, and those that are written anew.
+/// Headers that are not forwarded: hop-by-hop headers, and those that hyper sets itself.
 const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHORIZATION,
@@ -19,12 +19,13 @@
     header::CONTENT_LENGTH,
     header::EXPECT,
 ];
-/// One more of these, for which hyper has no constant.
+/// Another hop-by-hop header, for which hyper has no constant.
 const KEEP_ALIVE: &str = "keep-alive";
-/// `1` in a response says that the backend has not begun to process the request.
+/// Response header by which a backend says, with the value `1`, that it has not started to process the
+/// request.
 const NOT_STARTED: HeaderName = HeaderName::from_static("not-started");
 
-/// A client's request as it goes to a backend that has `remaining` time to answer.
+/// The request to send to a backend that has `remaining` time to respond.
 pub(super) fn forwarded_request(request: &ClientRequest, remaining: Duration) -> Request<AttemptBody> {
     let mut forwarded = Request::new(match &request.body {
         ClientRequestBody::Buffered(body) => AttemptBody::Buffered(Full::new(body.bytes.clone())),
@@ -37,22 +38,22 @@
         headers.remove(name);
     }
     headers.remove(KEEP_ALIVE);
-    // The header holds whole milliseconds; less than one is still time to be served.
+    // The header has whole milliseconds; a remaining fraction of one is rounded up.
     let remaining_ms = (remaining.as_millis() as u64).max(1);
     headers.insert(TIMEOUT_HEADER, HeaderValue::from(remaining_ms));
     *forwarded.headers_mut() = headers;
     forwarded
 }
 
-/// What a response's head means for the decision module.
+/// The outcome of an attempt according to the head of its response.
 pub(super) fn response_outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let is_not_started = headers.get(NOT_STARTED).is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Outcome::Ok,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_not_started => Outcome::Rejected,
-        // Not the client's fault alone, and no sign that the request was not processed.
+        // Not necessarily caused by the request, and the request may have been processed.
         StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => Outcome::Error,
-        // The request is invalid: that says nothing about the health of the backend.
+        // An invalid request, which says nothing about the health of the backend.
         status if status.is_client_error() => Outcome::Cancelled,
         _ => Outcome::Error,
     }
--- a/crates/http1/src/client/health_check.rs
+++ b/crates/http1/src/client/health_check.rs
@@ -11,15 +11,15 @@
 use std::time::Instant;
 use tokio::time::timeout_at;
 
-/// Where a health check asks whether a backend is alive.
+/// Path of a health check without a load report.
 const ALIVE_PATH: &str = "/alive";
-/// Where a health check asks for the load of a backend as well.
+/// Path of a health check that requests a load report.
 const LOAD_PATH: &str = "/metrics/load";
-/// How many connect timeouts a health check may take.
+/// Timeout of a health check, as a multiple of the connect timeout.
 const TIMEOUT_FACTOR: u32 = 2;
 
 impl HttpClient {
-    /// Checks a backend once, on a connection of its own.
+    /// Checks the health of a backend once, on a new connection.
     pub(super) async fn health_check(
         &self,
         address: SocketAddr,
@@ -52,12 +52,12 @@
         }
     }
 
-    /// The load report in the headers of a response, or else in its body.
+    /// The load report in the headers of a response or, if they have none, in its body.
     fn load_report(&self, response: &ReceivedResponse) -> LoadReport {
-        let report = self.load_reports.from_headers(&response.headers);
+        let report = self.load_report_parser.from_headers(&response.headers);
         match &response.body {
             Some(ReceivedBody::Complete(body)) if report.len == 0 => {
-                self.load_reports.parse(std::str::from_utf8(&body.bytes).unwrap_or_default())
+                self.load_report_parser.parse(std::str::from_utf8(&body.bytes).unwrap_or_default())
             }
             _ => report,
         }
@@ -68,5 +68,5 @@
     Request::get(path)
         .header(header::HOST, address.to_string())
         .body(AttemptBody::Buffered(Full::default()))
-        .expect("a fixed path and an address are valid")
+        .expect("a constant path and a socket address form a valid request")
 }
--- a/crates/http1/src/client/mod.rs
+++ b/crates/http1/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! The client side: attempts at backends, and the pool of connections to them.
+//! The client side: attempts, health checks, and the pool of connections to backends.
 
 mod attempt;
 mod connect;
@@ -19,21 +19,21 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// The longest duration that a setting can give, in milliseconds: an hour.
-const MAX_SETTING_MS: f64 = 3.6e6;
+/// Upper limit of durations taken from the settings, one hour in milliseconds.
+const MAX_DURATION_MS: f64 = 3.6e6;
 
 /// Sends requests to backends over HTTP/1.1.
 pub struct HttpClient {
     pool: RefCell<Pool<BackendId, BackendConnection>>,
     connect_hedging: RefCell<ConnectHedging<BackendId>>,
     limits: Rc<Limits>,
-    /// How long a connection may stay in the pool.
+    /// Idle time after which a connection is dropped from the pool.
     max_idle: Duration,
     connect_timeout: Duration,
-    load_reports: LoadReportParser,
+    load_report_parser: LoadReportParser,
 }
 
-/// Where an attempt goes, and whether it still may.
+/// The backend of an attempt, and the permit to use it.
 #[derive(Clone)]
 struct Target {
     backend: BackendId,
@@ -42,13 +42,14 @@
 }
 
 impl HttpClient {
-    /// A client whose connections count against `limits`. Backends close idle connections after `idle_close_ms`;
-    /// the pool drops them at half of that, as a request that crosses such a close would be lost.
+    /// A client whose connections count against `limits`. Backends close idle connections after
+    /// `idle_close_ms`. The pool drops them after half of that time, because a request sent during such a
+    /// close would be lost.
     pub fn new(
         limits: Rc<Limits>,
-        connect_ms: f64,
+        connect_timeout_ms: f64,
         idle_close_ms: f64,
-        fields: Vec<ReportField>,
+        load_report_fields: Vec<ReportField>,
     ) -> HttpClient {
         let max_idle = duration_from_ms(idle_close_ms / 2.0);
         let pool = Pool::new(pool_limits(&limits.tuning(), max_idle));
@@ -57,36 +58,37 @@
             connect_hedging: RefCell::default(),
             max_idle,
             limits,
-            connect_timeout: duration_from_ms(connect_ms),
-            load_reports: LoadReportParser::new(fields),
+            connect_timeout: duration_from_ms(connect_timeout_ms),
+            load_report_parser: LoadReportParser::new(load_report_fields),
         }
     }
 
-    /// Applies the tuning in force.
+    /// Applies the current tuning to the pool. Called after a reload of the operator file.
     pub fn apply_tuning(&self) {
         self.pool.borrow_mut().set_limits(pool_limits(&self.limits.tuning(), self.max_idle));
     }
 
-    /// Drops idle connections that are too old, or that the backend has closed.
+    /// Drops idle connections that have reached the maximum idle time, or that the backend has closed.
     pub fn drop_expired_idle(&self) {
         self.pool.borrow_mut().expire(Instant::now(), |connection| connection.stream().is_idle_and_open());
     }
 
-    /// Drops the connection that has been idle longest; false if there is none.
+    /// Closes the backend connection that has been idle longest; false if none is idle.
     pub fn close_longest_idle(&self) -> bool {
         self.pool.borrow_mut().remove_longest_idle().is_some()
     }
 
-    /// Puts a connection into the pool, unless its backend has been removed or replaced.
+    /// Returns a connection to the pool, unless its backend no longer accepts attempts or has been replaced.
     fn return_to_pool(&self, target: &Target, connection: BackendConnection) {
         if target.permit.is_backend_current() {
-            // The pool may give back a connection that has to make way: it is dropped here.
+            // The pool may return a surplus connection, which is dropped.
             let _ =
                 self.pool.borrow_mut().check_in(target.backend, target.address, connection, Instant::now());
         }
     }
 
-    /// An idle connection to a backend; `None` if a new one is to be opened.
+    /// Takes an idle connection from the pool, after waiting for its reuse delay if necessary; `None` if a
+    /// new one must be opened.
     async fn take_idle(&self, backend: BackendId, address: SocketAddr) -> Option<BackendConnection> {
         let mut has_waited = false;
         loop {
@@ -94,15 +96,15 @@
             let checkout =
                 self.pool.borrow_mut().check_out(backend, address, Instant::now(), has_capacity, has_waited);
             match checkout {
-                // The socket itself is asked, at the last moment before the write.
+                // The check reads the state of the socket itself, right before the write.
                 Checkout::Reuse(connection) if connection.stream().is_idle_and_open() => {
                     return Some(connection)
                 }
-                // It was closed, or more bytes followed its response than belong to it.
+                // The backend has closed it, or has sent stray bytes after the response: it is dropped.
                 Checkout::Reuse(_) => {}
-                Checkout::Wait(rest) => {
+                Checkout::Wait(delay) => {
                     has_waited = true;
-                    sleep(rest).await;
+                    sleep(delay).await;
                 }
                 Checkout::Open => return None,
             }
@@ -111,7 +113,7 @@
 }
 
 fn duration_from_ms(ms: f64) -> Duration {
-    Duration::from_secs_f64(ms.clamp(0.0, MAX_SETTING_MS) / 1000.0)
+    Duration::from_secs_f64(ms.clamp(0.0, MAX_DURATION_MS) / 1000.0)
 }
 
 fn pool_limits(tuning: &Tuning, max_idle: Duration) -> PoolLimits {
--- a/crates/http1/src/framing.rs
+++ b/crates/http1/src/framing.rs
@@ -1,41 +1,41 @@
-//! Follows the framing of the requests on a client connection byte by byte, to find what hyper does not report: a
-//! head with both a `Content-Length` and chunks. Another implementation could read the body of such a request as
+//! Tracks the framing of the requests on a client connection, to detect what hyper does not report: a head
+//! with both a `Content-Length` and a `Transfer-Encoding`. A backend could read the body of such a request as
 //! further requests (request smuggling).
 
-/// How much of a line is kept, in bytes; the names and sizes of interest are shorter.
+/// Number of bytes kept of a line. The header names and chunk sizes of interest are shorter.
 const MAX_LINE_BYTES: usize = 64;
-/// The line end after the data of a chunk.
+/// Length of the line end after the data of a chunk.
 const CHUNK_END_BYTES: u64 = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ParserState {
-    /// In a head, or before one.
+    /// In a head, or before it.
     Head,
-    /// In a body of known length, with this many bytes to come.
+    /// In a body of known length, with this many bytes left.
     Body(u64),
     /// In the line with the size of a chunk.
     ChunkSize,
-    /// In the data of a chunk, with this many bytes to come, its line end included.
+    /// In the data of a chunk, with this many bytes left, including its line end.
     ChunkData(u64),
     /// In the lines after the last chunk.
     Trailer,
-    /// The bytes can't be followed. Either hyper rejects them as well, or everything that follows is suspect.
+    /// Parsing has failed. Either hyper rejects the request as well, or the two disagree about its framing.
     Unparseable,
 }
 
 /// The framing of the requests on one client connection.
 pub struct RequestFraming {
     state: ParserState,
-    /// The start of the present line, up to [`MAX_LINE_BYTES`].
+    /// The start of the current line, up to [`MAX_LINE_BYTES`].
     line: Vec<u8>,
-    /// Whether a line of the present head has come; empty lines before it do not count.
+    /// Whether a non-empty line of the current head has been read.
     head_started: bool,
-    /// The `Content-Length` of the present head.
+    /// The `Content-Length` of the current head.
     content_length: Option<u64>,
-    /// Whether the present head has a `Transfer-Encoding`.
+    /// Whether the current head has a `Transfer-Encoding`.
     chunked: bool,
     ambiguous: bool,
-    /// How many requests have come whole.
+    /// Number of complete requests.
     completed: u64,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl RequestFraming {
-    /// Whether a head had two lengths, or the bytes can't be followed. Once true, it stays true.
+    /// Whether a head had two lengths, or parsing has failed. Once true, it stays true.
     pub fn is_ambiguous(&self) -> bool {
         self.ambiguous || self.state == ParserState::Unparseable
     }
@@ -64,12 +64,12 @@
         self.state == ParserState::Head && !self.head_started && self.line.is_empty()
     }
 
-    /// How many requests have come whole.
+    /// Number of complete requests read so far.
     pub fn completed(&self) -> u64 {
         self.completed
     }
 
-    /// Follows the bytes that were read.
+    /// Processes bytes that were read from the client.
     pub fn advance(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() && self.state != ParserState::Unparseable {
             bytes = match self.state {
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Skips up to `remaining` bytes. `at_end` is the state after the last of them, `before_end` the state with that
-    /// many still to come. Returns what follows.
+    /// Skips up to `remaining` bytes and returns the bytes after them. `at_end` is the next state if all were
+    /// skipped, `before_end` makes the state for the number of bytes left.
     fn skip_payload<'a>(
         &mut self,
         bytes: &'a [u8],
@@ -99,7 +99,7 @@
         &bytes[skipped as usize..]
     }
 
-    /// Reads to the end of the line, if it has come. Returns what follows.
+    /// Reads up to the end of the line, if `bytes` has it. Returns the bytes after it.
     fn read_line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         let end = bytes.iter().position(|byte| *byte == b'\n');
         let part = &bytes[..end.unwrap_or(bytes.len())];
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,8 +1,9 @@
-//! HTTP/1.1 for hillstall: the server for clients, the client for backends, and the client of the platform's discovery
-//! service.
+//! HTTP/1.1 for hillstall: the server for clients, the client for backends, and the client of the platform's
+//! discovery service.
 //!
-//! hyper does the framing of messages. This crate adds what the proxy's guarantees need: whether the last byte of a
-//! request was sent, whether anything unexpected followed a response, and limits on all that is buffered.
+//! hyper implements the protocol. This crate adds what the guarantees of the proxy require: tracking whether
+//! the last byte of a request was sent, detecting unexpected bytes after a response, and limits on all
+//! buffers.
 
 pub mod backend_connection;
 pub mod client;
--- a/crates/http1/src/load_report.rs
+++ b/crates/http1/src/load_report.rs
@@ -1,29 +1,30 @@
-//! Load reports of backends, where the deployment has them.
+//! Parsing of the load reports that backends send with responses and health checks.
 
 use hillstall_decision::{LoadReport, ReportField};
 use hyper::header::{HeaderMap, HeaderName};
 
 const SERVER_LOAD: HeaderName = HeaderName::from_static("server-load");
 
-/// Reads load reports with the fields that the settings name.
+/// Parses load reports with the fields given in the settings.
 pub struct LoadReportParser {
     fields: Vec<ReportField>,
 }
 
 impl LoadReportParser {
-    /// A parser for these fields.
+    /// A parser for reports with these fields, in this order.
     pub fn new(fields: Vec<ReportField>) -> LoadReportParser {
         LoadReportParser { fields }
     }
 
-    /// Reads the report in the headers of a response.
+    /// Parses the `Server-Load` header of a response; the report is empty if there is none.
     pub fn from_headers(&self, headers: &HeaderMap) -> LoadReport {
         let text = headers.get(SERVER_LOAD).and_then(|value| value.to_str().ok());
         self.parse(text.unwrap_or_default())
     }
 
-    /// Reads a report of the form `name=value,name=value`; the values are in the order of the settings. The report is
-    /// empty unless every field is there and is a finite number of at least 0: what a peer sends is not trusted.
+    /// Parses a report of the form `name=value,name=value`. The values are returned in the order of the
+    /// settings. Input is not trusted: the report is empty unless every field is present with a finite number
+    /// of at least 0.
     pub fn parse(&self, text: &str) -> LoadReport {
         let mut report = LoadReport::default();
         for field in &self.fields {
@@ -40,6 +41,7 @@
     }
 }
 
+/// The field for a name used by backends; deployments use different names.
 fn report_field(name: &str) -> ReportField {
     match name {
         "inflight" | "active" => ReportField::Active,
--- a/crates/http1/src/message.rs
+++ b/crates/http1/src/message.rs
@@ -11,31 +11,31 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// How long a client waits for its response, in whole milliseconds.
+/// The request header with the time that the client waits for its response, in whole milliseconds.
 pub const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("request-timeout-ms");
 
-/// A client's request, as it is forwarded to a backend.
+/// A request of a client, to be forwarded to a backend.
 pub struct ClientRequest {
-    /// Its method.
+    /// The method, forwarded unchanged.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query, forwarded unchanged.
     pub path: PathAndQuery,
-    /// Its headers.
+    /// The headers as received; hop-by-hop headers are removed when the request is forwarded.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body, buffered if it is short enough.
     pub body: ClientRequestBody,
 }
 
-/// The body of a client's request.
+/// The body of a [`ClientRequest`].
 pub enum ClientRequestBody {
-    /// Read to its end, and in memory.
+    /// A complete body in memory.
     Buffered(BufferedBody),
-    /// Too long to be buffered.
+    /// A body that is too long to buffer.
     Streaming(Rc<StreamingRequestBody>),
 }
 
 impl ClientRequest {
-    /// The length of its body.
+    /// The length of the body; for a chunked one, a flag that says whether all of it has been read.
     pub fn body_length(&self) -> RequestBodyLength {
         match &self.body {
             ClientRequestBody::Buffered(body) => RequestBodyLength::Known(body.bytes.len()),
@@ -60,18 +60,18 @@
     }
 }
 
-/// A backend's response.
+/// The response of a backend, to be forwarded to the client.
 pub struct BackendResponse {
-    /// Its headers.
+    /// The headers as received.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body, buffered if it is short enough.
     pub body: BackendResponseBody,
 }
 
-/// The body of a backend's response.
+/// The body of a [`BackendResponse`].
 pub enum BackendResponseBody {
-    /// Read to its end, and in memory.
+    /// A complete body in memory.
     Buffered(BufferedBody),
-    /// Too long to be buffered.
+    /// A body that is too long to buffer, or of unknown length and slow to arrive.
     Streaming(Box<StreamingResponseBody>),
 }
--- a/crates/http1/src/request_body.rs
+++ b/crates/http1/src/request_body.rs
@@ -1,5 +1,5 @@
-//! Message bodies that are too long to buffer. The side that writes pulls them, so nothing is read before there is room
-//! for it.
+//! Streamed bodies, which are too long to buffer. The writing side pulls them, so that data is read only when
+//! it can be passed on (back-pressure).
 
 use crate::stream::TrackedStream;
 use bytes::Bytes;
@@ -14,16 +14,16 @@
 use std::task::{ready, Context, Poll};
 use std::time::{Duration, Instant};
 
-/// The part of a body that has been read, and the source of the rest.
+/// A request or response body that is streamed: the part that has been read, and the source of the rest.
 pub struct BodyStream {
     buffered: VecDeque<Bytes>,
     body: Incoming,
-    /// How many more bytes it may have.
+    /// Number of bytes that the rest of the body may have.
     remaining_bytes: usize,
 }
 
 impl BodyStream {
-    /// A body whose first pieces, `buffered`, have been read, and which may have up to `max_bytes` in all.
+    /// A body of at most `max_bytes` in total, of which the pieces in `buffered` have been read.
     pub fn new(buffered: VecDeque<Bytes>, body: Incoming, max_bytes: usize) -> BodyStream {
         BodyStream { buffered, body, remaining_bytes: max_bytes }
     }
@@ -31,7 +31,7 @@
     /// The next piece of data. Trailers are dropped.
     ///
     /// # Errors
-    /// The body ended early, or is longer than allowed.
+    /// The body ended early, or is longer than `max_bytes`.
     pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Error>>> {
         let piece = match self.buffered.pop_front() {
             Some(piece) => piece,
@@ -45,7 +45,9 @@
                 self.remaining_bytes = remaining;
                 Ok(piece)
             }
-            None => Err(Error::new(ErrorKind::InvalidData, "the message is too long")),
+            None => {
+                Err(Error::new(ErrorKind::InvalidData, "the body is longer than the maximum message size"))
+            }
         }))
     }
 
@@ -64,12 +66,12 @@
         }
     }
 
-    /// Whether all of it has been given out.
+    /// Whether all data has been returned.
     pub fn is_end_stream(&self) -> bool {
         self.buffered.is_empty() && self.body.is_end_stream()
     }
 
-    /// How much is to come, in bytes.
+    /// Number of bytes still to be returned.
     pub fn size_hint(&self) -> SizeHint {
         let buffered: usize = self.buffered.iter().map(Bytes::len).sum();
         match self.body.size_hint().exact() {
@@ -79,26 +81,26 @@
     }
 }
 
-/// A client's body that is forwarded as it arrives. It can be sent once.
+/// A request body that is forwarded as it arrives. It can be sent only once, as sent data is not kept.
 pub struct StreamingRequestBody {
     client_stream: Rc<TrackedStream>,
     timeout: Duration,
-    /// What is left of it, unless an attempt has it.
+    /// The part that has not been sent; `None` while an attempt holds it.
     remainder: RefCell<Option<BodyStream>>,
-    /// A part of it was sent.
+    /// Whether a part of the body has been passed to an attempt.
     consumed: Cell<bool>,
-    /// An attempt waits for the client to send more.
+    /// Whether an attempt waits for the client to send more.
     waiting_for_client: Cell<bool>,
-    /// When an attempt last asked for a piece.
+    /// When an attempt last requested data.
     last_pulled_at: Cell<Instant>,
-    /// Its last byte was read.
+    /// Whether the last byte has been read.
     ended: Rc<Cell<bool>>,
     length: Option<u64>,
     _reservation: Reservation,
 }
 
 impl StreamingRequestBody {
-    /// The body of a client that waits for `timeout` once all of it is sent.
+    /// The rest of a body whose client waits for the response for `timeout` after its last byte.
     pub fn new(
         client_stream: Rc<TrackedStream>,
         timeout: Duration,
@@ -118,70 +120,70 @@
         })
     }
 
-    /// How long the client waits once all of it is sent.
+    /// How long the client waits for the response after the last byte of the body.
     pub fn timeout(&self) -> Duration {
         self.timeout
     }
 
-    /// Its length in bytes; `None` if it comes in chunks.
+    /// Length of the body in bytes; `None` if it is chunked.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// A flag that becomes true with its last byte.
+    /// A flag that becomes true when the last byte has been read.
     pub fn ended(&self) -> Rc<Cell<bool>> {
         self.ended.clone()
     }
 
-    /// Whether a part of it was sent, so that it can't be sent again.
+    /// Whether a part has been passed to an attempt, so that the body can't be sent again.
     pub fn is_consumed(&self) -> bool {
         self.consumed.get()
     }
 
-    /// Whether it waits for the client, and not for the backend.
+    /// Whether an attempt waits for the client to send more, rather than for the backend to read.
     pub fn is_waiting_for_client(&self) -> bool {
         self.waiting_for_client.get() && !self.ended.get()
     }
 
-    /// When the client gives up; `None` while it is still sending.
+    /// When the client stops waiting for the response; `None` while it is still sending the body.
     pub fn deadline(&self) -> Option<Instant> {
         self.ended.get().then(|| self.client_stream.last_read() + self.timeout)
     }
 
-    /// Whether the backend has read nothing of it for `stall_timeout`.
+    /// Whether the backend has accepted no more data for `stall_timeout`.
     pub fn is_backend_stalled(&self, stall_timeout: Duration) -> bool {
         !self.ended.get()
             && !self.waiting_for_client.get()
             && self.last_pulled_at.get().elapsed() >= stall_timeout
     }
 
-    /// Takes what is left, if no attempt has it, so that it can be discarded.
+    /// Takes the part that has not been sent, for [`discard`]; `None` if an attempt holds it.
     pub fn take_unsent(&self) -> Option<BodyStream> {
         self.remainder.take()
     }
 }
 
-/// Reads a body to its end and drops it. A client that is still sending would otherwise have its connection reset, and
-/// lose the response.
+/// Reads a body to its end and drops it. Otherwise the connection of a client that is still sending would be
+/// reset, and the client would lose the response.
 pub async fn discard(mut body: BodyStream) {
     while let Some(Ok(_)) = std::future::poll_fn(|cx| body.poll_data(cx)).await {}
 }
 
-/// The body of an attempt's request.
+/// The request body as sent by one attempt.
 pub enum AttemptBody {
-    /// In memory; it can be sent again.
+    /// A complete body in memory, which can be sent again.
     Buffered(Full<Bytes>),
-    /// Streaming; it can be sent once.
+    /// A streamed body, which can be sent only once.
     Streaming {
-        /// The client's body.
+        /// The body that the client sends.
         source: Rc<StreamingRequestBody>,
-        /// What is left of it; it goes back to `source` when the attempt ends.
+        /// The part that has not been sent. It is returned to `source` when the attempt ends.
         remainder: Option<BodyStream>,
     },
 }
 
 impl AttemptBody {
-    /// Takes a client's body for an attempt.
+    /// Takes the unsent part of a streamed body for an attempt.
     pub fn streaming(source: &Rc<StreamingRequestBody>) -> AttemptBody {
         source.last_pulled_at.set(Instant::now());
         AttemptBody::Streaming { source: source.clone(), remainder: source.remainder.take() }
@@ -203,13 +205,15 @@
             AttemptBody::Streaming { source, remainder } => (source, remainder),
         };
         let Some(remainder) = remainder else {
-            return Poll::Ready(Some(Err(Error::other("the body is spent"))));
+            return Poll::Ready(Some(Err(Error::other(
+                "the request body is held by another attempt or has been discarded",
+            ))));
         };
         source.consumed.set(true);
         source.last_pulled_at.set(Instant::now());
         let polled = remainder.poll_data(cx);
         if polled.is_pending() && !source.waiting_for_client.get() {
-            // Only now does the client's time run: until now the backend read nothing.
+            // The client's request timeout starts now: until now the attempt waited for the backend to read.
             source.client_stream.restart_read_window();
         }
         source.waiting_for_client.set(polled.is_pending());
--- a/crates/http1/src/response_body.rs
+++ b/crates/http1/src/response_body.rs
@@ -1,5 +1,5 @@
-//! A backend's response that is too long to buffer. The client's side pulls it, together with the connection it comes
-//! on.
+//! A streamed response body. The client connection pulls it, and thereby drives the backend connection that
+//! it arrives on.
 
 use crate::backend_connection::BackendConnection;
 use crate::request_body::BodyStream;
@@ -13,18 +13,18 @@
 use std::time::Duration;
 use tokio::time::{sleep, Sleep};
 
-/// How far a streaming response has come.
+/// Progress of a streamed response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransferState {
-    /// More is to come.
+    /// The response has not ended.
     InProgress,
-    /// All of it.
+    /// The response has been forwarded completely.
     Complete,
-    /// It was cut short; the client must see that.
+    /// The response is truncated. The client connection is aborted, so that the client notices.
     Failed,
 }
 
-/// A backend's response that is forwarded as it arrives, with the connection it comes on.
+/// A response body that is forwarded as it arrives, with the backend connection that it arrives on.
 pub struct StreamingResponseBody {
     body: BodyStream,
     connection: Option<BackendConnection>,
@@ -36,8 +36,8 @@
 }
 
 impl StreamingResponseBody {
-    /// A response. `return_connection` gets the connection if it can carry another exchange; the response fails if
-    /// nothing comes for `stall_timeout`.
+    /// A body that arrives on `connection`. When it ends, `return_connection` gets the connection if it can
+    /// be reused. The response fails if the backend sends nothing for `stall_timeout`.
     pub fn new(
         body: BodyStream,
         connection: BackendConnection,
@@ -56,12 +56,12 @@
         }
     }
 
-    /// How far it has come.
+    /// The progress of the response.
     pub fn state(&self) -> TransferState {
         self.state
     }
 
-    /// Ready once the backend has sent nothing for the stall timeout.
+    /// Ready once the backend has sent nothing for `stall_timeout`.
     fn poll_stall_timer(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let timer = self.stall_timer.get_or_insert_with(|| Box::pin(sleep(self.stall_timeout)));
         timer.as_mut().poll(cx)
@@ -114,7 +114,10 @@
                 Poll::Ready(None)
             }
             Poll::Pending if this.poll_stall_timer(cx).is_pending() => Poll::Pending,
-            Poll::Pending => this.fail(Error::new(ErrorKind::TimedOut, "the backend has fallen silent")),
+            Poll::Pending => this.fail(Error::new(
+                ErrorKind::TimedOut,
+                "the backend sent no data of the response within the stall timeout",
+            )),
         }
     }
 
--- a/crates/http1/src/server/accept.rs
+++ b/crates/http1/src/server/accept.rs
@@ -1,4 +1,4 @@
-//! The accept loop, and the admission of connections.
+//! The accept loop, and the admission of client connections.
 
 use super::client_connection::ClientConnection;
 use super::HttpServer;
@@ -10,7 +10,7 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::sleep;
 
-/// How many other connections may be asked to close for one new connection.
+/// Maximum number of other connections that are closed to make room for one new connection.
 const MAX_ADMIT_ATTEMPTS: u32 = 4;
 /// Pause of the accept loop when the process is out of file descriptors.
 const OUT_OF_DESCRIPTORS_PAUSE: Duration = Duration::from_millis(5);
@@ -18,8 +18,8 @@
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(1);
 
 impl HttpServer {
-    /// Accepts connections until a newer process has the address to itself, or this one is about to end: until then
-    /// the connections in the kernel's queue count as accepted.
+    /// Accepts connections until a successor process takes over the address, or this process is about to
+    /// exit. Then closes the listener, after admitting the connections that are still in its queue.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             let accepted = tokio::select! {
@@ -29,12 +29,12 @@
             };
             match accepted {
                 Ok((stream, _)) => self.admit(stream).await,
-                // An error must not end the loop: out of descriptors, idle connections are closed.
+                // Errors must not end the loop. If file descriptors have run out, a connection is closed.
                 Err(e) if out_of_descriptors(&e) => {
                     let _ = self.shed_connection() || self.client.close_longest_idle();
                     sleep(OUT_OF_DESCRIPTORS_PAUSE).await;
                 }
-                // The client left before it was accepted.
+                // Mostly a client that disconnected before it was accepted.
                 Err(_) => sleep(ACCEPT_ERROR_PAUSE).await,
             }
         }
@@ -42,10 +42,10 @@
         self.listener_closed.set(true);
     }
 
-    /// Closes the listener, and admits the connections that still wait in its queue. They would be reset with the
-    /// listener, so no further one may come up between the last `accept` and the close.
+    /// Closes the listener after admitting the connections in its queue. The close resets connections that
+    /// are still queued, so none may be established between the last `accept` and the close.
     async fn close_listener(self: &Rc<Self>, listener: TcpListener) {
-        // Where the system has no socket filters, a connection that comes up right before the close is reset.
+        // Without socket filters, a connection that is established right before the close is reset.
         if stop_handshakes(&listener).is_ok() {
             sleep(MAX_HANDSHAKE_DURATION).await;
         }
@@ -62,8 +62,9 @@
         }
     }
 
-    /// Admits a connection. Beyond the limit on client connections another one has to close for it, so that a
-    /// flood of connections does not use up the sockets that attempts need.
+    /// Admits a connection. At the limit on client connections another one is closed to make room; if none
+    /// can be, the new one is dropped. The limit keeps a flood of connections from using up the sockets of
+    /// attempts.
     async fn admit(self: &Rc<Self>, stream: TcpStream) {
         for _ in 0..MAX_ADMIT_ATTEMPTS {
             if let Some(reservation) = self.limits.client_connections.reserve(1) {
@@ -71,7 +72,7 @@
                 spawn_local(self.clone().run_connection(id, connection));
                 return;
             }
-            // The other one is closed by its own task, unless a request has come on it meanwhile.
+            // The other connection is closed by its own task, unless a request has arrived on it meanwhile.
             if !self.shed_connection() {
                 return;
             }
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Adds a connection to the table. This happens before another one is accepted: connections that are not in
-    /// the table would count as ones that can't be closed.
+    /// Adds a connection to the table. This must happen before the next one is accepted, because only
+    /// connections in the table can be shed to make room.
     fn register(&self, stream: TcpStream, reservation: Reservation) -> (u64, Rc<ClientConnection>) {
         let connection = Rc::new(ClientConnection::new(stream, reservation, &self.limits.tuning()));
         let id = self.next_connection_id.replace(self.next_connection_id.get() + 1);
--- a/crates/http1/src/server/access_log.rs
+++ b/crates/http1/src/server/access_log.rs
@@ -1,4 +1,4 @@
-//! The access log: one record for each request, where the operator turns it on.
+//! The access log: one record for each request, if the operator turns it on (`log.calls`).
 
 use crate::client::HttpClient;
 use hillstall_decision::Outcome;
@@ -7,27 +7,27 @@
 
 /// One record of the access log.
 pub(super) struct AccessLogRecord {
-    /// The `Request-Id`.
+    /// Value of the `Request-Id` header.
     pub(super) id: String,
-    /// The name of the request's class.
+    /// Name of the request's class.
     pub(super) class: String,
-    /// The name of its tenant; empty where there are none.
+    /// Name of the tenant; empty if the settings have no tenants.
     pub(super) tenant: String,
-    /// The name of the tier it was sent to.
+    /// Name of the tier of backends that this instance sends to.
     pub(super) tier: String,
-    /// How it ended: see [`completion_name`].
-    pub(super) end: &'static str,
-    /// The status of the response.
+    /// How the request ended: see [`completion_name`].
+    pub(super) completion: &'static str,
+    /// HTTP status of the response.
     pub(super) status: u16,
-    /// Its attempts.
+    /// History of the attempts.
     pub(super) trace: RequestTrace,
-    /// When its first bytes were read.
+    /// When the first bytes of the request were read.
     pub(super) started_at: Instant,
-    /// When its final response was known.
+    /// When the final response was known.
     pub(super) completed_at: Instant,
 }
 
-/// How a request ended, in the words of the access log.
+/// How a request ended, as written to the access log. Tools read these names, so they are fixed.
 pub(super) fn completion_name(response: &FinalResponse<HttpClient>) -> &'static str {
     match response {
         FinalResponse::Served(_) => "served",
@@ -48,21 +48,22 @@
 }
 
 impl AccessLogRecord {
-    /// Writes the record, once the response has been handed to the connection (`is_complete`) or can't be.
-    /// The phases: reading the request, deciding on its first attempt, all attempts but the last, the last
-    /// attempt, and writing the response.
+    /// Writes the record after the response has been passed to the connection completely (`is_complete`), or
+    /// sending it has failed. The durations are, in this order: reading the request, deciding on the first
+    /// attempt, all attempts but the last, the last attempt, and writing the response.
     pub(super) fn write(self: Box<Self>, is_complete: bool) {
-        let AccessLogRecord { id, class, tenant, tier, end, status, trace, started_at, completed_at } = *self;
+        let AccessLogRecord { id, class, tenant, tier, completion, status, trace, started_at, completed_at } =
+            *self;
         let first_attempt_at = trace.first_attempt_at.unwrap_or(completed_at);
         let last_attempt_at = trace.last_attempt_at.unwrap_or(completed_at);
-        // The field names are read by tools: they stay.
+        // Tools read the target, the field names and the message, so they are fixed.
         tracing::info!(
             target: "hillstall::call",
             id,
             class,
             tenant,
             tier,
-            end,
+            end = completion,
             status,
             whole = is_complete,
             attempts = trace.attempts,
--- a/crates/http1/src/server/body_prefix.rs
+++ b/crates/http1/src/server/body_prefix.rs
@@ -1,4 +1,5 @@
-//! The first part of a client's body: all of it, or as much as is buffered before the rest is streamed.
+//! The buffered first part of a request body: the complete body, or the part that is read before streaming
+//! starts.
 
 use super::client_connection::ClientConnection;
 use super::request_error::RequestError;
@@ -14,14 +15,14 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The part of a body that has been read, and the source of the remainder if there is one.
+/// The part of a request body that has been read, and the source of the remainder if there is one.
 pub(super) struct BodyPrefix {
     pieces: VecDeque<Bytes>,
     remainder: Option<Incoming>,
 }
 
 impl BodyPrefix {
-    /// Reads a body to its end, or until more than `max_buffered` bytes have come.
+    /// Reads a body to its end, or until more than `max_buffered` bytes have been received.
     pub(super) async fn read(mut body: Incoming, max_buffered: usize) -> Result<BodyPrefix, RequestError> {
         let (mut pieces, mut buffered) = (VecDeque::new(), 0);
         while buffered <= max_buffered {
@@ -37,7 +38,7 @@
         Ok(BodyPrefix { pieces, remainder: Some(body) })
     }
 
-    /// Checks what can only be checked once the body has been read.
+    /// Checks what depends on the body: the framing of its chunks, and that only a POST has one.
     pub(super) fn check(&self, connection: &ClientConnection, method: &Method) -> Result<(), RequestError> {
         if connection.stream.is_ambiguous() {
             return Err(RequestError::InvalidChunks);
@@ -49,7 +50,7 @@
         Ok(())
     }
 
-    /// The body as it is forwarded: buffered if it was read to its end, streaming otherwise.
+    /// The body to forward: buffered if it was read to its end, streamed otherwise.
     pub(super) fn into_request_body(
         self,
         connection: &ClientConnection,
--- a/crates/http1/src/server/connection_task.rs
+++ b/crates/http1/src/server/connection_task.rs
@@ -1,4 +1,4 @@
-//! The task of one client connection: serving HTTP on it, and parking it while it is idle.
+//! The task of one client connection: serves HTTP on it, and parks it while it is idle.
 
 use super::client_connection::{ClientConnection, CloseMode};
 use super::HttpServer;
@@ -10,22 +10,23 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long a connection that is being closed may take to send the request it has begun.
+/// How long a client may take to complete the request that it is sending when its connection is being closed.
 const CLOSE_GRACE_PERIOD: Duration = Duration::from_secs(2);
 
-/// The state in which serving leaves a connection.
+/// The state of a connection after serving it.
 #[derive(PartialEq)]
 enum ConnectionState {
     Closed,
-    /// Idle: only its socket is kept until more can be read.
+    /// Idle: only the socket is kept, until more data can be read.
     Parked,
 }
 
 impl HttpServer {
-    /// Runs a connection to its end.
+    /// Runs a connection until it is closed.
     pub(super) async fn run_connection(self: Rc<Self>, id: u64, connection: Rc<ClientConnection>) {
-        // The future is boxed so that a parked connection does not keep memory for it. A new connection is read
-        // at once: until then it looks like one that sends nothing, and would be the first to be shed.
+        // The future is boxed so that a parked connection does not keep memory for it. New connections are
+        // read before they are first parked: one that seems to have sent nothing would be the first to be
+        // shed.
         while Box::pin(self.serve_connection(&connection)).await == ConnectionState::Parked {
             connection.parked.set(true);
             if !wait_until_readable(&connection).await {
@@ -36,7 +37,7 @@
         self.connections.borrow_mut().remove(&id);
     }
 
-    /// Serves HTTP on a connection until it is closed, or idle and ready to be parked.
+    /// Serves HTTP on a connection until it is closed or can be parked.
     async fn serve_connection(self: &Rc<Self>, connection: &Rc<ClientConnection>) -> ConnectionState {
         let service =
             service_fn(|request| async move { Ok::<_, Infallible>(self.serve(connection, request).await) });
@@ -48,8 +49,8 @@
         loop {
             tokio::select! {
                 biased;
-                // An error means that the client has left or sent something that is not HTTP. Either way the
-                // connection ends, and an open request with its guard.
+                // An error means that the client has disconnected or sent invalid HTTP. The connection ends,
+                // and dropping the guard of an open request cancels it.
                 _ = &mut http => return ConnectionState::Closed,
                 () = connection.wake.notified() => match connection.close_mode.get() {
                     CloseMode::Open if connection.can_park(self.limits.tuning().buffer_release_after) => {
@@ -59,14 +60,14 @@
                     CloseMode::Immediate if !connection.request_in_progress.get() => {
                         return ConnectionState::Closed;
                     }
-                    // It is no longer idle: hyper would drop what it has read behind the request in progress.
+                    // More has arrived, which hyper would drop if it had been read: the close is cancelled.
                     CloseMode::Graceful if connection.has_waiting_request() => {
                         connection.close_mode.set(CloseMode::Open);
                     }
                     _ => http.as_mut().graceful_shutdown(),
                 },
-                // A graceful shutdown would wait for ever for a head that never ends. If the head did end
-                // meanwhile, the request was accepted and is served.
+                // hyper's graceful shutdown would wait for ever for an incomplete head. If the head has been
+                // completed meanwhile, its request is in progress and is served.
                 () = sleep(CLOSE_GRACE_PERIOD), if connection.close_mode.get() != CloseMode::Open => {
                     if !connection.request_in_progress.get() && !connection.stream.is_write_blocked() {
                         return ConnectionState::Closed;
@@ -77,7 +78,7 @@
     }
 }
 
-/// Waits until there is something to read on a parked connection; false if it is to be closed instead.
+/// Waits until a parked connection has data to read; false if it must be closed instead.
 async fn wait_until_readable(connection: &ClientConnection) -> bool {
     loop {
         tokio::select! {
@@ -88,7 +89,7 @@
                 CloseMode::Immediate => return false,
                 CloseMode::Graceful if connection.stream.is_idle_and_open() => return false,
                 CloseMode::Graceful => {
-                    // A request has just come: it is served, and then the connection is closed.
+                    // A request has just arrived: it is served before the connection is closed.
                     connection.wake.notify_one();
                     return true;
                 }
--- a/crates/http1/src/server/maintenance.rs
+++ b/crates/http1/src/server/maintenance.rs
@@ -1,4 +1,5 @@
-//! Periodic work on the connections: timeouts, parking, and closing the least useful ones.
+//! Periodic work on connections (timeouts, parking, closing idle ones), and load shedding of client
+//! connections.
 
 use super::client_connection::{ClientConnection, CloseMode};
 use super::HttpServer;
@@ -9,11 +10,11 @@
 
 /// Time between two rounds of maintenance.
 pub(super) const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
-/// How many connections are examined to find one to shed.
+/// Maximum number of connections examined to find one to shed.
 const MAX_SHED_CANDIDATES: usize = 8;
 
 impl HttpServer {
-    /// Maintains the connections on both sides, for ever.
+    /// Maintains client and backend connections, for ever.
     pub async fn maintain_connections(self: Rc<Self>) {
         loop {
             sleep(MAINTENANCE_INTERVAL).await;
@@ -27,27 +28,28 @@
         }
     }
 
-    /// Closes one connection: the least useful of those that never brought a valid request, or else the one that
-    /// has been idle longest. False if all are busy.
+    /// Closes one client connection to make room: one that never sent a valid request, or else the one that
+    /// has been idle longest. False if there is none of either.
     pub(super) fn shed_connection(&self) -> bool {
-        self.shed_unproven() || self.shed_idle()
+        self.shed_without_valid_request() || self.shed_idle()
     }
 
-    /// Closes the least useful of the connections that never brought a valid request: first those that have sent
-    /// nothing, then those that stopped in the middle of a request, the longest silent ones first.
-    fn shed_unproven(&self) -> bool {
+    /// Closes one of the connections that never sent a valid request: first those that have sent nothing,
+    /// then those with an incomplete request, in each case the one that last sent data longest ago.
+    fn shed_without_valid_request(&self) -> bool {
         let connections = self.connections.borrow();
-        let usefulness = |connection: &&Rc<ClientConnection>| {
+        let shed_order = |connection: &&Rc<ClientConnection>| {
             (connection.stream.message_started_at().is_some(), connection.stream.last_read())
         };
         for candidates_left in (0..MAX_SHED_CANDIDATES).rev() {
-            let unproven = connections.values().filter(|connection| {
+            let without_valid_request = connections.values().filter(|connection| {
                 !connection.has_sent_valid_request.get()
                     && !connection.request_in_progress.get()
                     && connection.close_mode.get() != CloseMode::Immediate
             });
-            let Some(candidate) = unproven.min_by_key(usefulness) else { return false };
-            // What it has sent may only be waiting to be read.
+            let Some(candidate) = without_valid_request.min_by_key(shed_order) else { return false };
+            // It may have sent data that has not been read yet. Such a connection counts as sending a
+            // request.
             let stream = &candidate.stream;
             if candidates_left > 0 && stream.message_started_at().is_none() && stream.has_unread() {
                 stream.mark_message_started();
@@ -59,7 +61,7 @@
         false
     }
 
-    /// Closes the connection that has been idle longest; false if none is idle.
+    /// Closes the client connection that has been idle longest; false if none is idle.
     fn shed_idle(&self) -> bool {
         let connections = self.connections.borrow();
         let idle = connections.values().filter(|connection| connection.is_idle());
@@ -67,7 +69,7 @@
         oldest.inspect(|connection| connection.close(CloseMode::Graceful)).is_some()
     }
 
-    /// Closes connections that have been idle for `idle_timeout`, except those with a request still to be read.
+    /// Closes client connections that have been idle for `idle_timeout`.
     fn close_idle(&self, idle_timeout: Duration) {
         for connection in self.connections.borrow().values() {
             if connection.last_used_at.get().elapsed() >= idle_timeout && connection.is_idle() {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Closes connections whose client has taken too long to send its request or to read its response.
+    /// Closes connections whose client takes too long to send its request or to read its response.
     fn close_timed_out(&self) {
         let tuning = self.limits.tuning();
         let connections = self.connections.borrow();
@@ -87,7 +89,7 @@
             connection.request_in_progress.set(false);
             connection.close(CloseMode::Immediate);
         }
-        // A client that does not read its response gets no more of it.
+        // The rest of a response that the client does not read is dropped.
         for connection in
             connections.values().filter(|connection| connection.stream.is_write_stalled(tuning.stall_timeout))
         {
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Releases the last responses that have been written.
+    /// Releases the memory of responses that have been written.
     fn release_written_responses(&self) {
         for connection in self.connections.borrow().values() {
             if !connection.stream.is_write_blocked() {
--- a/crates/http1/src/server/mod.rs
+++ b/crates/http1/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! The server side: client connections, `/up`, and graceful shutdown. One request is handled in `request`.
+//! The server side: client connections, requests, readiness (`/up`) and graceful shutdown.
 
 mod accept;
 mod access_log;
@@ -33,35 +33,35 @@
     client: Rc<HttpClient>,
     classes: Vec<Class>,
     tenants: Vec<Tenant>,
-    /// The name of the tier this proxy sends to, for the access log.
+    /// Name of the tier of backends that this instance sends to, for the access log.
     tier_name: String,
-    /// Whether rejections for want of capacity say when to retry.
+    /// Whether capacity rejections have a `Retry-After` header.
     retry_after: bool,
     connections: RefCell<FxHashMap<u64, Rc<ClientConnection>>>,
     next_connection_id: Cell<u64>,
     open_request_ids: Rc<RefCell<FxHashSet<String>>>,
     limits: Rc<Limits>,
-    started: Instant,
-    /// Whether a list of backends is known from before this process started.
-    has_known_backends: bool,
+    started_at: Instant,
+    /// Whether the process started with a cached endpoint list.
+    has_cached_endpoints: bool,
     lifecycle: Rc<Lifecycle>,
     metrics: Rc<Metrics>,
-    /// Makes the accept loop close the listener.
+    /// Makes the accept loop end and close the listener.
     stop_accepting: Notify,
-    /// Whether the accept loop has closed the listener, and admitted what waited there.
+    /// Whether the accept loop has closed the listener and admitted the connections that were queued.
     listener_closed: Cell<bool>,
 }
 
 impl HttpServer {
-    /// A server for the clients of a deployment. `has_known_backends` says that a list of backends is known from
-    /// before, so that `/up` waits less long for discovery.
+    /// A server that passes requests to `driver`. `has_cached_endpoints` says that the process starts with a
+    /// cached endpoint list, which shortens the wait for discovery before the process is ready.
     pub fn new(
         driver: Rc<Driver<HttpClient>>,
         client: Rc<HttpClient>,
         limits: Rc<Limits>,
         (lifecycle, metrics): (Rc<Lifecycle>, Rc<Metrics>),
         settings: &Settings,
-        has_known_backends: bool,
+        has_cached_endpoints: bool,
     ) -> Rc<HttpServer> {
         Rc::new(HttpServer {
             driver,
@@ -74,8 +74,8 @@
             next_connection_id: Cell::new(0),
             open_request_ids: Rc::default(),
             limits,
-            started: Instant::now(),
-            has_known_backends,
+            started_at: Instant::now(),
+            has_cached_endpoints,
             lifecycle,
             metrics,
             stop_accepting: Notify::new(),
@@ -83,13 +83,16 @@
         })
     }
 
-    /// Restricts this process to its part of the limits, beside so many other processes.
+    /// Limits this process to its share of sockets, memory and quotas, while `others` more processes of the
+    /// same instance run.
     pub fn apply_resource_share(&self, others: usize) {
         self.limits.share_with(others);
         self.driver.share_quota_with(others);
     }
 
-    /// Whether this process is within its part of the connection limits; closes what it can to get there.
+    /// Closes connections until this process is within its share of the connection limits; closes at most one
+    /// client connection per call. Returns whether the limits are met, so that the caller can repeat the
+    /// call.
     pub fn enforce_connection_limits(&self) -> bool {
         if self.limits.client_connections.is_exceeded() {
             self.shed_connection();
--- a/crates/http1/src/server/request.rs
+++ b/crates/http1/src/server/request.rs
@@ -1,11 +1,11 @@
-//! One request: from its head to its final response.
+//! Handles one request, from its head to its final response.
 
 use super::access_log::{self, AccessLogRecord};
 use super::body_prefix::BodyPrefix;
 use super::client_connection::ClientConnection;
 use super::request_error::RequestError;
 use super::request_head::{check_transfer_coding, single_value, OpenRequestId, REQUEST_ID};
-use super::response::{rejection, served, text_response, with_outcome, ClientResponse};
+use super::response::{forwarded_response, rejection, text_response, with_outcome, ClientResponse};
 use super::{HttpServer, MAINTENANCE_INTERVAL};
 use crate::client::HttpClient;
 use crate::message::{ClientRequest, ClientRequestBody};
@@ -23,12 +23,13 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::timeout_at;
 
-/// The decision module answers at the deadline. If it has not done so this long after, the driver answers.
+/// How long after the deadline the server waits for the decision module to end a request before it closes the
+/// request itself.
 const RESPONSE_GRACE_PERIOD: Duration = Duration::from_millis(10);
 
-/// What the access log needs of a request that has been handed to the driver.
+/// Data for the access log record of a request, taken when the request is passed to the driver.
 struct AccessLogContext {
-    /// Empty if requests are not logged.
+    /// Empty if the access log is off.
     request_id: String,
     class: u8,
     tenant: u16,
@@ -63,27 +64,27 @@
     is_head: bool,
 }
 
-/// What became of a request that was handed to the driver.
-enum Forwarding {
+/// The result of passing a request to the driver.
+enum ForwardResult {
     Accepted(ForwardedRequest),
-    /// The driver has as many open requests as it can; this is the response.
+    /// The maximum number of requests is open; the client gets this response.
     Rejected(ClientResponse),
 }
 
 impl HttpServer {
-    /// Answers one request of a connection.
+    /// Serves one request and returns the response to it.
     pub(super) async fn serve(
         &self,
         connection: &Rc<ClientConnection>,
         request: Request<Incoming>,
     ) -> ClientResponse {
         connection.last_response.take();
-        connection.requests_taken.set(connection.requests_taken.get() + 1);
+        connection.requests_dispatched.set(connection.requests_dispatched.get() + 1);
         let result = self.respond(connection, request).await;
         let is_streaming = result.as_ref().is_ok_and(|response| response.body().busy_connection.is_some());
         let discards_body = !is_streaming && finish_request(connection);
-        // What follows an invalid request on its connection may be part of it, so nothing more is read there. A pipelined
-        // request would be lost with its connection, so that is closed behind the last one.
+        // Bytes after an invalid request may belong to it, so its connection is closed. When idle connections
+        // are to be closed, a connection with a pipelined request stays open, as the request would be lost.
         let should_close_idle = self.lifecycle.should_close_idle(self.limits.tuning().drain_close_delay);
         let must_close =
             result.is_err() || discards_body || (should_close_idle && !connection.has_waiting_request());
@@ -92,13 +93,14 @@
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         if response.status() != StatusCode::OK {
-            // Protects the other clients from one that retries as soon as it is rejected.
+            // Lets the tasks of other clients run, so that a client that retries at once does not starve
+            // them.
             yield_now().await;
         }
         response
     }
 
-    /// Reads and checks a request, and answers it.
+    /// Reads and validates a request, has it served, and returns the response.
     async fn respond(
         &self,
         connection: &Rc<ClientConnection>,
@@ -107,8 +109,8 @@
         let (head, body) = request.into_parts();
         check_transfer_coding(connection, &head.headers)?;
         if head.uri.path() == "/up" {
-            // Anybody may ask this, so it is no sign of a valid client.
-            return Ok(self.up());
+            // Anybody can request `/up`, so it does not mark the connection as one with a valid request.
+            return Ok(self.readiness_response());
         }
         let (metadata, timeout) = self.read_head(&head)?;
         let path = head.uri.path_and_query().ok_or(RequestError::MissingPath)?.clone();
@@ -122,8 +124,8 @@
         let body = prefix.into_request_body(connection, timeout, reservation, &tuning);
         let request = ClientRequest { method: head.method, path, headers: head.headers, body };
         let forwarded = match self.forward(connection, metadata, timeout, request, &tuning)? {
-            Forwarding::Accepted(forwarded) => forwarded,
-            Forwarding::Rejected(response) => return Ok(response),
+            ForwardResult::Accepted(forwarded) => forwarded,
+            ForwardResult::Rejected(response) => return Ok(response),
         };
         let ForwardedRequest { _open_id, guard, receiver, deadline, streaming_body, .. } = forwarded;
         let completion = wait_for_completion(&guard, receiver, deadline, streaming_body).await;
@@ -133,7 +135,7 @@
         final_response(connection, response, forwarded.is_head, forwarded.open_request, record)
     }
 
-    /// Hands a request to the driver.
+    /// Passes a request to the driver.
     fn forward(
         &self,
         connection: &Rc<ClientConnection>,
@@ -141,7 +143,7 @@
         timeout: Duration,
         request: ClientRequest,
         tuning: &Tuning,
-    ) -> Result<Forwarding, RequestError> {
+    ) -> Result<ForwardResult, RequestError> {
         let id = single_value(&request.headers, REQUEST_ID).unwrap_or_default();
         let _open_id =
             OpenRequestId::new(&self.open_request_ids, id).ok_or(RequestError::DuplicateRequestId)?;
@@ -151,16 +153,17 @@
         };
         connection.start_request(streaming_body.clone());
         let open_request = self.metrics.begin(metadata.class);
-        // The timeout runs from the last byte of the request: the last one read, unless the body is streaming.
+        // The timeout runs from the last byte of the request, which has been read unless the body is
+        // streamed.
         metadata.deadline = connection.stream.last_read() + timeout;
         let deadline = metadata.deadline;
         let log_context = AccessLogContext::new(connection, &metadata, id, tuning);
         let is_head = request.method == Method::HEAD;
         let Some((guard, receiver)) = self.driver.request(metadata, request) else {
             let response = with_outcome(self.capacity_rejection(), open_request, RequestOutcome::Deferred);
-            return Ok(Forwarding::Rejected(response));
+            return Ok(ForwardResult::Rejected(response));
         };
-        Ok(Forwarding::Accepted(ForwardedRequest {
+        Ok(ForwardResult::Accepted(ForwardedRequest {
             _open_id,
             guard,
             receiver,
@@ -172,7 +175,7 @@
         }))
     }
 
-    /// Reserves memory for the part of a body that may be buffered; `None` if there is not enough.
+    /// Reserves memory for the part of a body that may be buffered; `None` if there is not enough left.
     fn reserve_body(&self, body: &Incoming, tuning: &Tuning) -> Result<Option<Reservation>, RequestError> {
         let length = body.size_hint().exact();
         if length.is_some_and(|length| length > tuning.max_message_bytes as u64) {
@@ -195,7 +198,7 @@
             class: class.map(|class| class.name.clone()).unwrap_or_default(),
             tenant: tenant.map(|tenant| tenant.name.clone()).unwrap_or_default(),
             tier: self.tier_name.clone(),
-            end: access_log::completion_name(&completion.response),
+            completion: access_log::completion_name(&completion.response),
             status: 0,
             trace: completion.trace,
             started_at: context.started_at,
@@ -203,7 +206,7 @@
         })
     }
 
-    /// A rejection for want of capacity, with a `Retry-After` where the settings permit it.
+    /// A capacity rejection, with a `Retry-After` header if the settings permit it.
     fn capacity_rejection(&self) -> ClientResponse {
         let retry_after_ms =
             if self.retry_after { self.limits.tuning().retry_after.as_secs_f64() * 1000.0 } else { 0.0 };
@@ -211,8 +214,8 @@
     }
 }
 
-/// Ends a request whose response does not stream. True if its body was still coming: the client may go on sending
-/// what is no longer needed, so that is read and dropped.
+/// Ends a request whose response is not streamed. If its body has not been received completely, the rest is
+/// read and dropped in the background, and the result is true.
 fn finish_request(connection: &ClientConnection) -> bool {
     let unsent = connection
         .streaming_body
@@ -228,8 +231,8 @@
     discards_body
 }
 
-/// Waits for the driver's response. If none has come shortly after the deadline, the request is closed, which
-/// makes the driver answer. `None` if the driver is gone.
+/// Waits for the completion of a request. If there is none shortly after the deadline, the request is closed,
+/// which makes the driver fail it. `None` if the driver has been dropped.
 async fn wait_for_completion(
     guard: &RequestGuard<HttpClient>,
     mut receiver: oneshot::Receiver<Completion<HttpClient>>,
@@ -237,7 +240,7 @@
     streaming_body: Option<Rc<StreamingRequestBody>>,
 ) -> Option<Completion<HttpClient>> {
     loop {
-        // A streaming body has no deadline before its last byte has come.
+        // A streamed body has no deadline until its last byte has been received.
         let deadline = match &streaming_body {
             None => Some(deadline),
             Some(body) => body.deadline(),
@@ -255,7 +258,8 @@
     }
 }
 
-/// The response to the client, with the outcome that is counted and the record that is written once it is sent.
+/// The response to the client. The outcome is counted and the access log record is written once it has been
+/// sent.
 fn final_response(
     connection: &Rc<ClientConnection>,
     response: Option<FinalResponse<HttpClient>>,
@@ -265,7 +269,7 @@
 ) -> Result<ClientResponse, RequestError> {
     let (mut response, outcome) = match response {
         Some(FinalResponse::Served(response)) => {
-            (served(connection, response, is_head), RequestOutcome::Answered)
+            (forwarded_response(connection, response, is_head), RequestOutcome::Answered)
         }
         Some(FinalResponse::Rejected(retry_after_ms)) => {
             (rejection(retry_after_ms), RequestOutcome::Deferred)
--- a/crates/http1/src/server/request_error.rs
+++ b/crates/http1/src/server/request_error.rs
@@ -1,4 +1,4 @@
-//! Requests that the client itself is at fault for, and how each of them is answered.
+//! Invalid requests, and the status and text with which each of them is answered.
 
 use hyper::StatusCode;
 
@@ -10,7 +10,7 @@
     AmbiguousLength,
     /// The transfer coding is not `chunked`.
     UnsupportedTransferCoding,
-    /// The target has no path.
+    /// The request target has no path.
     MissingPath,
     /// `Request-Id` is missing or repeated.
     MissingRequestId,
@@ -28,19 +28,19 @@
     UnknownTenant,
     /// `Request-Timeout-Ms` is missing, repeated or not a whole number.
     InvalidTimeout,
-    /// The class is sent with another method.
+    /// The method does not fit the retry safety of the class.
     MethodNotAllowed,
     /// `Idempotency-Key` is missing where the class needs one, or present where it allows none.
     IdempotencyKeyMismatch,
     /// A request that is not a POST has a body.
     UnexpectedBody,
-    /// The body is longer than this proxy forwards.
+    /// The body is longer than the proxy forwards (`messages.longest`).
     BodyTooLarge,
-    /// The body ended before its length.
+    /// The body ended before its stated length.
     TruncatedBody,
-    /// The body is not in valid chunks.
+    /// The chunked body is malformed.
     InvalidChunks,
-    /// A backend answered with this client error.
+    /// A backend answered with this client error status.
     RejectedByBackend(StatusCode),
 }
 
@@ -57,7 +57,8 @@
         }
     }
 
-    /// The text that the client gets as the body of the response.
+    /// The text that the client gets as the body of the response. Clients read these texts, so they are
+    /// fixed.
     pub(super) fn message(self) -> &'static str {
         match self {
             RequestError::AmbiguousLength => "a request's length is told twice",
--- a/crates/http1/src/server/request_head.rs
+++ b/crates/http1/src/server/request_head.rs
@@ -1,4 +1,4 @@
-//! The heads of requests: a request in the decision module's terms, or why it is invalid.
+//! Validates the head of a request and derives the request's properties for the decision module from it.
 
 use super::client_connection::ClientConnection;
 use super::request_error::RequestError;
@@ -15,21 +15,21 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Identifies a request; no two open requests may have the same.
+/// Identifies a request. Two open requests must not have the same id.
 pub(super) const REQUEST_ID: &str = "request-id";
-const CLASS: &str = "request-class";
+const REQUEST_CLASS: &str = "request-class";
 const TENANT: &str = "tenant";
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 const REQUEST_INFO: &str = "request-info";
 const CLIENT_RETRY: &str = "client-retry";
-/// The expected work of a request, in microseconds.
+/// The expected processing time of a request, in microseconds.
 const WORK_HINT: &str = "work-hint";
 
 const MAX_REQUEST_ID_BYTES: usize = 128;
 const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
 impl HttpServer {
-    /// Reads and checks everything before the body: what the request is, and how long its client waits.
+    /// Reads and validates the head. Returns the properties of the request, and how long its client waits.
     pub(super) fn read_head(&self, head: &Parts) -> Result<(RequestMetadata, Duration), RequestError> {
         check_request_id(&head.headers)?;
         let class = self.class_of(&head.headers)?;
@@ -44,19 +44,19 @@
             expected_work_ms: expected_work_ms(&head.headers),
             is_retry: single_value(&head.headers, CLIENT_RETRY) == Some("1"),
             is_write: info.split(',').any(|part| part.trim() == "write=1"),
-            // Set once the last byte has been read.
+            // Replaced when the request is forwarded, as the timeout runs from its last byte.
             deadline: Instant::now(),
         };
         Ok((metadata, Duration::from_millis(timeout_ms.into())))
     }
 
-    /// The index of the request's class in the settings.
+    /// Index of the request's class in the settings.
     fn class_of(&self, headers: &HeaderMap) -> Result<usize, RequestError> {
-        let name = single_value(headers, CLASS).ok_or(RequestError::MissingClass)?;
+        let name = single_value(headers, REQUEST_CLASS).ok_or(RequestError::MissingClass)?;
         self.classes.iter().position(|class| class.name == name).ok_or(RequestError::UnknownClass)
     }
 
-    /// The index of the request's tenant in the settings; 0 where there are no tenants.
+    /// Index of the request's tenant in the settings; 0 if the settings have no tenants.
     fn tenant_of(&self, headers: &HeaderMap) -> Result<usize, RequestError> {
         if self.tenants.is_empty() {
             return Ok(0);
@@ -65,7 +65,7 @@
         self.tenants.iter().position(|tenant| tenant.name == name).ok_or(RequestError::UnknownTenant)
     }
 
-    /// How long the client waits, in milliseconds: no longer than the deadline of the class.
+    /// How long the client waits, in milliseconds, limited to the deadline of the class.
     fn timeout_ms(&self, headers: &HeaderMap, class: usize) -> Result<u32, RequestError> {
         let text = single_value(headers, TIMEOUT_HEADER.as_str())
             .filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
@@ -94,8 +94,8 @@
     }
 }
 
-/// Rejects requests whose length could be read in two ways. hyper hides a `Content-Length` beside `chunked`, and a
-/// second request may hide in such a body.
+/// Rejects requests whose length is ambiguous, as they allow request smuggling. hyper removes a
+/// `Content-Length` next to `chunked`, so it is found by [`RequestFraming`](crate::framing::RequestFraming).
 pub(super) fn check_transfer_coding(
     connection: &ClientConnection,
     headers: &HeaderMap,
@@ -133,23 +133,24 @@
     values.next().is_none().then(|| value.to_str().ok()).flatten()
 }
 
-/// The key by which a request is routed: the last segment of its path, a hexadecimal number or a name to hash.
+/// The routing key: the last segment of the path, read as a hexadecimal number or else hashed; `None` if it
+/// is empty.
 fn routing_key(path: &str) -> Option<u64> {
     let last = path.rsplit('/').next().filter(|last| !last.is_empty())?;
     Some(u64::from_str_radix(last, 16).unwrap_or_else(|_| fnv1a(last.as_bytes())))
 }
 
-/// The id of an open request, free again once this is dropped.
+/// The id of an open request. Dropping this makes the id available again.
 pub(super) struct OpenRequestId {
     ids: Rc<RefCell<FxHashSet<String>>>,
     id: String,
 }
 
 impl OpenRequestId {
-    /// Registers an id; `None` if an open request has it.
+    /// Registers an id; `None` if another open request has it.
     pub(super) fn new(ids: &Rc<RefCell<FxHashSet<String>>>, id: &str) -> Option<OpenRequestId> {
-        let fresh = ids.borrow_mut().insert(id.to_string());
-        fresh.then(|| OpenRequestId { ids: ids.clone(), id: id.to_string() })
+        let is_new = ids.borrow_mut().insert(id.to_string());
+        is_new.then(|| OpenRequestId { ids: ids.clone(), id: id.to_string() })
     }
 }
 
--- a/crates/http1/src/server/response.rs
+++ b/crates/http1/src/server/response.rs
@@ -20,9 +20,9 @@
 /// The body of a response. When it is dropped, the request is counted as ended and logged.
 pub(super) struct ResponseBody {
     source: BodySource,
-    /// The request that ends with this response, and the outcome to count unless sending fails.
+    /// The request that ends with this response, and the outcome to count if the response is sent completely.
     open_request: Option<(InProgress, RequestOutcome)>,
-    /// The connection that is busy until a streaming response has ended.
+    /// The connection whose request stays in progress until the streamed response has ended.
     pub(super) busy_connection: Option<Rc<ClientConnection>>,
     /// The access log record, if requests are logged.
     pub(super) access_log_record: Option<Box<AccessLogRecord>>,
@@ -30,9 +30,9 @@
 
 /// Where the body of a response comes from.
 enum BodySource {
-    /// From memory.
+    /// A complete body in memory.
     Buffered(Full<Bytes>),
-    /// From a backend, as it arrives.
+    /// A backend's body, forwarded as it arrives.
     Streaming(Box<StreamingResponseBody>),
 }
 
@@ -67,7 +67,8 @@
 
 impl Drop for ResponseBody {
     fn drop(&mut self) {
-        // Whether the body was handed to the connection in full, and a failure that replaces the outcome.
+        // Whether the body was passed to the connection completely, and the outcome to count instead on a
+        // failure.
         let (is_complete, failure) = match &self.source {
             BodySource::Buffered(body) => (body.is_end_stream(), None),
             BodySource::Streaming(body) => match body.state() {
@@ -92,9 +93,9 @@
     Response::new(ResponseBody { source, open_request: None, busy_connection, access_log_record: None })
 }
 
-/// A backend's response as the client gets it. Of its headers only the content type is forwarded, and the length
-/// where the request was a HEAD.
-pub(super) fn served(
+/// The response to the client for a backend's response. The only headers forwarded are `Content-Type` and,
+/// for a HEAD request, `Content-Length`.
+pub(super) fn forwarded_response(
     connection: &Rc<ClientConnection>,
     backend_response: BackendResponse,
     is_head: bool,
@@ -118,7 +119,7 @@
     response
 }
 
-/// The response with which a request ends, and the outcome to count for it.
+/// Attaches the request that ends with a response, and the outcome to count for it.
 pub(super) fn with_outcome(
     mut response: ClientResponse,
     open_request: InProgress,
@@ -128,7 +129,7 @@
     response
 }
 
-/// A response with a fixed text.
+/// A response with a fixed text as its body.
 pub(super) fn text_response(status: StatusCode, text: &'static str) -> ClientResponse {
     let body = Full::new(Bytes::from_static(text.as_bytes()));
     let mut response = response_with(BodySource::Buffered(body), None);
@@ -136,7 +137,7 @@
     response
 }
 
-/// A rejection for want of capacity; above 0 ms it says when to retry.
+/// A capacity rejection, with a `Retry-After` header if `retry_after_ms` is above 0.
 pub(super) fn rejection(retry_after_ms: f64) -> ClientResponse {
     let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
     if retry_after_ms > 0.0 {
--- a/crates/http1/src/server/shutdown.rs
+++ b/crates/http1/src/server/shutdown.rs
@@ -1,10 +1,11 @@
 //! Graceful shutdown.
 //!
-//! Connections still come for a while after SIGTERM, so the shutdown has a minimum duration. For its first half
-//! clients are served on the connections they have, as the other proxies may be down too; after that, connections
-//! are closed as they become idle. Requests that are open at the end are failed before the process could be killed:
-//! that is no sooner than the longest deadline of a class, 3 s at most, and a margin. Clients may still send then, so
-//! the process first closes its listener and its connections, and rejects what it has read or accepted until it ends.
+//! New connections still arrive for a while after SIGTERM, so the shutdown has a minimum duration. For the
+//! first half of its maximum duration clients are served on their existing connections, because the other
+//! instances may be down too; after that, connections are closed as they become idle. The maximum duration is
+//! the longest deadline of a class (3 s at most) and a margin. Requests still open then are failed before the
+//! process could be killed. As clients may still send requests, the process then closes its listener and its
+//! connections, and rejects the requests that it reads in the meantime.
 
 use super::client_connection::{ClientConnection, CloseMode};
 use super::HttpServer;
@@ -12,71 +13,74 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Shortest shutdown without a newer process at the address.
-const MIN_STOP_DURATION: Duration = Duration::from_millis(550);
-/// Shortest shutdown with a newer process, which gets all new connections: time for those already queued.
-const HANDOVER_STOP_DURATION: Duration = Duration::from_millis(100);
-/// The longest deadline of a class that the shutdown waits for, in milliseconds.
-const MAX_STOP_DEADLINE_MS: f64 = 3_000.0;
+/// Minimum duration of a shutdown without a successor process on the same address.
+const MIN_SHUTDOWN_DURATION: Duration = Duration::from_millis(550);
+/// Minimum duration of a shutdown with a successor, which gets all new connections: time for the queued ones.
+const MIN_HANDOVER_DURATION: Duration = Duration::from_millis(100);
+/// Upper limit of the class deadline that the shutdown waits for, in milliseconds.
+const MAX_AWAITED_DEADLINE_MS: f64 = 3_000.0;
 /// Added to the longest deadline, in milliseconds.
-const STOP_MARGIN_MS: f64 = 400.0;
-/// How long clients may take to receive their last responses, and to send the requests that they have begun.
+const SHUTDOWN_MARGIN_MS: f64 = 400.0;
+/// How long clients may take to receive their last responses, and to complete requests that they have begun
+/// to send.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(150);
-/// Time for the last responses to be written.
+/// Time to write the last responses before the process exits.
 const FINAL_WRITE_DURATION: Duration = Duration::from_millis(20);
-/// Time between two checks for open connections.
+/// Time between two checks whether connections are still open.
 const CONNECTIONS_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time between two rounds of closing connections, once open requests have been failed.
+/// Time between two rounds of closing idle connections, after open requests have been failed.
 const CLOSE_INTERVAL: Duration = Duration::from_millis(5);
 
 impl HttpServer {
-    /// Shuts down gracefully: returns when all accepted requests are answered and no connection is left to close. With
-    /// a newer process at the same address (`has_newer`), clients are sent there at once.
-    pub async fn shut_down(&self, has_newer: bool) {
+    /// Shuts down gracefully. Returns when all accepted requests have responses and all connections are
+    /// closed, or the time for closing them is over. If a successor process listens on the same address
+    /// (`has_successor`), clients are made to reconnect to it at once.
+    pub async fn shut_down(&self, has_successor: bool) {
         let stopped_at = Instant::now();
-        let max_duration = self.max_stop_duration();
-        self.lifecycle.stop(if has_newer { Duration::ZERO } else { max_duration / 2 });
-        if has_newer {
+        let max_duration = self.max_shutdown_duration();
+        self.lifecycle.stop(if has_successor { Duration::ZERO } else { max_duration / 2 });
+        if has_successor {
             self.stop_accepting.notify_one();
         }
-        sleep(if has_newer { HANDOVER_STOP_DURATION } else { MIN_STOP_DURATION }).await;
+        sleep(if has_successor { MIN_HANDOVER_DURATION } else { MIN_SHUTDOWN_DURATION }).await;
         while !self.connections.borrow().is_empty() && stopped_at.elapsed() < max_duration {
             sleep(CONNECTIONS_POLL_INTERVAL).await;
         }
-        self.close_everything().await;
+        self.close_listener_and_connections().await;
     }
 
-    /// Fails the open requests, rejects new ones, and closes the listener and the connections. A request that crosses
-    /// the close of its connection has not been read, and its client sends it elsewhere.
-    async fn close_everything(&self) {
+    /// Fails the open requests, rejects new ones, and closes the listener and the connections. A request that
+    /// arrives while its connection is being closed is not read, so its client can safely send it elsewhere.
+    async fn close_listener_and_connections(&self) {
         self.lifecycle.stop(Duration::ZERO);
         self.driver.close_all();
         self.stop_accepting.notify_one();
         let closing_since = Instant::now();
-        while !self.has_closed_everything() && closing_since.elapsed() < CLOSE_TIMEOUT {
+        while !self.is_fully_closed() && closing_since.elapsed() < CLOSE_TIMEOUT {
             self.connections
                 .borrow()
                 .values()
-                .filter(|connection| has_no_more_to_send(connection))
+                .filter(|connection| is_idle_after_request(connection))
                 .for_each(|connection| connection.close(CloseMode::Graceful));
             sleep(CLOSE_INTERVAL).await;
         }
         sleep(FINAL_WRITE_DURATION).await;
     }
 
-    fn has_closed_everything(&self) -> bool {
+    fn is_fully_closed(&self) -> bool {
         self.listener_closed.get() && self.connections.borrow().is_empty()
     }
 
-    /// How long the shutdown may wait for clients.
-    fn max_stop_duration(&self) -> Duration {
+    /// How long the shutdown waits for open requests and connections.
+    fn max_shutdown_duration(&self) -> Duration {
         let deadlines = self.classes.iter().map(|class| class.deadline_ms);
-        let longest_ms = deadlines.fold(0.0, f64::max).min(MAX_STOP_DEADLINE_MS);
-        Duration::from_secs_f64((longest_ms + STOP_MARGIN_MS) / 1000.0)
+        let longest_ms = deadlines.fold(0.0, f64::max).min(MAX_AWAITED_DEADLINE_MS);
+        Duration::from_secs_f64((longest_ms + SHUTDOWN_MARGIN_MS) / 1000.0)
     }
 }
 
-/// Whether a connection rests between two requests. One that has brought none yet is about to bring its first.
-fn has_no_more_to_send(connection: &Rc<ClientConnection>) -> bool {
+/// Whether a connection is idle after at least one request. Connections without one probably send their first
+/// soon.
+fn is_idle_after_request(connection: &Rc<ClientConnection>) -> bool {
     connection.has_sent_valid_request.get() && connection.is_idle()
 }
--- a/crates/http1/src/stream.rs
+++ b/crates/http1/src/stream.rs
@@ -1,5 +1,5 @@
-//! A TCP stream between hyper and the socket. It records when bytes were read, from which deadlines run, and follows
-//! requests as they are written, so that it is known whether the last byte of a request was sent.
+//! A wrapper of a TCP stream that hyper reads and writes. It records when bytes are read, as deadlines depend
+//! on it, and tracks whether the last byte of a request has been sent.
 
 use crate::framing::RequestFraming;
 use crate::write_progress::WriteProgress;
@@ -19,36 +19,36 @@
 use tokio::io::{AsyncRead, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Size of the buffer for one read from the socket, in bytes.
+/// Maximum number of bytes read from the socket at once.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// The length of a request's body.
+/// The length of a request body.
 pub enum RequestBodyLength {
     /// This many bytes.
     Known(usize),
-    /// It is sent in chunks; the flag becomes true once hyper has been given all of them.
+    /// The body is chunked. The flag becomes true when all of it has been passed to hyper.
     Chunked(Rc<Cell<bool>>),
 }
 
-/// A TCP stream and what is known of its traffic.
+/// A TCP stream with the state of its traffic. The peer is a client or a backend.
 pub struct TrackedStream {
     socket: RefCell<TcpStream>,
     last_read: Cell<Instant>,
     message_started_at: Cell<Option<Instant>>,
-    /// Whether a message of the peer has been completed.
+    /// Whether a message of the peer has ended.
     has_completed_message: Cell<bool>,
-    /// Whether bytes wait for the peer to read.
+    /// Whether the last write could not write everything, because the peer does not read fast enough.
     write_blocked: Cell<bool>,
     last_write_progress: Cell<Instant>,
     read_window: Cell<ReadWindow>,
     request_progress: RefCell<WriteProgress>,
-    /// The framing of the peer's requests, where the peer is a client.
+    /// The framing of the received requests, if the peer is a client.
     framing: Option<RefCell<RequestFraming>>,
-    /// How many bytes the peer has to send within the request timeout.
+    /// Number of bytes that the peer must send within each request timeout.
     min_bytes_per_window: usize,
 }
 
-/// A part of the peer's message that has to come within the request timeout.
+/// A part of a message that must arrive within the request timeout.
 #[derive(Clone, Copy)]
 struct ReadWindow {
     started_at: Instant,
@@ -62,12 +62,13 @@
 }
 
 impl TrackedStream {
-    /// Wraps a socket, and turns Nagle's algorithm off: small messages must not wait for an acknowledgement.
+    /// Wraps the socket of a backend or of discovery. Nagle's algorithm is turned off, so that small messages
+    /// don't wait for an acknowledgement.
     pub fn new(socket: TcpStream, tuning: &Tuning) -> Rc<TrackedStream> {
         TrackedStream::with_framing(socket, tuning, None)
     }
 
-    /// The same for the socket of a client; the framing of its requests is followed.
+    /// Wraps the socket of a client, and tracks the framing of its requests.
     pub fn for_client(socket: TcpStream, tuning: &Tuning) -> Rc<TrackedStream> {
         TrackedStream::with_framing(socket, tuning, Some(RefCell::default()))
     }
@@ -77,7 +78,7 @@
         tuning: &Tuning,
         framing: Option<RefCell<RequestFraming>>,
     ) -> Rc<TrackedStream> {
-        // This fails only on a connection that has ended, which the first read reports.
+        // Errors mean that the connection has ended, which the first read reports.
         let _ = socket.set_nodelay(true);
         let options = SockRef::from(&socket);
         let buffer_bytes = tuning.socket_buffer_bytes;
@@ -97,49 +98,51 @@
         })
     }
 
-    /// Waits until there is something to read, or the peer has closed.
+    /// Waits until there is data to read or the connection has been closed.
     pub async fn readable(&self) {
-        // The next read reports an error as well.
+        // An error is also reported by the next read.
         let _ = poll_fn(|cx| self.socket.borrow().poll_read_ready(cx)).await;
     }
 
-    /// Whether the peer is between two messages: nothing of the next one was read.
+    /// Whether a client is between two requests, with nothing of the next one read. Always true for other
+    /// peers.
     pub fn is_between_messages(&self) -> bool {
         self.framing.as_ref().is_none_or(|framing| framing.borrow().is_between_messages())
     }
 
-    /// How many requests of the peer have been read whole, where the peer is a client.
+    /// Number of complete requests read from a client; 0 for other peers.
     pub fn received_requests(&self) -> u64 {
         self.framing.as_ref().map_or(0, |framing| framing.borrow().completed())
     }
 
-    /// When the last bytes were read.
+    /// When data was last read.
     pub fn last_read(&self) -> Instant {
         self.last_read.get()
     }
 
-    /// When the first bytes of the present message were read; `None` between two messages.
+    /// When the first bytes of the current message were read; `None` between two messages.
     pub fn message_started_at(&self) -> Option<Instant> {
         self.message_started_at.get()
     }
 
-    /// Ends the present message.
+    /// Records that the current message has ended.
     pub fn message_completed(&self) {
         self.message_started_at.set(None);
         self.has_completed_message.set(true);
     }
 
-    /// Whether a head had two lengths, or the framing of what was read can't be followed.
+    /// Whether a request had two lengths, or the framing of the received bytes could not be parsed.
     pub fn is_ambiguous(&self) -> bool {
         self.framing.as_ref().is_some_and(|framing| framing.borrow().is_ambiguous())
     }
 
-    /// Starts a new read step: from now on the proxy waits for the peer to go on with its message.
+    /// Starts a new read window: from now on the proxy waits for the peer to continue its message.
     pub fn restart_read_window(&self) {
         self.read_window.set(ReadWindow::starting_at(Instant::now()));
     }
 
-    /// The time since the present read step began. A step is a fixed number of bytes, or the rest of a message.
+    /// Time since the start of the current read window. A window ends after a fixed number of bytes, and a
+    /// new one starts with a new message.
     pub fn read_window_elapsed(&self) -> Duration {
         self.read_window.get().started_at.elapsed()
     }
@@ -149,71 +152,73 @@
         self.last_read.set(now);
         if self.message_started_at.get().is_none() {
             self.message_started_at.set(Some(now));
-            // The step of the first message began with the connection: a peer may not be idle before it.
+            // The window of the first message starts with the connection, so that a peer may not idle before
+            // it.
             if self.has_completed_message.get() {
                 self.read_window.set(ReadWindow::starting_at(now));
             }
         }
-        let mut step = self.read_window.get();
-        step.bytes_read += bytes.len();
-        let is_complete = step.bytes_read >= self.min_bytes_per_window;
-        self.read_window.set(if is_complete { ReadWindow::starting_at(now) } else { step });
+        let mut window = self.read_window.get();
+        window.bytes_read += bytes.len();
+        let is_complete = window.bytes_read >= self.min_bytes_per_window;
+        self.read_window.set(if is_complete { ReadWindow::starting_at(now) } else { window });
         if let Some(framing) = &self.framing {
             framing.borrow_mut().advance(bytes);
         }
     }
 
-    /// Whether bytes have waited for the peer to read for `stall_timeout`, without progress.
+    /// Whether writing has been blocked for `stall_timeout` without progress, because the peer does not read.
     pub fn is_write_stalled(&self, stall_timeout: Duration) -> bool {
         self.write_blocked.get() && self.last_write_progress.get().elapsed() >= stall_timeout
     }
 
-    /// Whether bytes wait for the peer to read.
+    /// Whether writing is blocked until the peer reads.
     pub fn is_write_blocked(&self) -> bool {
         self.write_blocked.get()
     }
 
-    /// Begins to follow a request that is about to be written; `sent_counter` is incremented once all of it is.
+    /// Starts tracking a request that is about to be written. `sent_counter` is incremented when its last
+    /// byte is written.
     pub fn begin_request(&self, body: RequestBodyLength, sent_counter: Counter) {
         *self.request_progress.borrow_mut() = WriteProgress::new(body, sent_counter);
     }
 
-    /// Whether any byte of the request was written.
+    /// Whether any byte of the request has been written.
     pub fn has_sent_request_bytes(&self) -> bool {
         self.request_progress.borrow().has_started()
     }
 
-    /// Whether the last byte of the request was written.
+    /// Whether the last byte of the request has been written.
     pub fn is_request_sent(&self) -> bool {
         self.request_progress.borrow().is_complete()
     }
 
-    /// How many bytes can be read, 1 at most; 0 means that the peer has closed the connection.
+    /// Number of unread bytes in the socket, at most 1; 0 means that the peer has closed the connection.
     fn peek(&self) -> Result<usize> {
         SockRef::from(&*self.socket.borrow()).peek(&mut [MaybeUninit::uninit()])
     }
 
-    /// Whether the peer has sent something that is still unread.
+    /// Whether the peer has sent data that is still unread.
     pub fn has_unread(&self) -> bool {
         matches!(self.peek(), Ok(1..))
     }
 
-    /// Notes that a message has begun to arrive, before any of it is read.
+    /// Records that a message has begun to arrive, before any of it is read.
     pub fn mark_message_started(&self) {
         let now = Instant::now();
         self.last_read.set(now);
         self.message_started_at.set(self.message_started_at.get().or(Some(now)));
     }
 
-    /// Whether the peer keeps the connection open and has sent nothing that is still unread. This asks the socket:
-    /// what the runtime knows may be one turn old.
+    /// Whether the peer keeps the connection open and no data is unread. This reads the state of the socket,
+    /// because the readiness known to the runtime may be outdated.
     pub fn is_idle_and_open(&self) -> bool {
         matches!(self.peek(), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 }
 
-/// A [`TrackedStream`] as hyper reads and writes it. It offers no vectored writes, so hyper puts the head and the body
-/// of a message into one write.
+/// Implements hyper's I/O traits for a [`TrackedStream`]. Without vectored writes, hyper puts the head and
+/// the body of a message into one write.
 pub struct HyperStream(pub Rc<TrackedStream>);
 
 impl Read for HyperStream {
@@ -221,8 +226,8 @@
         let mut buffer = [MaybeUninit::uninit(); READ_BUFFER_BYTES];
         let capacity = buf.remaining().min(READ_BUFFER_BYTES);
         let mut read = ReadBuf::uninit(&mut buffer[..capacity]);
-        // A read that does not fill the buffer tells the runtime that nothing more is there, which saves a system
-        // call.
+        // A read that does not fill the buffer shows tokio that no more data is available, which saves a
+        // system call.
         ready!(Pin::new(&mut *self.0.socket.borrow_mut()).poll_read(cx, &mut read))?;
         self.0.on_read(read.filled());
         buf.put_slice(read.filled());
--- a/crates/http1/src/write_progress.rs
+++ b/crates/http1/src/write_progress.rs
@@ -1,4 +1,4 @@
-//! How much of one request has been written to a socket, as seen from the bytes alone.
+//! Tracks how much of a request has been written to a socket, from the written bytes.
 
 use crate::stream::RequestBodyLength;
 use hillstall_proxy_core::metrics::Counter;
@@ -12,20 +12,21 @@
 #[derive(Default)]
 pub(crate) struct WriteProgress {
     bytes_written: usize,
-    /// How many bytes of [`HEAD_END`] the last written bytes match.
+    /// Number of bytes of [`HEAD_END`] that the last written bytes match.
     head_end_matched: usize,
-    /// What is left of a body of known length, in bytes.
+    /// Number of bytes of a body of known length that have not been written.
     remaining_body: usize,
-    /// For a body in chunks: whether all of it was given to hyper.
+    /// For a chunked body: whether all of it has been passed to hyper.
     chunked_body_ended: Option<Rc<Cell<bool>>>,
-    /// For a body in chunks: the last bytes written.
+    /// For a chunked body: the last bytes written.
     last_bytes: [u8; LAST_CHUNK.len()],
-    /// Incremented once the request is complete.
+    /// Incremented when the request is complete; `None` after that.
     sent_counter: Option<Counter>,
 }
 
 impl WriteProgress {
-    /// The progress of a request that is about to be written; `sent_counter` is incremented once all of it is.
+    /// The progress of a request that is about to be written. `sent_counter` is incremented when its last
+    /// byte is written.
     pub(crate) fn new(body: RequestBodyLength, sent_counter: Counter) -> WriteProgress {
         let (remaining_body, chunked_body_ended) = match body {
             RequestBodyLength::Known(bytes) => (bytes, None),
@@ -39,12 +40,12 @@
         }
     }
 
-    /// Whether any byte was written.
+    /// Whether any byte has been written.
     pub(crate) fn has_started(&self) -> bool {
         self.bytes_written > 0
     }
 
-    /// Whether the last byte was written.
+    /// Whether the last byte has been written.
     pub(crate) fn is_complete(&self) -> bool {
         let is_body_complete = match &self.chunked_body_ended {
             None => self.remaining_body == 0,
@@ -53,7 +54,7 @@
         self.head_end_matched == HEAD_END.len() && is_body_complete
     }
 
-    /// Records bytes that were written.
+    /// Records written bytes.
     pub(crate) fn record(&mut self, bytes: &[u8]) {
         self.track_head_and_body(bytes);
         if self.chunked_body_ended.is_some() {
--- a/crates/http1/tests/discovery.rs
+++ b/crates/http1/tests/discovery.rs
@@ -6,7 +6,7 @@
 use std::net::TcpListener;
 
 #[test]
-fn a_fetched_list_may_span_several_lines() {
+fn fetched_list_may_span_several_lines() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
     let service = std::thread::spawn(move || {
--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -1,8 +1,8 @@
-//! The framing of requests on a client connection.
+//! Detection of requests with an ambiguous length on a client connection.
 
 use hillstall_http1::framing::RequestFraming;
 
-/// Whether a text is ambiguous, which must not depend on the pieces in which it comes.
+/// Whether a text is ambiguous. Checks that the result does not depend on how the text is split into reads.
 fn is_ambiguous(text: &str) -> bool {
     let in_pieces_of = |size: usize| {
         let mut framing = RequestFraming::default();
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn only_a_head_with_two_lengths_is_ambiguous() {
+fn only_heads_with_two_lengths_or_invalid_framing_are_ambiguous() {
     let both = "POST / HTTP/1.1\r\ncontent-LENGTH: 4\r\nTransfer-Encoding: chunked\r\n\r\n";
     let reversed = "POST / HTTP/1.1\nTransfer-Encoding:chunked\nX: y\nContent-Length:4\n\n";
     let inside = format!("POST / HTTP/1.1\r\nContent-Length: {}\r\n\r\n{both}", both.len());
--- a/crates/http1/tests/stream.rs
+++ b/crates/http1/tests/stream.rs
@@ -1,4 +1,4 @@
-//! What is known of the requests written to a connection.
+//! Tracking of the requests that are written to a connection.
 
 use hillstall_http1::stream::{HyperStream, RequestBodyLength, TrackedStream};
 use hillstall_proxy_core::metrics::Counter;
@@ -8,7 +8,7 @@
 use std::pin::Pin;
 use tokio::net::{TcpListener, TcpStream};
 
-/// A connection on the loopback interface: the stream that is written, and its peer.
+/// A connection on the loopback interface: the stream to write to, and its peer.
 async fn connected_stream() -> (HyperStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_request_is_complete_only_with_its_last_body_byte() {
+fn request_is_sent_only_when_its_last_body_byte_is_written() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let (mut stream, _peer) = connected_stream().await;
