--- a/crates/http1/src/backend_connection.rs
+++ b/crates/http1/src/backend_connection.rs
@@ -199,7 +199,7 @@
 /// The length of a body according to the head of its message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyLength {
-    /// This many bytes.
+    /// The `Content-Length`, in bytes.
     Known(u64),
     /// Known only at the end: the body is chunked, or ends with the connection.
     Unknown,
--- a/crates/http1/src/client/attempt.rs
+++ b/crates/http1/src/client/attempt.rs
@@ -169,7 +169,7 @@
         error: &AttemptError,
         started_at: Instant,
     ) -> AttemptResult<HttpClient> {
-        // The pooled connections to an unreachable machine look open for ever, so a time-out drops those that
+        // The pooled connections to an unreachable machine look open for ever, so a timeout drops those that
         // have been idle since before the attempt. Later attempts then open a new connection, which fails
         // before anything is sent. Connections with a response since the start of the attempt are alive.
         // Other errors concern only the connection itself.
--- a/crates/http1/src/client/forwarding.rs
+++ b/crates/http1/src/client/forwarding.rs
@@ -38,7 +38,7 @@
         headers.remove(name);
     }
     headers.remove(KEEP_ALIVE);
-    // The header has whole milliseconds; a remaining fraction of one is rounded up.
+    // The header has whole milliseconds; less than one is rounded up to one.
     let remaining_ms = (remaining.as_millis() as u64).max(1);
     headers.insert(TIMEOUT_HEADER, HeaderValue::from(remaining_ms));
     *forwarded.headers_mut() = headers;
--- a/crates/http1/src/framing.rs
+++ b/crates/http1/src/framing.rs
@@ -1,6 +1,7 @@
 //! Tracks the framing of the requests on a client connection, to detect what hyper does not report: a head
-//! with both a `Content-Length` and a `Transfer-Encoding`. A backend could read the body of such a request as
-//! further requests (request smuggling).
+//! with both a `Content-Length` and a `Transfer-Encoding`. Another
+//! implementation, such as a backend, could read the body of such a request as further requests (request
+//! smuggling).
 
 /// Number of bytes kept of a line. The header names and chunk sizes of interest are shorter.
 const MAX_LINE_BYTES: usize = 64;
@@ -23,7 +24,7 @@
     Unparseable,
 }
 
-/// The framing of the requests on one client connection.
+/// Tracks the framing of the requests on one client connection.
 pub struct RequestFraming {
     state: ParserState,
     /// The start of the current line, up to [`MAX_LINE_BYTES`].
--- a/crates/http1/src/server/mod.rs
+++ b/crates/http1/src/server/mod.rs
@@ -27,7 +27,7 @@
 use std::time::Instant;
 use tokio::sync::Notify;
 
-/// The HTTP/1.1 server for clients.
+/// The HTTP/1.1 server: accepts client connections, validates requests and passes them to the driver.
 pub struct HttpServer {
     driver: Rc<Driver<HttpClient>>,
     client: Rc<HttpClient>,
--- a/crates/http1/src/server/response.rs
+++ b/crates/http1/src/server/response.rs
@@ -14,7 +14,6 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// A response to a client.
 pub(super) type ClientResponse = Response<ResponseBody>;
 
 /// The body of a response. When it is dropped, the request is counted as ended and logged.
--- a/crates/http1/src/stream.rs
+++ b/crates/http1/src/stream.rs
@@ -22,9 +22,9 @@
 /// Maximum number of bytes read from the socket at once.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// The length of a request body.
+/// The length of a request body, by which the end of the request is recognised when it is written.
 pub enum RequestBodyLength {
-    /// This many bytes.
+    /// Length of a body that is buffered or has a `Content-Length`, in bytes.
     Known(usize),
     /// The body is chunked. The flag becomes true when all of it has been passed to hyper.
     Chunked(Rc<Cell<bool>>),
--- a/crates/proxy-core/src/connect_hedging.rs
+++ b/crates/proxy-core/src/connect_hedging.rs
@@ -1,7 +1,7 @@
 //! Hedged connects: how long a connect to a backend may take before a second one is started. It does no I/O.
 //!
 //! If the network loses the SYN of a connection, the operating system retransmits it only after a long
-//! time-out, while a second connect started in the meantime mostly succeeds at once. The request is written
+//! timeout, while a second connect started in the meantime mostly succeeds at once. The request is written
 //! to the connection that is established first, so it is never sent twice; the other connection goes into the
 //! pool.
 //!
--- a/crates/proxy-core/src/pool.rs
+++ b/crates/proxy-core/src/pool.rs
@@ -20,7 +20,7 @@
 pub struct PoolLimits {
     /// The shortest time between a response and the next request on the same connection.
     pub min_reuse_delay: Duration,
-    /// How long an idle connection is kept. It must be well below the idle time-out of the backends: a
+    /// How long an idle connection is kept. It must be well below the idle timeout of the backends: a
     /// request that is sent while the backend closes the connection is lost.
     pub max_idle: Duration,
     /// The maximum number of idle connections to one backend.
--- a/crates/proxy-core/src/tuning.rs
+++ b/crates/proxy-core/src/tuning.rs
@@ -3,7 +3,8 @@
 
 use std::time::Duration;
 
-/// Timeouts and sizes. Most changes also take effect on open connections, at their next periodic check.
+/// Timeouts and sizes, with the defaults of the operator file. Most changes also take effect on open
+/// connections, at their next periodic check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
     /// A client connection that has been idle for this long is closed.
--- a/crates/proxy-core/tests/fleet.rs
+++ b/crates/proxy-core/tests/discovery_retries.rs
@@ -74,7 +74,8 @@
             Action::SetTimer { after_ms, .. } => Some(*after_ms),
             _ => None,
         });
-        (self.next_at, self.next) = (now + backoff_ms.expect("it retries"), Step::Request);
+        (self.next_at, self.next) =
+            (now + backoff_ms.expect("the decision module sets a retry timer"), Step::Request);
     }
 
     /// Takes the next step. An instance gives up waiting for a response after `timeout_ms`.
--- a/crates/proxy-core/tests/endpoints.rs
+++ b/crates/proxy-core/tests/endpoints.rs
@@ -9,7 +9,7 @@
 fn list(snapshot: bool, entries: &[(&str, &str, &str)]) -> EndpointList {
     let endpoints = entries.iter().map(|(name, address, status)| {
         let entry = serde_json::json!({ "name": name, "address": address, "status": status });
-        serde_json::from_value(entry).expect("an entry")
+        serde_json::from_value(entry).expect("a valid endpoint entry")
     });
     EndpointList { version: 1, is_snapshot: snapshot, endpoints: endpoints.collect() }
 }
@@ -51,7 +51,7 @@
     let (mut directory, now, grace) = (EndpointDirectory::default(), Instant::now(), Duration::from_secs(1));
     let with_status = |status| list(false, &[("a", "127.0.0.1:1", status)]);
     let ready = directory.apply(&with_status("ready"), now).backends[0].id;
-    let before = directory.backend(ready).expect("it is listed");
+    let before = directory.backend(ready).expect("the backend is known");
     let changes = directory.apply(&with_status("draining"), now);
     assert_eq!(
         (changes.newly_draining, changes.stale),
@@ -61,14 +61,14 @@
     // A repeated announcement does not extend the grace period.
     let repeated = directory.apply(&with_status("draining"), now + grace / 2);
     assert!(repeated.newly_draining.is_empty() && repeated.stale.is_empty());
-    let draining = directory.backend(ready).expect("it is listed");
+    let draining = directory.backend(ready).expect("the backend is known");
     assert!(draining.is_same_process(&before) && draining.accepts_new(now + grace * 9 / 10, grace));
     assert!(!draining.accepts_new(now + grace, grace));
     let changes = directory.apply(&list(false, &[("b", "127.0.0.1:2", "draining")]), now);
-    let unknown = directory.backend(changes.backends[0].id).expect("it is listed");
+    let unknown = directory.backend(changes.backends[0].id).expect("the backend is known");
     assert!(!unknown.accepts_new(now, grace), "the start of its drain is unknown");
     assert_eq!(directory.apply(&with_status("gone"), now).stale, vec![ready]);
-    assert!(!directory.backend(ready).expect("it was listed").accepts_new(now, grace));
+    assert!(!directory.backend(ready).expect("the backend is known").accepts_new(now, grace));
 }
 
 #[test]
@@ -104,14 +104,14 @@
     assert_eq!(directory.backend(a).map(|backend| backend.state), Some(BackendState::Draining));
     let both = list(true, &[("a", "127.0.0.1:1", "ready"), ("b", "127.0.0.1:2", "ready")]);
     let b = directory.apply(&both, now).backends[1].id;
-    let before = directory.backend(a).expect("it is listed");
+    let before = directory.backend(a).expect("the backend is known");
     let swapped = list(true, &[("a", "127.0.0.1:2", "ready"), ("b", "127.0.0.1:1", "ready")]);
     assert_eq!(
         directory.apply(&swapped, now).stale,
         vec![a, b],
         "connections to the old addresses reach another backend"
     );
-    assert!(!directory.backend(a).expect("it is listed").is_same_process(&before));
+    assert!(!directory.backend(a).expect("the backend is known").is_same_process(&before));
 }
 
 #[test]
--- a/crates/proxy-core/tests/sockets.rs
+++ b/crates/proxy-core/tests/sockets.rs
@@ -19,10 +19,11 @@
 
 /// A listener in blocking mode on a free port.
 fn blocking_listener() -> TcpListener {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build a runtime");
     let _entered = runtime.enter();
-    let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-    listener.into_std().expect("a listener")
+    let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0))).expect("bind a listener");
+    listener.into_std().expect("convert the listener")
 }
 
 /// Connects repeatedly until `stop` is set. Returns how many established connections got no response.
@@ -30,7 +31,7 @@
     let mut lost = 0;
     while !stop.load(Ordering::SeqCst) {
         let Ok(mut stream) = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) else { continue };
-        stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a time-out");
+        stream.set_read_timeout(Some(READ_TIMEOUT)).expect("set the read timeout");
         let is_request_sent = stream.write_all(b"?").is_ok();
         let mut response = [0];
         lost += usize::from(!is_request_sent || !matches!(stream.read(&mut response), Ok(1)));
@@ -40,13 +41,13 @@
 
 fn respond(mut stream: TcpStream) {
     let mut request = [0];
-    stream.set_nonblocking(false).expect("it can block");
+    stream.set_nonblocking(false).expect("set blocking mode");
     let _ = stream.read(&mut request).and_then(|_| stream.write(b"!"));
 }
 
 /// Serves connections for [`ACCEPT_DURATION`], then closes the listener in the same way as the proxy.
 fn serve_and_close(listener: TcpListener) {
-    listener.set_nonblocking(true).expect("it need not block");
+    listener.set_nonblocking(true).expect("set non-blocking mode");
     let end = std::time::Instant::now() + ACCEPT_DURATION;
     while std::time::Instant::now() < end {
         match listener.accept() {
@@ -69,7 +70,7 @@
     let mut lost = 0;
     for _ in 0..ROUNDS {
         let listener = blocking_listener();
-        let address = listener.local_addr().expect("its address");
+        let address = listener.local_addr().expect("listener address");
         let stop = Arc::new(AtomicBool::new(false));
         let clients: Vec<_> = (0..CLIENTS)
             .map(|_| {
@@ -79,7 +80,8 @@
             .collect();
         serve_and_close(listener);
         stop.store(true, Ordering::SeqCst);
-        lost += clients.into_iter().map(|client| client.join().expect("it ends")).sum::<usize>();
+        lost +=
+            clients.into_iter().map(|client| client.join().expect("join the client thread")).sum::<usize>();
     }
     assert_eq!(lost, 0, "established connections without a response");
 }
