--- a/crates/decision/src/admission.rs
+++ b/crates/decision/src/admission.rs
@@ -155,7 +155,7 @@
 
     /// Learns from a finished attempt. Returns whether the tier's limit was reduced.
     pub(crate) fn learn(&mut self, now: Millis, sample: Sample, settings: &Settings) -> bool {
-        let is_top_tier = settings.stage == 0;
+        let is_top_tier = settings.tier == 0;
         if is_top_tier {
             self.priorities.evaluate(now, settings);
         }
--- a/crates/decision/src/attempt_sample.rs
+++ b/crates/decision/src/attempt_sample.rs
@@ -37,7 +37,7 @@
         // for reasons of its own. More would close the limiters where an idle tier is too slow.
         Outcome::Cancelled | Outcome::NotSent => {
             let client_wait = objective.min(request.deadline - attempt.sent_at).max(MIN_CLIENT_WAIT_MS);
-            let is_client_late = request.client_gone && settings.stage == 0;
+            let is_client_late = request.client_gone && settings.tier == 0;
             is_client_late.then(|| (took / client_wait).min(1.0))
         }
         Outcome::Ok => Some(took / objective),
--- a/crates/decision/src/balancer.rs
+++ b/crates/decision/src/balancer.rs
@@ -139,7 +139,7 @@
         self.endpoints.apply(kind, list, self.now, &self.settings, &mut self.random);
         let backends = self.endpoints.all().len();
         // Only at the top: a request rejected further down wastes the work already done for it.
-        if self.settings.stage > 0 || backends == 0 {
+        if self.settings.tier > 0 || backends == 0 {
             return;
         }
         if self.admission.set_initial_limits(backends, &self.settings) {
@@ -158,7 +158,7 @@
     /// Follows the capacity that answers and the demand on this instance, if that is due; at the top tier
     /// alone.
     fn update_demand(&mut self) {
-        if self.settings.stage > 0 || !self.demand.is_due(self.now) {
+        if self.settings.tier > 0 || !self.demand.is_due(self.now) {
             return;
         }
         self.capacity.update(self.now, self.endpoints.answering_capacity(self.now, &self.settings.rules));
@@ -178,7 +178,7 @@
         // Below the top, where deadlines are not passed on, the full one is given though the client has less
         // left: an answer after the objective that earns nothing is one nobody waits for.
         let is_timeout_unknown =
-            !self.settings.passes_deadline && self.settings.stage > 0 && rules.late_weight_fraction == 0.0;
+            !self.settings.passes_deadline && self.settings.tier > 0 && rules.late_weight_fraction == 0.0;
         let timeout = if is_timeout_unknown { timeout.min(rules.latency_objective_ms) } else { timeout };
         let backends_per_instance = self.admission.tier().backends_per_instance();
         let skew = self.demand.value();
@@ -290,7 +290,7 @@
         }
         let retry_after_ms = retry::retry_after(
             &self.settings.permissions,
-            self.settings.stage,
+            self.settings.tier,
             &self.latencies[request.class],
             || self.random.next_unit(),
         );
--- a/crates/decision/src/quota.rs
+++ b/crates/decision/src/quota.rs
@@ -48,7 +48,7 @@
         let (Some(used), Some(tenant)) = (self.used.get(tenant), settings.tenants.get(tenant)) else {
             return false;
         };
-        if settings.stage > 0 {
+        if settings.tier > 0 {
             return false;
         }
         let part_per_s = tenant.quota_per_s / f64::from(settings.fleet_size) * QUOTA_TOLERANCE;
--- a/crates/decision/src/retry.rs
+++ b/crates/decision/src/retry.rs
@@ -105,11 +105,11 @@
 /// together do not return together. Only the top tier advises: further down nobody waits.
 pub(crate) fn retry_after(
     permissions: &Permissions,
-    stage: u32,
+    tier: u32,
     latency: &ClassLatency,
     random: impl FnOnce() -> f64,
 ) -> Millis {
-    if stage > 0 || !permissions.retry_after {
+    if tier > 0 || !permissions.retry_after {
         return 0.0;
     }
     let mean = Some(latency.mean).filter(|mean| *mean > 0.0).unwrap_or(UNKNOWN_LATENCY_MS);
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -214,9 +214,9 @@
     /// The zone of this instance.
     pub zone: u16,
     /// The tier that this instance sends to, from 0 at the top.
-    pub stage: u32,
+    pub tier: u32,
     /// The tiers' names, from the top, for people; no decision reads them.
-    pub stages: Vec<String>,
+    pub tier_names: Vec<String>,
     /// The zones' names, for people; no decision reads them.
     pub zones: Vec<String>,
     /// The kinds of machine, for people; no decision reads them.
--- a/crates/decision/tests/admission.rs
+++ b/crates/decision/tests/admission.rs
@@ -4,8 +4,8 @@
 use common::*;
 use hillstall_decision::*;
 
-fn before_forty_backends(stage: u32) -> Proxy {
-    Proxy::new(Settings { stage, ..settings() }, &backends(40))
+fn before_forty_backends(tier: u32) -> Proxy {
+    Proxy::new(Settings { tier, ..settings() }, &backends(40))
 }
 
 #[test]
@@ -90,7 +90,7 @@
         p.admitted(1_000);
     }
     assert!(p.admitted(1_000) > 2 * first);
-    let mut below = Proxy::new(Settings { stage: 1, ..top }, &backends(10));
+    let mut below = Proxy::new(Settings { tier: 1, ..top }, &backends(10));
     assert_eq!(
         below.admitted(300),
         300,
@@ -124,7 +124,7 @@
             priority_weight: weight,
             ..class(RetrySafety::Idempotent, DedupScope::All)
         });
-        let mut p = Proxy::new(Settings { stage: 0, classes: classes.to_vec(), ..settings() }, &backends(40));
+        let mut p = Proxy::new(Settings { tier: 0, classes: classes.to_vec(), ..settings() }, &backends(40));
         let mut served = [0.0, 0.0];
         // What calm is has to be known: lateness is judged against it.
         p.run_rounds(20, 4, 200.0, Outcome::Ok);
@@ -323,10 +323,10 @@
 #[test]
 fn a_rejection_says_when_to_retry_where_permitted() {
     // Clients without advice came back at once, to a limit that had not changed.
-    let told = |stage, retry_after| {
+    let told = |tier, retry_after| {
         let base = settings();
         let allowed = Permissions { retry_after, ..base.permissions.clone() };
-        let mut p = Proxy::new(Settings { stage, permissions: allowed, ..base }, &[]);
+        let mut p = Proxy::new(Settings { tier, permissions: allowed, ..base }, &[]);
         p.send_request(0, 0, 4_000.0);
         p.last.iter().find_map(|action| match action {
             Action::Reject { retry_after_ms, .. } => Some(*retry_after_ms),
@@ -344,7 +344,7 @@
     // do.
     let mut whole = before_forty_backends(0);
     whole.admitted(1);
-    let mut p = Proxy::new(Settings { stage: 0, ..settings() }, &backends(4));
+    let mut p = Proxy::new(Settings { tier: 0, ..settings() }, &backends(4));
     assert!(p.admitted(10_000) < 80);
     p.list(ListKind::Full, &backends(40));
     assert!(p.admitted(10_000) >= whole.admitted(10_000));
@@ -354,7 +354,7 @@
 fn nothing_is_rejected_while_backends_answer_at_once() {
     // The limiters took the resolution of a clock for a queue: 64 clients of instant backends were mostly
     // rejected.
-    let mut p = Proxy::new(Settings { stage: 0, ..settings() }, &backends(4));
+    let mut p = Proxy::new(Settings { tier: 0, ..settings() }, &backends(4));
     for round in 0..400 {
         let out: Vec<Sent> = (0..64).filter_map(|_| p.send_request(0, 0, 4_000.0)).collect();
         assert_eq!(out.len(), 64, "rejected in round {round}");
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -448,8 +448,8 @@
 #[test]
 fn the_plainest_settings_work() {
     // No tenants, one class, one zone, no reports, no probes, one backend, one instance, at any tier.
-    for stage in 0..3 {
-        let mut plain = Settings { stage, ..settings() };
+    for tier in 0..3 {
+        let mut plain = Settings { tier, ..settings() };
         plain.objective = objective(0.0, 0.0, 0.0);
         plain.classes[0].priority_weight = 0.0;
         let mut p = Proxy::new(plain, &backends(1));
--- a/crates/decision/tests/selection.rs
+++ b/crates/decision/tests/selection.rs
@@ -22,7 +22,7 @@
     // Many clients that each draw from all fill every backend's connection table.
     let mut covered = BTreeSet::new();
     for rank in 0..50 {
-        let mut p = Proxy::new(Settings { stage: 1, rank, fleet_size: 50, ..settings() }, &backends(60));
+        let mut p = Proxy::new(Settings { tier: 1, rank, fleet_size: 50, ..settings() }, &backends(60));
         let used = count_by_backend(&mut p, 200);
         assert!(used.len() <= 12, "instance {rank} uses {} of 60", used.len());
         covered.extend(used.into_keys());
--- a/crates/fault-injection/src/platform.rs
+++ b/crates/fault-injection/src/platform.rs
@@ -25,8 +25,8 @@
     let tenant = |t: &hillstall_decision::Tenant| json!({"Name": t.name, "AllowancePerS": t.quota_per_s, "Fraction": t.fraction});
     let (rules, allowed, prices, mix) = (&of.rules, &of.permissions, &of.prices, &of.objective);
     json!({
-        "Rank": of.rank, "FleetSize": of.fleet_size, "Az": of.zone, "Zones": of.zones, "Stage": of.stage,
-        "Stages": of.stages, "MachineTypes": of.machine_kinds, "KindOfService": of.service,
+        "Rank": of.rank, "FleetSize": of.fleet_size, "Az": of.zone, "Zones": of.zones, "Stage": of.tier,
+        "Stages": of.tier_names, "MachineTypes": of.machine_kinds, "KindOfService": of.service,
         "FamilyInfo": {"PassesDeadline": of.passes_deadline, "WarmKeys": of.caches_keys},
         "MembershipMode": if of.must_subscribe { "subscribe" } else { "automatic" },
         "WorthBy": if of.weight_by_work { "work" } else { "request" },
--- a/crates/hillstall/src/coordination.rs
+++ b/crates/hillstall/src/coordination.rs
@@ -74,7 +74,7 @@
         let known = settings.zones.join(", ");
         return Err(StartError::UnknownWindowSite { site: window.site.clone(), known });
     }
-    let rank = settings.stage.saturating_mul(MAX_INSTANCES_PER_TIER).saturating_add(settings.rank);
+    let rank = settings.tier.saturating_mul(MAX_INSTANCES_PER_TIER).saturating_add(settings.rank);
     let location = InstanceLocation { rank, site, sites: settings.zones.clone() };
     Ok(Some(hillstall_coordination::start(section.clone(), location)?))
 }
@@ -188,7 +188,7 @@
             tier_delay: TIER_DELAY * proxy.tier,
             newest: BTreeMap::new(),
             in_force: BTreeMap::new(),
-            drain: (settings.stage == 0).then(|| EntryTierDrain::new(settings)),
+            drain: (settings.tier == 0).then(|| EntryTierDrain::new(settings)),
             proxy,
         }
     }
--- a/crates/hillstall/src/proxy.rs
+++ b/crates/hillstall/src/proxy.rs
@@ -218,7 +218,7 @@
             driver: self.driver.clone(),
             metrics: self.metrics.clone(),
             lifecycle: self.lifecycle.clone(),
-            tier: settings.stage,
+            tier: settings.tier,
         };
         calls.spawn(coordination, advisories, settings);
     }
--- a/crates/hillstall/tests/fault_injection/main.rs
+++ b/crates/hillstall/tests/fault_injection/main.rs
@@ -29,7 +29,7 @@
 
 /// Told that a minute is in time and that it stands below the top, no front turns a call away for the others' sake.
 fn without_gates(told: &mut Settings) {
-    told.stage = 1;
+    told.tier = 1;
     told.classes.iter_mut().for_each(|class| class.latency_objective_ms = 60_000.0);
 }
 
--- a/crates/http1/src/server/mod.rs
+++ b/crates/http1/src/server/mod.rs
@@ -68,7 +68,7 @@
             client,
             classes: settings.classes.clone(),
             tenants: settings.tenants.clone(),
-            tier_name: settings.stages.get(settings.stage as usize).cloned().unwrap_or_default(),
+            tier_name: settings.tier_names.get(settings.tier as usize).cloned().unwrap_or_default(),
             retry_after: settings.permissions.retry_after,
             connections: RefCell::default(),
             next_connection_id: Cell::new(0),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -53,6 +53,6 @@
     require_max_length("Report.Fields", raw.report.fields.len(), MAX_REPORT_FIELDS)?;
     let has_zone = raw.zones.is_empty() || usize::from(raw.zone) < raw.zones.len();
     require(has_zone, "Az: there is no such zone in Zones".into())?;
-    let has_stage = raw.stages.is_empty() || (raw.stage as usize) < raw.stages.len();
-    require(has_stage, "Stage: there is no such tier in Stages".into())
+    let has_tier = raw.tier_names.is_empty() || (raw.tier as usize) < raw.tier_names.len();
+    require(has_tier, "Stage: there is no such tier in Stages".into())
 }
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -250,10 +250,10 @@
     pub zone: u16,
     #[serde(default)]
     pub zones: Vec<String>,
-    #[serde(default)]
-    pub stage: u32,
-    #[serde(default)]
-    pub stages: Vec<String>,
+    #[serde(rename = "Stage", default)]
+    pub tier: u32,
+    #[serde(rename = "Stages", default)]
+    pub tier_names: Vec<String>,
     #[serde(rename = "MachineTypes", default)]
     pub machine_kinds: Vec<String>,
     #[serde(rename = "KindOfService", default)]
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -92,8 +92,8 @@
         fleet_size: 10,
         zone: 1,
         zones: vec!["north".into(), "south".into()],
-        stage: 1,
-        stages: vec!["front".into(), "back".into()],
+        tier: 1,
+        tier_names: vec!["front".into(), "back".into()],
         machine_kinds: vec!["fast".into(), "slow".into()],
         service: "chain".into(),
         passes_deadline: true,
@@ -214,7 +214,7 @@
 #[test]
 fn absent_keys_mean_no_feature_no_price_and_no_limit() {
     let s = read(&least()).expect("good settings");
-    assert_eq!((s.rank, s.fleet_size, s.zone, s.stage), (0, 1, 0, 0));
+    assert_eq!((s.rank, s.fleet_size, s.zone, s.tier), (0, 1, 0, 0));
     assert!(!s.passes_deadline && !s.caches_keys && !s.marks_retry && !s.weight_by_work && !s.must_subscribe);
     assert!(
         !s.permissions.cancel
