--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -34,8 +34,8 @@
 pub use balancer::Balancer;
 pub use event::Event;
 pub use settings::{
-    Class, DedupScope, Objective, Permissions, Prices, ReportField, ReportVia, RetrySafety, Rules, Settings,
-    Tenant, Weights,
+    Class, DedupScope, Objective, Permissions, Prices, RatingSource, ReportField, ReportVia, RetrySafety,
+    Rules, Settings, Tenant,
 };
 pub use types::{
     BackendId, BackendInfo, BackendState, ListKind, LoadReport, Millis, Outcome, RequestId, UnservedReason,
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -97,7 +97,7 @@
 
 /// What a backend's rating means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weights {
+pub enum RatingSource {
     /// Always 1.
     Off,
     /// The registered size.
@@ -238,7 +238,7 @@
     /// The shortest time between two batches of events.
     pub tick_ms: Millis,
     /// What ratings mean. No decision reads it.
-    pub weights: Weights,
+    pub rating_source: RatingSource,
     /// The values of a load report, in order; empty where there are none.
     pub report: Vec<ReportField>,
     /// When load reports come. No decision reads it.
--- a/crates/decision/src/types.rs
+++ b/crates/decision/src/types.rs
@@ -43,7 +43,7 @@
     pub cell: u16,
     /// Whether it accepts requests.
     pub state: BackendState,
-    /// Relative size, as [`Settings::weights`](crate::Settings::weights) says.
+    /// Relative size, as [`Settings::rating_source`](crate::Settings::rating_source) says.
     pub rating: f64,
     /// Clock time of its last start; `None` if long ago.
     pub started_at: Option<Millis>,
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -49,7 +49,7 @@
         weight_by_work: false,
         over_quota_weight: 0.05,
         tick_ms: 5.0,
-        weights: Weights::Off,
+        rating_source: RatingSource::Off,
         report: Vec::new(),
         report_via: ReportVia::Off,
         classes: vec![class(RetrySafety::Idempotent, DedupScope::All)],
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -5,8 +5,8 @@
     RawRetrySafety, RawRules, RawSettings, RawTenant, RawWeightBasis, RawWeights,
 };
 use hillstall_decision::{
-    Class, DedupScope, Objective, Permissions, Prices, ReportField, ReportVia, RetrySafety, Rules, Settings,
-    Tenant, Weights,
+    Class, DedupScope, Objective, Permissions, Prices, RatingSource, ReportField, ReportVia, RetrySafety,
+    Rules, Settings, Tenant,
 };
 
 /// Converts settings whose values have been checked.
@@ -27,7 +27,7 @@
         weight_by_work: matches!(raw.weight_basis, RawWeightBasis::Work),
         over_quota_weight: raw.over_quota_weight,
         tick_ms: raw.tick_ms,
-        weights: weights(raw.weights),
+        rating_source: rating_source(raw.weights),
         report: raw.report.fields.iter().map(|name| report_field(name)).collect(),
         report_via: report_via(raw.report.via),
         classes: raw.classes.into_iter().map(class).collect(),
@@ -124,12 +124,12 @@
     }
 }
 
-fn weights(raw: RawWeights) -> Weights {
+fn rating_source(raw: RawWeights) -> RatingSource {
     match raw {
-        RawWeights::Off => Weights::Off,
-        RawWeights::Nominal => Weights::Nominal,
-        RawWeights::Rough => Weights::Rough,
-        RawWeights::Live => Weights::Live,
+        RawWeights::Off => RatingSource::Off,
+        RawWeights::Nominal => RatingSource::Nominal,
+        RawWeights::Rough => RatingSource::Rough,
+        RawWeights::Live => RatingSource::Live,
     }
 }
 
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -103,7 +103,7 @@
         weight_by_work: true,
         over_quota_weight: 0.05,
         tick_ms: 5.0,
-        weights: Weights::Live,
+        rating_source: RatingSource::Live,
         report: vec![ReportField::Active, ReportField::Waiting, ReportField::Cpu, ReportField::Unknown],
         report_via: ReportVia::Probe,
         classes: vec![look, class("book", RetrySafety::IdempotencyKey, DedupScope::Cell), once],
@@ -178,14 +178,14 @@
     for (word, scope) in [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)] {
         assert_eq!(with("Classes[0].KeyScope", json!(word)).classes[0].dedup_scope, scope, "{word}");
     }
-    let weights = [
-        ("off", Weights::Off),
-        ("nominal", Weights::Nominal),
-        ("rough", Weights::Rough),
-        ("live", Weights::Live),
+    let sources = [
+        ("off", RatingSource::Off),
+        ("nominal", RatingSource::Nominal),
+        ("rough", RatingSource::Rough),
+        ("live", RatingSource::Live),
     ];
-    for (word, weights) in weights {
-        assert_eq!(with("Weights", json!(word)).weights, weights, "{word}");
+    for (word, source) in sources {
+        assert_eq!(with("Weights", json!(word)).rating_source, source, "{word}");
     }
     let ways = [("off", ReportVia::Off), ("inline", ReportVia::Inline), ("on_probe", ReportVia::Probe)];
     for (word, via) in ways {
@@ -223,7 +223,10 @@
             && !s.permissions.peer_messages
     );
     assert_eq!((s.permissions.cpu_us_per_request, s.permissions.idle_close_ms), (0.0, f64::MAX));
-    assert_eq!((s.prices, s.report_via, s.weights), (Prices::default(), ReportVia::Off, Weights::Off));
+    assert_eq!(
+        (s.prices, s.report_via, s.rating_source),
+        (Prices::default(), ReportVia::Off, RatingSource::Off)
+    );
     assert_eq!(
         (s.classes[0].priority_weight, s.classes[0].late_weight_fraction, s.classes[0].objective_per_work_ms),
         (1.0, 0.0, 0.0)
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -5,8 +5,8 @@
 use crate::model::work::Shape;
 use crate::scenario::{ClassRetrySafety, CutMode, FailureKind, LinkKind, Scenario};
 use hillstall_decision::{
-    Class, DedupScope, Objective, Permissions, Prices, ReportVia, RetrySafety, Rules, Settings, Tenant,
-    Weights,
+    Class, DedupScope, Objective, Permissions, Prices, RatingSource, ReportVia, RetrySafety, Rules, Settings,
+    Tenant,
 };
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -396,7 +396,7 @@
             weight_by_work: true,
             over_quota_weight: self.over_share_worth,
             tick_ms: 2.0,
-            weights: Weights::Off,
+            rating_source: RatingSource::Off,
             report: Vec::new(),
             report_via: ReportVia::Off,
             classes: self.classes.iter().map(class).collect(),
