--- a/crates/decision/src/balancer.rs
+++ b/crates/decision/src/balancer.rs
@@ -18,7 +18,7 @@
 use crate::retry::{self, RetryBudget};
 use crate::selection::{SelectionContext, Selector};
 use crate::{Action, BackendInfo, Event, ListKind, Millis, Outcome, RequestId, Settings, UnservedReason};
-use hillstall_overload::capacity::OverloadedCapacity;
+use hillstall_overload::capacity::AvailableCapacity;
 use rustc_hash::FxHashMap;
 
 /// The only timer token in use: poll discovery again.
@@ -36,7 +36,7 @@
     requests: FxHashMap<RequestId, PendingRequest>,
     admission: AdmissionControl,
     /// The part of the tier that still answers: what the limiters admit follows it at once.
-    capacity: OverloadedCapacity,
+    capacity: AvailableCapacity,
     quotas: TenantQuotas,
     demand: DemandSkew,
     latencies: Vec<ClassLatency>,
@@ -68,7 +68,7 @@
             discovery_backoff: DiscoveryBackoff::default(),
             requests: FxHashMap::default(),
             admission: AdmissionControl::new(classes),
-            capacity: OverloadedCapacity::default(),
+            capacity: AvailableCapacity::default(),
             quotas: TenantQuotas::new(tenants),
             demand: DemandSkew::new(tenants),
             latencies: (0..classes).map(|_| ClassLatency::default()).collect(),
@@ -345,7 +345,7 @@
             latency_ratio,
             headroom: if outcome.was_abandoned() { 0.0 } else { headroom },
             scale: self.demand.value() * self.capacity.scale(),
-            max_rise: self.capacity.max_rise(),
+            max_limit_factor: self.capacity.max_limit_factor(),
         };
         if self.admission.learn(self.now, sample, &self.settings) {
             let (tier, baseline) = (self.admission.tier(), self.admission.baseline_ratio());
--- a/crates/decision/src/limiter.rs
+++ b/crates/decision/src/limiter.rs
@@ -69,7 +69,7 @@
     /// How many times its limit this instance admits at present.
     pub(crate) scale: f64,
     /// While the tier has lost capacity: how many times its limit at full capacity a limit may rise to.
-    pub(crate) max_rise: Option<f64>,
+    pub(crate) max_limit_factor: Option<f64>,
 }
 
 /// A limit on the requests in flight, learned from how requests finish.
@@ -175,7 +175,7 @@
         if sample.latency_ratio <= threshold && self.is_in_use(sample.scale) {
             self.raise(sample, max_weight, threshold);
         }
-        match sample.max_rise {
+        match sample.max_limit_factor {
             Some(factor) => {
                 self.limit = self.limit.min(self.limit_at_full_capacity.max(self.initial_limit) * factor);
             }
--- a/crates/overload/src/capacity.rs
+++ b/crates/overload/src/capacity.rs
@@ -14,14 +14,14 @@
 /// crowded backends slow down for good.
 const SCALE_EXPONENT: f64 = 1.2;
 /// Scale under which the tier counts as short of capacity.
-const SHORT_SCALE: f64 = 0.9;
+const REDUCED_SCALE: f64 = 0.9;
 /// Part of a limit that is open to clients' retries while the tier is short: a first attempt has all of its
 /// time before it.
 const RETRY_FRACTION: f64 = 0.5;
 
 /// The capacity that answers now, against the most of it that there was of late.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct OverloadedCapacity {
+pub struct AvailableCapacity {
     max_capacity: f64,
     updated_at: Millis,
     fraction: f64,
@@ -29,13 +29,13 @@
     scale: f64,
 }
 
-impl Default for OverloadedCapacity {
-    fn default() -> OverloadedCapacity {
-        OverloadedCapacity { max_capacity: 0.0, updated_at: 0.0, fraction: 1.0, scale: 1.0 }
+impl Default for AvailableCapacity {
+    fn default() -> AvailableCapacity {
+        AvailableCapacity { max_capacity: 0.0, updated_at: 0.0, fraction: 1.0, scale: 1.0 }
     }
 }
 
-impl OverloadedCapacity {
+impl AvailableCapacity {
     /// Takes the capacity of the backends that answer at `now`, in any unit. Where nothing is known, or
     /// nothing answers at all, the tier counts as complete: one that is silent as a whole gains nothing by
     /// fewer attempts.
@@ -66,21 +66,21 @@
     }
 
     /// Whether the tier is short of capacity.
-    pub fn is_short(&self) -> bool {
-        self.scale < SHORT_SCALE
+    pub fn is_reduced(&self) -> bool {
+        self.scale < REDUCED_SCALE
     }
 
     /// While the tier is short: how many times its value at full capacity a limit may rise to. What is left
     /// may serve somewhat more than it did, but timely answers to few requests justify little for the time
     /// when all backends are back.
-    pub fn max_rise(&self) -> Option<f64> {
-        self.is_short().then_some(2.0 - self.fraction)
+    pub fn max_limit_factor(&self) -> Option<f64> {
+        self.is_reduced().then_some(2.0 - self.fraction)
     }
 
     /// The part of a limit that is open to a request, from 0 to 1; `is_retry` says whether its client marked
     /// it as a retry.
     pub fn admitted_fraction(&self, is_retry: bool) -> f64 {
-        if is_retry && self.is_short() {
+        if is_retry && self.is_reduced() {
             RETRY_FRACTION
         } else {
             1.0
@@ -91,6 +91,6 @@
     /// milliseconds left: while the tier is short, one that would hardly end in time takes the place of one
     /// that will.
     pub fn fits_deadline(&self, time_left: Millis, expected: Millis) -> bool {
-        !self.is_short() || time_left > expected
+        !self.is_reduced() || time_left > expected
     }
 }
--- a/crates/overload/tests/capacity.rs
+++ b/crates/overload/tests/capacity.rs
@@ -1,20 +1,20 @@
 //! The part of a tier that answers: exact figures, and what holds for any sequence of updates.
 
-use hillstall_overload::capacity::OverloadedCapacity;
+use hillstall_overload::capacity::AvailableCapacity;
 use proptest::prelude::*;
 
 /// A tier of 12 backends that all answer at time 0.
-fn complete_tier() -> OverloadedCapacity {
-    let mut capacity = OverloadedCapacity::default();
+fn complete_tier() -> AvailableCapacity {
+    let mut capacity = AvailableCapacity::default();
     capacity.update(0.0, 12.0);
     capacity
 }
 
 #[test]
 fn limits_follow_a_loss_at_once_and_more_than_in_proportion() {
-    let unknown = OverloadedCapacity::default();
+    let unknown = AvailableCapacity::default();
     assert_eq!(
-        (unknown.fraction(), unknown.scale(), unknown.is_short()),
+        (unknown.fraction(), unknown.scale(), unknown.is_reduced()),
         (1.0, 1.0, false),
         "nothing is known"
     );
@@ -25,18 +25,18 @@
         (capacity.fraction() - 0.5).abs() < 1e-3 && (capacity.scale() - 0.435).abs() < 1e-3,
         "{capacity:?}"
     );
-    assert!(capacity.is_short());
-    assert!(capacity.max_rise().is_some_and(|factor| (factor - 1.5).abs() < 1e-3), "{capacity:?}");
+    assert!(capacity.is_reduced());
+    assert!(capacity.max_limit_factor().is_some_and(|factor| (factor - 1.5).abs() < 1e-3), "{capacity:?}");
     capacity.update(8_000.0, 12.0);
-    assert_eq!((capacity.scale(), capacity.max_rise()), (1.0, None), "all are back");
+    assert_eq!((capacity.scale(), capacity.max_limit_factor()), (1.0, None), "all are back");
 }
 
 #[test]
 fn one_unhealthy_backend_of_many_leaves_no_tier_short() {
-    let mut capacity = OverloadedCapacity::default();
+    let mut capacity = AvailableCapacity::default();
     capacity.update(0.0, 20.0);
     capacity.update(20.0, 19.0);
-    assert!(!capacity.is_short() && capacity.scale() > 0.92, "{capacity:?}");
+    assert!(!capacity.is_reduced() && capacity.scale() > 0.92, "{capacity:?}");
 }
 
 #[test]
@@ -72,7 +72,7 @@
     fn the_fraction_stays_within_0_and_1_whatever_comes(
         updates in prop::collection::vec((any::<f64>(), any::<f64>()), 0..50),
     ) {
-        let mut capacity = OverloadedCapacity::default();
+        let mut capacity = AvailableCapacity::default();
         for (now, answering) in updates {
             // Clocks that step back, and capacities that are no number, among them.
             let now = if now.is_finite() { now } else { 0.0 };
