--- a/crates/decision/src/admission.rs
+++ b/crates/decision/src/admission.rs
@@ -3,7 +3,7 @@
 //! the one of the burst capacity. A request that would exceed one is rejected unsent. This module keeps these
 //! limiters, gives them their initial limits, and decides from which latency ratio on each is reduced.
 
-use crate::baseline::{LatencyBaseline, MinimumRatio, CROWDED_FACTOR, MIN_CROWDED_RATIO};
+use crate::baseline::{LatencyBaseline, MinimumRatio, CONGESTION_FACTOR, MIN_CONGESTED_RATIO};
 use crate::class_priority::ClassPriorities;
 use crate::demand::INSTANCES_PER_SKEW;
 use crate::limiter::{ConcurrencyLimiter, Sample, Thresholds, UNLEARNED_LIMIT};
@@ -33,7 +33,7 @@
 /// How far from the lowest ratio to the objective the tier may go before burst capacity is taken back.
 const BURST_LATENESS: f64 = 0.15;
 /// Part of the tolerance of high priority classes for lateness that they also have for crowding.
-const CROWDED_TOLERANCE_FRACTION: f64 = 0.5;
+const CONGESTION_TOLERANCE_FRACTION: f64 = 0.5;
 /// Part of the tier's limit that classes of lower priority leave to the others, in a fleet of very many
 /// instances: were it given to whoever comes first, requests of more weight would be rejected as often as
 /// those of less. Where instances are few, limits are large, the last of them is seldom wanted, and stays
@@ -74,9 +74,9 @@
     }
 
     /// Whether the tier's latency ratio is known to be so many times its baseline.
-    pub(crate) fn is_crowded(&self, factor: f64) -> bool {
-        let crowded_ratio = (self.baseline.ratio() * factor).max(MIN_CROWDED_RATIO);
-        self.baseline.is_known() && self.tier.latency_ratio() > crowded_ratio
+    pub(crate) fn is_congested(&self, factor: f64) -> bool {
+        let congested_ratio = (self.baseline.ratio() * factor).max(MIN_CONGESTED_RATIO);
+        self.baseline.is_known() && self.tier.latency_ratio() > congested_ratio
     }
 
     /// Sets the top tier's initial limits by the backends listed. Returns whether these are the first.
@@ -168,26 +168,26 @@
         }
         let lowest = self.lowest_ratio.record(now, self.tier.latency_ratio());
         let late = lowest + BURST_LATENESS * (1.0 - lowest).max(0.0);
-        self.burst.learn(now, sample, Thresholds { late, crowded: f64::MAX });
+        self.burst.learn(now, sample, Thresholds { late, congested: f64::MAX });
         was_reduced
     }
 
     /// The thresholds of classes of lower priority, and those of the tier and all other classes.
     fn thresholds(&mut self, now: Millis, sample: Sample, is_top_tier: bool) -> (Thresholds, Thresholds) {
-        let crowded = self.baseline.record(now, sample.latency_ratio);
-        // A tier that takes so long with little to do is not crowded by it.
+        let congested = self.baseline.record(now, sample.latency_ratio);
+        // A tier that takes so long with little to do is not congested by it.
         let idle =
-            if self.baseline.is_known() { (self.baseline.ratio() * CROWDED_FACTOR).min(1.0) } else { 0.0 };
+            if self.baseline.is_known() { (self.baseline.ratio() * CONGESTION_FACTOR).min(1.0) } else { 0.0 };
         if !is_top_tier {
-            let both = Thresholds { late: LOWER_TIER_LATE_RATIO.max(idle), crowded: f64::MAX };
+            let both = Thresholds { late: LOWER_TIER_LATE_RATIO.max(idle), congested: f64::MAX };
             return (both, both);
         }
         // The more of the traffic has a lower priority, and can be shed first, the longer the rest may go on.
         let tolerance = (HIGH_PRIORITY_LATE_RATIO - TOP_TIER_LATE_RATIO) * self.priorities.lower_fraction();
-        let low_priority = Thresholds { late: TOP_TIER_LATE_RATIO.max(idle), crowded };
+        let low_priority = Thresholds { late: TOP_TIER_LATE_RATIO.max(idle), congested };
         let high_priority = Thresholds {
             late: (TOP_TIER_LATE_RATIO + tolerance).max(idle),
-            crowded: crowded + CROWDED_TOLERANCE_FRACTION * tolerance,
+            congested: congested + CONGESTION_TOLERANCE_FRACTION * tolerance,
         };
         (low_priority, high_priority)
     }
--- a/crates/decision/src/attempt_sample.rs
+++ b/crates/decision/src/attempt_sample.rs
@@ -15,20 +15,20 @@
 
 /// The part of a full rise of the limits that a load report permits, from 0 to 1; all of it where none says.
 pub(crate) fn headroom(settings: &Settings, report: &LoadReport) -> f64 {
-    let place = settings.report.iter().position(|field| *field == ReportField::Cpu);
-    let reported = place.filter(|place| *place < usize::from(report.len));
-    let cpu = reported.map(|place| f64::from(report.values[place])).filter(|cpu| cpu.is_finite());
+    let index = settings.report.iter().position(|field| *field == ReportField::Cpu);
+    let reported = index.filter(|index| *index < usize::from(report.len));
+    let cpu = reported.map(|index| f64::from(report.values[index])).filter(|cpu| cpu.is_finite());
     cpu.map_or(1.0, |cpu| ((1.0 - cpu) / FULL_RISE_SPARE_CPU).clamp(0.0, 1.0))
 }
 
 /// Time taken over the latency objective; `None` if the end of the attempt shows nothing of the tier.
-/// `is_sound` says whether a failure can be put down to the tier rather than to the backend.
+/// `counts_for_tier` says whether a failure can be put down to the tier rather than to the backend.
 pub(crate) fn latency_ratio(
     settings: &Settings,
     request: &PendingRequest,
     attempt: Attempt,
     completion: Completion,
-    is_sound: bool,
+    counts_for_tier: bool,
 ) -> Option<f64> {
     let objective = settings.classes[request.class].latency_objective_ms;
     let took = completion.took;
@@ -44,7 +44,7 @@
         // A connection that does not come about shows nothing of the tier, as while a zone is cut off; nor do
         // the failures of a backend already known as unhealthy, which are its own.
         Outcome::ConnectFailed => None,
-        _ if !is_sound => None,
+        _ if !counts_for_tier => None,
         // A connection that breaks is the network's or the process's end: an overload makes requests late.
         Outcome::Reset => Some(took / objective),
         _ => Some(FAILED_LATENCY_RATIO.max(took / objective)),
--- a/crates/decision/src/backend.rs
+++ b/crates/decision/src/backend.rs
@@ -1,7 +1,7 @@
 //! What a balancer knows of one backend: its list entry, its requests in flight, its health, how slow it is
 //! against others, its slow start and its drain.
 
-use crate::health::{Health, ANSWERING_HEALTH, EJECTED_HEALTH, SOUND_HEALTH};
+use crate::health::{Health, ANSWERING_HEALTH, EJECTED_HEALTH, TIER_FAILURE_MIN_HEALTH};
 use crate::slow_start::{ready_fraction, SlowStartBudget};
 use crate::{BackendInfo, BackendState, Millis, Outcome, Rules};
 
@@ -30,7 +30,7 @@
     /// When it last answered.
     pub(crate) answered_at: Millis,
     /// When the last request was sent that got no answer at all.
-    silent_since: Millis,
+    unanswered_since: Millis,
     health: Health,
     health_by_class: Vec<Health>,
     /// What may be sent to it in slow start.
@@ -49,7 +49,7 @@
             slowness_samples: 0.0,
             oldest_sent_at: f64::MAX,
             answered_at: f64::MIN,
-            silent_since: f64::MIN,
+            unanswered_since: f64::MIN,
             health: Health::default(),
             health_by_class: vec![Health::default(); classes],
             slow_start,
@@ -111,7 +111,7 @@
     /// Whether it answers, if only to reject. One that has answered since the last request was sent that got
     /// no answer does: a connection was late there.
     pub(crate) fn is_answering(&self, now: Millis) -> bool {
-        self.health.value(now) >= ANSWERING_HEALTH || self.answered_at >= self.silent_since
+        self.health.value(now) >= ANSWERING_HEALTH || self.answered_at >= self.unanswered_since
     }
 
     /// Counts a request that is sent.
@@ -133,11 +133,11 @@
         let succeeded = outcome == Outcome::Ok;
         self.in_flight = (self.in_flight - 1.0).max(0.0);
         self.oldest_sent_at = if self.in_flight > 0.0 { self.oldest_sent_at.max(sent_at) } else { f64::MAX };
-        let mut is_sound = self.class_health(now, class) > SOUND_HEALTH;
+        let mut counts_for_tier = self.class_health(now, class) > TIER_FAILURE_MIN_HEALTH;
         if self.info.state == BackendState::Draining && !succeeded {
             // It rejects or ends, as the list announced: that shows nothing of the tier.
             self.draining_since = None;
-            is_sound = false;
+            counts_for_tier = false;
         }
         if !outcome.was_abandoned() {
             self.health.record(now, succeeded);
@@ -145,10 +145,10 @@
             if outcome != Outcome::Timeout && outcome != Outcome::ConnectFailed {
                 self.answered_at = now;
             } else {
-                self.silent_since = self.silent_since.max(sent_at);
+                self.unanswered_since = self.unanswered_since.max(sent_at);
             }
         }
-        is_sound
+        counts_for_tier
     }
 
     /// Takes the latency of a request served, over the latency that was expected of it.
--- a/crates/decision/src/balancer.rs
+++ b/crates/decision/src/balancer.rs
@@ -7,7 +7,7 @@
 
 use crate::admission::{AdmissionControl, TOP_TIER_LATE_RATIO};
 use crate::attempt_sample;
-use crate::demand::{DemandSkew, CROWDED_FACTOR};
+use crate::demand::{DemandSkew, SLOW_RISE_CONGESTION_FACTOR};
 use crate::endpoints::{DiscoveryBackoff, Endpoints};
 use crate::latency::ClassLatency;
 use crate::limiter::Sample;
@@ -163,8 +163,8 @@
         }
         self.capacity.update(self.now, self.endpoints.answering_capacity(self.now, &self.settings.rules));
         let backends_per_instance = self.admission.tier().backends_per_instance();
-        let is_crowded = self.admission.is_crowded(CROWDED_FACTOR);
-        self.demand.evaluate(self.now, &self.settings, backends_per_instance, is_crowded);
+        let is_congested = self.admission.is_congested(SLOW_RISE_CONGESTION_FACTOR);
+        self.demand.evaluate(self.now, &self.settings, backends_per_instance, is_congested);
     }
 
     fn on_request(&mut self, arrival: Arrival, actions: &mut Vec<Action>) {
@@ -216,7 +216,7 @@
             return self.give_up(id, &request, reason, actions);
         }
         match self.select_backend(&request) {
-            Some(place) => self.send(id, request, place, time_left, actions),
+            Some(index) => self.send(id, request, index, time_left, actions),
             None => self.give_up(id, &request, UnservedReason::NoBackend, actions),
         }
     }
@@ -255,13 +255,13 @@
         &mut self,
         id: RequestId,
         mut request: PendingRequest,
-        place: usize,
+        index: usize,
         time_left: Millis,
         actions: &mut Vec<Action>,
     ) {
         let class = &self.settings.classes[request.class];
         let timeout_ms = retry::attempt_timeout(&request, class, &self.latencies[request.class], time_left);
-        let backend = self.endpoints.at_mut(place);
+        let backend = self.endpoints.at_mut(index);
         backend.on_send(self.now);
         request.attempts += 1;
         request.in_flight = Some(Attempt { backend: backend.info, sent_at: self.now });
@@ -336,9 +336,10 @@
     ) {
         let Completion { outcome, took, headroom } = completion;
         let took = if took.is_finite() { took.max(0.0) } else { self.now - attempt.sent_at };
-        let is_sound = self.learn_backend(request, attempt, outcome, took);
+        let counts_for_tier = self.learn_backend(request, attempt, outcome, took);
         let completion = Completion { outcome, took, headroom };
-        let finished = attempt_sample::latency_ratio(&self.settings, request, attempt, completion, is_sound);
+        let finished =
+            attempt_sample::latency_ratio(&self.settings, request, attempt, completion, counts_for_tier);
         let Some(latency_ratio) = finished else { return };
         let sample = Sample {
             sent_at: attempt.sent_at,
@@ -373,10 +374,10 @@
             latency.record(took, request.expected_work);
         }
         let Some(backend) = self.endpoints.get_mut(attempt.backend.id) else { return true };
-        let is_sound = backend.on_attempt_end(self.now, request.class, attempt.sent_at, outcome);
+        let counts_for_tier = backend.on_attempt_end(self.now, request.class, attempt.sent_at, outcome);
         if is_served && expected > 0.0 {
             backend.record_slowness(took, expected);
         }
-        is_sound
+        counts_for_tier
     }
 }
--- a/crates/decision/src/baseline.rs
+++ b/crates/decision/src/baseline.rs
@@ -5,13 +5,13 @@
 use crate::Millis;
 
 /// Times the baseline above which the tier's limits are reduced, where that is below the threshold for
-/// lateness: a queue twice as long as normal serves no more, and servers that stay crowded slow down for
+/// lateness: a queue twice as long as normal serves no more, and servers that stay congested slow down for
 /// good.
-pub(crate) const CROWDED_FACTOR: f64 = 1.5;
-/// Latency ratio below which nothing counts as crowded: where answers take so small a part of their latency
+pub(crate) const CONGESTION_FACTOR: f64 = 1.5;
+/// Latency ratio below which nothing counts as congested: where answers take so small a part of their latency
 /// objective, a queue of that length does no damage, and what looks like one may be the resolution of a
 /// clock.
-pub(crate) const MIN_CROWDED_RATIO: f64 = 0.02;
+pub(crate) const MIN_CONGESTED_RATIO: f64 = 0.02;
 /// Samples over which the mean latency ratio is averaged.
 const BASELINE_SAMPLES: f64 = 120.0;
 /// Part per second by which a remembered minimum rises, so that it follows a tier that has changed.
@@ -39,7 +39,7 @@
         self.minimum
     }
 
-    /// Takes the latency ratio of a finished request. Returns the ratio above which the tier is crowded.
+    /// Takes the latency ratio of a finished request. Returns the ratio above which the tier is congested.
     pub(crate) fn record(&mut self, now: Millis, latency_ratio: f64) -> f64 {
         self.samples = (self.samples + 1.0).min(BASELINE_SAMPLES);
         self.mean += (latency_ratio - self.mean) / self.samples;
@@ -50,7 +50,7 @@
             return f64::MAX;
         }
         self.minimum = if self.minimum == 0.0 { self.mean } else { self.minimum.min(self.mean) };
-        (self.minimum * CROWDED_FACTOR).max(MIN_CROWDED_RATIO)
+        (self.minimum * CONGESTION_FACTOR).max(MIN_CONGESTED_RATIO)
     }
 }
 
--- a/crates/decision/src/demand.rs
+++ b/crates/decision/src/demand.rs
@@ -23,7 +23,7 @@
 /// has enough of the traffic to learn its own limits well, and overloads the tier by itself.
 pub(crate) const INSTANCES_PER_SKEW: f64 = 8.0;
 /// Times the tier's baseline above which a rise of the skew is followed slowly.
-pub(crate) const CROWDED_FACTOR: f64 = 1.2;
+pub(crate) const SLOW_RISE_CONGESTION_FACTOR: f64 = 1.2;
 /// Time over which a rise is followed slowly, in milliseconds. Traffic that moves between instances leaves
 /// the tier as it is; a burst at all instances crowds it, and must not raise all limits at once.
 const SLOW_RISE_MS: Millis = 10_000.0;
@@ -35,7 +35,7 @@
     /// Demand over an even part of the tenant's quota.
     ratio: f64,
     /// An even part of the quota, in requests of the window.
-    even_part: f64,
+    even_share: f64,
 }
 
 /// The skew of this instance, at least 1, and what it is derived from.
@@ -76,31 +76,31 @@
         now - self.evaluated_at >= EVALUATION_INTERVAL_MS
     }
 
-    /// Derives the skew from the recent demand. `is_crowded` says whether the tier's latencies are above
+    /// Derives the skew from the recent demand. `is_congested` says whether the tier's latencies are above
     /// normal.
     pub(crate) fn evaluate(
         &mut self,
         now: Millis,
         settings: &Settings,
         backends_per_instance: f64,
-        is_crowded: bool,
+        is_congested: bool,
     ) {
         let elapsed = (now - self.evaluated_at).min(SLOW_RISE_MS);
         self.evaluated_at = now;
         let mut demands = self.tenant_demands(now, settings);
         demands.sort_by(|a, b| a.ratio.total_cmp(&b.ratio));
-        let total: f64 = demands.iter().map(|demand| demand.even_part).sum();
+        let total: f64 = demands.iter().map(|demand| demand.even_share).sum();
         // Nor must one tenant's flood raise the limits: what it demands beyond the other tenants does not
         // count.
         let max_ratio = median_ratio(&demands, total).map_or(0.0, |ratio| MAX_TENANT_DEMAND * ratio);
-        let offered: f64 = demands.iter().map(|demand| demand.ratio.min(max_ratio) * demand.even_part).sum();
+        let offered: f64 = demands.iter().map(|demand| demand.ratio.min(max_ratio) * demand.even_share).sum();
         let ratio = Some(offered / total).filter(|ratio| ratio.is_finite()).unwrap_or(1.0);
         // Where an even part is a few requests, random fluctuation makes it look like more now and then.
         let fluctuation = (1.0 - backends_per_instance) * RANDOM_DEVIATIONS / total.max(1.0).sqrt();
         let certainty = (ratio - MIN_SKEW - fluctuation) / (CERTAIN_SKEW - MIN_SKEW);
         let max_skew = f64::from(settings.fleet_size) / INSTANCES_PER_SKEW;
         let skew = (1.0 + certainty * (CERTAIN_SKEW - 1.0)).min(ratio).min(max_skew).max(1.0);
-        let step = if skew > self.skew && is_crowded { elapsed / SLOW_RISE_MS } else { 1.0 };
+        let step = if skew > self.skew && is_congested { elapsed / SLOW_RISE_MS } else { 1.0 };
         self.skew += (skew - self.skew) * step;
     }
 
@@ -111,13 +111,13 @@
         let window =
             DEMAND_TIME_CONSTANT_MS * (1.0 - (-age.max(MIN_DEMAND_AGE_MS) / DEMAND_TIME_CONSTANT_MS).exp());
         let instances = f64::from(settings.fleet_size);
-        let even_part = |tenant: &Tenant| tenant.quota_per_s / instances * window / 1000.0;
+        let even_share = |tenant: &Tenant| tenant.quota_per_s / instances * window / 1000.0;
         let with_quota =
-            self.offered.iter().zip(&settings.tenants).filter(|(_, tenant)| even_part(tenant) > 0.0);
+            self.offered.iter().zip(&settings.tenants).filter(|(_, tenant)| even_share(tenant) > 0.0);
         with_quota
             .map(|(offered, tenant)| TenantDemand {
-                ratio: offered.value(now, DEMAND_TIME_CONSTANT_MS) / even_part(tenant),
-                even_part: even_part(tenant),
+                ratio: offered.value(now, DEMAND_TIME_CONSTANT_MS) / even_share(tenant),
+                even_share: even_share(tenant),
             })
             .collect()
     }
@@ -127,7 +127,7 @@
 fn median_ratio(demands: &[TenantDemand], total: f64) -> Option<f64> {
     let mut below = 0.0;
     let median = demands.iter().find(|demand| {
-        below += demand.even_part;
+        below += demand.even_share;
         below >= total / 2.0
     });
     median.map(|demand| demand.ratio)
--- a/crates/decision/src/endpoints.rs
+++ b/crates/decision/src/endpoints.rs
@@ -21,7 +21,7 @@
 #[derive(Default)]
 pub(crate) struct Endpoints {
     backends: Vec<Backend>,
-    places: FxHashMap<BackendId, usize>,
+    index_by_id: FxHashMap<BackendId, usize>,
     subset_order: Vec<usize>,
     /// Whether no update can have been missed since the last list: gaps are reported only where the list is
     /// subscribed to.
@@ -34,24 +34,24 @@
         &self.backends
     }
 
-    /// The places of all backends, in the order in which this instance takes them into its subset.
+    /// The index_by_id of all backends, in the order in which this instance takes them into its subset.
     pub(crate) fn subset_order(&self) -> &[usize] {
         &self.subset_order
     }
 
-    /// The backend at a place.
-    pub(crate) fn at(&self, place: usize) -> &Backend {
-        &self.backends[place]
+    /// The backend at a index.
+    pub(crate) fn at(&self, index: usize) -> &Backend {
+        &self.backends[index]
     }
 
-    /// The backend at a place.
-    pub(crate) fn at_mut(&mut self, place: usize) -> &mut Backend {
-        &mut self.backends[place]
+    /// The backend at a index.
+    pub(crate) fn at_mut(&mut self, index: usize) -> &mut Backend {
+        &mut self.backends[index]
     }
 
     /// The backend with an id, if it is listed or has requests in flight.
     pub(crate) fn get_mut(&mut self, id: BackendId) -> Option<&mut Backend> {
-        self.places.get(&id).map(|place| &mut self.backends[*place])
+        self.index_by_id.get(&id).map(|index| &mut self.backends[*index])
     }
 
     /// How many backends are listed, and how many of those are avoided.
@@ -97,11 +97,12 @@
         }
         self.is_continuous = settings.must_subscribe && kind != ListKind::Cached;
         self.backends.retain(|backend| backend.info.state != BackendState::Gone || backend.in_flight > 0.0);
-        self.places = self.backends.iter().enumerate().map(|(i, backend)| (backend.info.id, i)).collect();
+        self.index_by_id =
+            self.backends.iter().enumerate().map(|(i, backend)| (backend.info.id, i)).collect();
         self.order_subset(settings);
     }
 
-    /// Takes one entry; `create` makes its backend if that is unknown or has restarted.
+    /// Takes one offset; `create` makes its backend if that is unknown or has restarted.
     fn apply_entry(
         &mut self,
         info: BackendInfo,
@@ -109,32 +110,32 @@
         create: impl FnOnce() -> Backend,
         now: Millis,
     ) {
-        match self.places.get(&info.id) {
-            Some(&place) if self.backends[place].info.started_at == info.started_at => {
-                let previous = previous.get(place).copied().unwrap_or(BackendState::Gone);
-                self.backends[place].update(info, previous, self.is_continuous, now);
+        match self.index_by_id.get(&info.id) {
+            Some(&index) if self.backends[index].info.started_at == info.started_at => {
+                let previous = previous.get(index).copied().unwrap_or(BackendState::Gone);
+                self.backends[index].update(info, previous, self.is_continuous, now);
             }
-            Some(&place) => {
+            Some(&index) => {
                 let mut restarted = create();
-                restarted.in_flight = self.backends[place].in_flight;
-                self.backends[place] = restarted;
+                restarted.in_flight = self.backends[index].in_flight;
+                self.backends[index] = restarted;
             }
             None => {
-                self.places.insert(info.id, self.backends.len());
+                self.index_by_id.insert(info.id, self.backends.len());
                 self.backends.push(create());
             }
         }
     }
 
-    /// Orders the backends: own zone first, each zone a ring of hashed ids that instances enter at places set
+    /// Orders the backends: own zone first, each zone a ring of hashed ids that instances enter at index_by_id set
     /// apart by their rank, so that all backends are covered alike.
     fn order_subset(&mut self, settings: &Settings) {
-        let entry = f64::from(settings.rank) / f64::from(settings.fleet_size) % 1.0;
+        let offset = f64::from(settings.rank) / f64::from(settings.fleet_size) % 1.0;
         let (mut own, mut other): (Vec<usize>, Vec<usize>) =
-            (0..self.backends.len()).partition(|&place| self.backends[place].info.zone == settings.zone);
+            (0..self.backends.len()).partition(|&index| self.backends[index].info.zone == settings.zone);
         for ring in [&mut own, &mut other] {
-            ring.sort_by_key(|&place| hashed(self.backends[place].info.id));
-            let start = ((entry * ring.len() as f64) as usize).min(ring.len());
+            ring.sort_by_key(|&index| hash_id(self.backends[index].info.id));
+            let start = ((offset * ring.len() as f64) as usize).min(ring.len());
             ring.rotate_left(start);
         }
         own.append(&mut other);
@@ -143,7 +144,7 @@
 }
 
 /// Scatters ids evenly (Fibonacci hashing).
-fn hashed(id: BackendId) -> u64 {
+fn hash_id(id: BackendId) -> u64 {
     u64::from(id).wrapping_mul(0x9E37_79B9_7F4A_7C15).rotate_left(32)
 }
 
--- a/crates/decision/src/limiter.rs
+++ b/crates/decision/src/limiter.rs
@@ -6,7 +6,7 @@
 //! many times more. Were limits learned for each instance as it is, all would settle alike, and an instance
 //! with ten times the requests would reject nine in ten.
 
-use crate::baseline::MIN_CROWDED_RATIO;
+use crate::baseline::MIN_CONGESTED_RATIO;
 use crate::Millis;
 
 /// Requests in flight that a new limiter admits before the backend list is known and below the top tier: far
@@ -22,7 +22,7 @@
 const REDUCTION_FACTOR: f64 = 0.75;
 /// Part of the initial limit below which crowding alone does not reduce: a random fluctuation must not close
 /// the limiter of a tier that is not overloaded.
-const MIN_CROWDED_LIMIT_FRACTION: f64 = 0.5;
+const MIN_CONGESTED_LIMIT_FRACTION: f64 = 0.5;
 /// The least weight of one sample in the smoothed latency ratio.
 const MIN_SAMPLE_WEIGHT: f64 = 0.02;
 /// The greatest weight of one sample: sparse instances must not reduce their limits on one failure.
@@ -54,7 +54,7 @@
     pub(crate) late: f64,
     /// As requests take longer than the baseline; this alone reduces a limit only to a part of its initial
     /// value.
-    pub(crate) crowded: f64,
+    pub(crate) congested: f64,
 }
 
 /// What one finished request shows.
@@ -141,7 +141,7 @@
     /// in the limit admits one more request with that probability.
     pub(crate) fn admits(&self, scale: f64, random: f64) -> bool {
         let is_unproven = self.updated_at == f64::MIN;
-        let factor = if is_unproven { self.blend(UNPROVEN_LIMIT_FACTOR, 1.0) } else { 1.0 };
+        let factor = if is_unproven { self.interpolate(UNPROVEN_LIMIT_FACTOR, 1.0) } else { 1.0 };
         self.in_flight + 1.0 <= self.limit * scale * factor + random
     }
 
@@ -167,7 +167,7 @@
         let max_weight = MAX_SAMPLE_WEIGHT + SPARSE_SAMPLE_WEIGHT * (1.0 - self.backends_per_instance);
         let weight = (elapsed / RATIO_TIME_CONSTANT_MS).clamp(MIN_SAMPLE_WEIGHT, max_weight);
         self.latency_ratio += weight * (sample.latency_ratio - self.latency_ratio);
-        let threshold = thresholds.late.min(thresholds.crowded);
+        let threshold = thresholds.late.min(thresholds.congested);
         if self.latency_ratio > threshold {
             self.reduce(now, sample, thresholds);
             return true;
@@ -197,9 +197,9 @@
 
     fn reduce(&mut self, now: Millis, sample: Sample, thresholds: Thresholds) {
         let is_late = self.latency_ratio > thresholds.late;
-        let floor = if is_late { 0.0 } else { MIN_CROWDED_LIMIT_FRACTION * self.initial_limit };
+        let floor = if is_late { 0.0 } else { MIN_CONGESTED_LIMIT_FRACTION * self.initial_limit };
         self.reduced_at = now;
-        self.latency_ratio = thresholds.late.min(thresholds.crowded);
+        self.latency_ratio = thresholds.late.min(thresholds.congested);
         let in_use = self.limit.min(self.peak_in_flight / sample.scale);
         self.limit = self.limit.min((in_use * REDUCTION_FACTOR).max(floor).max(MIN_LIMIT));
     }
@@ -215,11 +215,11 @@
         // A sparse instance rises by a part of its limit in the time in which it would learn of an overload.
         let dense_step = RISE_PER_ROUND.max(1.0 / self.limit.max(1.0));
         let sparse_step = RISE_PER_ROUND * self.limit.max(self.backends_per_instance) * max_weight;
-        let step = self.blend(fast, 1.0) * self.blend(dense_step, sparse_step.min(dense_step));
+        let step = self.interpolate(fast, 1.0) * self.interpolate(dense_step, sparse_step.min(dense_step));
         // A skewed instance has as many more answers in each round, and rises as fast as the others.
         self.limit += step / sample.scale * sample.headroom * (1.0 - self.latency_ratio / threshold);
         // An answer that took next to none of its time proves capacity for all that was in flight with it.
-        if never_reduced && sample.latency_ratio <= MIN_CROWDED_RATIO && sample.headroom >= 1.0 {
+        if never_reduced && sample.latency_ratio <= MIN_CONGESTED_RATIO && sample.headroom >= 1.0 {
             self.limit = self.limit.max((self.peak_in_flight + 1.0) / sample.scale);
         }
     }
@@ -235,7 +235,7 @@
 
     /// Between the value for an instance with backends enough of its own and that for one of very many
     /// instances.
-    fn blend(&self, dense: f64, sparse: f64) -> f64 {
+    fn interpolate(&self, dense: f64, sparse: f64) -> f64 {
         dense.powf(self.backends_per_instance) * sparse.powf(1.0 - self.backends_per_instance)
     }
 }
--- a/crates/decision/src/retry.rs
+++ b/crates/decision/src/retry.rs
@@ -16,12 +16,12 @@
 /// The shortest attempt timeout, in milliseconds: a pause of a machine is no hang.
 const MIN_ATTEMPT_TIMEOUT_MS: Millis = 12.0;
 /// Mean latencies that must be left after an attempt timeout for another attempt to be of use.
-const LATENCIES_LEFT: f64 = 2.0;
+const MIN_LATENCIES_LEFT: f64 = 2.0;
 /// Mean latencies after which a rejected client may come back: by then about half of what filled the limiter
 /// has finished, and its answer can still be in time.
 const RETRY_AFTER_LATENCIES: f64 = 0.5;
 /// Mean latency that is assumed while none is known, in milliseconds.
-const UNKNOWN_LATENCY_MS: Millis = 200.0;
+const DEFAULT_LATENCY_MS: Millis = 200.0;
 /// Least part of the wait that a rejected client gets; the rest is random.
 const MIN_JITTER: f64 = 0.5;
 
@@ -94,7 +94,7 @@
 ) -> Millis {
     let timeout = (latency.mean + TIMEOUT_DEVIATIONS * latency.deviation).max(MIN_ATTEMPT_TIMEOUT_MS);
     let is_final = class.retry_safety == RetrySafety::NonIdempotent || request.attempts > 0;
-    if is_final || latency.mean == 0.0 || time_left < timeout + LATENCIES_LEFT * latency.mean {
+    if is_final || latency.mean == 0.0 || time_left < timeout + MIN_LATENCIES_LEFT * latency.mean {
         time_left
     } else {
         timeout
@@ -112,6 +112,6 @@
     if tier > 0 || !permissions.retry_after {
         return 0.0;
     }
-    let mean = Some(latency.mean).filter(|mean| *mean > 0.0).unwrap_or(UNKNOWN_LATENCY_MS);
+    let mean = Some(latency.mean).filter(|mean| *mean > 0.0).unwrap_or(DEFAULT_LATENCY_MS);
     (RETRY_AFTER_LATENCIES * mean * (MIN_JITTER + random())).min(permissions.max_retry_after_ms)
 }
--- a/crates/decision/src/selection.rs
+++ b/crates/decision/src/selection.rs
@@ -22,9 +22,9 @@
 /// of a hang.
 const OVERDUE_LATENCIES: f64 = 3.0;
 /// Factor on the weight of a backend that shows this sign.
-const OVERDUE_WEIGHT: f64 = 0.1;
+const OVERDUE_WEIGHT_FACTOR: f64 = 0.1;
 /// Factor on the weight of a backend that has had an attempt of the request.
-const TRIED_WEIGHT: f64 = 0.01;
+const TRIED_WEIGHT_FACTOR: f64 = 0.01;
 /// Power of the slowness by which a weight falls.
 const SLOWNESS_EXPONENT: i32 = 3;
 /// The least slowness that counts.
@@ -62,7 +62,7 @@
 
 /// A backend that may be drawn.
 struct Candidate {
-    place: usize,
+    index: usize,
     weight: f64,
     /// Requests in flight for the capacity that it has.
     load: f64,
@@ -75,8 +75,8 @@
     in_flight: f64,
     /// Backends, those in slow start and the unhealthy ones as parts.
     usable_backends: f64,
-    own_zone_capacity: f64,
-    own_zone_healthy_capacity: f64,
+    local_zone_capacity: f64,
+    local_zone_healthy_capacity: f64,
 }
 
 /// Draws backends for requests.
@@ -111,36 +111,36 @@
         endpoints: &mut Endpoints,
         random: &mut RandomSource,
     ) -> Option<usize> {
-        let selected = self.select_from(context, endpoints, random, false)?;
+        let selected = self.draw_from_subset(context, endpoints, random, false)?;
         let zone = endpoints.at(selected).info.zone;
         let is_diverted = self.zone_fractions.is_diverted(context.now, zone, || random.next_unit());
         if !is_diverted {
             return Some(selected);
         }
-        Some(self.select_from(context, endpoints, random, true).unwrap_or(selected))
+        Some(self.draw_from_subset(context, endpoints, random, true).unwrap_or(selected))
     }
 
     /// Draws from this instance's subset of the tier: many instances that each draw from all backends fill
-    /// every backend's connection table. `full_zones`: only from zones that get all of their load.
-    fn select_from(
+    /// every backend's connection table. `skip_reduced_zones`: only from zones that get all of their load.
+    fn draw_from_subset(
         &mut self,
         context: SelectionContext<'_>,
         endpoints: &mut Endpoints,
         random: &mut RandomSource,
-        full_zones: bool,
+        skip_reduced_zones: bool,
     ) -> Option<usize> {
-        let totals = self.collect_candidates(context, endpoints, full_zones);
+        let totals = self.collect_candidates(context, endpoints, skip_reduced_zones);
         if context.request.may_have_run.is_none() {
             self.subset_capacity = totals.capacity;
         }
         let mean_load = totals.in_flight / totals.capacity.max(MIN_CAPACITY);
         let overdue_after = OVERDUE_LATENCIES * context.mean_latency;
-        let other_zone_weight = other_zone_weight(context, &totals);
+        let remote_zone_weight = remote_zone_weight(context, &totals);
         for candidate in &mut self.candidates {
             let relative_load = 1.0 + candidate.load / (mean_load + LOAD_OFFSET);
-            let backend = endpoints.at(candidate.place);
+            let backend = endpoints.at(candidate.index);
             candidate.weight *=
-                feedback_weight(context, backend, relative_load, overdue_after, other_zone_weight);
+                feedback_weight(context, backend, relative_load, overdue_after, remote_zone_weight);
         }
         draw(&self.candidates, random.next_unit())
     }
@@ -150,7 +150,7 @@
         &mut self,
         context: SelectionContext<'_>,
         endpoints: &mut Endpoints,
-        full_zones: bool,
+        skip_reduced_zones: bool,
     ) -> SubsetTotals {
         let SelectionContext { now, settings, request, .. } = context;
         let class = &settings.classes[request.class];
@@ -159,9 +159,9 @@
         let mut totals = SubsetTotals::default();
         self.candidates.clear();
         for n in 0..endpoints.subset_order().len() {
-            let place = endpoints.subset_order()[n];
-            let backend = endpoints.at_mut(place);
-            if full_zones && self.zone_fractions.fraction(now, backend.info.zone) < 1.0 {
+            let index = endpoints.subset_order()[n];
+            let backend = endpoints.at_mut(index);
+            if skip_reduced_zones && self.zone_fractions.fraction(now, backend.info.zone) < 1.0 {
                 continue;
             }
             let drain_fraction = backend.drain_fraction(now, &settings.rules);
@@ -169,7 +169,7 @@
             if !may_send || !has_slow_start_budget(context, backend, rate_per_capacity) {
                 continue;
             }
-            self.candidates.push(totals.add(context, place, backend, drain_fraction));
+            self.candidates.push(totals.add(context, index, backend, drain_fraction));
             if totals.usable_backends >= backends_wanted {
                 break;
             }
@@ -189,7 +189,7 @@
     fn add(
         &mut self,
         context: SelectionContext<'_>,
-        place: usize,
+        index: usize,
         backend: &Backend,
         drain_fraction: f64,
     ) -> Candidate {
@@ -199,15 +199,15 @@
         self.capacity += capacity;
         self.in_flight += backend.in_flight;
         if backend.info.zone == settings.zone {
-            self.own_zone_capacity += capacity;
-            self.own_zone_healthy_capacity += capacity * health;
+            self.local_zone_capacity += capacity;
+            self.local_zone_healthy_capacity += capacity * health;
         }
         self.usable_backends += health * capacity / backend.rating();
         // An unhealthy backend is full with fewer requests. Were it but drawn less often, it would be filled
         // to MIN_HEALTH^(1/8), three fifths of what a sound one has in flight, and a hang keeps requests for
         // long.
         let health = health.max(MIN_HEALTH);
-        Candidate { place, weight: capacity * health, load: backend.in_flight / (capacity * health.sqrt()) }
+        Candidate { index, weight: capacity * health, load: backend.in_flight / (capacity * health.sqrt()) }
     }
 }
 
@@ -237,10 +237,10 @@
 
 /// Factor on the weight of backends in other zones: those are for the overflow, and take over as the own zone
 /// fails. Under overload balance matters more than the price.
-fn other_zone_weight(context: SelectionContext<'_>, totals: &SubsetTotals) -> f64 {
+fn remote_zone_weight(context: SelectionContext<'_>, totals: &SubsetTotals) -> f64 {
     let weight = 1.0 / (1.0 + CROSS_ZONE_AVERSION * context.settings.prices.cross_zone);
-    let own_zone_health = (1.0 - context.saturation).max(0.0) * totals.own_zone_healthy_capacity;
-    weight.powf(own_zone_health / totals.own_zone_capacity.max(MIN_CAPACITY))
+    let local_zone_health = (1.0 - context.saturation).max(0.0) * totals.local_zone_healthy_capacity;
+    weight.powf(local_zone_health / totals.local_zone_capacity.max(MIN_CAPACITY))
 }
 
 /// Factor on a backend's weight by its slowness, its load over the mean, signs of a hang, its zone and
@@ -250,31 +250,31 @@
     backend: &Backend,
     relative_load: f64,
     overdue_after: Millis,
-    other_zone_weight: f64,
+    remote_zone_weight: f64,
 ) -> f64 {
     let slowness = backend.slowness.max(MIN_SLOWNESS).powi(SLOWNESS_EXPONENT);
     let mut weight = 1.0 / (slowness * relative_load.powi(LOAD_EXPONENT));
     // A hang shows first as silence: requests in flight for long and nothing answered since.
     let is_overdue = overdue_after > 0.0 && context.now - backend.oldest_sent_at > overdue_after;
     if is_overdue && backend.answered_at < backend.oldest_sent_at {
-        weight *= OVERDUE_WEIGHT;
+        weight *= OVERDUE_WEIGHT_FACTOR;
     }
     if backend.info.zone != context.settings.zone {
-        weight *= other_zone_weight;
+        weight *= remote_zone_weight;
     }
     if context.request.tried.contains(&backend.info.id) {
-        weight *= TRIED_WEIGHT;
+        weight *= TRIED_WEIGHT_FACTOR;
     }
     weight
 }
 
-/// The place of the candidate that a random number from 0 to 1 falls on.
+/// The index of the candidate that a random number from 0 to 1 falls on.
 fn draw(candidates: &[Candidate], random: f64) -> Option<usize> {
     let total = candidates.iter().map(|candidate| candidate.weight).sum::<f64>();
     let mut left = random * total;
     let mut drawn = None;
     for candidate in candidates.iter().filter(|candidate| candidate.weight > 0.0) {
-        drawn = Some(candidate.place);
+        drawn = Some(candidate.index);
         left -= candidate.weight;
         if left < 0.0 {
             break;
--- a/crates/overload/src/zone_traffic.rs
+++ b/crates/overload/src/zone_traffic.rs
@@ -29,15 +29,15 @@
         if !fraction.is_finite() || !age.is_finite() {
             return;
         }
-        let place = usize::from(zone);
-        if self.advice.len() <= place {
-            self.advice.resize(place + 1, None);
+        let index = usize::from(zone);
+        if self.advice.len() <= index {
+            self.advice.resize(index + 1, None);
         }
         let given_at = now - age.max(0.0);
         // Advice that was overtaken on its way is ignored.
-        if self.advice[place].is_none_or(|known| known.given_at <= given_at) {
+        if self.advice[index].is_none_or(|known| known.given_at <= given_at) {
             let advice = Advice { fraction: fraction.clamp(0.0, 1.0), given_at };
-            self.advice[place] = Some(advice).filter(|advice| advice.fraction < 1.0);
+            self.advice[index] = Some(advice).filter(|advice| advice.fraction < 1.0);
         }
         if self.advice.iter().all(Option::is_none) {
             self.advice.clear();
