--- a/crates/decision/src/action.rs
+++ b/crates/decision/src/action.rs
@@ -1,69 +1,69 @@
-//! Actions: what the embedding proxy has to carry out for a balancer, in the order given.
+//! The actions that the embedding proxy carries out for a balancer, in the order in which they were returned.
 
 use crate::types::{BackendId, Millis, RequestId, UnservedReason};
 
-/// One step for the embedding proxy to carry out.
+/// One action for the embedding proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start the next attempt of a request.
     Send {
         /// The request.
         request: RequestId,
-        /// The backend that gets it.
+        /// The backend that receives the attempt.
         backend: BackendId,
-        /// Its timeout in milliseconds; 0 lasts until the client gives up.
+        /// The attempt timeout in milliseconds; 0 waits until the client gives up.
         timeout_ms: Millis,
     },
-    /// Final answer: not served, and the client may safely send it again.
+    /// Final answer: the request was not served, and the client may safely send it again.
     Reject {
         /// The request.
         request: RequestId,
         /// How long the client should wait before it retries, in milliseconds; 0 for no advice.
         retry_after_ms: Millis,
-        /// The reason.
+        /// Why the request was not served.
         reason: UnservedReason,
     },
-    /// Final answer: failed; the request may have run.
+    /// Final answer: the request failed. It may have run, so the client must not assume that a retry is safe.
     Fail {
         /// The request.
         request: RequestId,
-        /// The reason.
+        /// Why the request was not served.
         reason: UnservedReason,
     },
     /// Cancel one attempt.
     Cancel {
         /// The request.
         request: RequestId,
-        /// The number of the attempt.
+        /// The number of the attempt, from 0 in the order of the sends.
         attempt: u8,
     },
     /// Schedule an [`Event::Timer`](crate::Event::Timer).
     SetTimer {
-        /// Time from now, in milliseconds.
+        /// Delay from now, in milliseconds.
         after_ms: Millis,
-        /// Returned with the event.
+        /// Returned in the event.
         token: u64,
     },
-    /// Send a health check to a backend.
+    /// Send a health check.
     Probe {
-        /// The backend.
+        /// The backend to check.
         backend: BackendId,
     },
-    /// Close idle connections to a backend.
+    /// Close idle connections.
     CloseIdle {
-        /// The backend.
+        /// The backend whose idle connections are closed.
         backend: BackendId,
     },
-    /// Send bytes to another instance, or to all.
+    /// Send a message to another instance, or to all.
     Message {
         /// Rank of the receiving instance; `None` for all.
         to: Option<u32>,
-        /// At most 256 bytes.
+        /// The payload, at most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// Subscribe to the endpoint list, or unsubscribe.
+    /// Subscribe to updates of the endpoint list, or unsubscribe.
     Subscribe {
-        /// Whether to subscribe.
+        /// `true` to subscribe, `false` to unsubscribe.
         on: bool,
     },
     /// Fetch the complete endpoint list once.
--- a/crates/decision/src/admission.rs
+++ b/crates/decision/src/admission.rs
@@ -1,7 +1,8 @@
-//! Admission control: whether a request may be sent at all. As in the platform's design every request passes
-//! a check of nodes before each send: the tier's, that of its class and, for traffic over its tenant's quota,
-//! the one of the burst capacity. A request that would exceed one is rejected unsent. This module keeps these
-//! limiters, gives them their initial limits, and decides from which latency ratio on each is reduced.
+//! Admission control: whether a request may be sent at all. As in the platform's reference design, every
+//! request is checked before each send by the limiter of the tier, by that of its class and, if it exceeds
+//! its tenant's quota, by that of the burst capacity. A request that would exceed a limit is rejected unsent.
+//! This module owns the limiters, sets their initial limits, and determines the latency ratios above which
+//! they are reduced.
 
 use crate::baseline::{LatencyBaseline, MinimumRatio, CONGESTION_FACTOR, MIN_CONGESTED_RATIO};
 use crate::class_priority::ClassPriorities;
@@ -10,34 +11,35 @@
 use crate::request::PendingRequest;
 use crate::{Millis, Settings, UnservedReason};
 
-/// Initial limit of the top tier's limiters: requests for each listed backend, divided among the instances.
-/// The first late answers come only after the backends are jammed.
+/// Initial limit of the top tier's limiters, in requests per listed backend, divided among the instances. It
+/// is low because the first late answers arrive only after the backends are saturated.
 const INITIAL_LIMIT_PER_BACKEND: f64 = 8.0;
-/// The same where instances outnumber the backends: fewer for each backend ...
+/// The initial limit per backend if instances outnumber the backends; see also [`MIN_INITIAL_LIMIT`].
 const SPARSE_INITIAL_LIMIT_PER_BACKEND: f64 = 5.0;
-/// ... and, for random fluctuation, this many requests beside, less the sparser the instances are.
+/// Requests added to [`SPARSE_INITIAL_LIMIT_PER_BACKEND`] to absorb random fluctuation, times the squared
+/// number of backends per instance.
 const MIN_INITIAL_LIMIT: f64 = 4.0;
-/// Requests beyond quotas in flight that a new instance admits: capacity beyond the quotas must first be
-/// proven, or all new instances together flood a tier that is just large enough for the quotas, before the
-/// first answer.
+/// Initial limit for requests beyond their quotas. Capacity beyond the quotas must first be observed;
+/// otherwise all new instances together would flood a tier that is just large enough for the quotas before
+/// the first answer arrives.
 const INITIAL_BURST_LIMIT: f64 = 1.0;
-/// Latency ratio (time taken over latency objective, smoothed) above which a limit is reduced at the top tier
-/// ...
+/// Smoothed latency ratio (duration divided by latency objective) above which a limit is reduced at the top
+/// tier.
 pub(crate) const TOP_TIER_LATE_RATIO: f64 = 0.6;
-/// ... there, for the tier and for classes of high priority, were all other traffic of lower priority: that
-/// is shed first ...
+/// The same threshold for the tier's limiter and for classes of high priority if all other traffic had a
+/// lower priority, which is shed first; with less of such traffic, the threshold lies between the two.
 const HIGH_PRIORITY_LATE_RATIO: f64 = 1.0;
-/// ... and below the top tier: later, because work is already spent on a request that comes from a tier
-/// above.
+/// The same threshold below the top tier. It is higher because the tiers above have already spent work on the
+/// request.
 const LOWER_TIER_LATE_RATIO: f64 = 0.9;
-/// How far from the lowest ratio to the objective the tier may go before burst capacity is taken back.
+/// Fraction of the way from the lowest latency ratio to the objective at which burst capacity is reduced.
 const BURST_LATENESS: f64 = 0.15;
-/// Part of the tolerance of high priority classes for lateness that they also have for crowding.
+/// Fraction of the additional tolerance of high priority classes for lateness that also applies to
+/// congestion.
 const CONGESTION_TOLERANCE_FRACTION: f64 = 0.5;
-/// Part of the tier's limit that classes of lower priority leave to the others, in a fleet of very many
-/// instances: were it given to whoever comes first, requests of more weight would be rejected as often as
-/// those of less. Where instances are few, limits are large, the last of them is seldom wanted, and stays
-/// empty.
+/// Fraction of the tier's limit that is reserved for classes of higher priority in a very large fleet.
+/// Without it, requests of high weight would be rejected as often as those of low weight. In a small fleet
+/// the limits are large, so that a reserve would mostly stay unused.
 const RESERVED_FRACTION: f64 = 0.5;
 
 /// The limiters of one balancer.
@@ -51,7 +53,7 @@
 }
 
 impl AdmissionControl {
-    /// Limiters for so many classes that have learned nothing.
+    /// Creates limiters without learned limits for this number of classes.
     pub(crate) fn new(classes: usize) -> AdmissionControl {
         AdmissionControl {
             tier: ConcurrencyLimiter::new(UNLEARNED_LIMIT, 1.0),
@@ -63,23 +65,24 @@
         }
     }
 
-    /// The tier's limiter.
+    /// Returns the limiter of the tier.
     pub(crate) fn tier(&self) -> &ConcurrencyLimiter {
         &self.tier
     }
 
-    /// The tier's baseline latency ratio; 0 until it is known.
+    /// Returns the baseline latency ratio of the tier; 0 until it is known.
     pub(crate) fn baseline_ratio(&self) -> f64 {
         self.baseline.ratio()
     }
 
-    /// Whether the tier's latency ratio is known to be so many times its baseline.
+    /// Whether the tier's latency ratio is known to exceed its baseline by this factor.
     pub(crate) fn is_congested(&self, factor: f64) -> bool {
         let congested_ratio = (self.baseline.ratio() * factor).max(MIN_CONGESTED_RATIO);
         self.baseline.is_known() && self.tier.latency_ratio() > congested_ratio
     }
 
-    /// Sets the top tier's initial limits by the backends listed. Returns whether these are the first.
+    /// Sets the initial limits at the top tier by the number of listed backends. Returns whether they were
+    /// not set before.
     pub(crate) fn set_initial_limits(&mut self, backends: usize, settings: &Settings) -> bool {
         let backends_per_instance = backends as f64 / f64::from(settings.fleet_size);
         let density = backends_per_instance.min(1.0);
@@ -87,7 +90,7 @@
             SPARSE_INITIAL_LIMIT_PER_BACKEND * backends_per_instance + MIN_INITIAL_LIMIT * density * density;
         let initial_limit = (INITIAL_LIMIT_PER_BACKEND * backends_per_instance).max(sparse_limit);
         if self.tier.limit() < UNLEARNED_LIMIT {
-            // The list known at the start may be old, and name but a part of the tier.
+            // The cached list may have been old and may have contained only a part of the tier.
             self.tier.raise_initial_limit(initial_limit);
             self.classes.iter_mut().for_each(|class| class.raise_initial_limit(initial_limit));
             return false;
@@ -100,7 +103,8 @@
         true
     }
 
-    /// The limiter that rejects a request, if one does. Limiters admit `scale` times their limits.
+    /// Returns the reason for which a limiter rejects the request, if one does. Limits are multiplied by
+    /// `scale`.
     pub(crate) fn check(
         &self,
         request: &PendingRequest,
@@ -118,7 +122,7 @@
         (!is_admitted).then_some(UnservedReason::ClassLimit)
     }
 
-    /// The part of the tier's limit that is open to a class.
+    /// Returns the fraction of the tier's limit that is available to a class.
     fn open_fraction(&self, class: usize, fleet_size: u32) -> f64 {
         if !self.priorities.is_lower(class) {
             return 1.0;
@@ -132,7 +136,7 @@
         self.priorities.record_offered(now, class);
     }
 
-    /// Counts an attempt that is sent; `request` already counts it.
+    /// Counts an attempt that is sent; `request.attempts` must already include it.
     pub(crate) fn on_send(&mut self, now: Millis, request: &PendingRequest) {
         self.tier.on_send();
         self.classes[request.class].on_send();
@@ -153,7 +157,7 @@
         }
     }
 
-    /// Learns from a finished attempt. Returns whether the tier's limit was reduced.
+    /// Adjusts the limits after a finished attempt. Returns whether the tier's limit was reduced.
     pub(crate) fn learn(&mut self, now: Millis, sample: Sample, settings: &Settings) -> bool {
         let is_top_tier = settings.tier == 0;
         if is_top_tier {
@@ -161,8 +165,8 @@
         }
         let (low_priority, high_priority) = self.thresholds(now, sample, is_top_tier);
         let was_reduced = self.tier.learn(now, sample, high_priority);
-        // All classes learn from every request: one with a long objective would else never see the load it
-        // makes.
+        // All classes learn from every request; otherwise a class with a long latency objective would never
+        // notice the load that it causes.
         for (class, is_lower) in self.classes.iter_mut().zip(self.priorities.lower()) {
             class.learn(now, sample, if *is_lower { low_priority } else { high_priority });
         }
@@ -172,17 +176,17 @@
         was_reduced
     }
 
-    /// The thresholds of classes of lower priority, and those of the tier and all other classes.
+    /// Returns the thresholds for classes of lower priority, and those for the tier and all other classes.
     fn thresholds(&mut self, now: Millis, sample: Sample, is_top_tier: bool) -> (Thresholds, Thresholds) {
         let congested = self.baseline.record(now, sample.latency_ratio);
-        // A tier that takes so long with little to do is not congested by it.
+        // Latencies that the tier also has at low load are no sign of lateness.
         let idle =
             if self.baseline.is_known() { (self.baseline.ratio() * CONGESTION_FACTOR).min(1.0) } else { 0.0 };
         if !is_top_tier {
             let both = Thresholds { late: LOWER_TIER_LATE_RATIO.max(idle), congested: f64::MAX };
             return (both, both);
         }
-        // The more of the traffic has a lower priority, and can be shed first, the longer the rest may go on.
+        // The larger the fraction of traffic that can be shed first, the later the rest is limited.
         let tolerance = (HIGH_PRIORITY_LATE_RATIO - TOP_TIER_LATE_RATIO) * self.priorities.lower_fraction();
         let low_priority = Thresholds { late: TOP_TIER_LATE_RATIO.max(idle), congested };
         let high_priority = Thresholds {
--- a/crates/decision/src/backend.rs
+++ b/crates/decision/src/backend.rs
@@ -1,46 +1,47 @@
-//! What a balancer knows of one backend: its list entry, its requests in flight, its health, how slow it is
-//! against others, its slow start and its drain.
+//! The state of one backend: its list entry, requests in flight, health, relative slowness, slow start budget
+//! and drain.
 
 use crate::health::{Health, ANSWERING_HEALTH, EJECTED_HEALTH, TIER_FAILURE_MIN_HEALTH};
 use crate::slow_start::{ready_fraction, SlowStartBudget};
 use crate::{BackendInfo, BackendState, Millis, Outcome, Rules};
 
-/// Part of the drain grace over which a backend that was ready leaves the draw. It serves on for a while
-/// after the list says so, and if all instances stopped at once, the others would get its load in one
-/// instant.
+/// Fraction of the drain grace period over which the weight of a draining backend falls to 0. The backend
+/// still serves during the grace period; if all instances stopped at once, the other backends would get its
+/// load in one instant.
 const DRAIN_FRACTION: f64 = 0.5;
-/// The most samples that the average of the slowness goes by.
+/// Maximum number of samples that the average of the slowness counts.
 const MAX_SLOWNESS_SAMPLES: f64 = 15.0;
-/// Samples that the initial slowness of 1 counts for.
+/// Number of samples that the initial slowness of 1 counts for.
 const INITIAL_SLOWNESS_SAMPLES: f64 = 5.0;
-/// The most that one request adds to the slowness, in expected latencies.
+/// Upper bound of one slowness sample, in multiples of the expected latency.
 const MAX_SLOWNESS: f64 = 10.0;
 
-/// One backend.
+/// A backend and what this balancer has learned about it.
 pub(crate) struct Backend {
-    /// Its list entry.
+    /// The entry of the endpoint list.
     pub(crate) info: BackendInfo,
-    /// Requests of this balancer in flight.
+    /// This balancer's requests in flight at the backend.
     pub(crate) in_flight: f64,
-    /// Latency over the expected latency, averaged.
+    /// Average of latency divided by expected latency.
     pub(crate) slowness: f64,
     slowness_samples: f64,
-    /// When the oldest request in flight was sent, as far as known; `f64::MAX` if there is none.
+    /// Clock time at which the oldest request in flight was sent, approximately; `f64::MAX` if there is none.
     pub(crate) oldest_sent_at: Millis,
-    /// When it last answered.
+    /// Clock time of the last answer; `f64::MIN` if there was none.
     pub(crate) answered_at: Millis,
-    /// When the last request was sent that got no answer at all.
+    /// Clock time at which the latest request without any answer was sent; `f64::MIN` if there was none.
     unanswered_since: Millis,
     health: Health,
     health_by_class: Vec<Health>,
-    /// What may be sent to it in slow start.
+    /// Budget of requests while the backend is in slow start.
     pub(crate) slow_start: SlowStartBudget,
-    /// When its drain was listed, if it was ready until then and has rejected nothing since.
+    /// Clock time at which the backend was listed as draining, if it was ready until then and has rejected or
+    /// failed no request since.
     draining_since: Option<Millis>,
 }
 
 impl Backend {
-    /// A backend of which only its list entry is known.
+    /// Creates a backend with full health and no requests.
     pub(crate) fn new(info: BackendInfo, classes: usize, slow_start: SlowStartBudget) -> Backend {
         Backend {
             info,
@@ -57,8 +58,8 @@
         }
     }
 
-    /// Takes a new list entry; `previous` is the state before. Where updates may have been missed a drain may
-    /// be old, and nobody knows how long the backend serves on.
+    /// Applies a new list entry; `previous` is the state before it. If updates may have been missed, the
+    /// drain may have begun long ago, so the backend gets no requests for the rest of its grace period.
     pub(crate) fn update(
         &mut self,
         info: BackendInfo,
@@ -76,17 +77,18 @@
         }
     }
 
-    /// Its relative size; 1 where the list gives none.
+    /// Returns the relative capacity; 1 if the list gives no valid rating.
     pub(crate) fn rating(&self) -> f64 {
         Some(self.info.rating).filter(|rating| *rating > 0.0 && rating.is_finite()).unwrap_or(1.0)
     }
 
-    /// The part of its capacity that it has for certain by now.
+    /// Returns the fraction of its capacity that the backend is guaranteed to have, from 0 to 1.
     pub(crate) fn ready_fraction(&self, now: Millis, rules: &Rules) -> f64 {
         ready_fraction(self.info.started_at, now, rules)
     }
 
-    /// The part of its normal weight that its state leaves it: less and less while it drains.
+    /// Returns the factor on the weight that results from the state: 1 if ready, falling to 0 while the
+    /// backend drains, and 0 if it is gone.
     pub(crate) fn drain_fraction(&self, now: Millis, rules: &Rules) -> f64 {
         match (self.info.state, self.draining_since) {
             (BackendState::Ready, _) => 1.0,
@@ -97,32 +99,32 @@
         }
     }
 
-    /// Its health for one class. Guards against a backend that fails this class alone: the successes of the
-    /// others must not hide that.
+    /// Returns the health for one class: successes of other classes must not hide that the backend fails this
+    /// one.
     pub(crate) fn class_health(&self, now: Millis, class: usize) -> f64 {
         self.health.value(now).min(self.health_by_class[class].value(now))
     }
 
-    /// Whether it gets little more than probes: it is not ready, or ejected for its failures.
+    /// Whether the backend gets little more than half-open probes, because it is not ready or is ejected.
     pub(crate) fn is_avoided(&self, now: Millis) -> bool {
         self.info.state != BackendState::Ready || self.health.value(now) < EJECTED_HEALTH
     }
 
-    /// Whether it answers, if only to reject. One that has answered since the last request was sent that got
-    /// no answer does: a connection was late there.
+    /// Whether the backend answers requests, even if only to reject them. It also counts as answering if it
+    /// has answered since the latest request without an answer was sent: then only a connection was slow.
     pub(crate) fn is_answering(&self, now: Millis) -> bool {
         self.health.value(now) >= ANSWERING_HEALTH || self.answered_at >= self.unanswered_since
     }
 
-    /// Counts a request that is sent.
+    /// Counts an attempt that is sent.
     pub(crate) fn on_send(&mut self, now: Millis) {
         self.in_flight += 1.0;
         self.oldest_sent_at = self.oldest_sent_at.min(now);
         self.slow_start.spend();
     }
 
-    /// Learns from the end of an attempt. Returns whether a failure can be put down to the tier: the backend
-    /// was healthy and is not draining.
+    /// Records the end of an attempt. Returns whether a failure is attributed to the tier, because the
+    /// backend was healthy and is not draining.
     pub(crate) fn on_attempt_end(
         &mut self,
         now: Millis,
@@ -135,7 +137,7 @@
         self.oldest_sent_at = if self.in_flight > 0.0 { self.oldest_sent_at.max(sent_at) } else { f64::MAX };
         let mut counts_for_tier = self.class_health(now, class) > TIER_FAILURE_MIN_HEALTH;
         if self.info.state == BackendState::Draining && !succeeded {
-            // It rejects or ends, as the list announced: that shows nothing of the tier.
+            // A failure of a draining backend is expected and says nothing about the tier.
             self.draining_since = None;
             counts_for_tier = false;
         }
@@ -151,7 +153,7 @@
         counts_for_tier
     }
 
-    /// Takes the latency of a request served, over the latency that was expected of it.
+    /// Records the latency of a served request relative to the expected latency.
     pub(crate) fn record_slowness(&mut self, latency: Millis, expected: Millis) {
         self.slowness_samples = (self.slowness_samples + 1.0).min(MAX_SLOWNESS_SAMPLES);
         let sample = (latency / expected).min(MAX_SLOWNESS);
--- a/crates/decision/src/balancer.rs
+++ b/crates/decision/src/balancer.rs
@@ -1,9 +1,9 @@
-//! The balancer: takes events, consults the module of each subject, and writes the actions that follow. Its
-//! interface is `src/event.rs`, `action.rs`, `settings.rs` and `types.rs`.
+//! The balancer: dispatches events to the module of each kind of decision and emits the resulting actions.
+//! Its interface is `src/event.rs`, `action.rs`, `settings.rs` and `types.rs`.
 //!
-//! It follows the platform's design: a request is checked against learned limits before each send, is
-//! rejected unsent if it would exceed one, and goes to a backend drawn at random by weight. Where a module
-//! departs from the design, its documentation says so.
+//! It follows the platform's reference design: before each send, a request is checked against learned
+//! concurrency limits and rejected unsent if it would exceed one; then a backend is drawn at random by
+//! weight. Where a module departs from the reference design, its documentation says so.
 
 use crate::admission::{AdmissionControl, TOP_TIER_LATE_RATIO};
 use crate::attempt_sample;
@@ -21,21 +21,21 @@
 use hillstall_overload::capacity::AvailableCapacity;
 use rustc_hash::FxHashMap;
 
-/// The only timer token in use: poll discovery again.
+/// Token of the only timer in use, which polls discovery again.
 const POLL_DISCOVERY: u64 = 1;
 
-/// The decisions of one instance: all that it knows, and nothing shared.
+/// The decision state of one instance. Instances share no state.
 pub struct Balancer {
     settings: Settings,
     random: RandomSource,
     now: Millis,
-    /// This process's part of the instance's slow start budgets, from 0 to 1.
+    /// The fraction of the instance's slow start budgets that belongs to this process, from 0 to 1.
     process_fraction: f64,
     endpoints: Endpoints,
     discovery_backoff: DiscoveryBackoff,
     requests: FxHashMap<RequestId, PendingRequest>,
     admission: AdmissionControl,
-    /// The part of the tier that still answers: what the limiters admit follows it at once.
+    /// The fraction of the tier's capacity that answers; the admitted concurrency follows it immediately.
     capacity: AvailableCapacity,
     quotas: TenantQuotas,
     demand: DemandSkew,
@@ -45,7 +45,7 @@
     log: LogLimiter,
 }
 
-/// What a client has said of a new request.
+/// The attributes of a new request as the client sent them.
 struct Arrival {
     id: RequestId,
     class: usize,
@@ -56,7 +56,7 @@
 }
 
 impl Balancer {
-    /// A balancer that knows its settings and nothing else. Equal seeds and events give equal actions.
+    /// Creates a balancer without endpoints or learned state. Equal seeds and events give equal actions.
     pub fn new(settings: Settings, seed: u64) -> Balancer {
         let classes = settings.classes.len();
         let tenants = settings.tenants.len();
@@ -79,9 +79,9 @@
         }
     }
 
-    /// Takes one event at clock time `now` and appends what is to be done about it.
+    /// Handles an event at clock time `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Millis, event: Event<'_>, actions: &mut Vec<Action>) {
-        // A clock that stands still or is not a number must not run state backwards.
+        // If `now` is in the past or NaN, the clock stands still: state must not run backwards.
         self.now = if now > self.now { now } else { self.now };
         match event {
             Event::EndpointsChanged { kind, backends, .. } => {
@@ -115,14 +115,14 @@
         }
     }
 
-    /// So many other balancers send for the same instance, as while one process takes over from another: this
-    /// one keeps to its part of the slow start budgets.
+    /// Sets how many other processes send for the same instance, as during an upgrade: this balancer then
+    /// uses only its share of the instance's slow start budgets.
     pub fn set_sharing_processes(&mut self, others: usize) {
         self.process_fraction = 1.0 / (others + 1) as f64;
     }
 
-    /// How many backends are listed, and how many of those the selection avoids: they are not ready, or so
-    /// unhealthy that they get little more than probes.
+    /// Returns the number of listed backends, and how many of them the selection avoids because they are not
+    /// ready or are ejected, so that they get little more than half-open probes.
     pub fn backend_counts(&self, now: Millis) -> (usize, usize) {
         self.endpoints.counts(now)
     }
@@ -138,7 +138,7 @@
         }
         self.endpoints.apply(kind, list, self.now, &self.settings, &mut self.random);
         let backends = self.endpoints.all().len();
-        // Only at the top: a request rejected further down wastes the work already done for it.
+        // Only at the top tier: a rejection further down wastes the work already done for the request.
         if self.settings.tier > 0 || backends == 0 {
             return;
         }
@@ -155,8 +155,8 @@
         self.log.write(self.now, actions, || format!("discovery failing: asking again in {after_ms:.0} ms"));
     }
 
-    /// Follows the capacity that answers and the demand on this instance, if that is due; at the top tier
-    /// alone.
+    /// Re-evaluates the answering capacity and the demand skew when that is due. Only the top tier scales its
+    /// limits by them.
     fn update_demand(&mut self) {
         if self.settings.tier > 0 || !self.demand.is_due(self.now) {
             return;
@@ -175,8 +175,8 @@
             return actions.push(Action::Reject { request: id, retry_after_ms: 0.0, reason });
         };
         self.admission.on_request(self.now, class);
-        // Below the top, where deadlines are not passed on, the full one is given though the client has less
-        // left: an answer after the objective that earns nothing is one nobody waits for.
+        // Below the top tier, if deadlines are not propagated, `timeout` is the full deadline although the
+        // client has less time left. If late answers earn nothing, the latency objective bounds it instead.
         let is_timeout_unknown =
             !self.settings.passes_deadline && self.settings.tier > 0 && rules.late_weight_fraction == 0.0;
         let timeout = if is_timeout_unknown { timeout.min(rules.latency_objective_ms) } else { timeout };
@@ -204,7 +204,8 @@
         self.try_send(id, request, actions);
     }
 
-    /// Checks the limits and draws a backend. Without capacity or backend the request gets its final answer.
+    /// Checks the limits and sends the request to a selected backend, or gives the final answer if a limit or
+    /// the lack of a backend prevents that.
     fn try_send(&mut self, id: RequestId, request: PendingRequest, actions: &mut Vec<Action>) {
         let time_left = request.deadline - self.now;
         let rejection = if self.may_attempt(&request, time_left) {
@@ -221,7 +222,7 @@
         }
     }
 
-    /// Whether attempts and time are left for another attempt.
+    /// Whether the attempt limit and the time left permit another attempt.
     fn may_attempt(&self, request: &PendingRequest, time_left: Millis) -> bool {
         let is_allowed =
             request.attempts < self.settings.permissions.max_attempts && time_left > self.settings.tick_ms;
@@ -229,7 +230,7 @@
         is_allowed && (request.attempts > 0 || self.capacity.fits_deadline(time_left, expected))
     }
 
-    /// The limiter that rejects a request, if one does.
+    /// Returns the reason for which a limiter rejects the request, if one does.
     fn check_limits(&mut self, request: &PendingRequest) -> Option<UnservedReason> {
         let scale = self.demand.value()
             * self.capacity.scale()
@@ -274,8 +275,8 @@
         self.requests.insert(id, request);
     }
 
-    /// The final answer for a request with no attempt in flight: a rejection, or a failure where the client
-    /// must not send it again.
+    /// Gives the final answer to a request without an attempt in flight: a rejection, or a failure if the
+    /// client must not send the request again.
     fn give_up(
         &mut self,
         id: RequestId,
@@ -326,7 +327,7 @@
         }
     }
 
-    /// Learns from the end of an attempt, which still counts as in flight.
+    /// Updates the learned state after an attempt ended. The attempt must still count as in flight.
     fn learn(
         &mut self,
         request: &PendingRequest,
@@ -348,6 +349,8 @@
             scale: self.demand.value() * self.capacity.scale(),
             max_limit_factor: self.capacity.max_limit_factor(),
         };
+        // Operators' tools and runbooks quote this line, so its text stays: "gate" is the limiter, "stress"
+        // its smoothed latency ratio, "usual" the baseline.
         if self.admission.learn(self.now, sample, &self.settings) {
             let (tier, baseline) = (self.admission.tier(), self.admission.baseline_ratio());
             let (limit, ratio) = (tier.limit(), tier.latency_ratio());
@@ -357,8 +360,8 @@
         }
     }
 
-    /// Updates what is known of latencies and of the backend. Returns whether a failure can be put down to
-    /// the tier.
+    /// Updates the latency statistics and the state of the backend. Returns whether a failure is attributed
+    /// to the tier and not only to the backend.
     fn learn_backend(
         &mut self,
         request: &PendingRequest,
--- a/crates/decision/src/baseline.rs
+++ b/crates/decision/src/baseline.rs
@@ -1,25 +1,25 @@
-//! What the latency ratio of a tier is while it is not overloaded. A ratio well above the baseline means a
-//! queue that serves nothing sooner. The platform's design knows time-outs and failures only; the baseline is
-//! an addition, as the first late answers come only after the backends are jammed.
+//! The baseline: the latency ratio of a tier that is not overloaded. A ratio well above the baseline means
+//! that requests queue at the backends without being served any sooner. The platform's reference design
+//! reacts only to timeouts and failures; the baseline is an addition, because the first late answers arrive
+//! only after the backends are saturated.
 
 use crate::Millis;
 
-/// Times the baseline above which the tier's limits are reduced, where that is below the threshold for
-/// lateness: a queue twice as long as normal serves no more, and servers that stay congested slow down for
-/// good.
+/// Multiple of the baseline above which the tier's limits are reduced, if that is below the threshold for
+/// lateness. A queue twice as long as normal serves no more requests, and backends that stay congested slow
+/// down permanently.
 pub(crate) const CONGESTION_FACTOR: f64 = 1.5;
-/// Latency ratio below which nothing counts as congested: where answers take so small a part of their latency
-/// objective, a queue of that length does no damage, and what looks like one may be the resolution of a
-/// clock.
+/// Latency ratio below which a tier never counts as congested: if answers take so small a fraction of their
+/// latency objective, the queue does no harm, and it may only be an artifact of the clock resolution.
 pub(crate) const MIN_CONGESTED_RATIO: f64 = 0.02;
-/// Samples over which the mean latency ratio is averaged.
+/// Number of samples over which the mean latency ratio is averaged.
 const BASELINE_SAMPLES: f64 = 120.0;
-/// Part per second by which a remembered minimum rises, so that it follows a tier that has changed.
+/// Fraction per second by which a recorded minimum rises, so that it adapts to a tier that has changed.
 const BASELINE_DRIFT_PER_S: f64 = 0.02;
-/// The longest pause between samples over which a minimum rises, in milliseconds.
+/// The longest interval between two samples for which a minimum rises, in milliseconds.
 const MAX_DRIFT_MS: Millis = 1e4;
 
-/// The lowest that the mean latency ratio of a tier has been, rising slowly.
+/// The minimum of the mean latency ratio of a tier, which rises slowly over time.
 #[derive(Default)]
 pub(crate) struct LatencyBaseline {
     mean: f64,
@@ -29,17 +29,17 @@
 }
 
 impl LatencyBaseline {
-    /// Whether there were enough samples to rely on.
+    /// Whether enough samples were recorded for a reliable baseline.
     pub(crate) fn is_known(&self) -> bool {
         self.samples >= BASELINE_SAMPLES / 4.0
     }
 
-    /// The baseline; 0 until it is known.
+    /// Returns the baseline; 0 until it is known.
     pub(crate) fn ratio(&self) -> f64 {
         self.minimum
     }
 
-    /// Takes the latency ratio of a finished request. Returns the ratio above which the tier is congested.
+    /// Records the latency ratio of a finished attempt. Returns the ratio above which the tier is congested.
     pub(crate) fn record(&mut self, now: Millis, latency_ratio: f64) -> f64 {
         self.samples = (self.samples + 1.0).min(BASELINE_SAMPLES);
         self.mean += (latency_ratio - self.mean) / self.samples;
@@ -54,7 +54,7 @@
     }
 }
 
-/// The lowest that the tier limiter's smoothed latency ratio has been, rising slowly.
+/// The minimum of the tier limiter's smoothed latency ratio, which rises slowly over time.
 #[derive(Default)]
 pub(crate) struct MinimumRatio {
     minimum: f64,
@@ -62,7 +62,7 @@
 }
 
 impl MinimumRatio {
-    /// Takes the present smoothed ratio and returns the minimum.
+    /// Records the current smoothed ratio and returns the minimum.
     pub(crate) fn record(&mut self, now: Millis, latency_ratio: f64) -> f64 {
         self.minimum *= 1.0 + BASELINE_DRIFT_PER_S * (now - self.updated_at).min(MAX_DRIFT_MS) / 1000.0;
         self.updated_at = now;
--- a/crates/decision/src/class_priority.rs
+++ b/crates/decision/src/class_priority.rs
@@ -1,17 +1,18 @@
-//! Which request classes are shed first. The platform's design gives every class its own node; that some
-//! classes leave capacity to others is an addition that follows the objective.
+//! Load shedding by priority: which request classes are shed first. The platform's reference design only
+//! gives every class a limiter of its own; shedding classes of lower priority first is an addition that
+//! follows from the weights of the objective.
 
 use crate::decay::DecayingSum;
 use crate::{Millis, Settings};
 
-/// Time constant over which the classes' parts of the traffic are averaged, in milliseconds.
+/// Time constant over which the traffic of each class is averaged, in milliseconds.
 const TRAFFIC_TIME_CONSTANT_MS: Millis = 10_000.0;
 /// Time between two evaluations of the priorities, in milliseconds.
 const EVALUATION_INTERVAL_MS: Millis = 100.0;
-/// Recent requests above which a class is compared with the others as to how much of it is served.
+/// Number of recent requests above which a class is considered in the search for the worst-served class.
 const MIN_COMPARED_REQUESTS: f64 = 1.0;
 
-/// The classes' recent traffic and which of them have a lower priority than another.
+/// The recent traffic of the classes, and which of them have a lower priority than another.
 pub(crate) struct ClassPriorities {
     offered: Vec<DecayingSum>,
     admitted: Vec<DecayingSum>,
@@ -21,7 +22,7 @@
 }
 
 impl ClassPriorities {
-    /// Equal priorities for so many classes.
+    /// Creates equal priorities for this number of classes.
     pub(crate) fn new(classes: usize) -> ClassPriorities {
         ClassPriorities {
             offered: (0..classes).map(|_| DecayingSum::default()).collect(),
@@ -42,23 +43,24 @@
         self.admitted[class].add(now, TRAFFIC_TIME_CONSTANT_MS, 1.0);
     }
 
-    /// Whether a class is shed before another.
+    /// Whether a class is shed before some other class.
     pub(crate) fn is_lower(&self, class: usize) -> bool {
         self.is_lower[class]
     }
 
-    /// For each class, whether it is shed before another.
+    /// Returns for each class whether it is shed before some other class.
     pub(crate) fn lower(&self) -> &[bool] {
         &self.is_lower
     }
 
-    /// The part of the traffic that belongs to classes of lower priority, from 0 to 1.
+    /// Returns the fraction of the traffic that belongs to classes of lower priority, from 0 to 1.
     pub(crate) fn lower_fraction(&self) -> f64 {
         self.lower_fraction
     }
 
-    /// Finds the classes that weigh less in the objective than another, where the worst-served class
-    /// counts double: classes of like weight are kept alike, and one of far greater weight comes first.
+    /// Determines the classes whose requests contribute less to the objective than those of another class.
+    /// The worst-served class gets a bonus, so that classes of similar weight are served alike, while a class
+    /// of far greater weight takes precedence.
     pub(crate) fn evaluate(&mut self, now: Millis, settings: &Settings) {
         if now - self.evaluated_at < EVALUATION_INTERVAL_MS {
             return;
@@ -82,7 +84,7 @@
         self.lower_fraction = lower.map(|pair| pair.0 / total).sum();
     }
 
-    /// The class of which the smallest part was admitted of late.
+    /// Returns the class with the smallest fraction of admitted requests recently.
     fn worst_served(&self, now: Millis, offered: &[f64]) -> Option<usize> {
         let served =
             |class: usize| self.admitted[class].value(now, TRAFFIC_TIME_CONSTANT_MS) / offered[class];
--- a/crates/decision/src/decay.rs
+++ b/crates/decision/src/decay.rs
@@ -1,11 +1,10 @@
-//! Sums over recent time, in which every addition decays exponentially. They stand in for the sliding window
-//! of the platform's design: no buckets have to be kept, and a sparse instance's few requests fade instead of
-//! dropping out.
+//! Exponentially decaying sums. They replace the sliding windows of the platform's reference design: they
+//! need no buckets, and the few requests of an instance with little traffic fade out instead of dropping out.
 
 use crate::Millis;
 
-/// A sum in which each addition decays with a time constant, which the caller gives and never varies for one
-/// sum.
+/// A sum in which each addition decays exponentially. Callers must pass the same time constant in all calls
+/// for one sum.
 #[derive(Default)]
 pub(crate) struct DecayingSum {
     sum: f64,
@@ -13,12 +12,12 @@
 }
 
 impl DecayingSum {
-    /// A sum that starts at `sum` at clock time `now`.
+    /// Creates a sum with the value `sum` at clock time `now`.
     pub(crate) fn starting_at(sum: f64, now: Millis) -> DecayingSum {
         DecayingSum { sum, updated_at: now }
     }
 
-    /// What is left of the sum at `now`.
+    /// Returns the decayed sum at `now`.
     pub(crate) fn value(&self, now: Millis, time_constant: Millis) -> f64 {
         self.sum * (-(now - self.updated_at).max(0.0) / time_constant).exp()
     }
--- a/crates/decision/src/endpoints.rs
+++ b/crates/decision/src/endpoints.rs
@@ -1,6 +1,6 @@
-//! The endpoint list: the backends that discovery names, the order in which this instance takes them into its
-//! subset, and the backoff of polls while discovery fails. The platform's design draws over ready servers and
-//! leaves the list open.
+//! The endpoint list: the backends that discovery reports, the order in which this instance adds them to its
+//! subset, and the backoff of polls while discovery fails. The platform's reference design draws from all
+//! ready backends and does not specify discovery.
 
 use crate::backend::Backend;
 use crate::random::RandomSource;
@@ -8,60 +8,60 @@
 use crate::{BackendId, BackendInfo, BackendState, ListKind, Millis, Rules, Settings};
 use rustc_hash::FxHashMap;
 
-/// Time before the first new poll after discovery failed, in milliseconds; doubles with each failure.
+/// Delay of the first poll after a discovery failure, in milliseconds; doubles with each further failure.
 const INITIAL_POLL_BACKOFF_MS: Millis = 300.0;
-/// The most times that the backoff doubles.
+/// Maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: i32 = 5;
-/// Part of the rules' poll interval that a backoff stays within.
+/// Maximum backoff before jitter, as a fraction of the prescribed poll interval.
 const MAX_BACKOFF_FRACTION: f64 = 1.0 / 4.0;
-/// Least part of a backoff that is waited; the rest is random.
+/// Minimum factor of the random jitter on a backoff; the maximum is 1 more.
 const MIN_JITTER: f64 = 0.5;
 
-/// The backends of the tier.
+/// The backends of the tier, in the order in which they were first listed.
 #[derive(Default)]
 pub(crate) struct Endpoints {
     backends: Vec<Backend>,
     index_by_id: FxHashMap<BackendId, usize>,
     subset_order: Vec<usize>,
-    /// Whether no update can have been missed since the last list: gaps are reported only where the list is
-    /// subscribed to.
+    /// Whether no update can have been missed since the last list. That is known only with a subscription,
+    /// which reports gaps.
     is_continuous: bool,
 }
 
 impl Endpoints {
-    /// All backends, also those that are gone and have requests in flight.
+    /// Returns all backends, including those that are gone but still have requests in flight.
     pub(crate) fn all(&self) -> &[Backend] {
         &self.backends
     }
 
-    /// The index_by_id of all backends, in the order in which this instance takes them into its subset.
+    /// Returns the indices of all backends, in the order in which this instance adds them to its subset.
     pub(crate) fn subset_order(&self) -> &[usize] {
         &self.subset_order
     }
 
-    /// The backend at a index.
+    /// Returns the backend at an index of [`Endpoints::all`].
     pub(crate) fn at(&self, index: usize) -> &Backend {
         &self.backends[index]
     }
 
-    /// The backend at a index.
+    /// Returns the backend at an index of [`Endpoints::all`].
     pub(crate) fn at_mut(&mut self, index: usize) -> &mut Backend {
         &mut self.backends[index]
     }
 
-    /// The backend with an id, if it is listed or has requests in flight.
+    /// Returns the backend with this id, if it is listed or has requests in flight.
     pub(crate) fn get_mut(&mut self, id: BackendId) -> Option<&mut Backend> {
         self.index_by_id.get(&id).map(|index| &mut self.backends[*index])
     }
 
-    /// How many backends are listed, and how many of those are avoided.
+    /// Returns the number of listed backends, and how many of them [`Backend::is_avoided`].
     pub(crate) fn counts(&self, now: Millis) -> (usize, usize) {
         let listed = self.backends.iter().filter(|backend| backend.info.state != BackendState::Gone);
         let avoided = listed.clone().filter(|backend| backend.is_avoided(now));
         (listed.count(), avoided.count())
     }
 
-    /// The capacity of the backends that answer, in ratings.
+    /// Returns the capacity of the backends that answer, as a sum of ratings.
     pub(crate) fn answering_capacity(&self, now: Millis, rules: &Rules) -> f64 {
         let answering = self.backends.iter().filter(|backend| backend.is_answering(now));
         let capacity = |backend: &Backend| {
@@ -70,12 +70,12 @@
         answering.map(capacity).sum()
     }
 
-    /// Notes that updates may be missed from now on.
+    /// Records that updates may be missed until the next list arrives.
     pub(crate) fn on_discovery_failure(&mut self) {
         self.is_continuous = false;
     }
 
-    /// Takes a list or an update.
+    /// Applies a complete list or an update.
     pub(crate) fn apply(
         &mut self,
         kind: ListKind,
@@ -91,7 +91,7 @@
             }
         }
         for info in list {
-            // A random first token, so that many instances do not all send to a new backend at once.
+            // The random initial token keeps many instances from all sending to a new backend at once.
             let budget = SlowStartBudget::new(random.next_unit(), now);
             self.apply_entry(*info, &previous, || Backend::new(*info, settings.classes.len(), budget), now);
         }
@@ -102,7 +102,7 @@
         self.order_subset(settings);
     }
 
-    /// Takes one offset; `create` makes its backend if that is unknown or has restarted.
+    /// Applies one entry; `create` makes the backend if it is unknown or has restarted.
     fn apply_entry(
         &mut self,
         info: BackendInfo,
@@ -127,8 +127,9 @@
         }
     }
 
-    /// Orders the backends: own zone first, each zone a ring of hashed ids that instances enter at index_by_id set
-    /// apart by their rank, so that all backends are covered alike.
+    /// Orders the backends for the subset: the local zone first, and within the local and the remote zones a
+    /// ring of hashed ids. Instances start on the ring at offsets spaced by rank, so that together they cover
+    /// all backends evenly.
     fn order_subset(&mut self, settings: &Settings) {
         let offset = f64::from(settings.rank) / f64::from(settings.fleet_size) % 1.0;
         let (mut own, mut other): (Vec<usize>, Vec<usize>) =
@@ -143,25 +144,25 @@
     }
 }
 
-/// Scatters ids evenly (Fibonacci hashing).
+/// Distributes ids evenly over the ring (Fibonacci hashing).
 fn hash_id(id: BackendId) -> u64 {
     u64::from(id).wrapping_mul(0x9E37_79B9_7F4A_7C15).rotate_left(32)
 }
 
-/// The backoff of polls while discovery fails.
+/// Exponential backoff of polls while discovery fails.
 #[derive(Default)]
 pub(crate) struct DiscoveryBackoff {
     failures: i32,
 }
 
 impl DiscoveryBackoff {
-    /// Discovery has answered.
+    /// Resets the backoff after discovery answered.
     pub(crate) fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// The time until the next poll, in milliseconds: it grows, and is random, yet stays well within the
-    /// interval after which a list counts as known.
+    /// Returns the delay until the next poll, in milliseconds. It doubles with each failure, has random
+    /// jitter, and stays well below the interval after which an instance counts as notified of a change.
     pub(crate) fn next_delay(&mut self, poll_interval: Millis, random: f64) -> Millis {
         let max_delay = poll_interval * MAX_BACKOFF_FRACTION;
         let growth = 2f64.powi(self.failures.min(MAX_BACKOFF_DOUBLINGS));
--- a/crates/decision/src/event.rs
+++ b/crates/decision/src/event.rs
@@ -1,51 +1,52 @@
-//! Events: what the embedding proxy reports to a balancer.
+//! The events that the embedding proxy reports to a balancer.
 
 use crate::types::{BackendId, BackendInfo, ListKind, LoadReport, Millis, Outcome, RequestId};
 
-/// One thing that happened.
+/// One event reported by the embedding proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// The endpoint list or an update of it. A `Cached` list comes first in a balancer's life.
+    /// A new endpoint list or an update of the current one. The first event of a balancer is a `Cached` list.
     EndpointsChanged {
-        /// How to read `backends`.
+        /// How to interpret `backends`.
         kind: ListKind,
-        /// The version of the list. No decision reads it: updates are ordered and complete.
+        /// The version of the list. No decision reads it, because updates arrive complete and in order.
         version: u32,
-        /// The entries.
+        /// The entries; empty if `kind` is `Failed`.
         backends: &'a [BackendInfo],
     },
-    /// A request arrived; it gets one final answer within `timeout_ms`.
+    /// A request arrived. It gets exactly one final answer within `timeout_ms`.
     Request {
-        /// Its id.
+        /// Identifies the request in later events and actions.
         id: RequestId,
-        /// Its routing key; requests with equal keys concern the same data. No decision reads it.
+        /// The routing key; requests with equal keys access the same data. No decision reads it.
         key: Option<u64>,
-        /// Its class.
+        /// Index of its class in [`Settings::classes`](crate::Settings::classes).
         class: u8,
-        /// Its tenant.
+        /// Index of its tenant in [`Settings::tenants`](crate::Settings::tenants).
         tenant: u16,
-        /// Expected work in milliseconds, where the client states it.
+        /// Expected work in milliseconds, if the client states it.
         expected_work_ms: Option<Millis>,
-        /// The client marked it as a retry, where clients do so: it adds no demand skew, and is admitted
-        /// less while the tier is short of capacity.
+        /// Whether the client marked the request as a retry. A marked retry does not count towards the demand
+        /// skew, and fewer of them are admitted while the tier has lost capacity.
         is_retry: bool,
-        /// It writes. No decision reads it.
+        /// Whether the request writes data. No decision reads it.
         is_write: bool,
-        /// How long the client waits for this attempt, in milliseconds.
+        /// How long the client waits for the answer, in milliseconds.
         timeout_ms: Millis,
     },
-    /// A streamed response has begun, so that the request can't be retried. No decision reads it.
+    /// The first byte of a streamed response was forwarded, so the request can't be retried any more. No
+    /// decision reads it.
     FirstByte {
         /// The request.
         request: RequestId,
-        /// The number of the attempt.
+        /// The number of the attempt, from 0 in the order of the sends.
         attempt: u8,
-        /// The backend.
+        /// The backend that sends the response.
         backend: BackendId,
-        /// Time since the send, in milliseconds.
+        /// Time since the attempt was sent, in milliseconds.
         took_ms: Millis,
     },
-    /// An attempt ended. Every send gets exactly one of these.
+    /// An attempt ended. Every [`Action::Send`](crate::Action::Send) is followed by exactly one such event.
     Outcome {
         /// The request.
         request: RequestId,
@@ -55,49 +56,49 @@
         backend: BackendId,
         /// How it ended.
         outcome: Outcome,
-        /// Time since the send, in milliseconds.
+        /// Time since the attempt was sent, in milliseconds.
         took_ms: Millis,
-        /// Whether the request is over, so that it needs no final answer.
+        /// Whether the request ended with this attempt, so that it needs no final answer.
         ended: bool,
-        /// The backend's load report, if the response carried one.
+        /// The backend's load report; empty if the response carried none.
         report: LoadReport,
     },
-    /// The client has disconnected; the request needs no final answer.
+    /// The client disconnected. The request needs no final answer.
     ClientGone {
         /// The request.
         request: RequestId,
     },
-    /// A timer of this balancer expired.
+    /// A timer set by [`Action::SetTimer`](crate::Action::SetTimer) expired.
     Timer {
-        /// The token given with [`Action::SetTimer`](crate::Action::SetTimer).
+        /// The token of that action.
         token: u64,
     },
-    /// A health check ended. No decision reads it: the module sends none.
+    /// A health check ended. No decision reads it, because the module sends no health checks.
     ProbeResult {
-        /// The backend.
+        /// The backend that was checked.
         backend: BackendId,
-        /// `Ok`, or why not.
+        /// `Ok`, or how the check failed.
         outcome: Outcome,
-        /// Time since the probe was sent, in milliseconds.
+        /// Time since the health check was sent, in milliseconds.
         took_ms: Millis,
-        /// Its load report, if any.
+        /// The backend's load report; empty if the response carried none.
         report: LoadReport,
     },
-    /// Traffic is moved between zones: a zone is to get this part of its usual traffic. Advice: where no
-    /// other backend is left, requests go there all the same.
+    /// A traffic shift between zones: a zone is to get this fraction of its usual traffic. This is advice:
+    /// requests still go to the zone if no other backend is left.
     ZoneFraction {
-        /// The zone.
+        /// Index of the zone in [`Settings::zones`](crate::Settings::zones).
         zone: u16,
-        /// From 0 to 1.
+        /// The fraction of the usual traffic, from 0 to 1.
         fraction: f64,
         /// Age of the advice, in milliseconds.
         age_ms: Millis,
     },
-    /// Bytes from another instance. Instances share nothing in this design, so it is ignored.
+    /// A message from another instance. It is ignored, because instances share no state.
     Message {
         /// Rank of the sending instance.
         from: u16,
-        /// The bytes.
+        /// The payload.
         bytes: &'a [u8],
     },
 }
--- a/crates/decision/src/latency.rs
+++ b/crates/decision/src/latency.rs
@@ -1,23 +1,23 @@
-//! The latencies of each request class, learned from the requests served.
+//! Latency statistics of a request class, learned from served requests.
 
 use crate::Millis;
 
-/// Weight of one request in the averages.
+/// Weight of one request in the moving averages.
 const SAMPLE_WEIGHT: f64 = 0.05;
 
-/// Mean and mean deviation of a class's latencies, and the mean of its requests' expected work.
+/// Moving averages of the latency, its deviation and the expected work of a class.
 #[derive(Default)]
 pub(crate) struct ClassLatency {
-    /// In milliseconds; 0 until a request was served.
+    /// Mean latency, in milliseconds; 0 until a request was served.
     pub(crate) mean: Millis,
     /// Mean absolute deviation from the mean, in milliseconds.
     pub(crate) deviation: Millis,
-    /// Mean expected work, in milliseconds; 0 where no request carries it.
+    /// Mean expected work, in milliseconds; 0 if requests do not state it.
     mean_work: Millis,
 }
 
 impl ClassLatency {
-    /// Takes the latency of a request served and its expected work, 0 where unknown.
+    /// Records the latency and the expected work (0 if unknown) of a served request.
     pub(crate) fn record(&mut self, latency: Millis, expected_work: Millis) {
         if self.mean == 0.0 {
             *self = ClassLatency { mean: latency, deviation: latency / 2.0, mean_work: expected_work };
@@ -27,7 +27,8 @@
         self.mean_work += SAMPLE_WEIGHT * (expected_work - self.mean_work);
     }
 
-    /// The latency to expect of a request with so much expected work, 0 where unknown.
+    /// Returns the expected latency of a request with this expected work (0 if unknown). The result is 0
+    /// until a request was served.
     pub(crate) fn expected(&self, expected_work: Millis) -> Millis {
         if expected_work > 0.0 && self.mean_work > 0.0 {
             self.mean * expected_work / self.mean_work
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,9 +1,8 @@
-//! The decision module. Everything that hillstall decides about a request is decided here: which backend gets
-//! it, whether it is retried, whether it is rejected. It does no I/O, has no clock and owns its random
-//! numbers' seed: equal seeds and equal events give equal actions, on sockets as in the simulator.
+//! The decision module: backend selection, retries, admission control and tenant quotas. It performs no I/O,
+//! reads no clock and draws random numbers only from the generator seeded by its caller: equal seeds and
+//! equal events give equal actions, in the proxy as in the simulator.
 //!
-//! [`Balancer`] takes an [`Event`] and answers with [`Action`]s; each subject of its decisions has a module
-//! of its own.
+//! [`Balancer`] takes an [`Event`] and returns [`Action`]s. Each kind of decision has a module of its own.
 
 pub mod action;
 pub mod event;
--- a/crates/decision/src/quota.rs
+++ b/crates/decision/src/quota.rs
@@ -1,42 +1,43 @@
-//! Tenant quotas: whether a request is within its tenant's share. In the platform's design this is the rule
-//! that names an origin, read by the requests that passed (QPS grade). A request beyond the quota is not
-//! rejected for it: it must find burst capacity, for which the admission control has a limiter of its own.
+//! Tenant quotas: whether a request is within its tenant's share. In the platform's reference design this is
+//! the flow rule with an origin and QPS grade, which counts the requests that passed. A request beyond the
+//! quota is not rejected for that alone: it needs burst capacity, which has a limiter of its own in the
+//! admission control.
 
 use crate::decay::DecayingSum;
 use crate::{Millis, Settings};
 
-/// Window in which a tenant's requests are held against its quota, in milliseconds: long, as a sparse
-/// instance's few requests come in clusters, and a tenant well within its quota would exceed it in a short
-/// one.
+/// Window over which a tenant's requests are compared with its quota, in milliseconds. It is long because
+/// the requests of an instance with little traffic arrive in clusters, with which a tenant well within its
+/// quota would exceed it in a short window.
 const QUOTA_WINDOW_MS: Millis = 10_000.0;
-/// Times its even part of a quota that an instance grants, as clients do not spread it quite evenly.
+/// Multiple of an even share of a quota that an instance grants, as clients do not spread load quite evenly.
 const QUOTA_TOLERANCE: f64 = 1.1;
-/// Most requests in a window for which a random fluctuation is allowed: a quota without a bound has none.
-const MAX_FLUCTUATING_REQUESTS: f64 = 1e12;
+/// Upper bound of the granted requests in the fluctuation term, which must stay finite for unlimited quotas.
+const MAX_FLUCTUATION_BASE_REQUESTS: f64 = 1e12;
 
-/// What each tenant has used of its quota at this instance.
+/// The use of each tenant's quota at this instance.
 pub(crate) struct TenantQuotas {
     used: Vec<DecayingSum>,
 }
 
 impl TenantQuotas {
-    /// Unused quotas for so many tenants.
+    /// Creates unused quotas for this number of tenants.
     pub(crate) fn new(tenants: usize) -> TenantQuotas {
         TenantQuotas { used: (0..tenants).map(|_| DecayingSum::default()).collect() }
     }
 
-    /// Sets all quotas to used: a window that began empty would admit a whole window of a tenant's traffic at
+    /// Marks all quotas as used up: with an empty window, a tenant could send a whole window's traffic at
     /// once.
     pub(crate) fn fill(&mut self, now: Millis, settings: &Settings) {
         for (used, tenant) in self.used.iter_mut().zip(&settings.tenants) {
-            let part_per_s = tenant.quota_per_s / f64::from(settings.fleet_size);
-            *used = DecayingSum::starting_at(part_per_s * QUOTA_WINDOW_MS / 1000.0, now);
+            let share_per_s = tenant.quota_per_s / f64::from(settings.fleet_size);
+            *used = DecayingSum::starting_at(share_per_s * QUOTA_WINDOW_MS / 1000.0, now);
         }
     }
 
-    /// Whether one more request goes beyond the tenant's quota at an instance with so much demand skew. The
-    /// top tier decides: below it the work of the tiers above is already spent. Requests that were rejected
-    /// use no quota, or their clients' next attempts would exceed it.
+    /// Whether one more request exceeds the tenant's quota at an instance with this demand skew. Only the top
+    /// tier enforces quotas: below it, the tiers above have already spent work on the request. Rejected
+    /// requests use no quota; otherwise the retries of their clients would exceed it.
     pub(crate) fn is_exceeded(
         &self,
         tenant: usize,
@@ -51,14 +52,15 @@
         if settings.tier > 0 {
             return false;
         }
-        let part_per_s = tenant.quota_per_s / f64::from(settings.fleet_size) * QUOTA_TOLERANCE;
-        let granted = part_per_s * QUOTA_WINDOW_MS / 1000.0;
-        // Few requests fluctuate: one standard deviation is granted beside, or much of a quota is never used.
-        let fluctuation = (1.0 - backends_per_instance) * granted.min(MAX_FLUCTUATING_REQUESTS).sqrt();
+        let share_per_s = tenant.quota_per_s / f64::from(settings.fleet_size) * QUOTA_TOLERANCE;
+        let granted = share_per_s * QUOTA_WINDOW_MS / 1000.0;
+        // Small request counts fluctuate: one standard deviation is granted on top, as otherwise much of the
+        // quota would never be used.
+        let fluctuation = (1.0 - backends_per_instance) * granted.min(MAX_FLUCTUATION_BASE_REQUESTS).sqrt();
         used.value(now, QUOTA_WINDOW_MS) + 1.0 / skew > (granted + fluctuation).max(1.0)
     }
 
-    /// Counts a request within the quota that was sent, at an instance with so much demand skew.
+    /// Counts a request within the quota that was sent, at an instance with this demand skew.
     pub(crate) fn record(&mut self, tenant: usize, now: Millis, skew: f64) {
         let amount = 1.0 / skew;
         if let Some(used) = self.used.get_mut(tenant) {
--- a/crates/decision/src/random.rs
+++ b/crates/decision/src/random.rs
@@ -1,5 +1,5 @@
-//! The random numbers of one balancer. Equal seeds and equal events must give equal actions, so every
-//! decision draws from this one source, in the order of the events.
+//! The random number generator of a balancer. Equal seeds and equal events must give equal actions, so all
+//! decisions draw from this one generator, in the order of the events.
 
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -10,12 +10,12 @@
 }
 
 impl RandomSource {
-    /// A source that gives the same numbers for the same seed.
+    /// Creates a source whose sequence of numbers depends only on `seed`.
     pub(crate) fn new(seed: u64) -> RandomSource {
         RandomSource { generator: Xoshiro256PlusPlus::seed_from_u64(seed) }
     }
 
-    /// The next number, from 0 and under 1.
+    /// Returns the next number, from 0 inclusive to 1 exclusive.
     pub(crate) fn next_unit(&mut self) -> f64 {
         (self.generator.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
--- a/crates/decision/src/request.rs
+++ b/crates/decision/src/request.rs
@@ -1,11 +1,11 @@
-//! What a balancer remembers of a request between its arrival and its final answer.
+//! The state of a request between its arrival and its final answer.
 
 use crate::{BackendId, BackendInfo, Millis, Outcome};
 
 /// One attempt of a request.
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
-    /// Where it went, as the backend was listed at the send.
+    /// The list entry of the backend at the time of the send.
     pub(crate) backend: BackendInfo,
     /// When it was sent.
     pub(crate) sent_at: Millis,
@@ -14,37 +14,37 @@
 /// How an attempt ended.
 #[derive(Clone, Copy)]
 pub(crate) struct Completion {
-    /// The outcome.
+    /// The outcome that the proxy reported.
     pub(crate) outcome: Outcome,
-    /// Time since the send, as the proxy measured it.
+    /// Time since the send, in milliseconds.
     pub(crate) took: Millis,
-    /// The part of a full rise of the limits that the backend's spare CPU permits, from 0 to 1.
+    /// The fraction of the full rise of the limits that the backend's spare CPU permits, from 0 to 1.
     pub(crate) headroom: f64,
 }
 
 /// A request without a final answer.
 pub(crate) struct PendingRequest {
-    /// Its class's place in the settings.
+    /// Index of its class in the settings.
     pub(crate) class: usize,
-    /// Its tenant's place in the settings.
+    /// Index of its tenant in the settings.
     pub(crate) tenant: usize,
     /// Expected work in milliseconds; 0 where unknown.
     pub(crate) expected_work: Millis,
-    /// It goes beyond its tenant's quota and uses burst capacity.
+    /// Whether the request exceeds its tenant's quota, so that it needs burst capacity.
     pub(crate) exceeds_quota: bool,
-    /// The client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub(crate) is_client_retry: bool,
-    /// When the client stops waiting.
+    /// Clock time at which the client stops waiting.
     pub(crate) deadline: Millis,
     /// Attempts sent so far.
     pub(crate) attempts: u32,
-    /// The attempt that is out.
+    /// The attempt in flight, if any.
     pub(crate) in_flight: Option<Attempt>,
     /// The backends of all attempts.
     pub(crate) tried: Vec<BackendId>,
-    /// The first attempt that may have run, as known at its send: a backend that has left the list since must
-    /// not make it forgotten.
+    /// The first attempt that may have run. It holds a copy of the backend's list entry, because the backend
+    /// may leave the endpoint list before a retry.
     pub(crate) may_have_run: Option<Attempt>,
-    /// The client has left.
+    /// Whether the client has disconnected.
     pub(crate) client_gone: bool,
 }
--- a/crates/decision/src/retry.rs
+++ b/crates/decision/src/retry.rs
@@ -1,47 +1,47 @@
-//! Retries: whether a failed request is sent again, how long one attempt may take, and what a client is told
-//! that is not served. The platform's design does not retry; the budget keeps retries a small part of the
-//! traffic, so that a tier that fails as a whole gets little more than its usual load.
+//! Retries: whether a failed request is retried, the timeout of an attempt, and the retry advice for rejected
+//! clients. The platform's reference design does not retry. The retry budget keeps retries a small fraction
+//! of the traffic, so that a tier that fails as a whole gets little more than its usual load.
 
 use crate::latency::ClassLatency;
 use crate::request::{Attempt, PendingRequest};
 use crate::{BackendInfo, Class, DedupScope, Millis, Outcome, Permissions, RetrySafety};
 
-/// Retries earned by each request.
+/// Retries that each request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-/// The most retries that can be saved up.
+/// Maximum number of retries in the budget.
 const MAX_SAVED_RETRIES: f64 = 10.0;
-/// Mean deviations over the mean latency after which an attempt is given up for another: giving up early
-/// repeats work that mostly goes on.
+/// Number of mean deviations above the mean latency after which an attempt times out. Early timeouts repeat
+/// work that mostly still goes on at the first backend.
 const TIMEOUT_DEVIATIONS: f64 = 12.0;
-/// The shortest attempt timeout, in milliseconds: a pause of a machine is no hang.
+/// Minimum attempt timeout, in milliseconds: a short pause of a machine must not count as a hang.
 const MIN_ATTEMPT_TIMEOUT_MS: Millis = 12.0;
-/// Mean latencies that must be left after an attempt timeout for another attempt to be of use.
+/// Number of mean latencies that must remain after an attempt timeout for a retry to be useful.
 const MIN_LATENCIES_LEFT: f64 = 2.0;
-/// Mean latencies after which a rejected client may come back: by then about half of what filled the limiter
-/// has finished, and its answer can still be in time.
+/// Number of mean latencies after which a rejected client may retry: by then about half of the requests that
+/// filled the limiter have finished, and the answer can still be in time.
 const RETRY_AFTER_LATENCIES: f64 = 0.5;
-/// Mean latency that is assumed while none is known, in milliseconds.
+/// Mean latency that is assumed until a request was served, in milliseconds.
 const DEFAULT_LATENCY_MS: Millis = 200.0;
-/// Least part of the wait that a rejected client gets; the rest is random.
+/// Minimum factor of the random jitter on the retry advice; the maximum is 1 more.
 const MIN_JITTER: f64 = 0.5;
 
-/// The retries that may still be sent.
+/// A token bucket for retries.
 pub(crate) struct RetryBudget {
     retries: f64,
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub(crate) fn new() -> RetryBudget {
         RetryBudget { retries: MAX_SAVED_RETRIES }
     }
 
-    /// Earns a part of a retry for a request that arrived.
+    /// Adds [`RETRIES_PER_REQUEST`] to the budget for a request that arrived.
     pub(crate) fn earn(&mut self) {
         self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
     }
 
-    /// Takes one retry; false if there is none.
+    /// Takes one retry from the budget; `false` if less than one is left.
     pub(crate) fn try_spend(&mut self) -> bool {
         if self.retries < 1.0 {
             return false;
@@ -51,7 +51,7 @@
     }
 }
 
-/// Whether a request whose last attempt ended so may be sent again.
+/// Whether a request may be retried after its last attempt ended with `outcome`.
 pub(crate) fn may_retry(class: &Class, may_have_run: Option<Attempt>, outcome: Outcome, now: Millis) -> bool {
     let is_safe = match (class.retry_safety, may_have_run) {
         (_, None) | (RetrySafety::Idempotent, _) => true,
@@ -61,8 +61,8 @@
     is_safe && !outcome.was_abandoned()
 }
 
-/// Whether a backend may get the next attempt: once a request with an idempotency key may have run, only the
-/// group that drops its retry.
+/// Whether a backend may get the next attempt. Once a request with an idempotency key may have run, only the
+/// backends that deduplicate it may.
 pub(crate) fn may_send_to(class: &Class, may_have_run: Option<Attempt>, backend: &BackendInfo) -> bool {
     match (class.retry_safety, may_have_run) {
         (RetrySafety::IdempotencyKey, Some(first)) => match class.dedup_scope {
@@ -74,7 +74,8 @@
     }
 }
 
-/// Whether the client may safely send the request again, so that it can be rejected rather than failed.
+/// Whether the client may safely send the request again, so that the final answer can be a rejection instead
+/// of a failure.
 pub(crate) fn may_client_retry(class: &Class, may_have_run: Option<Attempt>, now: Millis) -> bool {
     match (class.retry_safety, may_have_run) {
         (RetrySafety::Idempotent, _) | (_, None) => true,
@@ -85,7 +86,7 @@
     }
 }
 
-/// How long to wait for one attempt: all the time left, or less where another attempt is of use.
+/// Returns the timeout of the next attempt: all the time left, or less if a retry could still be useful.
 pub(crate) fn attempt_timeout(
     request: &PendingRequest,
     class: &Class,
@@ -101,8 +102,9 @@
     }
 }
 
-/// When a rejected client may come back, in milliseconds; 0 for no advice. Random, so that clients rejected
-/// together do not return together. Only the top tier advises: further down nobody waits.
+/// Returns the time after which a rejected client should retry, in milliseconds; 0 for no advice. The jitter
+/// keeps clients that were rejected together from returning together. Only the top tier gives advice, because
+/// the callers of lower tiers do not wait.
 pub(crate) fn retry_after(
     permissions: &Permissions,
     tier: u32,
--- a/crates/decision/src/selection.rs
+++ b/crates/decision/src/selection.rs
@@ -1,6 +1,7 @@
-//! Selection of a backend. As in the platform's design it is a random draw, weighted by what is known of each
-//! backend: rating, slow start, health, slowness and requests in flight. Additions: the draw is from a subset
-//! of a large tier, it prefers the own zone, and it leaves zones whose traffic is moved away.
+//! Backend selection. As in the platform's reference design it is a weighted random draw; the weight of a
+//! backend depends on its rating, slow start, health, slowness and requests in flight. Additions to the
+//! design: the draw is restricted to a subset of a large tier, prefers the local zone, and honors traffic
+//! shifts between zones.
 
 use crate::backend::Backend;
 use crate::decay::DecayingSum;
@@ -12,51 +13,52 @@
 use crate::{Millis, Settings};
 use hillstall_overload::zone_traffic::ZoneFractions;
 
-/// The fewest healthy backends that an instance draws from, where the tier has more ...
+/// Minimum number of healthy backends in the subset, if the tier has as many. The subset is the largest that
+/// this and the following two constants ask for.
 const MIN_SUBSET_BACKENDS: f64 = 8.0;
-/// ... so that each backend gets requests from this many instances, and none depends on one of them ...
+/// Number of instances that each backend should get requests from, so that none depends on a single instance.
 const INSTANCES_PER_BACKEND: f64 = 4.0;
-/// ... and with this many backends for each request that the instance had in flight at its recent peak.
+/// Number of backends in the subset for each request of the recent peak in flight.
 const BACKENDS_PER_REQUEST: f64 = 1.0;
-/// A request in flight for this many mean latencies, with no answer since from its backend, is an early sign
-/// of a hang.
+/// A request in flight for this many mean latencies, without any answer from its backend since, indicates
+/// that the backend may hang.
 const OVERDUE_LATENCIES: f64 = 3.0;
-/// Factor on the weight of a backend that shows this sign.
+/// Factor on the weight of a backend that may hang.
 const OVERDUE_WEIGHT_FACTOR: f64 = 0.1;
-/// Factor on the weight of a backend that has had an attempt of the request.
+/// Factor on the weight of a backend that already got an attempt of the request.
 const TRIED_WEIGHT_FACTOR: f64 = 0.01;
-/// Power of the slowness by which a weight falls.
+/// The weight is divided by the slowness to this power.
 const SLOWNESS_EXPONENT: i32 = 3;
-/// The least slowness that counts.
+/// Lower bound of the slowness in the weight.
 const MIN_SLOWNESS: f64 = 0.1;
-/// Power of the relative load by which a weight falls.
+/// The weight is divided by the relative load to this power.
 const LOAD_EXPONENT: i32 = 8;
-/// Requests in flight for each unit of capacity that are added to the mean load, so that few requests make no
-/// great difference.
+/// Added to the mean load, in requests in flight per unit of capacity, so that a difference of a few requests
+/// has little effect at low load.
 const LOAD_OFFSET: f64 = 0.5;
-/// How steeply the price of a crossing lowers the weight of backends in other zones.
+/// How strongly the price of cross-zone attempts reduces the weight of backends in remote zones.
 const CROSS_ZONE_AVERSION: f64 = 20_000.0;
 /// Time constant over which the rate of served requests is averaged, in milliseconds.
 const RATE_TIME_CONSTANT_MS: Millis = 3_000.0;
-/// The least capacity that is divided by.
+/// Lower bound of capacities used as divisors.
 const MIN_CAPACITY: f64 = 1e-9;
 
-/// What a draw depends on beside the backends.
+/// The inputs of a draw other than the backends.
 #[derive(Clone, Copy)]
 pub(crate) struct SelectionContext<'a> {
-    /// Clock time.
+    /// The current clock time.
     pub(crate) now: Millis,
-    /// The balancer's settings.
+    /// The settings of the balancer.
     pub(crate) settings: &'a Settings,
     /// The request to be sent.
     pub(crate) request: &'a PendingRequest,
-    /// Mean latency of the request's class; 0 if unknown.
+    /// Mean latency of the request's class, in milliseconds; 0 if unknown.
     pub(crate) mean_latency: Millis,
-    /// The tier's smoothed latency ratio over the threshold for lateness.
+    /// The tier's smoothed latency ratio divided by the top tier's threshold for lateness.
     pub(crate) saturation: f64,
     /// The recent peak of the requests in flight.
     pub(crate) peak_in_flight: f64,
-    /// This process's part of the instance's slow start budgets.
+    /// The fraction of the instance's slow start budgets that belongs to this process, from 0 to 1.
     pub(crate) process_fraction: f64,
 }
 
@@ -64,7 +66,7 @@
 struct Candidate {
     index: usize,
     weight: f64,
-    /// Requests in flight for the capacity that it has.
+    /// Requests in flight divided by the available capacity.
     load: f64,
 }
 
@@ -73,38 +75,38 @@
 struct SubsetTotals {
     capacity: f64,
     in_flight: f64,
-    /// Backends, those in slow start and the unhealthy ones as parts.
+    /// Number of backends; those in slow start, draining or unhealthy count as fractions.
     usable_backends: f64,
     local_zone_capacity: f64,
     local_zone_healthy_capacity: f64,
 }
 
-/// Draws backends for requests.
+/// Draws backends for requests, and holds the state that the draws share.
 #[derive(Default)]
 pub(crate) struct Selector {
-    /// The part of its usual load that each zone gets.
+    /// The fraction of its usual traffic that each zone gets.
     zone_fractions: ZoneFractions,
-    /// Requests served of late.
+    /// Recently served requests.
     served: DecayingSum,
-    /// Capacity of the subset at the last draw for a request that has not run.
+    /// Capacity of the subset at the last draw for a request that cannot have run yet.
     subset_capacity: f64,
-    /// The candidates of the present draw; retained to allocate once.
+    /// The candidates of the current draw; the buffer is reused.
     candidates: Vec<Candidate>,
 }
 
 impl Selector {
-    /// Counts a request served.
+    /// Counts a served request.
     pub(crate) fn record_served(&mut self, now: Millis) {
         self.served.add(now, RATE_TIME_CONSTANT_MS, 1.0);
     }
 
-    /// Takes the part of its usual load that a zone is to get; `age` is how old the advice is.
+    /// Sets the fraction of its usual traffic that a zone is to get; `age` is the age of the advice.
     pub(crate) fn set_zone_fraction(&mut self, now: Millis, zone: u16, fraction: f64, age: Millis) {
         self.zone_fractions.set_fraction(now, zone, fraction, age);
     }
 
-    /// Draws a backend as usual, and another where its zone is to get less and there is one in a zone that is
-    /// not. `None` if no backend may be sent to.
+    /// Draws a backend. If the zone of the drawn backend is to get less traffic, the request may be diverted
+    /// to a backend in a zone that gets all of its traffic. `None` if no backend may receive the request.
     pub(crate) fn select(
         &mut self,
         context: SelectionContext<'_>,
@@ -120,8 +122,9 @@
         Some(self.draw_from_subset(context, endpoints, random, true).unwrap_or(selected))
     }
 
-    /// Draws from this instance's subset of the tier: many instances that each draw from all backends fill
-    /// every backend's connection table. `skip_reduced_zones`: only from zones that get all of their load.
+    /// Draws from this instance's subset of the tier: if many instances drew from all backends, they would
+    /// exhaust the connection tables of the backends. With `skip_reduced_zones`, only zones that get all of
+    /// their traffic are drawn from.
     fn draw_from_subset(
         &mut self,
         context: SelectionContext<'_>,
@@ -145,7 +148,7 @@
         draw(&self.candidates, random.next_unit())
     }
 
-    /// Fills the list of candidates from the subset order until there are enough.
+    /// Collects candidates in subset order until there are enough usable backends.
     fn collect_candidates(
         &mut self,
         context: SelectionContext<'_>,
@@ -177,7 +180,7 @@
         totals
     }
 
-    /// What a unit of the subset's capacity served of late, in requests a second.
+    /// Returns the recent rate of served requests per unit of the subset's capacity, in requests a second.
     fn rate_per_capacity(&self, now: Millis) -> f64 {
         let served = self.served.value(now, RATE_TIME_CONSTANT_MS);
         served * 1000.0 / RATE_TIME_CONSTANT_MS / self.subset_capacity.max(MIN_CAPACITY)
@@ -185,7 +188,7 @@
 }
 
 impl SubsetTotals {
-    /// Adds a backend and makes it a candidate.
+    /// Adds a backend to the totals and returns it as a candidate.
     fn add(
         &mut self,
         context: SelectionContext<'_>,
@@ -203,23 +206,23 @@
             self.local_zone_healthy_capacity += capacity * health;
         }
         self.usable_backends += health * capacity / backend.rating();
-        // An unhealthy backend is full with fewer requests. Were it but drawn less often, it would be filled
-        // to MIN_HEALTH^(1/8), three fifths of what a sound one has in flight, and a hang keeps requests for
-        // long.
+        // The load of an unhealthy backend is scaled up as well. With only a reduced weight it would still
+        // fill up to MIN_HEALTH^(1/8), three fifths of the requests in flight at a healthy backend, and a
+        // backend that hangs holds requests for long.
         let health = health.max(MIN_HEALTH);
         Candidate { index, weight: capacity * health, load: backend.in_flight / (capacity * health.sqrt()) }
     }
 }
 
-/// How many usable backends the subset should have.
+/// Returns the number of usable backends that the subset should have.
 fn backends_wanted(context: SelectionContext<'_>, listed: usize) -> f64 {
     let instances = f64::from(context.settings.fleet_size);
     let covering = INSTANCES_PER_BACKEND * listed as f64 / instances;
     MIN_SUBSET_BACKENDS.max(covering).max(BACKENDS_PER_REQUEST * context.peak_in_flight)
 }
 
-/// Whether a backend is past its slow start, or has budget left for one request. A backend past it serves
-/// `rate_per_capacity` requests a second for each unit of capacity.
+/// Whether a backend is past its slow start or has budget left for one request. `rate_per_capacity` is the
+/// rate, in requests a second per unit of capacity, at which backends past their slow start serve.
 fn has_slow_start_budget(
     context: SelectionContext<'_>,
     backend: &mut Backend,
@@ -235,16 +238,16 @@
     backend.slow_start.refill(context.now, rules, capacity_rate, instances, context.process_fraction)
 }
 
-/// Factor on the weight of backends in other zones: those are for the overflow, and take over as the own zone
-/// fails. Under overload balance matters more than the price.
+/// Returns the factor on the weight of backends in remote zones. It is small while the local zone is healthy
+/// and rises as the local zone fails or the tier nears overload, when balance matters more than the price.
 fn remote_zone_weight(context: SelectionContext<'_>, totals: &SubsetTotals) -> f64 {
     let weight = 1.0 / (1.0 + CROSS_ZONE_AVERSION * context.settings.prices.cross_zone);
     let local_zone_health = (1.0 - context.saturation).max(0.0) * totals.local_zone_healthy_capacity;
     weight.powf(local_zone_health / totals.local_zone_capacity.max(MIN_CAPACITY))
 }
 
-/// Factor on a backend's weight by its slowness, its load over the mean, signs of a hang, its zone and
-/// whether it has had an attempt of this request.
+/// Returns the factor on a backend's weight that results from its slowness, its load relative to the mean,
+/// signs of a hang, its zone, and whether it already got an attempt of this request.
 fn feedback_weight(
     context: SelectionContext<'_>,
     backend: &Backend,
@@ -254,7 +257,7 @@
 ) -> f64 {
     let slowness = backend.slowness.max(MIN_SLOWNESS).powi(SLOWNESS_EXPONENT);
     let mut weight = 1.0 / (slowness * relative_load.powi(LOAD_EXPONENT));
-    // A hang shows first as silence: requests in flight for long and nothing answered since.
+    // A hanging backend first shows as an overdue request while nothing else is answered.
     let is_overdue = overdue_after > 0.0 && context.now - backend.oldest_sent_at > overdue_after;
     if is_overdue && backend.answered_at < backend.oldest_sent_at {
         weight *= OVERDUE_WEIGHT_FACTOR;
@@ -268,7 +271,7 @@
     weight
 }
 
-/// The index of the candidate that a random number from 0 to 1 falls on.
+/// Draws a candidate by weight with a random number from 0 to 1 and returns its backend index.
 fn draw(candidates: &[Candidate], random: f64) -> Option<usize> {
     let total = candidates.iter().map(|candidate| candidate.weight).sum::<f64>();
     let mut left = random * total;
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -1,78 +1,80 @@
 //! The settings of a balancer: classes, tenants, rules, permissions, prices and the objective.
 //!
-//! All times are milliseconds unless a name says otherwise. A field that no decision reads says so; it is
-//! there because the platform sends it.
+//! All times are milliseconds unless a name says otherwise. Some fields are not read by any decision and say
+//! so; they exist because the platform sends them.
 
 use crate::types::Millis;
 
-/// Whether, and where, a request that may have run can be retried.
+/// Whether a request that may have run can be retried, and at which backends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
     /// Safe to retry anywhere, at any time.
     Idempotent,
-    /// Carries an idempotency key: a [`DedupScope`] of backends drops retries for
+    /// Carries an idempotency key: the backends of a [`DedupScope`] deduplicate retries for
     /// [`Class::dedup_window_ms`].
     IdempotencyKey,
-    /// Must never run twice.
+    /// Must never run twice, so it is retried only if it provably did not run.
     NonIdempotent,
 }
 
-/// The backends that drop retries of a request with an idempotency key.
+/// The backends that deduplicate retries of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All backends of the tier.
     All,
-    /// Those in the zone of the backend that may have run it.
+    /// The backends in the zone of the backend that may have run the request.
     Zone,
-    /// Those in the cell of the backend that may have run it.
+    /// The backends in the cell of the backend that may have run the request.
     Cell,
 }
 
-/// A class of requests. Classes are identified by their place in [`Settings::classes`].
+/// A class of requests, identified by its index in [`Settings::classes`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name, for people; no decision reads it.
+    /// Display name; no decision reads it.
     pub name: String,
-    /// An answer within this time earns the full priority weight.
+    /// The latency objective: an answer within this time earns the full priority weight.
     pub latency_objective_ms: Millis,
-    /// How much the objective grows for each millisecond of the request's work; 0 where it does not. No
+    /// By how much the latency objective grows for each millisecond of expected work; 0 if it is constant. No
     /// decision reads it.
     pub objective_per_work_ms: f64,
-    /// How long a client waits in all, over its attempts. No decision reads it.
+    /// How long a client waits in total, over all its attempts. No decision reads it.
     pub deadline_ms: Millis,
-    /// The weight of one request in the objective.
+    /// The weight of one served request in the [`Objective`].
     pub priority_weight: f64,
-    /// Part of the weight that an answer after the latency objective still earns.
+    /// Fraction of the priority weight that an answer after the latency objective still earns.
     pub late_weight_fraction: f64,
-    /// Whether a request may run again.
+    /// Whether a request that may have run can be retried.
     pub retry_safety: RetrySafety,
-    /// With idempotency keys: which backends drop retries.
+    /// For classes with idempotency keys: which backends deduplicate retries.
     pub dedup_scope: DedupScope,
-    /// With idempotency keys: for how long, from the send of the first attempt that may have run.
+    /// For classes with idempotency keys: how long retries are deduplicated, from the send of the first
+    /// attempt that may have run.
     pub dedup_window_ms: Millis,
-    /// Its responses are streams: [`Event::FirstByte`](crate::Event::FirstByte) comes. No decision reads it.
+    /// Whether responses are streamed, which is reported by [`Event::FirstByte`](crate::Event::FirstByte). No
+    /// decision reads it.
     pub streaming: bool,
 }
 
-/// A tenant, identified by its place in [`Settings::tenants`].
+/// A tenant, identified by its index in [`Settings::tenants`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name, for people; no decision reads it.
+    /// Display name; no decision reads it.
     pub name: String,
-    /// Requests a second, over all instances together, that are within its quota.
+    /// The quota, in requests a second over all instances together.
     pub quota_per_s: f64,
-    /// Its part of the service. No decision reads it.
+    /// The tenant's share of the service. No decision reads it.
     pub fraction: f64,
 }
 
-/// One value of a load report.
+/// The quantity that one value of a load report measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Requests the backend holds.
+    /// Requests in flight at the backend.
     Active,
-    /// Requests that wait for service.
+    /// Requests in the backend's queue.
     Waiting,
-    /// Part of its CPU in use.
+    /// CPU utilization, from 0 to 1.
     Cpu,
     /// Recent service time, in milliseconds.
     LatencyMs,
@@ -80,106 +82,110 @@
     PerSecond,
     /// Errors a second.
     ErrorsPerSecond,
-    /// A value that this version does not know; it is ignored.
+    /// A quantity that this version does not know; it is ignored.
     Unknown,
 }
 
-/// When load reports come.
+/// Which responses carry load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportVia {
-    /// With outcomes and with probe results.
+    /// Responses to requests and to health checks.
     Inline,
-    /// With probe results only.
+    /// Responses to health checks only.
     Probe,
-    /// Never.
+    /// None.
     Off,
 }
 
-/// What a backend's rating means.
+/// How [`BackendInfo::rating`](crate::BackendInfo::rating) is derived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RatingSource {
-    /// Always 1.
+    /// Not at all: every rating is 1.
     Off,
-    /// The registered size.
+    /// From the registered size of the backend.
     Nominal,
-    /// About the size.
+    /// From an approximate size of the backend.
     Rough,
-    /// Size over 1 + load a core, some time ago.
+    /// Size / (1 + load per core), as measured some time ago.
     Live,
 }
 
-/// Limits and times that the platform prescribes.
+/// Limits and durations that the platform prescribes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// A final answer may come this long after the client's deadline. No decision reads it.
+    /// How long after the client's deadline a final answer may still be sent. No decision reads it.
     pub response_grace_ms: Millis,
-    /// Sends to a draining or gone backend must stop within this time. No decision reads it.
+    /// The time within which sends to a draining backend must stop.
     pub drain_grace_ms: Millis,
-    /// Without a subscription, an instance counts as notified of a change after this time.
+    /// The time after which an instance without a subscription counts as notified of a list change.
     pub poll_interval_ms: Millis,
-    /// A backend starts with at least this part of its capacity.
+    /// The least fraction of its capacity that a backend has when it starts.
     pub warmup_start_fraction: f64,
-    /// The longest slow start of a backend, from its start to its full capacity.
+    /// The longest time from the start of a backend to its full capacity.
     pub warmup_ms: Millis,
-    /// A backend in slow start that gets more than this multiple of its present capacity ...
+    /// The multiple of its present capacity above which a backend in slow start is overloaded; it fails if
+    /// the overload lasts for `overload_window_ms`.
     pub overload_multiple: f64,
-    /// ... for this long fails.
+    /// How long an overload must last to make a backend in slow start fail.
     pub overload_window_ms: Millis,
 }
 
-/// What this deployment permits.
+/// The features that this deployment permits, and its limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Permissions {
-    /// [`Action::Cancel`](crate::Action::Cancel) may be used.
+    /// Whether [`Action::Cancel`](crate::Action::Cancel) may be used.
     pub cancel: bool,
-    /// [`Action::Probe`](crate::Action::Probe) may be used. No decision reads it.
+    /// Whether [`Action::Probe`](crate::Action::Probe) may be used. No decision reads it.
     pub probe: bool,
-    /// Two attempts of one request may be out at once. No decision reads it.
+    /// Whether two attempts of one request may be in flight at once (hedging). No decision reads it.
     pub parallel: bool,
-    /// Clients get [`Action::Reject::retry_after_ms`](crate::Action::Reject::retry_after_ms).
+    /// Whether clients are sent [`Action::Reject::retry_after_ms`](crate::Action::Reject::retry_after_ms).
     pub retry_after: bool,
-    /// The longest such wait that a client observes.
+    /// The longest `retry_after_ms` that clients honor.
     pub max_retry_after_ms: Millis,
-    /// The most attempts for one request.
+    /// The maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// The most requests open at an instance. No decision reads it: more never reach the instance.
+    /// The maximum number of open requests at an instance. No decision reads it, because the limit is
+    /// enforced before requests reach the balancer.
     pub max_open: u32,
-    /// [`Action::Message`](crate::Action::Message) may be used. No decision reads it: instances share
-    /// nothing.
+    /// Whether [`Action::Message`](crate::Action::Message) may be used. No decision reads it, because
+    /// instances share no state.
     pub peer_messages: bool,
-    /// Connections close after this long without use. No decision reads it.
+    /// The idle timeout of connections. No decision reads it.
     pub idle_close_ms: Millis,
-    /// An attempt without a connection by then ends as
+    /// The connect timeout; an attempt that exceeds it ends as
     /// [`Outcome::ConnectFailed`](crate::Outcome::ConnectFailed). No decision reads it.
     pub connect_timeout_ms: Millis,
-    /// Concurrent attempts on one connection. No decision reads it.
+    /// The maximum number of concurrent attempts on one connection. No decision reads it.
     pub streams_per_connection: u32,
-    /// CPU that an instance may use, in microseconds a second. No decision reads it.
+    /// CPU time that an instance may use, in microseconds a second. No decision reads it.
     pub cpu_us_per_s: f64,
-    /// CPU for a request with its outcomes, in microseconds; 0 for no limit. No decision reads it.
+    /// CPU time for one request with all its outcomes, in microseconds; 0 for no limit. No decision reads
+    /// it.
     pub cpu_us_per_request: f64,
 }
 
-/// What is deducted from the result, each for its part or rate. Decisions read `cross_zone` alone.
+/// The costs that are deducted from the score, each multiplied by the quantity that it is charged for.
+/// Decisions read only `cross_zone`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// For attempts that go to another zone, as a part of first attempts.
+    /// For attempts that go to another zone, as a fraction of first attempts.
     pub cross_zone: f64,
-    /// For backend work without a served answer, as a part of the work offered.
+    /// For backend work that led to no served answer, as a fraction of the work offered.
     pub waste: f64,
-    /// For weight that is not served by its latency objective.
+    /// For priority weight that was not served within its latency objective.
     pub late_fail: f64,
     /// For health checks, per first attempt.
     pub probe: f64,
-    /// For connections open on average, over 100 times the backends.
+    /// For the average number of open connections, divided by 100 times the number of backends.
     pub connection: f64,
     /// For new connections, per first attempt.
     pub handshake: f64,
-    /// For lines of the endpoint list, per 100 first attempts.
+    /// For entries of endpoint lists received, per 100 first attempts.
     pub list_lines: f64,
-    /// For backends running or ordered, as a part of those at the start.
+    /// For backends running or ordered, as a fraction of the backends at the start.
     pub fleet: f64,
-    /// For moves of data, per first attempt.
+    /// For data moved between backends, per first attempt.
     pub moves: f64,
     /// For fetches from the origin, per first attempt.
     pub origin: f64,
@@ -187,72 +193,75 @@
     pub peer: f64,
 }
 
-/// How the parts of the result are weighted; they sum to about 1.
+/// The weights of the components of the score; they sum to about 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objective {
-    /// The whole run.
+    /// Weight of the score over the whole run.
     pub whole: f64,
-    /// The worst stretch of it.
+    /// Weight of the score in the worst time window of the run.
     pub worst_window: f64,
-    /// The worst-served class.
+    /// Weight of the worst-served class.
     pub worst_class: f64,
-    /// The worst-served tenant, within its quota. No decision reads it.
+    /// Weight of the worst-served tenant, counting only requests within its quota. No decision reads it.
     pub worst_tenant: f64,
-    /// The nines served, over spans of five seconds. No decision reads it.
+    /// Weight of the availability in nines, over windows of five seconds. No decision reads it.
     pub nines: f64,
-    /// The nines that earn `nines` in full. No decision reads it.
+    /// The availability in nines that earns the full weight `nines`. No decision reads it.
     pub full_at_nines: f64,
 }
 
 /// The settings that a balancer starts with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The number of this instance, from 0.
+    /// The rank of this instance within its fleet, from 0.
     pub rank: u32,
-    /// How many instances send to this tier; may be out of date later on.
+    /// The number of instances that send to this tier when the balancer starts; it may change later.
     pub fleet_size: u32,
-    /// The zone of this instance.
+    /// Index of this instance's zone in `zones`.
     pub zone: u16,
-    /// The tier that this instance sends to, from 0 at the top.
+    /// Index in `tier_names` of the tier that this instance sends to; 0 is the top tier.
     pub tier: u32,
-    /// The tiers' names, from the top, for people; no decision reads them.
+    /// Display names of the tiers, from the top; no decision reads them.
     pub tier_names: Vec<String>,
-    /// The zones' names, for people; no decision reads them.
+    /// Display names of the zones; no decision reads them.
     pub zones: Vec<String>,
-    /// The kinds of machine, for people; no decision reads them.
+    /// Display names of the machine types; no decision reads them.
     pub machine_kinds: Vec<String>,
-    /// The kind of service, for people; no decision reads it.
+    /// Display name of the kind of service; no decision reads it.
     pub service: String,
-    /// Whether a request between tiers carries the time that its client has left.
+    /// Whether requests between tiers carry the remaining time of the client.
     pub passes_deadline: bool,
-    /// Whether a backend that served a key lately needs less work for it. No decision reads it.
+    /// Whether backends cache by routing key, so that a recently served key costs less work. No decision
+    /// reads it.
     pub caches_keys: bool,
     /// Whether clients mark their retries. No decision reads it.
     pub marks_retry: bool,
-    /// Whether list changes come only after [`Action::Subscribe`](crate::Action::Subscribe).
+    /// Whether updates of the endpoint list arrive only after
+    /// [`Action::Subscribe`](crate::Action::Subscribe).
     pub must_subscribe: bool,
-    /// Weight is by expected work instead of by request. No decision reads it.
+    /// Whether priority weight counts by expected work instead of by request. No decision reads it.
     pub weight_by_work: bool,
-    /// Weight of a request over its tenant's quota, as a part of its class's. No decision reads it.
+    /// Weight of a request beyond its tenant's quota, as a fraction of the priority weight of its class. No
+    /// decision reads it.
     pub over_quota_weight: f64,
-    /// The shortest time between two batches of events.
+    /// The shortest interval between two batches of events.
     pub tick_ms: Millis,
-    /// What ratings mean. No decision reads it.
+    /// How the ratings of backends are derived. No decision reads it.
     pub rating_source: RatingSource,
-    /// The values of a load report, in order; empty where there are none.
+    /// The quantities in a load report, in order; empty if backends send none.
     pub report: Vec<ReportField>,
-    /// When load reports come. No decision reads it.
+    /// Which responses carry load reports. No decision reads it.
     pub report_via: ReportVia,
-    /// The classes.
+    /// The request classes; events refer to them by index.
     pub classes: Vec<Class>,
-    /// The tenants; may be empty.
+    /// The tenants, which events refer to by index; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Limits and times that the platform prescribes.
+    /// Limits and durations that the platform prescribes.
     pub rules: Rules,
-    /// What the deployment permits.
+    /// The features that the deployment permits, and its limits.
     pub permissions: Permissions,
-    /// What is deducted from the result.
+    /// The costs that are deducted from the score.
     pub prices: Prices,
-    /// How the parts of the result are weighted.
+    /// The weights of the components of the score.
     pub objective: Objective,
 }
--- a/crates/decision/src/types.rs
+++ b/crates/decision/src/types.rs
@@ -1,90 +1,91 @@
-//! Identifiers, outcomes and other small types that settings, events and actions share.
+//! Identifiers, outcomes and other types shared by settings, events and actions.
 
-/// A time or a span of time, in milliseconds.
+/// A clock time or a duration, in milliseconds.
 pub type Millis = f64;
 
 /// Identifies a request while it is open; never reused within the lifetime of a balancer.
 pub type RequestId = u64;
 
-/// Identifies a backend; survives a restart of its process.
+/// Identifies a backend. A restarted backend keeps its id.
 pub type BackendId = u32;
 
-/// A load report: the first `len` values count, in the order of
-/// [`Settings::report`](crate::Settings::report).
+/// The load report of a backend. The first `len` values are valid;
+/// [`Settings::report`](crate::Settings::report) lists the quantities in the same order.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// How many values there are; 0 where no report came.
+    /// The number of valid values; 0 if the backend sent no report.
     pub len: u8,
-    /// The values.
+    /// The reported values; those from index `len` on are unused.
     pub values: [f32; 4],
 }
 
-/// The state discovery gives for a backend.
+/// The state of a backend as discovery reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendState {
-    /// It accepts requests.
+    /// Accepts requests.
     Ready,
-    /// It finishes the requests that it has and gets no new ones.
+    /// Finishes the requests it has; new requests must stop within the drain grace period.
     Draining,
-    /// It is removed.
+    /// Removed; must get no requests.
     Gone,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendInfo {
-    /// The backend's id.
+    /// Identifies the backend in events and actions.
     pub id: BackendId,
-    /// Its zone.
+    /// Index of its zone in [`Settings::zones`](crate::Settings::zones).
     pub zone: u16,
-    /// Its kind of machine. No decision reads it.
+    /// Index of its machine type in [`Settings::machine_kinds`](crate::Settings::machine_kinds). No decision
+    /// reads it.
     pub kind: u8,
-    /// Its cell: a group of backends that share the idempotency keys that they have seen.
+    /// Its cell: the group of backends that deduplicates requests by idempotency key together.
     pub cell: u16,
-    /// Whether it accepts requests.
+    /// Whether the backend is ready, draining or gone.
     pub state: BackendState,
-    /// Relative size, as [`Settings::rating_source`](crate::Settings::rating_source) says.
+    /// Relative capacity; [`Settings::rating_source`](crate::Settings::rating_source) says how it is derived.
     pub rating: f64,
-    /// Clock time of its last start; `None` if long ago.
+    /// Clock time of its last start; `None` if it started so long ago that it is past its slow start.
     pub started_at: Option<Millis>,
 }
 
-/// What an [`Event::EndpointsChanged`](crate::Event::EndpointsChanged) carries.
+/// How to interpret the entries of an [`Event::EndpointsChanged`](crate::Event::EndpointsChanged).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the changed entries.
     Delta,
-    /// The complete list: what is not in it is gone.
+    /// The complete list: backends not in it are gone.
     Full,
-    /// The complete list as this instance last had it; may be old.
+    /// The complete list that this instance stored before it started; may be out of date.
     Cached,
-    /// A request to discovery failed or the subscription broke; no entries.
+    /// A request to discovery failed or the subscription broke; there are no entries.
     Failed,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The backend served it.
     Ok,
-    /// The backend answered with an error; it may have run.
+    /// The backend answered with an error; the request may have run.
     Error,
-    /// The backend rejected it; it never ran.
+    /// The backend rejected the request, which did not run.
     Rejected,
-    /// No answer in time; it may have run, or may yet.
+    /// No response within the attempt timeout; the request may have run or may still run.
     Timeout,
-    /// No connection; it never ran.
+    /// No connection was established; the request did not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// The proxy cancelled it; it may have run.
+    /// The proxy cancelled the attempt; the request may have run.
     Cancelled,
-    /// Not sent at all.
+    /// The attempt ended before it was sent.
     NotSent,
 }
 
 impl Outcome {
-    /// The word for it in access log records, which other programs read.
+    /// The name in access log records. Names that differ from the variants stay, as log consumers match them.
     pub fn name(self) -> &'static str {
         match self {
             Outcome::Ok => "Ok",
@@ -98,12 +99,12 @@
         }
     }
 
-    /// Whether this outcome proves that the attempt never ran.
+    /// Whether this outcome proves that the request did not run at the backend.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 
-    /// Whether the proxy ended the attempt itself, so that it shows nothing of the backend.
+    /// Whether the proxy ended the attempt itself, so that the outcome says nothing about the backend.
     pub(crate) fn was_abandoned(self) -> bool {
         matches!(self, Outcome::Cancelled | Outcome::NotSent)
     }
@@ -114,17 +115,17 @@
 pub enum UnservedReason {
     /// The tier's learned concurrency limit is reached.
     TierLimit,
-    /// The learned concurrency limit of its class is reached.
+    /// The learned concurrency limit of the request class is reached.
     ClassLimit,
-    /// It goes beyond its tenant's quota, and there is no burst capacity.
+    /// The tenant has used up its quota, and no burst capacity is free.
     TenantQuota,
-    /// There is no backend that may get it.
+    /// No backend may receive the request.
     NoBackend,
-    /// No time or no attempt is left.
+    /// The deadline has (almost) passed, or the maximum number of attempts is reached.
     NoTimeLeft,
-    /// An attempt failed that may have run, and its class permits no retry now, or it was cancelled.
+    /// The last attempt was cancelled, or an attempt may have run and the class does not permit a retry now.
     NotRetryable,
-    /// An attempt failed, and the retry budget is used up.
+    /// An attempt failed, and the retry budget is exhausted.
     RetryBudget,
     /// The settings have no such class.
     UnknownClass,
@@ -143,7 +144,8 @@
         UnservedReason::UnknownClass,
     ];
 
-    /// The word for it in metrics and access log records, which other programs read.
+    /// The label in metrics and access log records. Labels stay as they are, as dashboards and log consumers
+    /// match them.
     pub fn name(self) -> &'static str {
         match self {
             UnservedReason::TierLimit => "tier",
@@ -157,7 +159,8 @@
         }
     }
 
-    /// The reason in the operators' log.
+    /// The reason in the operators' log. The texts stay as they are, because operators' tools and runbooks
+    /// quote them.
     pub fn text(self) -> &'static str {
         match self {
             UnservedReason::TierLimit => "over a learned count",
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -1,9 +1,9 @@
-//! What an instance does about an overload that outlives its cause (metastable overload): it follows the
-//! capacity of a tier that still answers, and the traffic that is moved between zones. Decisions without I/O:
-//! time comes as an argument, and equal arguments give equal answers. The decision module calls it.
+//! Protection against metastable overload, which outlasts its cause: scaling of limits to the capacity that
+//! still answers, and traffic shifts between zones. The decision module calls this package. It performs no
+//! I/O and reads no clock: time is an argument, and equal arguments give equal results.
 
 pub mod capacity;
 pub mod zone_traffic;
 
-/// A time or a span of time, in milliseconds.
+/// A clock time or a duration, in milliseconds.
 pub type Millis = f64;
--- a/crates/overload/src/zone_traffic.rs
+++ b/crates/overload/src/zone_traffic.rs
@@ -1,12 +1,12 @@
-//! The part of its usual traffic that each zone gets, as advice that expires: it is repeated while it is in
-//! force, and without it a zone recovers by itself. It never raises anything: budgets of slow start, drains
-//! and limits on attempts apply as without it.
+//! Traffic shifts between zones: advice on the fraction of its usual traffic that a zone gets. The advice is
+//! repeated while it is in force and expires otherwise, after which the traffic of the zone ramps up by
+//! itself. It only diverts requests: slow start budgets, drains and limits on attempts apply as without it.
 
 use crate::Millis;
 
-/// How long advice is in force that is not repeated, in milliseconds.
+/// How long advice is in force if it is not repeated, in milliseconds.
 const ADVICE_LIFETIME_MS: Millis = 5_000.0;
-/// How long a zone then takes to recover from no traffic to all of it, in milliseconds.
+/// How long the ramp from no traffic to all traffic takes after the advice expired, in milliseconds.
 const RECOVERY_RAMP_MS: Millis = 20_000.0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -15,16 +15,16 @@
     given_at: Millis,
 }
 
-/// The advice for each zone.
+/// The advice in force for each zone.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneFractions {
-    /// By zone; empty while all zones get all of their traffic, as in all but a few hours of a year.
+    /// By zone index; empty while all zones get all of their traffic, which is nearly always.
     advice: Vec<Option<Advice>>,
 }
 
 impl ZoneFractions {
-    /// Takes advice that is `age` milliseconds old: a zone gets this part of its usual traffic, from 0 to 1.
-    /// What is no number is ignored.
+    /// Sets the fraction of its usual traffic that a zone gets, from 0 to 1, by advice that is `age`
+    /// milliseconds old. Values that are not finite are ignored.
     pub fn set_fraction(&mut self, now: Millis, zone: u16, fraction: f64, age: Millis) {
         if !fraction.is_finite() || !age.is_finite() {
             return;
@@ -34,7 +34,7 @@
             self.advice.resize(index + 1, None);
         }
         let given_at = now - age.max(0.0);
-        // Advice that was overtaken on its way is ignored.
+        // Advice that arrives after newer advice is ignored.
         if self.advice[index].is_none_or(|known| known.given_at <= given_at) {
             let advice = Advice { fraction: fraction.clamp(0.0, 1.0), given_at };
             self.advice[index] = Some(advice).filter(|advice| advice.fraction < 1.0);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The part of its usual traffic that a zone gets at `now`, from 0 to 1.
+    /// Returns the fraction of its usual traffic that a zone gets at `now`, from 0 to 1.
     pub fn fraction(&self, now: Millis, zone: u16) -> f64 {
         match self.advice.get(usize::from(zone)) {
             Some(Some(advice)) => {
@@ -55,8 +55,9 @@
         }
     }
 
-    /// Whether a request that was drawn for a zone as usual goes elsewhere, by a random number from 0 to 1.
-    /// None is drawn while no advice is in force, so that runs without advice give the same actions as ever.
+    /// Whether a request for which a backend in `zone` was drawn is diverted to another zone. `random`
+    /// returns a random number from 0 to 1. It is called only while advice is in force, so that runs without
+    /// advice draw the same sequence of random numbers as runs without this feature.
     pub fn is_diverted(&self, now: Millis, zone: u16, random: impl FnOnce() -> f64) -> bool {
         let fraction = if self.advice.is_empty() { 1.0 } else { self.fraction(now, zone) };
         fraction < 1.0 && random() >= fraction
