--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! A small proxy for tests: feeds events to a balancer, keeps what it sent and answered.
-#![allow(dead_code)] // each test file uses a part
+//! A minimal proxy for tests: feeds events to a balancer and records the actions that it returns.
+#![allow(dead_code)] // each test file uses only some of these items
 
 use hillstall_decision::Balancer;
 use hillstall_decision::*;
 
-/// A class of requests with an objective of 1 s and a deadline of 4 s.
-pub fn class(effect: RetrySafety, scope: DedupScope) -> Class {
+/// A class of requests with a latency objective of 1 s and a deadline of 4 s.
+pub fn class(retry_safety: RetrySafety, scope: DedupScope) -> Class {
     Class {
         name: String::new(),
         latency_objective_ms: 1_000.0,
@@ -13,24 +13,24 @@
         deadline_ms: 4_000.0,
         priority_weight: 1.0,
         late_weight_fraction: 0.2,
-        retry_safety: effect,
+        retry_safety,
         dedup_scope: scope,
         dedup_window_ms: 2_000.0,
         streaming: false,
     }
 }
 
-/// An objective without a part for tenants or nines.
+/// An objective without weights for tenants and availability.
 pub fn objective(whole: f64, worst_window: f64, worst_class: f64) -> Objective {
     Objective { whole, worst_window, worst_class, worst_tenant: 0.0, nines: 0.0, full_at_nines: 3.0 }
 }
 
-/// A tenant with a quota of so many requests a second.
-pub fn tenant(allowance_per_s: f64) -> Tenant {
-    Tenant { name: String::new(), quota_per_s: allowance_per_s, fraction: 0.5 }
+/// A tenant with a quota in requests a second.
+pub fn tenant(quota_per_s: f64) -> Tenant {
+    Tenant { name: String::new(), quota_per_s, fraction: 0.5 }
 }
 
-/// One instance, one idempotent class, no tenants.
+/// Settings of a single instance with one idempotent class and no tenants.
 #[allow(clippy::too_many_lines, reason = "one literal of all settings")]
 pub fn settings() -> Settings {
     Settings {
@@ -83,7 +83,7 @@
     }
 }
 
-/// A warm, ready backend of zone 0 in cell `id / 4`.
+/// A ready backend past its slow start, in zone 0 and cell `id / 4`.
 pub fn backend(id: BackendId) -> BackendInfo {
     BackendInfo {
         id,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Ready backends with ids from 1.
+/// Ready backends with the ids 1 to `n`.
 pub fn backends(n: u32) -> Vec<BackendInfo> {
     (1..=n).map(backend).collect()
 }
@@ -106,13 +106,13 @@
 pub struct Sent {
     pub request: RequestId,
     pub attempt: u8,
-    pub to: BackendId,
-    pub at: Millis,
+    pub backend: BackendId,
+    pub sent_at: Millis,
     pub timeout_ms: Millis,
 }
 
-/// A request without a key or a hint.
-pub fn request(id: RequestId, class: u8, tenant: u16, ttl_ms: Millis) -> Event<'static> {
+/// A request event without a routing key and without expected work.
+pub fn request(id: RequestId, class: u8, tenant: u16, timeout_ms: Millis) -> Event<'static> {
     Event::Request {
         id,
         key: None,
@@ -121,11 +121,11 @@
         expected_work_ms: None,
         is_retry: false,
         is_write: false,
-        timeout_ms: ttl_ms,
+        timeout_ms,
     }
 }
 
-/// The end of an attempt, without a load report.
+/// The event for the end of an attempt, without a load report.
 pub fn attempt_ended(
     request: RequestId,
     attempt: u8,
@@ -137,7 +137,7 @@
     Event::Outcome { request, attempt, backend, outcome, took_ms, ended, report: LoadReport::default() }
 }
 
-/// Feeds one balancer and carries the numbers of its attempts.
+/// Feeds events to one balancer and counts the attempts of each request.
 pub struct Proxy {
     pub balancer: Balancer,
     pub now: Millis,
@@ -169,46 +169,46 @@
         self.event(Event::EndpointsChanged { kind, version: 1, backends });
     }
 
-    /// The attempt sent by the last event, if any.
+    /// Returns the attempt that the last event sent, if any.
     pub fn sent(&mut self) -> Option<Sent> {
-        let now = self.now;
-        let (request, to, timeout_ms) = self.last.iter().find_map(|a| match a {
+        let sent_at = self.now;
+        let (request, backend, timeout_ms) = self.last.iter().find_map(|a| match a {
             Action::Send { request, backend, timeout_ms } => Some((*request, *backend, *timeout_ms)),
             _ => None,
         })?;
         let count = self.attempts.entry(request).or_default();
         *count += 1;
-        Some(Sent { request, attempt: *count - 1, to, at: now, timeout_ms })
+        Some(Sent { request, attempt: *count - 1, backend, sent_at, timeout_ms })
     }
 
-    /// A new request; the attempt if it was sent.
-    pub fn send_request(&mut self, class: u8, tenant: u16, ttl_ms: Millis) -> Option<Sent> {
-        self.send_request_marked(class, tenant, ttl_ms, false)
+    /// Submits a new request and returns its first attempt if one was sent.
+    pub fn send_request(&mut self, class: u8, tenant: u16, timeout_ms: Millis) -> Option<Sent> {
+        self.send_request_marked(class, tenant, timeout_ms, false)
     }
 
-    /// The same, marked as a client's repeat or not.
+    /// Like [`Proxy::send_request`]; `is_retry` marks the request as a client's retry.
     pub fn send_request_marked(
         &mut self,
         class: u8,
         tenant: u16,
-        ttl_ms: Millis,
-        marked: bool,
+        timeout_ms: Millis,
+        is_retry: bool,
     ) -> Option<Sent> {
         let id = self.next;
         self.next += 1;
-        let mut asked = request(id, class, tenant, ttl_ms);
-        if let Event::Request { is_retry, .. } = &mut asked {
-            *is_retry = marked;
+        let mut event = request(id, class, tenant, timeout_ms);
+        if let Event::Request { is_retry: is_marked, .. } = &mut event {
+            *is_marked = is_retry;
         }
-        self.event(asked);
+        self.event(event);
         self.sent()
     }
 
-    /// Ends an attempt now; the next attempt if one follows.
+    /// Ends an attempt now and returns the next attempt of the request if one was sent.
     pub fn end(&mut self, sent: Sent, outcome: Outcome) -> Option<Sent> {
-        let took_ms = self.now - sent.at;
+        let took_ms = self.now - sent.sent_at;
         let ended = outcome == Outcome::Ok;
-        self.event(attempt_ended(sent.request, sent.attempt, sent.to, outcome, took_ms, ended));
+        self.event(attempt_ended(sent.request, sent.attempt, sent.backend, outcome, took_ms, ended));
         self.sent()
     }
 
@@ -220,10 +220,12 @@
         self.last.iter().any(|a| matches!(a, Action::Fail { .. }))
     }
 
-    /// `rounds` rounds of `width` requests at once, each ended with `outcome` after `took` milliseconds.
-    pub fn run_rounds(&mut self, rounds: usize, width: usize, took: Millis, outcome: Outcome) {
+    /// Runs `rounds` rounds of `concurrency` requests at once, each ended with `outcome` after `took`
+    /// milliseconds.
+    pub fn run_rounds(&mut self, rounds: usize, concurrency: usize, took: Millis, outcome: Outcome) {
         for _ in 0..rounds {
-            let mut out: Vec<Sent> = (0..width).filter_map(|_| self.send_request(0, 0, 4_000.0)).collect();
+            let mut out: Vec<Sent> =
+                (0..concurrency).filter_map(|_| self.send_request(0, 0, 4_000.0)).collect();
             self.now += took;
             while let Some(sent) = out.pop() {
                 out.extend(self.end(sent, outcome).filter(|_| outcome != Outcome::Ok));
@@ -231,7 +233,7 @@
         }
     }
 
-    /// How many requests it sends of `n` asked for at once; they are answered in time afterwards.
+    /// Submits `n` requests at once and returns how many are sent; those are answered in time afterwards.
     pub fn admitted(&mut self, n: usize) -> usize {
         let out: Vec<Sent> = (0..n).filter_map(|_| self.send_request(0, 0, 4_000.0)).collect();
         self.now += 100.0;
--- a/crates/decision/tests/false_overload.rs
+++ b/crates/decision/tests/false_overload.rs
@@ -1,12 +1,12 @@
-//! What is no overload must not close a limiter: broken connections, clients that leave early, a tier that is
-//! slow with little to do, and connections that are established late. An overload must, at once.
+//! Broken connections, clients that disconnect early, a tier that is slow at low load, and slow connection
+//! establishment are no overload and must not reduce the limits. Late answers at high load must reduce them.
 
 mod common;
 use common::*;
 use hillstall_decision::*;
 
-/// Rounds of four requests, of which one ends as `end` does it and the others are served, all after `took`;
-/// then how many requests are admitted at once.
+/// Runs rounds of four requests, all of which end after `took`: one as `end` ends it, the others served.
+/// Returns how many requests are admitted at once afterwards.
 fn admitted_requests(rounds: usize, took: Millis, end: impl Fn(&mut Proxy, Sent)) -> usize {
     let mut p = Proxy::new(settings(), &backends(4));
     for _ in 0..rounds {
@@ -15,72 +15,78 @@
         if let Some(sent) = out.pop() {
             end(&mut p, sent);
         }
-        out.into_iter().for_each(|sent| served(&mut p, sent));
+        out.into_iter().for_each(|sent| finish(&mut p, sent));
     }
     p.admitted(60)
 }
 
-fn ended(p: &mut Proxy, sent: Sent, outcome: Outcome) {
-    p.event(attempt_ended(sent.request, sent.attempt, sent.to, outcome, p.now - sent.at, true));
+fn end_with(p: &mut Proxy, sent: Sent, outcome: Outcome) {
+    p.event(attempt_ended(sent.request, sent.attempt, sent.backend, outcome, p.now - sent.sent_at, true));
 }
 
-fn served(p: &mut Proxy, sent: Sent) {
-    ended(p, sent, Outcome::Ok);
+fn finish(p: &mut Proxy, sent: Sent) {
+    end_with(p, sent, Outcome::Ok);
 }
 
-fn left(p: &mut Proxy, sent: Sent) {
+fn disconnect(p: &mut Proxy, sent: Sent) {
     p.event(Event::ClientGone { request: sent.request });
-    ended(p, sent, Outcome::Cancelled);
+    end_with(p, sent, Outcome::Cancelled);
 }
 
 #[test]
-fn connections_that_break_early_close_no_limiter() {
+fn connections_that_break_early_reduce_no_limit() {
     let (all, now) = (
-        admitted_requests(60, 200.0, served),
-        admitted_requests(60, 200.0, |p, s| ended(p, s, Outcome::Reset)),
+        admitted_requests(60, 200.0, finish),
+        admitted_requests(60, 200.0, |p, s| end_with(p, s, Outcome::Reset)),
     );
-    assert!(now * 10 >= all * 9, "{now} of {all}");
+    assert!(now * 10 >= all * 9, "{now} of {all} admitted");
 }
 
 #[test]
-fn clients_that_disconnect_early_close_no_limiter_and_those_that_do_so_late_do() {
-    let (all, now) = (admitted_requests(60, 200.0, served), admitted_requests(60, 200.0, left));
-    assert!(now * 10 >= all * 9, "{now} of {all}");
-    let late = admitted_requests(60, 1_000.0, left);
+fn clients_that_disconnect_reduce_limits_only_if_they_waited_long() {
+    let (all, now) = (admitted_requests(60, 200.0, finish), admitted_requests(60, 200.0, disconnect));
+    assert!(now * 10 >= all * 9, "{now} of {all} admitted");
+    let late = admitted_requests(60, 1_000.0, disconnect);
     assert!(
         late * 2 <= all,
-        "{late} of {all} though one in four waits for all of the objective, and the others do so too"
+        "{late} of {all} admitted although all requests took as long as the latency objective"
     );
 }
 
 #[test]
-fn a_tier_that_is_slow_at_low_load_is_not_limited_until_it_gets_slower() {
+fn a_tier_that_is_slow_at_low_load_is_limited_only_when_it_gets_slower() {
     let mut p = Proxy::new(settings(), &backends(4));
     p.run_rounds(60, 4, 700.0, Outcome::Ok);
-    let mut crowd = Proxy::new(settings(), &backends(4));
-    crowd.run_rounds(60, 4, 700.0, Outcome::Ok);
-    crowd.run_rounds(12, 20, 1_400.0, Outcome::Ok);
-    let (baseline, crowded) = (p.admitted(60), crowd.admitted(60));
-    assert!(baseline >= 30, "{baseline} at seven tenths of the objective, with four requests out");
-    assert!(crowded * 2 <= baseline, "{crowded} of {baseline} once answers are late");
+    let mut overloaded = Proxy::new(settings(), &backends(4));
+    overloaded.run_rounds(60, 4, 700.0, Outcome::Ok);
+    overloaded.run_rounds(12, 20, 1_400.0, Outcome::Ok);
+    let (baseline, after_overload) = (p.admitted(60), overloaded.admitted(60));
+    assert!(
+        baseline >= 30,
+        "{baseline} admitted with latencies of 0.7 times the objective at four requests in flight"
+    );
+    assert!(
+        after_overload * 2 <= baseline,
+        "{after_overload} of {baseline} admitted after late answers at high load"
+    );
 }
 
 #[test]
-fn a_connection_that_is_established_late_is_no_loss_of_an_answering_backend() {
-    let after = |first: Outcome| {
+fn slow_connection_establishment_at_answering_backends_is_no_capacity_loss() {
+    let admitted_after = |first_outcome: Outcome| {
         let mut p = Proxy::new(settings(), &backends(10));
         let mut out: Vec<Sent> = (0..60).filter_map(|_| p.send_request(0, 0, 4_000.0)).collect();
-        // Of each backend the first request waits for its connection, while the others are answered.
-        out.sort_by_key(|sent| (sent.to, sent.request));
+        // The first request to each backend waits for its connection while the others are answered.
+        out.sort_by_key(|sent| (sent.backend, sent.request));
         let mut waiting = out.clone();
-        waiting.dedup_by_key(|sent| sent.to);
+        waiting.dedup_by_key(|sent| sent.backend);
         p.now += 100.0;
-        out.into_iter().filter(|sent| !waiting.contains(sent)).for_each(|sent| served(&mut p, sent));
+        out.into_iter().filter(|sent| !waiting.contains(sent)).for_each(|sent| finish(&mut p, sent));
         p.now += 100.0;
-        waiting.into_iter().take(6).for_each(|sent| ended(&mut p, sent, first));
+        waiting.into_iter().take(6).for_each(|sent| end_with(&mut p, sent, first_outcome));
         p.now += 25.0;
         p.admitted(200)
     };
-    let (all, now) = (after(Outcome::Ok), after(Outcome::ConnectFailed));
-    assert!(now * 10 >= all * 9, "{now} of {all} though all backends answer");
+    let (all, now) = (admitted_after(Outcome::Ok), admitted_after(Outcome::ConnectFailed));
+    assert!(now * 10 >= all * 9, "{now} of {all} admitted although all backends answer");
 }
--- a/crates/decision/tests/reduced_capacity.rs
+++ b/crates/decision/tests/reduced_capacity.rs
@@ -1,10 +1,11 @@
-//! What an instance admits while a part of its tier is lost, and once that is back.
+//! Admission while a tier has lost a part of its capacity, and after the capacity is back.
 
 mod common;
 use common::*;
 use hillstall_decision::*;
 
-/// An instance that has learned something, and what it admits at once.
+/// Returns an instance that has served requests from a complete tier, and how many requests it admits at
+/// once.
 fn instance_of_complete_tier() -> (Proxy, usize) {
     let mut p = Proxy::new(Settings { fleet_size: 10, ..settings() }, &backends(10));
     p.run_rounds(3, 4, 1_000.0, Outcome::Ok);
@@ -12,7 +13,7 @@
     (p, all)
 }
 
-/// Requests that are admitted at once of `n`, all of them marked as retries; they are left open.
+/// Submits `n` requests marked as retries at once and returns how many are admitted; they stay in flight.
 fn retries_admitted(p: &mut Proxy, n: usize) -> usize {
     (0..n).filter(|_| p.send_request_marked(0, 0, 4_000.0, true).is_some()).count()
 }
@@ -25,61 +26,73 @@
     let reduced = p.admitted(200);
     assert!(
         reduced >= 1 && reduced as f64 <= 0.5 * all as f64,
-        "{reduced} of {all} with four backends of ten"
+        "{reduced} of {all} admitted with four backends of ten"
     );
     p.now += 50.0;
     p.list(ListKind::Full, &backends(10));
     let again = p.admitted(200);
-    assert!(again as f64 >= 0.8 * all as f64 && again <= all + 3, "{again} of {all} once they are back");
+    assert!(
+        again as f64 >= 0.8 * all as f64 && again <= all + 3,
+        "{again} of {all} admitted with all backends back"
+    );
 }
 
 #[test]
-fn admission_follows_silence_long_before_the_list() {
+fn admission_follows_unanswered_requests_before_the_list_changes() {
     let (mut p, all) = instance_of_complete_tier();
-    // Six of ten say nothing: each is seen twice.
+    // Six of ten backends do not accept connections.
     for _ in 0..40 {
         let Some(sent) = p.send_request(0, 0, 4_000.0) else { break };
         p.now += 2.0;
         let mut next = Some(sent);
         while let Some(sent) = next {
-            next = p.end(sent, if sent.to > 4 { Outcome::ConnectFailed } else { Outcome::Ok });
+            next = p.end(sent, if sent.backend > 4 { Outcome::ConnectFailed } else { Outcome::Ok });
         }
     }
     p.now += 25.0;
     let reduced = p.admitted(200);
-    assert!(reduced as f64 <= 0.7 * all as f64, "{reduced} of {all} with six silent backends of ten");
+    assert!(
+        reduced as f64 <= 0.7 * all as f64,
+        "{reduced} of {all} admitted with six of ten backends not answering"
+    );
 }
 
 #[test]
-fn backends_that_answer_with_errors_are_not_lost() {
+fn backends_that_answer_with_errors_count_as_answering() {
     let (mut p, all) = instance_of_complete_tier();
     for _ in 0..30 {
         let Some(sent) = p.send_request(0, 0, 4_000.0) else { break };
         p.now += 2.0;
-        p.end(sent, if sent.to > 4 { Outcome::Error } else { Outcome::Ok });
+        p.end(sent, if sent.backend > 4 { Outcome::Error } else { Outcome::Ok });
     }
     p.now += 25.0;
     let reduced = p.admitted(200);
-    assert!(reduced as f64 >= 0.7 * all as f64, "{reduced} of {all} though all ten answer");
+    assert!(
+        reduced as f64 >= 0.7 * all as f64,
+        "{reduced} of {all} admitted although all ten backends answer"
+    );
 }
 
 #[test]
-fn retries_wait_and_hopeless_requests_are_rejected_only_while_the_tier_is_short() {
+fn retries_and_requests_close_to_their_deadline_are_restricted_only_while_capacity_is_reduced() {
     let (mut p, all) = instance_of_complete_tier();
-    assert!(p.send_request(0, 0, 300.0).is_some(), "its answer takes a second, but there is room");
-    let (mut short, _) = instance_of_complete_tier();
-    short.now += 50.0;
-    short.list(ListKind::Full, &backends(5));
     assert!(
-        short.send_request(0, 0, 300.0).is_none() && short.rejected(),
-        "it takes the place of one that can end"
+        p.send_request(0, 0, 300.0).is_some(),
+        "the expected latency exceeds the deadline, but capacity is complete"
+    );
+    let (mut reduced, _) = instance_of_complete_tier();
+    reduced.now += 50.0;
+    reduced.list(ListKind::Full, &backends(5));
+    assert!(
+        reduced.send_request(0, 0, 300.0).is_none() && reduced.rejected(),
+        "a request that cannot finish in time must not displace others"
     );
-    let first = short.admitted(200);
-    short.now += 50.0;
-    let retries = retries_admitted(&mut short, 200);
+    let first = reduced.admitted(200);
+    reduced.now += 50.0;
+    let retries = retries_admitted(&mut reduced, 200);
+    assert!(retries as f64 <= 0.7 * first as f64, "{retries} retries admitted, and {first} first attempts");
     assert!(
-        retries as f64 <= 0.7 * first as f64,
-        "{retries} retries where {first} first attempts are admitted"
+        retries_admitted(&mut p, 200) as f64 >= 0.7 * all as f64,
+        "retries are not restricted while capacity is complete"
     );
-    assert!(retries_admitted(&mut p, 200) as f64 >= 0.7 * all as f64, "a whole tier is open to retries");
 }
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -1,4 +1,7 @@
-//! The four rules, each case on its own and then all over drawn sequences of legal events.
+//! The safety rules: retries follow the retry safety of the class, new attempts go only to ready backends
+//! (or, for a short time, draining ones), each request gets exactly one final answer, and backends in slow
+//! start stay within their budget. Each rule is tested alone; all but the last are also checked over random
+//! sequences of legal events.
 
 mod common;
 use common::*;
@@ -10,8 +13,8 @@
 const MAY_HAVE_RUN_OUTCOMES: [Outcome; 3] = [Outcome::Error, Outcome::Timeout, Outcome::Reset];
 const NEVER_RAN_OUTCOMES: [Outcome; 2] = [Outcome::Rejected, Outcome::ConnectFailed];
 
-fn proxy(effect: RetrySafety, scope: DedupScope, list: &[BackendInfo]) -> Proxy {
-    Proxy::new(Settings { classes: vec![class(effect, scope)], ..settings() }, list)
+fn proxy(retry_safety: RetrySafety, scope: DedupScope, list: &[BackendInfo]) -> Proxy {
+    Proxy::new(Settings { classes: vec![class(retry_safety, scope)], ..settings() }, list)
 }
 
 fn in_zone(id: BackendId, zone: u16) -> BackendInfo {
@@ -40,7 +43,7 @@
 }
 
 #[test]
-fn retries_with_a_key_stay_in_the_group_that_drops_them() {
+fn retries_with_an_idempotency_key_stay_in_their_dedup_scope() {
     let list: Vec<_> = (1..=24).map(|id| in_zone(id, (id % 3) as u16)).collect();
     for scope in [DedupScope::All, DedupScope::Zone, DedupScope::Cell] {
         for _ in 0..40 {
@@ -48,7 +51,7 @@
             let first = p.send_request(0, 0, 4_000.0).expect("sent");
             p.now += 50.0;
             let Some(again) = p.end(first, Outcome::Error) else { continue };
-            let (a, b) = (list[first.to as usize - 1], list[again.to as usize - 1]);
+            let (a, b) = (list[first.backend as usize - 1], list[again.backend as usize - 1]);
             match scope {
                 DedupScope::All => {}
                 DedupScope::Zone => assert_eq!(a.zone, b.zone),
@@ -59,7 +62,7 @@
 }
 
 #[test]
-fn with_a_key_it_is_neither_retried_after_its_window_nor_rejected_outside_a_scope_of_all() {
+fn with_an_idempotency_key_a_request_fails_after_its_dedup_window() {
     for scope in [DedupScope::All, DedupScope::Zone, DedupScope::Cell] {
         let mut p = proxy(RetrySafety::IdempotencyKey, scope, &backends(8));
         let sent = p.send_request(0, 0, 4_000.0).expect("sent");
@@ -70,10 +73,10 @@
 }
 
 #[test]
-fn with_a_key_and_no_backend_left_in_its_group_it_fails() {
+fn with_an_idempotency_key_and_no_backend_left_in_its_dedup_scope_a_request_fails() {
     let mut p = proxy(RetrySafety::IdempotencyKey, DedupScope::Zone, &[in_zone(1, 0), in_zone(2, 1)]);
     let sent = p.send_request(0, 0, 4_000.0).expect("sent");
-    let rest: Vec<_> = [in_zone(1, 0), in_zone(2, 1)].into_iter().filter(|b| b.id != sent.to).collect();
+    let rest: Vec<_> = [in_zone(1, 0), in_zone(2, 1)].into_iter().filter(|b| b.id != sent.backend).collect();
     p.list(ListKind::Full, &rest);
     p.now += 50.0;
     assert_eq!(p.end(sent, Outcome::Reset), None);
@@ -81,20 +84,22 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_draining_or_gone_backend() {
+fn without_a_subscription_draining_and_gone_backends_get_no_new_requests() {
     for state in [BackendState::Draining, BackendState::Gone] {
         let mut p = proxy(RetrySafety::Idempotent, DedupScope::All, &backends(3));
         p.list(ListKind::Delta, &[BackendInfo { state, ..backend(2) }]);
         for _ in 0..200 {
             let Some(sent) = p.send_request(0, 0, 4_000.0) else { break };
-            assert_ne!(sent.to, 2);
+            assert_ne!(sent.backend, 2);
             p.now += 5.0;
             p.end(sent, Outcome::Ok);
         }
     }
 }
 
-/// Calls sent to backend 2 of three in each tenth of a second, from when it was told to drain on.
+/// Counts the requests sent to draining backend 2 of 3 in each tenth of its drain grace period.
+/// `is_continuous` says whether the list was complete before the drain, and `rejects` whether the backend
+/// rejects requests.
 fn sent_to_draining(is_continuous: bool, rejects: bool) -> Vec<usize> {
     let subscribed = Settings { must_subscribe: true, ..settings() };
     let grace = subscribed.rules.drain_grace_ms;
@@ -104,15 +109,15 @@
         p.list(ListKind::Failed, &[]);
     }
     p.list(ListKind::Delta, &[BackendInfo { state: BackendState::Draining, ..backend(2) }]);
-    let from = p.now;
+    let drain_start = p.now;
     let mut sent_to = vec![0; 10];
-    while p.now - from < grace {
+    while p.now - drain_start < grace {
         let Some(sent) = p.send_request(0, 0, 4_000.0) else { break };
-        sent_to[((p.now - from) / grace * 10.0) as usize] += usize::from(sent.to == 2);
+        sent_to[((p.now - drain_start) / grace * 10.0) as usize] += usize::from(sent.backend == 2);
         p.now += grace / 1_000.0;
-        let is_rejected = rejects && sent.to == 2;
+        let is_rejected = rejects && sent.backend == 2;
         if let Some(again) = p.end(sent, if is_rejected { Outcome::Rejected } else { Outcome::Ok }) {
-            assert_ne!(again.to, 2);
+            assert_ne!(again.backend, 2);
             p.end(again, Outcome::Ok);
         }
     }
@@ -120,29 +125,29 @@
 }
 
 #[test]
-fn a_draining_backend_leaves_the_draw_gradually_within_half_of_the_grace() {
+fn a_draining_backend_leaves_the_draw_gradually_within_half_of_the_grace_period() {
     let sent_to = sent_to_draining(true, false);
-    // A third of a hundred requests is its part of a tenth of the grace.
+    // An even share is a third of the about 100 requests in each tenth of the grace period.
     assert!(sent_to[0] > 15 && sent_to[4] < sent_to[0] / 2, "{sent_to:?}");
     assert_eq!(sent_to[5..].iter().sum::<usize>(), 0, "{sent_to:?}");
 }
 
 #[test]
-fn a_draining_backend_gets_nothing_once_it_rejects_or_where_updates_may_be_old() {
+fn a_draining_backend_gets_no_requests_after_a_rejection_or_if_updates_may_be_missing() {
     assert_eq!(sent_to_draining(true, true).iter().sum::<usize>(), 1);
     assert_eq!(sent_to_draining(false, false).iter().sum::<usize>(), 0);
 }
 
 #[test]
-fn what_a_full_list_leaves_out_is_gone() {
+fn backends_missing_from_a_full_list_are_gone() {
     let mut p = proxy(RetrySafety::Idempotent, DedupScope::All, &backends(3));
     p.list(ListKind::Full, &[backend(3)]);
     let sent = p.send_request(0, 0, 4_000.0).expect("sent");
-    assert_eq!(sent.to, 3);
+    assert_eq!(sent.backend, 3);
 }
 
 #[test]
-fn without_a_backend_a_request_is_rejected_and_not_lost() {
+fn without_any_backend_a_request_is_rejected() {
     let mut p = proxy(RetrySafety::NonIdempotent, DedupScope::All, &[]);
     assert_eq!(p.send_request(0, 0, 4_000.0), None);
     assert!(p.rejected());
@@ -162,17 +167,17 @@
     p.now += 20.0;
     p.end(sent, Outcome::Ok);
     for request in [sent.request, 9_999] {
-        assert!(p.event(attempt_ended(request, 0, sent.to, Outcome::Error, f64::NAN, true)).is_empty());
+        assert!(p.event(attempt_ended(request, 0, sent.backend, Outcome::Error, f64::NAN, true)).is_empty());
         assert!(p.event(Event::ClientGone { request }).is_empty());
     }
     assert!(p.event(Event::Timer { token: 77 }).is_empty());
     p.now = f64::NAN;
-    assert!(p.send_request(0, 0, 4_000.0).is_some(), "a clock that is no number stands still");
+    assert!(p.send_request(0, 0, 4_000.0).is_some(), "a clock of NaN stands still");
 }
 
 #[test]
-fn a_backend_in_slow_start_gets_no_more_than_its_part_right_after_its_start() {
-    // A fresh bucket once filled by a whole window at its first use.
+fn a_backend_in_slow_start_stays_within_its_budget_right_after_its_start() {
+    // Guards against a new token bucket that is refilled with a whole window of tokens at its first use.
     let list = [backend(1), backend(2), backend(3), backend(4)];
     let mut p = proxy(RetrySafety::Idempotent, DedupScope::All, &list);
     let count_by_backend = |p: &mut Proxy, ms: f64| {
@@ -180,7 +185,7 @@
         let end = p.now + ms;
         while p.now < end {
             if let Some(sent) = p.send_request(0, 0, 4_000.0) {
-                *(if sent.to == 5 { &mut in_slow_start } else { &mut past_slow_start }) += 1;
+                *(if sent.backend == 5 { &mut in_slow_start } else { &mut past_slow_start }) += 1;
                 p.now += 5.0;
                 p.end(sent, Outcome::Ok);
             } else {
@@ -195,18 +200,18 @@
     let (in_slow_start, past_slow_start) = count_by_backend(&mut p, 100.0);
     assert!(
         in_slow_start <= 1,
-        "{in_slow_start} requests to the one in slow start at once, {past_slow_start} to the others"
+        "{in_slow_start} requests to the backend in slow start at first, {past_slow_start} to the others"
     );
-    // Never more than half of what makes it fall in any of the windows, at its least capacity.
+    // At most 0.7 times the rate that would make the backend fail at half of its capacity.
     let (in_slow_start, past_slow_start) = count_by_backend(&mut p, 2_900.0);
-    let able = f64::from(past_slow_start) / 4.0 * 0.5;
+    let capacity = f64::from(past_slow_start) / 4.0 * 0.5;
     assert!(
-        f64::from(in_slow_start) < 0.7 * 3.0 * able,
-        "{in_slow_start} requests to the one in slow start, able to do {able}"
+        f64::from(in_slow_start) < 0.7 * 3.0 * capacity,
+        "{in_slow_start} requests to the backend in slow start, which can serve {capacity}"
     );
 }
 
-/// What the reference keeps of one request.
+/// The state of one request in the reference model.
 #[derive(Default)]
 struct RequestRecord {
     class: usize,
@@ -219,7 +224,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Request { class: u8, tenant: u16, ttl: f64 },
+    Request { class: u8, tenant: u16, timeout: f64 },
     End { nth: usize, outcome: Outcome },
     Disconnect { nth: usize },
     Wait { ms: f64 },
@@ -241,7 +246,7 @@
         1 => Just(BackendState::Gone),
     ];
     prop_oneof![
-        5 => (0..4u8, 0..3u16, 1.0..4_000.0f64).prop_map(|(class, tenant, ttl)| Step::Request { class, tenant, ttl }),
+        5 => (0..4u8, 0..3u16, 1.0..4_000.0f64).prop_map(|(class, tenant, timeout)| Step::Request { class, tenant, timeout }),
         5 => (0..64usize, outcome).prop_map(|(nth, outcome)| Step::End { nth, outcome }),
         1 => (0..64usize).prop_map(|nth| Step::Disconnect { nth }),
         4 => (0.1..400.0f64).prop_map(|ms| Step::Wait { ms }),
@@ -249,7 +254,7 @@
     ]
 }
 
-struct World {
+struct ReferenceModel {
     p: Proxy,
     classes: Vec<Class>,
     parallel: bool,
@@ -258,8 +263,8 @@
     next: RequestId,
 }
 
-impl World {
-    fn new(parallel: bool) -> World {
+impl ReferenceModel {
+    fn new(parallel: bool) -> ReferenceModel {
         let scopes = [DedupScope::Zone, DedupScope::Cell];
         let mut classes = vec![
             class(RetrySafety::Idempotent, DedupScope::All),
@@ -272,7 +277,7 @@
         let list: Vec<_> = (1..=9).map(|id| in_zone(id, (id % 3) as u16)).collect();
         let p = Proxy::new(settings, &list);
         let list = list.into_iter().map(|b| (b.id, b)).collect();
-        World { p, classes, parallel, list, records: BTreeMap::new(), next: 1 }
+        ReferenceModel { p, classes, parallel, list, records: BTreeMap::new(), next: 1 }
     }
 
     /// Carries out the actions of the last event and checks each against the rules.
@@ -284,48 +289,55 @@
                     self.check_send(request, backend, timeout_ms)?;
                 }
                 Action::Reject { request, .. } => {
-                    let record = self.records.get_mut(&request).expect("given");
-                    prop_assert!(!record.answered, "a second answer");
-                    let effect = self.classes[record.class].retry_safety;
+                    let record = self.records.get_mut(&request).expect("a known request");
+                    prop_assert!(!record.answered, "a second final answer");
+                    let retry_safety = self.classes[record.class].retry_safety;
                     prop_assert!(
-                        effect == RetrySafety::Idempotent || record.may_have_run.is_none(),
-                        "a refusal that lies"
+                        retry_safety == RetrySafety::Idempotent || record.may_have_run.is_none(),
+                        "rejected although it may have run"
                     );
                     record.answered = true;
                 }
                 Action::Fail { request, .. } => {
-                    let record = self.records.get_mut(&request).expect("given");
-                    prop_assert!(!record.answered, "a second answer");
+                    let record = self.records.get_mut(&request).expect("a known request");
+                    prop_assert!(!record.answered, "a second final answer");
                     record.answered = true;
                 }
                 _ => {}
             }
         }
         for record in self.records.values() {
-            prop_assert!(record.answered || !record.out.is_empty(), "a request is held with nothing out");
+            prop_assert!(
+                record.answered || !record.out.is_empty(),
+                "a request without an attempt in flight and without a final answer"
+            );
         }
         Ok(())
     }
 
-    /// Checks one send against the rules and notes it.
+    /// Checks one send against the rules and records it.
     fn check_send(
         &mut self,
         request: RequestId,
         backend: BackendId,
         timeout_ms: Millis,
     ) -> Result<(), TestCaseError> {
-        let record = self.records.get_mut(&request).expect("a request that was given");
-        prop_assert!(!record.answered, "sent after its end");
-        prop_assert!(self.parallel || record.out.is_empty(), "two attempts out");
-        prop_assert!(self.list[&backend].state == BackendState::Ready, "sent to {:?}", backend);
+        let record = self.records.get_mut(&request).expect("a known request");
+        prop_assert!(!record.answered, "sent after its final answer");
+        prop_assert!(self.parallel || record.out.is_empty(), "two attempts in flight");
+        prop_assert!(
+            self.list[&backend].state == BackendState::Ready,
+            "sent to backend {:?}, which is not ready",
+            backend
+        );
         prop_assert!(timeout_ms > 0.0 && self.p.now + timeout_ms <= record.deadline + 1e-6);
         prop_assert!(record.attempts < 5);
         let class = &self.classes[record.class];
-        let risk = record.may_have_run;
-        let (a, b) = (risk.map(|r| self.list[&r.0]), self.list[&backend]);
-        match (class.retry_safety, risk) {
+        let may_have_run = record.may_have_run;
+        let (a, b) = (may_have_run.map(|r| self.list[&r.0]), self.list[&backend]);
+        match (class.retry_safety, may_have_run) {
             (RetrySafety::NonIdempotent, Some(_)) => {
-                prop_assert!(false, "retried what may have run")
+                prop_assert!(false, "a non-idempotent request was retried after it may have run")
             }
             (RetrySafety::IdempotencyKey, Some((_, at))) => {
                 prop_assert!(self.p.now - at < class.dedup_window_ms);
@@ -346,11 +358,11 @@
     }
 
     fn end(&mut self, request: RequestId, attempt: u8, outcome: Outcome) -> Result<(), TestCaseError> {
-        let record = self.records.get_mut(&request).expect("given");
-        let place = record.out.iter().position(|o| o.0 == attempt).expect("out");
+        let record = self.records.get_mut(&request).expect("a known request");
+        let place = record.out.iter().position(|o| o.0 == attempt).expect("an attempt in flight");
         let (_, backend) = record.out.remove(place);
         if !outcome.never_ran() && record.may_have_run.is_none() {
-            // Any moment up to now bounds the send from above; the test waits little between them.
+            // The send time is not recorded; the present time is an upper bound of it.
             record.may_have_run = Some((backend, self.p.now - self.classes[record.class].dedup_window_ms));
             if outcome != Outcome::Ok {
                 record.may_have_run = Some((backend, self.p.now));
@@ -364,13 +376,13 @@
 
     fn step(&mut self, step: Step) -> Result<(), TestCaseError> {
         match step {
-            Step::Request { class, tenant, ttl } => {
+            Step::Request { class, tenant, timeout } => {
                 let id = self.next;
                 self.next += 1;
-                let deadline = self.p.now + ttl;
+                let deadline = self.p.now + timeout;
                 self.records
                     .insert(id, RequestRecord { class: class.into(), deadline, ..RequestRecord::default() });
-                self.p.event(request(id, class, tenant, ttl));
+                self.p.event(request(id, class, tenant, timeout));
                 self.check()
             }
             Step::End { nth, outcome } => match self.pending(nth) {
@@ -379,13 +391,13 @@
             },
             Step::Disconnect { nth } => {
                 let Some((request, _)) = self.pending(nth) else { return Ok(()) };
-                self.records.get_mut(&request).expect("given").answered = true;
+                self.records.get_mut(&request).expect("a known request").answered = true;
                 self.p.event(Event::ClientGone { request });
                 self.check()
             }
             Step::Wait { ms } => {
                 self.p.now += ms;
-                // At its deadline an attempt times out, as the proxy would report it.
+                // Attempts time out at their deadline, as in the proxy.
                 let late = self.records.iter().filter(|(_, t)| t.deadline <= self.p.now);
                 let late: Vec<_> =
                     late.flat_map(|(id, t)| t.out.iter().map(|o| (*id, o.0)).collect::<Vec<_>>()).collect();
@@ -403,21 +415,21 @@
 }
 
 #[test]
-fn the_rules_hold_over_any_legal_sequence_of_events() {
+fn the_rules_hold_over_random_sequences_of_legal_events() {
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[42; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let steps = (any::<bool>(), prop::collection::vec(step(), 1..250));
     let result = runner.run(&steps, |(parallel, steps)| {
-        let mut world = World::new(parallel);
-        steps.into_iter().try_for_each(|step| world.step(step))
+        let mut model = ReferenceModel::new(parallel);
+        steps.into_iter().try_for_each(|step| model.step(step))
     });
     result.unwrap_or_else(|e| panic!("{e}"));
 }
 
 #[test]
 fn equal_seeds_and_events_give_equal_actions() {
-    let play = || {
+    let run = || {
         let mut p = proxy(RetrySafety::Idempotent, DedupScope::All, &backends(12));
         let mut out = Vec::new();
         for n in 0..300 {
@@ -429,15 +441,15 @@
         }
         out
     };
-    assert_eq!(play(), play());
+    assert_eq!(run(), run());
 }
 
 #[test]
-fn non_idempotent_is_not_retried_though_its_backend_has_left_the_list() {
+fn non_idempotent_is_not_retried_after_its_backend_has_left_the_list() {
     for outcome in MAY_HAVE_RUN_OUTCOMES {
         let mut p = proxy(RetrySafety::NonIdempotent, DedupScope::All, &backends(8));
         let sent = p.send_request(0, 0, 4_000.0).expect("sent");
-        let rest: Vec<_> = backends(8).into_iter().filter(|b| b.id != sent.to).collect();
+        let rest: Vec<_> = backends(8).into_iter().filter(|b| b.id != sent.backend).collect();
         p.list(ListKind::Full, &rest);
         p.now += 50.0;
         assert_eq!(p.end(sent, outcome), None);
@@ -446,15 +458,15 @@
 }
 
 #[test]
-fn the_plainest_settings_work() {
+fn minimal_settings_work_at_any_tier() {
     // No tenants, one class, one zone, no reports, no probes, one backend, one instance, at any tier.
     for tier in 0..3 {
-        let mut plain = Settings { tier, ..settings() };
-        plain.objective = objective(0.0, 0.0, 0.0);
-        plain.classes[0].priority_weight = 0.0;
-        let mut p = Proxy::new(plain, &backends(1));
+        let mut minimal = Settings { tier, ..settings() };
+        minimal.objective = objective(0.0, 0.0, 0.0);
+        minimal.classes[0].priority_weight = 0.0;
+        let mut p = Proxy::new(minimal, &backends(1));
         for _ in 0..50 {
-            let sent = p.send_request(0, 0, 4_000.0).expect("one idle backend: it is sent");
+            let sent = p.send_request(0, 0, 4_000.0).expect("sent to the idle backend");
             p.now += 30.0;
             p.end(sent, Outcome::Ok);
         }
--- a/crates/overload/tests/zone_traffic.rs
+++ b/crates/overload/tests/zone_traffic.rs
@@ -1,9 +1,9 @@
-//! Advice on the traffic of zones: how long it is in force, and how it expires.
+//! Traffic shift advice: how long it is in force, and how it expires.
 
 use hillstall_overload::zone_traffic::ZoneFractions;
 
 #[test]
-fn advice_is_in_force_while_it_is_repeated_and_expires_by_itself() {
+fn advice_expires_with_a_ramp_unless_it_is_repeated() {
     let mut zones = ZoneFractions::default();
     assert!(!zones.is_diverted(0.0, 0, || unreachable!("there is no advice")));
     zones.set_fraction(1_000.0, 1, 0.25, 0.0);
@@ -13,7 +13,7 @@
     );
     assert!(zones.is_diverted(2_000.0, 1, || 0.25) && !zones.is_diverted(2_000.0, 1, || 0.24));
     assert_eq!((zones.fraction(11_000.0, 1), zones.fraction(30_000.0, 1)), (0.5, 1.0));
-    // Older advice that comes late is ignored.
+    // Older advice that arrives after newer advice is ignored.
     zones.set_fraction(2_000.0, 1, 0.9, 1_500.0);
     assert_eq!(zones.fraction(2_000.0, 1), 0.25);
     zones.set_fraction(3_000.0, 1, 1.0, 0.0);
