--- a/crates/hillstall/tests/proxy/platform_file.rs
+++ b/crates/hillstall/tests/proxy/platform_file.rs
@@ -36,7 +36,7 @@
     let line = |part: &str| text.lines().position(|l| l.contains(part)).expect(part) + 1;
     let expected = [
         (line("nowhere"), "discovery: "),
-        (line("-1500"), "settings.Classes[1].HardLimit: -1500 is no use"),
+        (line("-1500"), "settings.Classes[1].HardLimit: -1500 is out of range: it must be above 0"),
         (line("\"8400\""), "settings.Rules.Cold: "),
         (line("be96z"), "seed: "),
         (line("\"status\": 7"), "known.endpoints[0].status: "),
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -1,4 +1,4 @@
-//! Converts the JSON form into the types of the decision module.
+//! Converts deserialized settings into the types of the decision module.
 
 use crate::raw::{
     RawClass, RawDedupScope, RawMembershipMode, RawObjective, RawPermissions, RawPrices, RawReportVia,
@@ -9,7 +9,7 @@
     Rules, Settings, Tenant,
 };
 
-/// Converts settings whose values have been checked.
+/// Converts validated settings.
 pub fn convert(raw: RawSettings) -> Settings {
     Settings {
         rank: raw.rank,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Reads the settings of the decision module, as the platform writes them in JSON. Every value is checked here, and
-//! an error names its key, so that the module can rely on what it is given.
+//! Parses the settings of the decision module from the JSON that the platform writes. Every value is
+//! validated here, and errors name the key, so that the decision module can rely on valid settings.
 
 mod convert;
 mod numbers;
@@ -8,28 +8,28 @@
 use hillstall_decision::Settings;
 use raw::RawSettings;
 
-/// Classes are numbered by one byte.
+/// Maximum number of classes: events identify a class by one byte.
 const MAX_CLASSES: usize = 256;
-/// Tenants are numbered by two bytes.
+/// Maximum number of tenants: events identify a tenant by two bytes.
 const MAX_TENANTS: usize = 65_536;
-/// Values that a load report can have.
+/// Maximum number of values in a load report.
 const MAX_REPORT_FIELDS: usize = 4;
 
-/// Why settings can't be used.
+/// Why settings are rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// A key is missing, or its value is invalid.
+    /// A key is missing or has an invalid value, or the text is not JSON.
     #[error("settings: {}: {}", .0.path(), .0.inner())]
     Key(#[source] serde_path_to_error::Error<serde_json::Error>),
-    /// Something follows the JSON text.
+    /// More text follows the JSON value.
     #[error("settings: {0}")]
     TrailingText(#[source] serde_json::Error),
-    /// Values that don't go together; the text begins with the key.
+    /// Values that are valid by themselves but inconsistent with each other. The message begins with the key.
     #[error("settings: {0}")]
     Inconsistent(String),
 }
 
-/// Reads the settings of an instance. The error names the key that can't be used.
+/// Parses and validates the settings of an instance.
 pub fn parse_settings(json: &[u8]) -> Result<Settings, SettingsError> {
     let mut deserializer = serde_json::Deserializer::from_slice(json);
     let raw: RawSettings = serde_path_to_error::deserialize(&mut deserializer).map_err(SettingsError::Key)?;
@@ -38,21 +38,27 @@
     Ok(convert::convert(raw))
 }
 
-/// Checks lengths, and what no value shows alone.
+/// Checks the lengths of lists, and values that depend on each other.
 fn check_consistency(raw: &RawSettings) -> Result<(), SettingsError> {
     let require = |holds: bool, problem: String| match holds {
         true => Ok(()),
         false => Err(SettingsError::Inconsistent(problem)),
     };
     let require_max_length = |key: &str, length: usize, max: usize| {
-        require(length <= max, format!("{key}: it has more than {max} entries"))
+        require(length <= max, format!("{key}: {length} entries, at most {max} are allowed"))
     };
-    require(!raw.classes.is_empty(), "Classes: it is empty".into())?;
+    require(!raw.classes.is_empty(), "Classes: the list is empty, at least one class is required".into())?;
     require_max_length("Classes", raw.classes.len(), MAX_CLASSES)?;
     require_max_length("Tenants", raw.tenants.len(), MAX_TENANTS)?;
     require_max_length("Report.Fields", raw.report.fields.len(), MAX_REPORT_FIELDS)?;
     let has_zone = raw.zones.is_empty() || usize::from(raw.zone) < raw.zones.len();
-    require(has_zone, "Az: there is no such zone in Zones".into())?;
+    require(
+        has_zone,
+        format!("Az: {} is not an index of Zones, which has {} entries", raw.zone, raw.zones.len()),
+    )?;
     let has_tier = raw.tier_names.is_empty() || (raw.tier as usize) < raw.tier_names.len();
-    require(has_tier, "Stage: there is no such tier in Stages".into())
+    require(
+        has_tier,
+        format!("Stage: {} is not an index of Stages, which has {} entries", raw.tier, raw.tier_names.len()),
+    )
 }
--- a/crates/settings/src/numbers.rs
+++ b/crates/settings/src/numbers.rs
@@ -1,9 +1,10 @@
-//! Numbers whose bounds are checked while they are read, so that an error is raised where their key is known.
+//! Deserializers for numbers with bounds. Checking the bounds during deserialization lets errors name the
+//! key.
 
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer};
 
-/// Reads a finite number that `is_valid` accepts; `requirement` says which those are.
+/// Deserializes a finite number that `is_valid` accepts; `requirement` describes the valid range in errors.
 fn number<'de, D: Deserializer<'de>>(
     deserializer: D,
     is_valid: fn(f64) -> bool,
@@ -12,7 +13,7 @@
     let value = f64::deserialize(deserializer)?;
     match value.is_finite() && is_valid(value) {
         true => Ok(value),
-        false => Err(D::Error::custom(format!("{value} is no use: it must be {requirement}"))),
+        false => Err(D::Error::custom(format!("{value} is out of range: it must be {requirement}"))),
     }
 }
 
@@ -29,12 +30,12 @@
 }
 
 pub fn positive_fraction<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
-    number(deserializer, |value| value > 0.0 && value <= 1.0, "above 0, and 1 at most")
+    number(deserializer, |value| value > 0.0 && value <= 1.0, "above 0 and at most 1")
 }
 
 pub fn positive_integer<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u32, D::Error> {
     match u32::deserialize(deserializer)? {
-        0 => Err(D::Error::custom("0 is no use: it must be above 0")),
+        0 => Err(D::Error::custom("0 is out of range: it must be above 0")),
         number => Ok(number),
     }
 }
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -1,6 +1,7 @@
-//! The JSON form of the settings. Each key is named as the platform writes it; each value is checked by itself.
+//! The JSON representation of the settings. Keys keep the names that the platform writes; each value is
+//! validated by itself. [`hillstall_decision::Settings`] documents the meaning of the fields.
 //!
-//! `expecting` keeps the text of an error where a type has been renamed since.
+//! `expecting` keeps the previous name of a renamed type in error messages, which operators' tools may match.
 
 use crate::numbers::{
     fraction, not_negative, one, one_integer, positive, positive_fraction, positive_integer, unlimited,
@@ -8,7 +9,7 @@
 };
 use serde::Deserialize;
 
-/// A class of requests.
+/// A request class.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct RawClass {
@@ -34,7 +35,7 @@
     pub streaming: bool,
 }
 
-/// Whether a request of a class may be sent again.
+/// The retry safety of a class.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RawRetrySafety {
@@ -43,7 +44,7 @@
     Once,
 }
 
-/// Within what the backends recognise an idempotency key.
+/// The backends that deduplicate requests by idempotency key.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RawDedupScope {
@@ -65,7 +66,7 @@
     pub fraction: f64,
 }
 
-/// Rules of the service: durations in milliseconds.
+/// Limits and durations that the platform prescribes; durations are in milliseconds.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct RawRules {
@@ -85,7 +86,7 @@
     pub overload_window_ms: f64,
 }
 
-/// What the platform permits; durations in milliseconds.
+/// Permitted features and limits; durations are in milliseconds.
 #[derive(Deserialize)]
 #[serde(expecting = "struct RawAllowed", rename_all = "PascalCase")]
 pub struct RawPermissions {
@@ -117,14 +118,14 @@
     pub cpu_us_per_request: f64,
 }
 
-/// What the clients do.
+/// Capabilities of the clients.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct RawClients {
     pub marks_retry: bool,
 }
 
-/// What each act costs.
+/// The costs that are deducted from the score.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct RawPrices {
@@ -152,7 +153,7 @@
     pub peer: f64,
 }
 
-/// The weights of the objective.
+/// The weights of the components of the score.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct RawObjective {
@@ -183,7 +184,7 @@
     }
 }
 
-/// How load reports arrive.
+/// Which responses carry load reports.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RawReportVia {
@@ -193,7 +194,7 @@
     OnProbe,
 }
 
-/// The load reports of the backends.
+/// The format of load reports and the responses that carry them.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct RawReport {
@@ -201,7 +202,7 @@
     pub via: RawReportVia,
 }
 
-/// Properties of the service.
+/// Properties of the kind of service.
 #[derive(Default, Deserialize)]
 #[serde(expecting = "struct RawFamily", rename_all = "PascalCase", default)]
 pub struct RawServiceFamily {
@@ -210,7 +211,7 @@
     pub caches_keys: bool,
 }
 
-/// Where the weights of backends come from.
+/// How the ratings of backends are derived.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RawWeights {
@@ -221,7 +222,7 @@
     Live,
 }
 
-/// How endpoint lists arrive.
+/// Whether updates of the endpoint list arrive automatically or need a subscription.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RawMembershipMode {
@@ -229,7 +230,7 @@
     Subscribe,
 }
 
-/// What a priority weight is counted by.
+/// Whether priority weight counts by request or by expected work.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RawWeightBasis {
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings: every key is read, absent ones get their meaning, unusable ones are named.
+//! Parsing of settings: every key is read, absent keys get their defaults, and errors name the invalid key.
 
 use hillstall_decision::*;
 use serde_json::{json, Value};
@@ -38,12 +38,12 @@
         "Weights": "live",
         "WorthBy": "work",
         "Zones": ["north", "south"],
-        "Unheard": {"Of": [1, 2]},
+        "UnknownKey": {"Nested": [1, 2]},
     })
 }
 
-/// The least that will do.
-fn least() -> Value {
+/// Settings with only the required keys.
+fn minimal() -> Value {
     json!({
         "Allowed": {"MaxAttempts": 5},
         "Classes": [{"Aim": 1000, "HardLimit": 4000, "Effect": "repeatable"}],
@@ -59,15 +59,15 @@
 #[test]
 #[allow(clippy::too_many_lines, reason = "one check per key")]
 fn every_key_is_read() {
-    let class = |name: &str, effect, scope| Class {
+    let class = |name: &str, retry_safety, dedup_scope| Class {
         name: name.into(),
         latency_objective_ms: 2_500.0,
         objective_per_work_ms: 0.0,
         deadline_ms: 6_000.0,
         priority_weight: 1.0,
         late_weight_fraction: 0.0,
-        retry_safety: effect,
-        dedup_scope: scope,
+        retry_safety,
+        dedup_scope,
         dedup_window_ms: 10_000.0,
         streaming: false,
     };
@@ -157,26 +157,30 @@
     assert_eq!(read(&full()), Ok(expected));
 }
 
-/// The settings with the value at one key replaced.
-fn with(key: &str, value: Value) -> Settings {
+/// Parses the full settings with the value at one key replaced.
+fn read_with(key: &str, value: Value) -> Settings {
     let mut json = full();
-    *place(&mut json, key) = value;
-    read(&json).unwrap_or_else(|why| panic!("{key}: {why}"))
+    *value_at(&mut json, key) = value;
+    read(&json).unwrap_or_else(|error| panic!("{key}: {error}"))
 }
 
 #[test]
 #[allow(clippy::too_many_lines, reason = "one check per key")]
-fn every_word_of_a_key_that_knows_some_is_read() {
-    let effects = [
+fn every_value_of_an_enumeration_is_read() {
+    let retry_safeties = [
         ("repeatable", RetrySafety::Idempotent),
         ("by_key", RetrySafety::IdempotencyKey),
         ("once", RetrySafety::NonIdempotent),
     ];
-    for (word, effect) in effects {
-        assert_eq!(with("Classes[0].Effect", json!(word)).classes[0].retry_safety, effect, "{word}");
+    for (name, retry_safety) in retry_safeties {
+        assert_eq!(
+            read_with("Classes[0].Effect", json!(name)).classes[0].retry_safety,
+            retry_safety,
+            "{name}"
+        );
     }
-    for (word, scope) in [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)] {
-        assert_eq!(with("Classes[0].KeyScope", json!(word)).classes[0].dedup_scope, scope, "{word}");
+    for (name, scope) in [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)] {
+        assert_eq!(read_with("Classes[0].KeyScope", json!(name)).classes[0].dedup_scope, scope, "{name}");
     }
     let sources = [
         ("off", RatingSource::Off),
@@ -184,12 +188,12 @@
         ("rough", RatingSource::Rough),
         ("live", RatingSource::Live),
     ];
-    for (word, source) in sources {
-        assert_eq!(with("Weights", json!(word)).rating_source, source, "{word}");
+    for (name, source) in sources {
+        assert_eq!(read_with("Weights", json!(name)).rating_source, source, "{name}");
     }
-    let ways = [("off", ReportVia::Off), ("inline", ReportVia::Inline), ("on_probe", ReportVia::Probe)];
-    for (word, via) in ways {
-        assert_eq!(with("Report.Via", json!(word)).report_via, via, "{word}");
+    let deliveries = [("off", ReportVia::Off), ("inline", ReportVia::Inline), ("on_probe", ReportVia::Probe)];
+    for (name, via) in deliveries {
+        assert_eq!(read_with("Report.Via", json!(name)).report_via, via, "{name}");
     }
     let fields = [
         ("active", ReportField::Active),
@@ -200,20 +204,20 @@
         ("err_rps", ReportField::ErrorsPerSecond),
         ("heat", ReportField::Unknown),
     ];
-    for (word, field) in fields {
-        assert_eq!(with("Report.Fields", json!([word])).report, [field], "{word}");
+    for (name, field) in fields {
+        assert_eq!(read_with("Report.Fields", json!([name])).report, [field], "{name}");
     }
-    for (word, subscribes) in [("automatic", false), ("subscribe", true)] {
-        assert_eq!(with("MembershipMode", json!(word)).must_subscribe, subscribes, "{word}");
+    for (name, subscribes) in [("automatic", false), ("subscribe", true)] {
+        assert_eq!(read_with("MembershipMode", json!(name)).must_subscribe, subscribes, "{name}");
     }
-    for (word, by_work) in [("request", false), ("work", true)] {
-        assert_eq!(with("WorthBy", json!(word)).weight_by_work, by_work, "{word}");
+    for (name, by_work) in [("request", false), ("work", true)] {
+        assert_eq!(read_with("WorthBy", json!(name)).weight_by_work, by_work, "{name}");
     }
 }
 
 #[test]
-fn absent_keys_mean_no_feature_no_price_and_no_limit() {
-    let s = read(&least()).expect("good settings");
+fn absent_keys_default_to_no_feature_no_price_and_no_limit() {
+    let s = read(&minimal()).expect("valid settings");
     assert_eq!((s.rank, s.fleet_size, s.zone, s.tier), (0, 1, 0, 0));
     assert!(!s.passes_deadline && !s.caches_keys && !s.marks_retry && !s.weight_by_work && !s.must_subscribe);
     assert!(
@@ -235,17 +239,17 @@
     assert_eq!(s.rules.poll_interval_ms, f64::MAX);
 }
 
-/// The place of `key`, written as in an error: `Classes[0].Aim`.
-fn place<'a>(json: &'a mut Value, key: &str) -> &'a mut Value {
+/// The value at `key`, which is written as in errors, for example `Classes[0].Aim`.
+fn value_at<'a>(json: &'a mut Value, key: &str) -> &'a mut Value {
     let pointer = format!("/{}", key.replace(['.', '['], "/").replace(']', ""));
-    json.pointer_mut(&pointer).unwrap_or_else(|| panic!("no {pointer}"))
+    json.pointer_mut(&pointer).unwrap_or_else(|| panic!("{pointer} does not exist"))
 }
 
-/// Every key that holds one value, with the value.
+/// Appends every key with a scalar value, and that value, to `out`.
 fn leaves(json: &Value, path: &str, out: &mut Vec<(String, Value)>) {
     match json {
         Value::Object(map) => {
-            for (key, value) in map.iter().filter(|(key, _)| *key != "Unheard") {
+            for (key, value) in map.iter().filter(|(key, _)| *key != "UnknownKey") {
                 let dot = if path.is_empty() { "" } else { "." };
                 leaves(value, &format!("{path}{dot}{key}"), out);
             }
@@ -260,19 +264,19 @@
 }
 
 #[test]
-fn a_value_that_cannot_be_used_is_named_by_its_key() {
+fn errors_name_the_key_of_a_value_of_the_wrong_type_or_sign() {
     let mut all = Vec::new();
     leaves(&full(), "", &mut all);
     assert!(all.len() > 70);
     for (key, value) in all {
-        // Of the wrong type: all keys. Below zero: all numbers, none of which may be.
-        let mut bad = vec![json!({"no": "use"}), Value::Null];
+        // Every key gets values of the wrong type; numbers also get a negative value, which is never valid.
+        let mut bad = vec![json!({"wrong": "type"}), Value::Null];
         if value.is_number() {
             bad.extend([json!(-1), json!("1")]);
         }
         for bad in bad {
             let mut json = full();
-            *place(&mut json, &key) = bad.clone();
+            *value_at(&mut json, &key) = bad.clone();
             let error = read(&json).expect_err(&format!("{key} = {bad}"));
             assert!(error.contains(&format!(" {key}: ")), "{key} = {bad}: {error}");
         }
@@ -280,7 +284,7 @@
 }
 
 #[test]
-fn a_value_out_of_range_is_named_by_its_key() {
+fn errors_name_the_key_of_a_value_out_of_range() {
     let cases = [
         ("Allowed.MaxAttempts", json!(0)),
         ("Allowed.StreamsPerConn", json!(0)),
@@ -302,12 +306,15 @@
     ];
     for (key, bad) in cases {
         let mut json = full();
-        *place(&mut json, key) = bad.clone();
+        *value_at(&mut json, key) = bad.clone();
         let error = read(&json).expect_err(&format!("{key} = {bad}"));
         assert!(error.contains(&format!(" {key}: ")), "{key} = {bad}: {error}");
     }
-    let endless = full().to_string().replace("10000.0", "1e999");
-    assert!(hillstall_settings::parse_settings(endless.as_bytes()).is_err(), "a number without end");
+    let infinite = full().to_string().replace("10000.0", "1e999");
+    assert!(
+        hillstall_settings::parse_settings(infinite.as_bytes()).is_err(),
+        "a number that overflows to infinity"
+    );
     assert!(hillstall_settings::parse_settings(b"{}")
         .map_err(|error| error.to_string())
         .is_err_and(|e| e.contains("MembershipMode") || e.contains("missing field")));
