--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts any number of balancers, as the simulator starts and halts them.
+//! Hosts the balancers of all instances that the simulator starts and halts.
 
 use crate::wire::{parse_records, BatchHeader, FrameError, Record, ReplyFrame, LIST_SLOTS};
 use hillstall_decision::{Action, BackendInfo, Balancer, Event, ListKind, Millis};
@@ -6,13 +6,14 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// The balancers of a simulation, by instance number.
+/// The balancers of a simulation, and the endpoint lists that they share.
 #[derive(Default)]
 pub struct Host {
+    /// Balancers by instance number.
     instances: BTreeMap<u32, Balancer>,
     /// The endpoint lists that the simulator has sent, by slot.
     lists: [Vec<BackendInfo>; LIST_SLOTS],
-    /// The actions of the event at hand; kept for its buffer.
+    /// The actions of the current event; the buffer is reused.
     actions: Vec<Action>,
     reply: ReplyFrame,
 }
@@ -43,7 +44,7 @@
     }
 
     fn handle_list_change(&mut self, now: Millis, instance: u32, kind: ListKind, version: u32, slot: u8) {
-        // The slot of a failed update is not checked by the parser, and not used.
+        // The parser does not check the slot of a failed update, and its list is not used.
         let slot = usize::from(slot) % LIST_SLOTS;
         let list = std::mem::take(&mut self.lists[slot]);
         let backends = if kind == ListKind::Failed { &[][..] } else { &list[..] };
@@ -61,7 +62,7 @@
     }
 
     fn handle_event(&mut self, now: Millis, instance: u32, event: Event<'_>) {
-        // An instance with invalid settings has been reported; later events for it are ignored.
+        // Instances that were halted or reported as fatal have no balancer; events for them are ignored.
         let Some(balancer) = self.instances.get_mut(&instance) else { return };
         self.actions.clear();
         let actions = &mut self.actions;
@@ -76,7 +77,7 @@
     }
 }
 
-/// The message of a panic, if it has one.
+/// Returns the message of a panic; empty if the payload is not a string.
 fn panic_message(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<&str>().map(ToString::to_string);
     text.or_else(|| panic.downcast_ref::<String>().cloned()).unwrap_or_default()
--- a/crates/sim-adapter/src/lib.rs
+++ b/crates/sim-adapter/src/lib.rs
@@ -1,4 +1,4 @@
-//! The simulator adapter: the decision module behind the simulator's wire format.
+//! The simulator adapter: runs the decision module in the simulator over its wire format.
 
 pub mod host;
 pub mod wire;
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Serves the simulator: one batch frame in on standard input, one reply frame out on standard output, until the input
-//! ends.
+//! Serves the simulator: reads batch frames from standard input and writes one reply frame for each to
+//! standard output, until the input ends.
 
 use hillstall_sim_adapter::host::Host;
 use hillstall_sim_adapter::wire::{BatchHeader, FrameError, BATCH_HEADER_SIZE};
@@ -35,13 +35,18 @@
     }
 }
 
-/// Fills `buffer` from the input; `false` if the input ended before the first byte.
+/// Fills `buffer` from the input. Returns `false` if the input ended before the first byte.
 fn read_exact_or_end(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<bool> {
     let mut filled = 0;
     while filled < buffer.len() {
         match input.read(&mut buffer[filled..]) {
             Ok(0) if filled == 0 => return Ok(false),
-            Ok(0) => return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "input ends inside a frame")),
+            Ok(0) => {
+                return Err(io::Error::new(
+                    io::ErrorKind::UnexpectedEof,
+                    "the input ends inside a frame header",
+                ))
+            }
             Ok(read) => filled += read,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             Err(error) => return Err(error),
@@ -58,7 +63,7 @@
         let header = BatchHeader::parse(&header)?;
         let body_size = header.size as usize - BATCH_HEADER_SIZE;
         body.clear();
-        // `take` grows the buffer by what really arrives, not by what the header claims.
+        // With `take`, the buffer grows with the bytes that arrive, not to the size that the header declares.
         if input.by_ref().take(body_size as u64).read_to_end(&mut body)? < body_size {
             return Err(FrameError::InputEnded.into());
         }
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -1,7 +1,7 @@
-//! The frame codec of the simulator's wire (dialect quartz-a7c8).
+//! Codec for the frames of the simulator's wire format (dialect quartz-a7c8).
 //!
-//! Nothing here decides anything. Frames are big-endian and unpadded; every read is checked against the
-//! frame's end, so a malformed frame is an error and never a wrong event or a large allocation.
+//! Frames are big-endian and unpadded. Every read is checked against the end of the frame, so that a
+//! malformed frame results in an error and never in a wrong event or a large allocation.
 
 mod error;
 mod reader;
@@ -13,9 +13,9 @@
 use hillstall_decision::{BackendInfo, Event, ListKind, Millis};
 use reader::Reader;
 
-/// Bytes in the header of a batch.
+/// Size of a batch header, in bytes.
 pub const BATCH_HEADER_SIZE: usize = 20;
-/// Slots for endpoint lists.
+/// Number of slots for endpoint lists.
 pub const LIST_SLOTS: usize = 16;
 
 /// The header of a batch.
@@ -25,14 +25,14 @@
     pub records: u32,
     /// The size of the whole frame in bytes.
     pub size: u32,
-    /// The simulator's clock.
+    /// The clock time of the simulator, in milliseconds.
     pub now: Millis,
-    /// The number of the batch, which its reply repeats.
+    /// The number of the batch, which is repeated in its reply.
     pub batch: u32,
 }
 
 impl BatchHeader {
-    /// Parses a header and checks that its size and its number of records can go together.
+    /// Parses a header and checks that its number of records fits its size.
     pub fn parse(bytes: &[u8; BATCH_HEADER_SIZE]) -> Result<BatchHeader, FrameError> {
         let mut reader = Reader::new(bytes);
         let header = BatchHeader {
@@ -58,43 +58,43 @@
 /// One record of a batch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record<'a> {
-    /// An instance starts.
+    /// Starts an instance.
     Provision {
-        /// The instance.
+        /// The number of the instance.
         instance: u32,
-        /// The seed of its random numbers.
+        /// The seed of its random number generator.
         seed: u64,
         /// Its settings, as JSON.
         settings: &'a [u8],
     },
-    /// An instance is killed.
+    /// Kills an instance.
     Halt {
-        /// The instance.
+        /// The number of the instance.
         instance: u32,
     },
-    /// An endpoint list, to be stored in a slot.
+    /// Stores an endpoint list in a slot.
     EndpointList {
-        /// The slot.
+        /// The slot, below [`LIST_SLOTS`].
         slot: u8,
-        /// The endpoints.
+        /// The entries of the list.
         endpoints: Vec<BackendInfo>,
     },
-    /// The endpoints of an instance have changed, to those in a slot.
+    /// Delivers the endpoint list in a slot to an instance.
     EndpointsChanged {
-        /// The instance.
+        /// The number of the instance.
         instance: u32,
-        /// How to read the list.
+        /// How to interpret the list.
         kind: ListKind,
         /// The version of the list.
         version: u32,
-        /// The slot of the list.
+        /// The slot of the list; not valid if `kind` is `Failed`.
         slot: u8,
     },
-    /// Any other event.
+    /// Delivers any other event to an instance.
     Event {
-        /// The instance.
+        /// The number of the instance.
         instance: u32,
-        /// The event.
+        /// The event, as the balancer takes it.
         event: Event<'a>,
     },
 }
--- a/crates/sim-adapter/src/wire/error.rs
+++ b/crates/sim-adapter/src/wire/error.rs
@@ -1,46 +1,47 @@
-//! Errors of the frame codec.
+//! Errors of the frame decoder.
 
+use super::{BATCH_HEADER_SIZE, LIST_SLOTS};
 use std::error::Error;
 use std::fmt;
 
-/// Why a frame can't be read.
+/// Why a frame is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// The input ends before the frame does.
+    /// The input ended inside the body of a frame.
     InputEnded,
-    /// The size in the header is below that of a header.
+    /// The declared size is smaller than a header.
     SizeBelowHeader(u32),
-    /// The body is too small for the number of records.
+    /// The body is too small for the declared number of records.
     TooManyRecords {
-        /// The number of records in the header.
+        /// The declared number of records.
         records: u32,
         /// The size of the body in bytes.
         body: usize,
     },
     /// The clock is not a finite number.
     InvalidClock,
-    /// The size in the header is not that of the frame.
+    /// The declared size differs from the size of the frame.
     SizeMismatch {
-        /// The size in the header.
+        /// The declared size in bytes.
         declared: u32,
-        /// The size of the frame.
+        /// The actual size in bytes.
         actual: usize,
     },
-    /// Bytes follow the last record.
+    /// This many bytes follow the last record.
     TrailingBytes(usize),
-    /// A field of this many bytes ends behind the frame.
+    /// A field of this many bytes extends past the end of the frame.
     FieldPastEnd(usize),
-    /// A list of this many entries ends behind the frame.
+    /// A list of this many entries extends past the end of the frame.
     ListPastEnd(usize),
-    /// No list slot has this number.
+    /// A list slot out of range.
     InvalidListSlot(u8),
-    /// An unknown event code.
-    UnknownEvent(u8),
-    /// An unknown code of a list kind.
+    /// An unknown record code.
+    UnknownRecord(u8),
+    /// An unknown list kind code.
     UnknownListKind(u8),
-    /// An unknown code of a backend state.
+    /// An unknown backend state code.
     UnknownBackendState(u8),
-    /// An unknown code of an outcome.
+    /// An unknown outcome code.
     UnknownOutcome(u16),
 }
 
@@ -48,23 +49,34 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("malformed frame: ")?;
         match self {
-            FrameError::InputEnded => f.write_str("input ends inside a frame"),
-            FrameError::SizeBelowHeader(size) => write!(f, "length {size} is shorter than a header"),
+            FrameError::InputEnded => f.write_str("the input ends inside the frame body"),
+            FrameError::SizeBelowHeader(size) => {
+                write!(
+                    f,
+                    "the declared size of {size} bytes is below the header size of {BATCH_HEADER_SIZE} bytes"
+                )
+            }
             FrameError::TooManyRecords { records, body } => {
-                write!(f, "{records} records cannot fit in {body} bytes")
+                write!(f, "{records} records cannot fit in a body of {body} bytes")
             }
-            FrameError::InvalidClock => f.write_str("the clock is not a number"),
+            FrameError::InvalidClock => f.write_str("the clock is not a finite number"),
             FrameError::SizeMismatch { declared, actual } => {
-                write!(f, "length {declared} but {actual} bytes")
+                write!(f, "the declared size is {declared} bytes, but the frame has {actual} bytes")
+            }
+            FrameError::TrailingBytes(bytes) => write!(f, "{bytes} unexpected bytes after the last record"),
+            FrameError::FieldPastEnd(bytes) => {
+                write!(f, "a field of {bytes} bytes extends past the end of the frame")
+            }
+            FrameError::ListPastEnd(entries) => {
+                write!(f, "an endpoint list of {entries} entries extends past the end of the frame")
+            }
+            FrameError::InvalidListSlot(slot) => {
+                write!(f, "endpoint list slot {slot} is out of range: there are {LIST_SLOTS} slots")
             }
-            FrameError::TrailingBytes(bytes) => write!(f, "{bytes} bytes after the last record"),
-            FrameError::FieldPastEnd(bytes) => write!(f, "a field of {bytes} bytes runs past the end"),
-            FrameError::ListPastEnd(entries) => write!(f, "a list of {entries} entries runs past the end"),
-            FrameError::InvalidListSlot(slot) => write!(f, "list number {slot}"),
-            FrameError::UnknownEvent(code) => write!(f, "unknown event code {code}"),
-            FrameError::UnknownListKind(code) => write!(f, "unknown list form {code}"),
-            FrameError::UnknownBackendState(code) => write!(f, "unknown backend state {code}"),
-            FrameError::UnknownOutcome(code) => write!(f, "unknown outcome {code}"),
+            FrameError::UnknownRecord(code) => write!(f, "unknown record code {code}"),
+            FrameError::UnknownListKind(code) => write!(f, "unknown list kind code {code}"),
+            FrameError::UnknownBackendState(code) => write!(f, "unknown backend state code {code}"),
+            FrameError::UnknownOutcome(code) => write!(f, "unknown outcome code {code}"),
         }
     }
 }
--- a/crates/sim-adapter/src/wire/reader.rs
+++ b/crates/sim-adapter/src/wire/reader.rs
@@ -1,12 +1,12 @@
-//! Reads the fields and records of a batch.
+//! Decodes the fields and records of a batch.
 
 use super::{FrameError, Record, LIST_SLOTS};
 use hillstall_decision::{BackendInfo, BackendState, Event, ListKind, LoadReport, Outcome};
 
-/// Bytes of an entry of an endpoint list.
+/// Size of an entry of an endpoint list, in bytes.
 const ENDPOINT_SIZE: usize = 22;
 
-/// Codes of records.
+/// Codes of the records of a batch.
 mod record_code {
     pub const PROVISION: u8 = 0;
     pub const ENDPOINTS_CHANGED: u8 = 1;
@@ -21,25 +21,25 @@
     pub const ENDPOINT_LIST: u8 = 10;
 }
 
-/// Flags of a request.
+/// Flag bits of a request record.
 mod request_flag {
     pub const HAS_EXPECTED_WORK: u8 = 1;
     pub const IS_RETRY: u8 = 2;
     pub const IS_WRITE: u8 = 4;
 }
 
-/// Reads from the front of a byte slice.
+/// Decodes values from the front of a byte slice.
 pub struct Reader<'a> {
     bytes: &'a [u8],
 }
 
 impl<'a> Reader<'a> {
-    /// A reader of these bytes.
+    /// Creates a reader that starts at the first byte.
     pub fn new(bytes: &'a [u8]) -> Reader<'a> {
         Reader { bytes }
     }
 
-    /// The number of bytes not yet read.
+    /// Returns the number of bytes not yet read.
     pub fn remaining(&self) -> usize {
         self.bytes.len()
     }
@@ -67,7 +67,7 @@
         Ok(u16::from_be_bytes(self.array()?))
     }
 
-    /// Reads 32 bits.
+    /// Reads a 32-bit unsigned integer.
     pub fn u32(&mut self) -> Result<u32, FrameError> {
         Ok(u32::from_be_bytes(self.array()?))
     }
@@ -80,7 +80,7 @@
         Ok(f32::from_be_bytes(self.array()?))
     }
 
-    /// Reads a number of 64 bits.
+    /// Reads a 64-bit floating point number.
     pub fn f64(&mut self) -> Result<f64, FrameError> {
         Ok(f64::from_be_bytes(self.array()?))
     }
@@ -88,12 +88,12 @@
     /// Reads one record.
     pub fn record(&mut self) -> Result<Record<'a>, FrameError> {
         let code = self.u8()?;
-        // The only record that is for no instance.
+        // The only record without an instance number.
         if code == record_code::ENDPOINT_LIST {
             return self.endpoint_list();
         }
         if code > record_code::ENDPOINT_LIST {
-            return Err(FrameError::UnknownEvent(code));
+            return Err(FrameError::UnknownRecord(code));
         }
         let instance = self.u32()?;
         let event = match code {
@@ -107,7 +107,7 @@
             record_code::TIMER => Event::Timer { token: self.u64()? },
             record_code::PROBE_RESULT => self.probe_result()?,
             record_code::MESSAGE => self.message()?,
-            unknown => return Err(FrameError::UnknownEvent(unknown)),
+            unknown => return Err(FrameError::UnknownRecord(unknown)),
         };
         Ok(Record::Event { instance, event })
     }
@@ -212,7 +212,7 @@
         })
     }
 
-    /// Reads a load report. Values beyond those that the module knows are skipped.
+    /// Reads a load report. Values beyond the capacity of [`LoadReport`] are skipped.
     fn load_report(&mut self) -> Result<LoadReport, FrameError> {
         let count = usize::from(self.u8()?);
         let mut report = LoadReport::default();
--- a/crates/sim-adapter/src/wire/reply.rs
+++ b/crates/sim-adapter/src/wire/reply.rs
@@ -1,8 +1,8 @@
-//! Writes reply frames.
+//! Encodes reply frames.
 
 use hillstall_decision::{Action, RequestId};
 
-/// Bytes in the header of a reply.
+/// Size of a reply header, in bytes.
 pub const REPLY_HEADER_SIZE: usize = 12;
 
 /// Codes of the records of a reply.
@@ -21,10 +21,10 @@
     pub const FETCH: u8 = 75;
 }
 
-/// The receiver number of a message to all instances.
+/// Recipient number of a message to all instances.
 const ALL_INSTANCES: u32 = u32::MAX;
 
-/// Builds reply frames, one after another in the same buffer.
+/// Encodes one reply frame at a time; the buffer is reused.
 #[derive(Debug, Default)]
 pub struct ReplyFrame {
     bytes: Vec<u8>,
@@ -32,19 +32,19 @@
 }
 
 impl ReplyFrame {
-    /// Starts an empty reply.
+    /// Starts a new, empty reply frame.
     pub fn clear(&mut self) {
         self.bytes.clear();
         self.bytes.resize(REPLY_HEADER_SIZE, 0);
         self.records = 0;
     }
 
-    /// Appends the report that the decision code of an instance failed.
+    /// Appends a record that the instance failed, because its settings are invalid or its balancer panicked.
     pub fn push_fatal(&mut self, instance: u32, text: &str) {
         self.push_text(record_code::FATAL, instance, text);
     }
 
-    /// Appends one action of an instance.
+    /// Appends a record for one action of an instance.
     pub fn push_action(&mut self, instance: u32, action: &Action) {
         match action {
             Action::Send { request, backend, timeout_ms } => {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Fills in the header and returns the whole frame.
+    /// Writes the header and returns the complete frame.
     pub fn finish(&mut self, batch: u32) -> &[u8] {
         let size = self.bytes.len() as u32;
         self.bytes[0..4].copy_from_slice(&size.to_be_bytes());
@@ -111,7 +111,7 @@
         out.extend(message);
     }
 
-    /// Appends a text; what does not fit its length field is cut off.
+    /// Appends a text record. The text is truncated to the maximum of its 16-bit length field.
     fn push_text(&mut self, code: u8, instance: u32, text: &str) {
         let text = &text.as_bytes()[..text.len().min(usize::from(u16::MAX))];
         let out = self.start(code, instance);
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -1,19 +1,22 @@
-//! The codec against the wire's published example frames.
+//! The frame codec: the example frames of the wire format's specification, and every field and record.
 
 use hillstall_decision::*;
 use hillstall_sim_adapter::wire::{self, BatchHeader, Record, ReplyFrame, BATCH_HEADER_SIZE};
 
+/// Decodes hexadecimal digits; all other characters are ignored.
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.chars().filter_map(|c| c.to_digit(16)).map(|d| d as u8).collect();
     digits.chunks(2).map(|pair| pair[0] << 4 | pair[1]).collect()
 }
 
+/// Splits a frame into its parsed header and its body.
 fn split(frame: &[u8]) -> (BatchHeader, &[u8]) {
-    let head: &[u8; BATCH_HEADER_SIZE] = frame[..BATCH_HEADER_SIZE].try_into().expect("a header");
-    (BatchHeader::parse(head).expect("a good header"), &frame[BATCH_HEADER_SIZE..])
+    let header: &[u8; BATCH_HEADER_SIZE] = frame[..BATCH_HEADER_SIZE].try_into().expect("a header");
+    (BatchHeader::parse(header).expect("a valid header"), &frame[BATCH_HEADER_SIZE..])
 }
 
-fn events(hex: &str, count: u32) -> Vec<u8> {
+/// Builds a batch frame with `count` records, which are given in hexadecimal.
+fn batch_frame(hex: &str, count: u32) -> Vec<u8> {
     let records = bytes(hex);
     let mut frame = count.to_be_bytes().to_vec();
     frame.extend((records.len() as u32 + 20).to_be_bytes());
@@ -34,7 +37,7 @@
     let (header, body) = split(&frame);
     assert_eq!((header.now, header.batch), (8412.25, 12));
     let id = 0x0001_6b86_5d3a_91c4;
-    let asked = Event::Request {
+    let request = Event::Request {
         id,
         key: Some(0x91f0_3b7c_55d2_0a64),
         class: 0,
@@ -44,20 +47,20 @@
         is_write: false,
         timeout_ms: 240.0,
     };
-    let gone = Event::ClientGone { request: 0x0001_9753_0e6f_2b19 };
+    let client_gone = Event::ClientGone { request: 0x0001_9753_0e6f_2b19 };
     assert_eq!(
-        wire::parse_records(&header, body).expect("good records"),
+        wire::parse_records(&header, body).expect("valid records"),
         [
-            Record::Event { instance: 3, event: asked },
+            Record::Event { instance: 3, event: request },
             Record::Event { instance: 3, event: Event::Timer { token: 0x4d } },
-            Record::Event { instance: 5, event: gone },
+            Record::Event { instance: 5, event: client_gone },
         ]
     );
 }
 
 #[test]
 fn reads_the_example_list_and_outcome() {
-    let frame = events(
+    let frame = batch_frame(
         "0a 00 00000002
          03124a07 0000 00 0000 02 3f800000 0000000000000000
          2c9011f2 0000 00 0000 02 3fc00000 40b7d40000000000
@@ -66,7 +69,7 @@
         3,
     );
     let (header, body) = split(&frame);
-    let records = wire::parse_records(&header, body).expect("good records");
+    let records = wire::parse_records(&header, body).expect("valid records");
     let Record::EndpointList { slot: 0, endpoints } = &records[0] else { panic!("{:?}", records[0]) };
     assert_eq!(endpoints.iter().map(|e| e.rating).collect::<Vec<_>>(), [1.0, 1.5]);
     assert_eq!(endpoints.iter().map(|e| e.started_at).collect::<Vec<_>>(), [None, Some(6100.0)]);
@@ -100,8 +103,8 @@
 
 #[test]
 #[allow(clippy::too_many_lines, reason = "one check per field")]
-fn reads_every_field_of_the_events() {
-    let frame = events(
+fn reads_every_field_of_every_event() {
+    let frame = batch_frame(
         "02 00000003 0000000000000007 0000000000000000 0102 05 4028000000000000 06 406e000000000000
          03 00000003 0000000000000007 02 4022800000000000 03124a07
          04 00000003 0000000000000007 02 03124a07 00fd 4032800000000000 00 05 3f000000 3f800000 40000000
@@ -111,7 +114,7 @@
         5,
     );
     let (header, body) = split(&frame);
-    let found = wire::parse_records(&header, body).expect("good records");
+    let found = wire::parse_records(&header, body).expect("valid records");
     let found: Vec<_> = found
         .into_iter()
         .map(|record| match record {
@@ -125,7 +128,7 @@
         report
     };
     let expected = [
-        // A hint whose bit is not set is none, and key 0 is none.
+        // Expected work without its flag is ignored, and key 0 means no key.
         Event::Request {
             id: 7,
             key: None,
@@ -137,7 +140,7 @@
             timeout_ms: 240.0,
         },
         Event::FirstByte { request: 7, attempt: 2, backend: 0x0312_4a07, took_ms: 9.25 },
-        // Values of a report beyond the fourth are passed over.
+        // Report values after the fourth are skipped.
         Event::Outcome {
             request: 7,
             attempt: 2,
@@ -159,8 +162,8 @@
 }
 
 #[test]
-fn reads_every_record_that_is_no_event() {
-    let frame = events(
+fn reads_every_record_other_than_events() {
+    let frame = batch_frame(
         "00 00000003 0000000000000009 00000002 7b7d
          01 00000003 00 00000029 0f
          01 00000003 01 0000002a 01
@@ -174,8 +177,8 @@
         7,
     );
     let (header, body) = split(&frame);
-    let found = wire::parse_records(&header, body).expect("good records");
-    let news = |kind, version, slot| Record::EndpointsChanged { instance: 3, kind, version, slot };
+    let found = wire::parse_records(&header, body).expect("valid records");
+    let list_change = |kind, version, slot| Record::EndpointsChanged { instance: 3, kind, version, slot };
     let entry = |id, state, rating, started_at| BackendInfo {
         id,
         zone: 2,
@@ -192,10 +195,10 @@
     ];
     let expected = [
         Record::Provision { instance: 3, seed: 9, settings: b"{}" },
-        news(ListKind::Delta, 41, 15),
-        news(ListKind::Full, 42, 1),
-        news(ListKind::Cached, 43, 2),
-        news(ListKind::Failed, 44, 255),
+        list_change(ListKind::Delta, 41, 15),
+        list_change(ListKind::Full, 42, 1),
+        list_change(ListKind::Cached, 43, 2),
+        list_change(ListKind::Failed, 44, 255),
         Record::Halt { instance: 3 },
         Record::EndpointList { slot: 15, endpoints },
     ];
@@ -215,7 +218,7 @@
         ("00f9", Outcome::NotSent),
     ];
     for (code, outcome) in codes {
-        let frame = events(&format!("07 00000003 2c9011f2 3ff8000000000000 {code} 00"), 1);
+        let frame = batch_frame(&format!("07 00000003 2c9011f2 3ff8000000000000 {code} 00"), 1);
         let (header, body) = split(&frame);
         let event =
             Event::ProbeResult { backend: 0x2c90_11f2, outcome, took_ms: 1.5, report: LoadReport::default() };
