--- a/crates/decision/src/class_priority.rs
+++ b/crates/decision/src/class_priority.rs
@@ -72,11 +72,11 @@
         let weight = |class: usize| settings.classes[class].priority_weight;
         let mean: f64 = offered.iter().enumerate().map(|(class, n)| weight(class) * n / total).sum();
         let worst_served = self.worst_served(now, &offered);
-        let objective = &settings.objective;
+        let weights = &settings.objective_weights;
         let value = |class: usize| {
             let is_worst = worst_served == Some(class);
-            let bonus = if is_worst { objective.worst_class * total / offered[class] } else { 0.0 };
-            (objective.whole + objective.worst_window) * weight(class) / mean.max(1e-9) + bonus
+            let bonus = if is_worst { weights.worst_class * total / offered[class] } else { 0.0 };
+            (weights.whole_run + weights.worst_window) * weight(class) / mean.max(1e-9) + bonus
         };
         let best = (0..offered.len()).map(value).fold(0.0, f64::max);
         self.is_lower = (0..offered.len()).map(|class| value(class) < best).collect();
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -33,8 +33,8 @@
 pub use balancer::Balancer;
 pub use event::Event;
 pub use settings::{
-    Class, DedupScope, Objective, Permissions, Prices, RatingSource, ReportField, ReportVia, RetrySafety,
-    Rules, Settings, Tenant,
+    Class, DedupScope, ObjectiveWeights, Permissions, Prices, RatingSource, ReportField, ReportVia,
+    RetrySafety, Rules, Settings, Tenant,
 };
 pub use types::{
     BackendId, BackendInfo, BackendState, ListKind, LoadReport, Millis, Outcome, RequestId, UnservedReason,
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a balancer: classes, tenants, rules, permissions, prices and the objective.
+//! The settings of a balancer: classes, tenants, rules, permissions, prices and objective weights.
 //!
 //! All times are milliseconds unless a name says otherwise. Some fields are not read by any decision and say
 //! so; they exist because the platform sends them.
@@ -40,7 +40,7 @@
     pub objective_per_work_ms: f64,
     /// How long a client waits in total, over all its attempts. No decision reads it.
     pub deadline_ms: Millis,
-    /// The weight of one served request in the [`Objective`].
+    /// The weight of one served request in the score; see [`ObjectiveWeights`].
     pub priority_weight: f64,
     /// Fraction of the priority weight that an answer after the latency objective still earns.
     pub late_weight_fraction: f64,
@@ -174,7 +174,7 @@
     /// For backend work that led to no served answer, as a fraction of the work offered.
     pub waste: f64,
     /// For priority weight that was not served within its latency objective.
-    pub late_fail: f64,
+    pub late_or_failed: f64,
     /// For health checks, per first attempt.
     pub probe: f64,
     /// For the average number of open connections, divided by 100 times the number of backends.
@@ -182,22 +182,22 @@
     /// For new connections, per first attempt.
     pub handshake: f64,
     /// For entries of endpoint lists received, per 100 first attempts.
-    pub list_lines: f64,
+    pub endpoint_list_entries: f64,
     /// For backends running or ordered, as a fraction of the backends at the start.
-    pub fleet: f64,
+    pub backends: f64,
     /// For data moved between backends, per first attempt.
-    pub moves: f64,
+    pub data_moves: f64,
     /// For fetches from the origin, per first attempt.
-    pub origin: f64,
+    pub origin_fetches: f64,
     /// For messages of 256 bytes to other instances, per first attempt.
-    pub peer: f64,
+    pub peer_messages: f64,
 }
 
 /// The weights of the components of the score; they sum to about 1.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Objective {
+pub struct ObjectiveWeights {
     /// Weight of the score over the whole run.
-    pub whole: f64,
+    pub whole_run: f64,
     /// Weight of the score in the worst time window of the run.
     pub worst_window: f64,
     /// Weight of the worst-served class.
@@ -205,8 +205,8 @@
     /// Weight of the worst-served tenant, counting only requests within its quota. No decision reads it.
     pub worst_tenant: f64,
     /// Weight of the availability in nines, over windows of five seconds. No decision reads it.
-    pub nines: f64,
-    /// The availability in nines that earns the full weight `nines`. No decision reads it.
+    pub availability: f64,
+    /// The availability in nines that earns the full weight `availability`. No decision reads it.
     pub full_at_nines: f64,
 }
 
@@ -263,5 +263,5 @@
     /// The costs that are deducted from the score.
     pub prices: Prices,
     /// The weights of the components of the score.
-    pub objective: Objective,
+    pub objective_weights: ObjectiveWeights,
 }
--- a/crates/decision/src/slow_start.rs
+++ b/crates/decision/src/slow_start.rs
@@ -42,8 +42,9 @@
 
     /// Refills the bucket and returns whether it holds a token. `capacity_rate` is the rate at which the
     /// backend is estimated to serve requests of this instance by now, in requests a second, derived from the
-    /// served rate of other backends. `instances` is the size of the fleet, and `process_fraction` the
-    /// fraction of the instance's budget that belongs to this process.
+    /// served rate of other backends: what all instances together get served is a lower bound of what a
+    /// backend can serve. `instances` is the size of the fleet, and `process_fraction` the fraction of the
+    /// instance's budget that belongs to this process.
     pub(crate) fn refill(
         &mut self,
         now: Millis,
--- a/crates/decision/tests/admission.rs
+++ b/crates/decision/tests/admission.rs
@@ -151,8 +151,9 @@
         latency_objective_ms: objective_ms,
         ..class(RetrySafety::Idempotent, DedupScope::All)
     });
-    let objective = objective(0.6, 0.1, 0.3);
-    let mut p = Proxy::new(Settings { classes: classes.to_vec(), objective, ..settings() }, &backends(40));
+    let objective_weights = objective_weights(0.6, 0.1, 0.3);
+    let mut p =
+        Proxy::new(Settings { classes: classes.to_vec(), objective_weights, ..settings() }, &backends(40));
     let mut served = [0.0, 0.0];
     for round in 0..120 {
         let send = |p: &mut Proxy, class: u8| p.send_request(class, 0, 8_000.0).map(|sent| (class, sent));
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -20,9 +20,16 @@
     }
 }
 
-/// An objective without weights for tenants and availability.
-pub fn objective(whole: f64, worst_window: f64, worst_class: f64) -> Objective {
-    Objective { whole, worst_window, worst_class, worst_tenant: 0.0, nines: 0.0, full_at_nines: 3.0 }
+/// Objective weights without weights for tenants and availability.
+pub fn objective_weights(whole_run: f64, worst_window: f64, worst_class: f64) -> ObjectiveWeights {
+    ObjectiveWeights {
+        whole_run,
+        worst_window,
+        worst_class,
+        worst_tenant: 0.0,
+        availability: 0.0,
+        full_at_nines: 3.0,
+    }
 }
 
 /// A tenant with a quota in requests a second.
@@ -79,7 +86,7 @@
             cpu_us_per_request: 0.0,
         },
         prices: Prices::default(),
-        objective: objective(0.7, 0.2, 0.1),
+        objective_weights: objective_weights(0.7, 0.2, 0.1),
     }
 }
 
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -462,7 +462,7 @@
     // No tenants, one class, one zone, no reports, no probes, one backend, one instance, at any tier.
     for tier in 0..3 {
         let mut minimal = Settings { tier, ..settings() };
-        minimal.objective = objective(0.0, 0.0, 0.0);
+        minimal.objective_weights = objective_weights(0.0, 0.0, 0.0);
         minimal.classes[0].priority_weight = 0.0;
         let mut p = Proxy::new(minimal, &backends(1));
         for _ in 0..50 {
--- a/crates/fault-injection/src/platform.rs
+++ b/crates/fault-injection/src/platform.rs
@@ -23,7 +23,7 @@
             "Points": c.priority_weight, "Streaming": c.streaming})
     };
     let tenant = |t: &hillstall_decision::Tenant| json!({"Name": t.name, "AllowancePerS": t.quota_per_s, "Fraction": t.fraction});
-    let (rules, allowed, prices, mix) = (&of.rules, &of.permissions, &of.prices, &of.objective);
+    let (rules, allowed, prices, mix) = (&of.rules, &of.permissions, &of.prices, &of.objective_weights);
     json!({
         "Rank": of.rank, "FleetSize": of.fleet_size, "Az": of.zone, "Zones": of.zones, "Stage": of.tier,
         "Stages": of.tier_names, "MachineTypes": of.machine_kinds, "KindOfService": of.service,
@@ -43,12 +43,12 @@
             "OpenCap": allowed.max_open, "IdleClose": allowed.idle_close_ms,
             "ConnectTimeout": allowed.connect_timeout_ms, "StreamsPerConn": allowed.streams_per_connection,
             "CpuUsPerS": allowed.cpu_us_per_s, "CpuUsPerRequest": allowed.cpu_us_per_request},
-        "Prices": {"CrossZone": prices.cross_zone, "Waste": prices.waste, "LateFail": prices.late_fail,
+        "Prices": {"CrossZone": prices.cross_zone, "Waste": prices.waste, "LateFail": prices.late_or_failed,
             "Probe": prices.probe, "Connection": prices.connection, "Handshake": prices.handshake,
-            "MembershipMode": prices.list_lines, "Fleet": prices.fleet, "Moves": prices.moves,
-            "Origin": prices.origin, "Peer": prices.peer},
-        "ObjectiveMix": {"Whole": mix.whole, "WorstClass": mix.worst_class, "WorstTenant": mix.worst_tenant,
-            "WorstWindow": mix.worst_window, "Nines": mix.nines, "FullAtNines": mix.full_at_nines},
+            "MembershipMode": prices.endpoint_list_entries, "Fleet": prices.backends, "Moves": prices.data_moves,
+            "Origin": prices.origin_fetches, "Peer": prices.peer_messages},
+        "ObjectiveMix": {"Whole": mix.whole_run, "WorstClass": mix.worst_class, "WorstTenant": mix.worst_tenant,
+            "WorstWindow": mix.worst_window, "Nines": mix.availability, "FullAtNines": mix.full_at_nines},
     })
 }
 
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -5,8 +5,8 @@
     RawRetrySafety, RawRules, RawSettings, RawTenant, RawWeightBasis, RawWeights,
 };
 use hillstall_decision::{
-    Class, DedupScope, Objective, Permissions, Prices, RatingSource, ReportField, ReportVia, RetrySafety,
-    Rules, Settings, Tenant,
+    Class, DedupScope, ObjectiveWeights, Permissions, Prices, RatingSource, ReportField, ReportVia,
+    RetrySafety, Rules, Settings, Tenant,
 };
 
 /// Converts validated settings.
@@ -35,7 +35,7 @@
         rules: rules(&raw.rules),
         permissions: permissions(&raw.permissions),
         prices: prices(&raw.prices),
-        objective: objective(&raw.objective),
+        objective_weights: objective_weights(&raw.objective),
     }
 }
 
@@ -112,15 +112,15 @@
     Prices {
         cross_zone: raw.cross_zone,
         waste: raw.waste,
-        late_fail: raw.late_fail,
+        late_or_failed: raw.late_fail,
         probe: raw.probe,
         connection: raw.connection,
         handshake: raw.handshake,
-        list_lines: raw.list_lines,
-        fleet: raw.fleet,
-        moves: raw.moves,
-        origin: raw.origin,
-        peer: raw.peer,
+        endpoint_list_entries: raw.list_lines,
+        backends: raw.fleet,
+        data_moves: raw.moves,
+        origin_fetches: raw.origin,
+        peer_messages: raw.peer,
     }
 }
 
@@ -141,13 +141,13 @@
     }
 }
 
-fn objective(raw: &RawObjective) -> Objective {
-    Objective {
-        whole: raw.whole,
+fn objective_weights(raw: &RawObjective) -> ObjectiveWeights {
+    ObjectiveWeights {
+        whole_run: raw.whole,
         worst_window: raw.worst_window,
         worst_class: raw.worst_class,
         worst_tenant: raw.worst_tenant,
-        nines: raw.nines,
+        availability: raw.nines,
         full_at_nines: raw.full_at_nines,
     }
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -135,22 +135,22 @@
         prices: Prices {
             connection: 0.01,
             cross_zone: 0.02,
-            fleet: 0.03,
+            backends: 0.03,
             handshake: 0.04,
-            late_fail: 0.05,
-            list_lines: 0.06,
-            moves: 0.07,
-            origin: 0.08,
-            peer: 0.09,
+            late_or_failed: 0.05,
+            endpoint_list_entries: 0.06,
+            data_moves: 0.07,
+            origin_fetches: 0.08,
+            peer_messages: 0.09,
             probe: 0.1,
             waste: 0.11,
         },
-        objective: Objective {
-            whole: 0.5,
+        objective_weights: ObjectiveWeights {
+            whole_run: 0.5,
             worst_window: 0.13,
             worst_class: 0.11,
             worst_tenant: 0.12,
-            nines: 0.2,
+            availability: 0.2,
             full_at_nines: 4.0,
         },
     };
@@ -235,7 +235,10 @@
         (s.classes[0].priority_weight, s.classes[0].late_weight_fraction, s.classes[0].objective_per_work_ms),
         (1.0, 0.0, 0.0)
     );
-    assert_eq!((s.objective.whole, s.objective.nines, s.over_quota_weight), (1.0, 0.0, 1.0));
+    assert_eq!(
+        (s.objective_weights.whole_run, s.objective_weights.availability, s.over_quota_weight),
+        (1.0, 0.0, 1.0)
+    );
     assert_eq!(s.rules.poll_interval_ms, f64::MAX);
 }
 
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -5,8 +5,8 @@
 use crate::model::work::Shape;
 use crate::scenario::{ClassRetrySafety, CutMode, FailureKind, LinkKind, Scenario};
 use hillstall_decision::{
-    Class, DedupScope, Objective, Permissions, Prices, RatingSource, ReportVia, RetrySafety, Rules, Settings,
-    Tenant,
+    Class, DedupScope, ObjectiveWeights, Permissions, Prices, RatingSource, ReportVia, RetrySafety, Rules,
+    Settings, Tenant,
 };
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -425,13 +425,13 @@
                 cpu_us_per_s: 1e6,
                 cpu_us_per_request: 0.0,
             },
-            prices: Prices { cross_zone: 0.015, waste: 0.027, late_fail: 0.03, ..Prices::default() },
-            objective: Objective {
-                whole: 0.55,
+            prices: Prices { cross_zone: 0.015, waste: 0.027, late_or_failed: 0.03, ..Prices::default() },
+            objective_weights: ObjectiveWeights {
+                whole_run: 0.55,
                 worst_window: 0.05,
                 worst_class: 0.1,
                 worst_tenant: 0.3,
-                nines: 0.0,
+                availability: 0.0,
                 full_at_nines: 3.0,
             },
         }
