--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -1,23 +1,23 @@
-//! Converts the JSON form into the types of the decision module.
+//! Converts deserialized settings into the types of the decision module.
 
 use crate::raw::{
     RawClass, RawDedupScope, RawMembershipMode, RawObjective, RawPermissions, RawPrices, RawReportVia,
     RawRetrySafety, RawRules, RawSettings, RawTenant, RawWeightBasis, RawWeights,
 };
 use hillstall_decision::{
-    Class, DedupScope, Objective, Permissions, Prices, ReportField, ReportVia, RetrySafety, Rules, Settings,
-    Tenant, Weights,
+    Class, DedupScope, ObjectiveWeights, Permissions, Prices, RatingSource, ReportField, ReportVia,
+    RetrySafety, Rules, Settings, Tenant,
 };
 
-/// Converts settings whose values have been checked.
+/// Converts validated settings.
 pub fn convert(raw: RawSettings) -> Settings {
     Settings {
         rank: raw.rank,
         fleet_size: raw.fleet_size,
         zone: raw.zone,
         zones: raw.zones,
-        stage: raw.stage,
-        stages: raw.stages,
+        tier: raw.tier,
+        tier_names: raw.tier_names,
         machine_kinds: raw.machine_kinds,
         service: raw.service,
         passes_deadline: raw.service_family.passes_deadline,
@@ -27,7 +27,7 @@
         weight_by_work: matches!(raw.weight_basis, RawWeightBasis::Work),
         over_quota_weight: raw.over_quota_weight,
         tick_ms: raw.tick_ms,
-        weights: weights(raw.weights),
+        rating_source: rating_source(raw.weights),
         report: raw.report.fields.iter().map(|name| report_field(name)).collect(),
         report_via: report_via(raw.report.via),
         classes: raw.classes.into_iter().map(class).collect(),
@@ -35,7 +35,7 @@
         rules: rules(&raw.rules),
         permissions: permissions(&raw.permissions),
         prices: prices(&raw.prices),
-        objective: objective(&raw.objective),
+        objective_weights: objective_weights(&raw.objective),
     }
 }
 
@@ -112,24 +112,24 @@
     Prices {
         cross_zone: raw.cross_zone,
         waste: raw.waste,
-        late_fail: raw.late_fail,
+        late_or_failed: raw.late_fail,
         probe: raw.probe,
         connection: raw.connection,
         handshake: raw.handshake,
-        list_lines: raw.list_lines,
-        fleet: raw.fleet,
-        moves: raw.moves,
-        origin: raw.origin,
-        peer: raw.peer,
+        endpoint_list_entries: raw.list_lines,
+        backends: raw.fleet,
+        data_moves: raw.moves,
+        origin_fetches: raw.origin,
+        peer_messages: raw.peer,
     }
 }
 
-fn weights(raw: RawWeights) -> Weights {
+fn rating_source(raw: RawWeights) -> RatingSource {
     match raw {
-        RawWeights::Off => Weights::Off,
-        RawWeights::Nominal => Weights::Nominal,
-        RawWeights::Rough => Weights::Rough,
-        RawWeights::Live => Weights::Live,
+        RawWeights::Off => RatingSource::Off,
+        RawWeights::Nominal => RatingSource::Nominal,
+        RawWeights::Rough => RatingSource::Rough,
+        RawWeights::Live => RatingSource::Live,
     }
 }
 
@@ -141,13 +141,13 @@
     }
 }
 
-fn objective(raw: &RawObjective) -> Objective {
-    Objective {
-        whole: raw.whole,
+fn objective_weights(raw: &RawObjective) -> ObjectiveWeights {
+    ObjectiveWeights {
+        whole_run: raw.whole,
         worst_window: raw.worst_window,
         worst_class: raw.worst_class,
         worst_tenant: raw.worst_tenant,
-        nines: raw.nines,
+        availability: raw.nines,
         full_at_nines: raw.full_at_nines,
     }
 }
