--- a/crates/consensus/src/follower_streams.rs
+++ b/crates/consensus/src/follower_streams.rs
@@ -93,7 +93,11 @@
             Command::Lease(command) => {
                 let lease = command.lease();
                 let Some(record) = lease_record else { return };
-                if self.sent_leases.get(lease).is_some_and(|sent| sent.has_same_parties(&record)) {
+                if self
+                    .sent_leases
+                    .get(lease)
+                    .is_some_and(|sent| sent.has_same_holder_and_candidates(&record))
+                {
                     return;
                 }
                 self.sent_leases.insert(lease.clone(), record.clone());
--- a/crates/consensus/src/lease_manager.rs
+++ b/crates/consensus/src/lease_manager.rs
@@ -116,7 +116,7 @@
     pub fn due_commands(&mut self, now: Millis, random: f64) -> Vec<LeaseCommand> {
         let competes = |managed: &&mut ManagedLease| !managed.is_released && now >= managed.competes_from;
         let competing = self.managed.values_mut().filter(competes);
-        competing.filter_map(|managed| managed.session.acquire(now, random)).collect()
+        competing.filter_map(|managed| managed.session.due_command(now, random)).collect()
     }
 
     /// Takes the lease table as it is known at `now`.
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -51,12 +51,12 @@
 const RANDOM_ID_MASK: u64 = 0xFFFF_FFFF;
 
 /// The slot of the replica with this id.
-pub fn slot_of(id: u64) -> usize {
+pub fn replica_slot(id: u64) -> usize {
     (id >> SLOT_SHIFT) as usize
 }
 
 /// The id of a new storage: the slot, and random bits that tell it from all storages the slot had before.
-pub fn new_id(slot: usize, random: u64) -> u64 {
+pub fn new_replica_id(slot: usize, random: u64) -> u64 {
     // The raft crate allows no id of zero.
     ((slot as u64) << SLOT_SHIFT) | (random & RANDOM_ID_MASK).max(1)
 }
--- a/crates/consensus/src/replica/member_changes.rs
+++ b/crates/consensus/src/replica/member_changes.rs
@@ -2,7 +2,7 @@
 //! complete a voter, in the place of the slot's previous storage.
 
 use super::membership::ANNOUNCEMENT_TTL_MS;
-use super::{slot_of, Replica};
+use super::{replica_slot, Replica};
 use crate::log::RaftLog;
 use crate::storage::ReplicaStorage;
 use hillstall_lease::Millis;
@@ -44,7 +44,7 @@
     } else {
         return None;
     };
-    let of_same_slot = replaced_members.iter().filter(|member| slot_of(**member) == slot_of(id));
+    let of_same_slot = replaced_members.iter().filter(|member| replica_slot(**member) == replica_slot(id));
     let mut changes: Vec<_> =
         of_same_slot.map(|member| single_change(ConfChangeType::RemoveNode, *member)).collect();
     changes.push(single_change(addition, id));
--- a/crates/consensus/src/replica/membership.rs
+++ b/crates/consensus/src/replica/membership.rs
@@ -2,7 +2,7 @@
 //! start. So a storage that was put back from a backup is found out, and comes back under a new id. Replicas that are all
 //! new bootstrap a fleet; one that is new alone joins the fleet there is.
 
-use super::{slot_of, MembershipMessage, Replica, ReplicaEvent, ReplicaMessage};
+use super::{replica_slot, MembershipMessage, Replica, ReplicaEvent, ReplicaMessage};
 use crate::log::RaftLog;
 use crate::state::State;
 use crate::storage::{PersistentState, ReplicaStorage, WriteBatch};
@@ -83,7 +83,7 @@
     /// Takes a message about who takes part.
     pub(super) fn on_membership_message(&mut self, now: Millis, slot: usize, message: &MembershipMessage) {
         match message {
-            MembershipMessage::Announce { id, boot, incarnation, founders } if slot_of(*id) == slot => {
+            MembershipMessage::Announce { id, boot, incarnation, founders } if replica_slot(*id) == slot => {
                 let peer = KnownPeer {
                     id: *id,
                     incarnation: *incarnation,
@@ -102,7 +102,7 @@
             MembershipMessage::Outdated { incarnation } if *incarnation == self.incarnation => {
                 self.reset_storage();
             }
-            MembershipMessage::Join { id } if slot_of(*id) == slot => {
+            MembershipMessage::Join { id } if replica_slot(*id) == slot => {
                 self.join_requests.insert(*id, now);
             }
             _ => {}
--- a/crates/consensus/src/replica/ready.rs
+++ b/crates/consensus/src/replica/ready.rs
@@ -1,7 +1,7 @@
 //! Proposals, reads and raft messages go into the `raft` crate here, and what it has ready is carried out: first what is to
 //! be stored, then what is to be sent, then what is to be applied.
 
-use super::{slot_of, AppliedProposal, Replica, ReplicaEvent, ReplicaMessage};
+use super::{replica_slot, AppliedProposal, Replica, ReplicaEvent, ReplicaMessage};
 use crate::state::{Command, Proposal, State};
 use crate::storage::{ReplicaStorage, WriteBatch};
 use protobuf::Message as _;
@@ -56,7 +56,7 @@
             return self.log("a keeper's word can't be read".into());
         };
         // It may be meant for the slot's previous storage, or come from a slot that doesn't exist.
-        if message.to != self.persistent.id || slot_of(message.from) >= self.slots {
+        if message.to != self.persistent.id || replica_slot(message.from) >= self.slots {
             return;
         }
         // A leader's heartbeat names no more entries as committed than this replica has confirmed.
@@ -126,7 +126,7 @@
 
     fn send(&mut self, messages: Vec<Message>) {
         for message in messages {
-            let slot = slot_of(message.to);
+            let slot = replica_slot(message.to);
             if slot < self.slots && slot != self.slot {
                 let bytes = message.write_to_bytes().unwrap_or_default();
                 self.events.push(ReplicaEvent::Send { slot, message: ReplicaMessage::Raft(bytes) });
--- a/crates/consensus/src/replica/status.rs
+++ b/crates/consensus/src/replica/status.rs
@@ -1,6 +1,6 @@
 //! What a replica says of itself: its state, its role and the members that it knows of.
 
-use super::{slot_of, Replica};
+use super::{replica_slot, Replica};
 use crate::state::State;
 use crate::storage::ReplicaStorage;
 use raft::StateRole;
@@ -24,7 +24,7 @@
     /// The slot of the leader that this replica knows of.
     pub fn leader(&self) -> Option<usize> {
         let leader_id = self.raft.as_ref()?.raft.leader_id;
-        (leader_id != raft::INVALID_ID).then(|| slot_of(leader_id))
+        (leader_id != raft::INVALID_ID).then(|| replica_slot(leader_id))
     }
 
     /// The id of this replica's storage.
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -5,7 +5,7 @@
 /// What the storage holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistentState {
-    /// The replica's id, drawn when the storage was new; see [`new_id`](crate::replica::new_id).
+    /// The replica's id, drawn when the storage was new; see [`new_replica_id`](crate::replica::new_replica_id).
     pub id: u64,
     /// The number of starts from this storage.
     pub boot: u64,
--- a/crates/consensus/tests/instant_fleet/mod.rs
+++ b/crates/consensus/tests/instant_fleet/mod.rs
@@ -2,7 +2,7 @@
 
 use hillstall_change_freeze::detection::Thresholds;
 use hillstall_consensus::node::{Destination, Node, NodeConfig, Output};
-use hillstall_consensus::replica::new_id;
+use hillstall_consensus::replica::new_replica_id;
 use hillstall_consensus::storage::{PersistentState, ReplicaStorage, ReplicaStorageError, WriteBatch};
 use hillstall_lease::timing::LeaseTiming;
 use hillstall_lease::{Instance, LeaseName, Millis};
@@ -23,7 +23,7 @@
 
 impl ReplicaStorage for CountingStorage {
     fn load(&mut self) -> Result<PersistentState, ReplicaStorageError> {
-        self.stored.id = new_id(self.slot, 7);
+        self.stored.id = new_replica_id(self.slot, 7);
         Ok(self.stored.clone())
     }
 
--- a/crates/consensus/tests/sim/storage.rs
+++ b/crates/consensus/tests/sim/storage.rs
@@ -1,6 +1,6 @@
 //! A storage in memory that outlives its process, and whose faults the simulation controls.
 
-use hillstall_consensus::replica::new_id;
+use hillstall_consensus::replica::new_replica_id;
 use hillstall_consensus::storage::{PersistentState, ReplicaStorage, ReplicaStorageError, WriteBatch};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -36,7 +36,7 @@
     fn load(&mut self) -> Result<PersistentState, ReplicaStorageError> {
         let mut stored = self.disk.stored.borrow_mut();
         if stored.id == 0 {
-            stored.id = new_id(self.slot, self.random);
+            stored.id = new_replica_id(self.slot, self.random);
         }
         Ok(stored.clone())
     }
@@ -56,7 +56,7 @@
 
     fn reset(&mut self) -> Result<PersistentState, ReplicaStorageError> {
         self.random = self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-        let id = new_id(self.slot, self.random >> 16);
+        let id = new_replica_id(self.slot, self.random >> 16);
         *self.disk.stored.borrow_mut() = PersistentState { id, ..PersistentState::default() };
         Ok(self.disk.stored.borrow().clone())
     }
--- a/crates/coordination/src/redb_storage.rs
+++ b/crates/coordination/src/redb_storage.rs
@@ -1,7 +1,7 @@
 //! A replica's storage: an embedded `redb` database in one file. Each batch is synced before anything that follows from it
 //! is sent.
 
-use hillstall_consensus::replica::new_id;
+use hillstall_consensus::replica::new_replica_id;
 use hillstall_consensus::storage::{PersistentState, ReplicaStorage, ReplicaStorageError, WriteBatch};
 use redb::{
     Database, Durability, ReadTransaction, ReadableDatabase, ReadableTable, TableDefinition, WriteTransaction,
@@ -145,7 +145,7 @@
     fn initialize(&mut self) -> Result<PersistentState, ReplicaStorageError> {
         // The system's random hash keys differ at each start.
         let random = RandomState::new().hash_one(std::process::id());
-        let id = new_id(self.slot, random);
+        let id = new_replica_id(self.slot, random);
         self.header = StoredHeader { version: FORMAT_VERSION, id, ..StoredHeader::default() };
         self.write(&WriteBatch::default(), &self.header).map_err(failed)?;
         Ok(PersistentState { id, ..PersistentState::default() })
--- a/crates/lease/src/session.rs
+++ b/crates/lease/src/session.rs
@@ -66,7 +66,7 @@
 
     /// The command to propose to the replicas, if one is due. The caller remembers `now` and passes it with the response to
     /// [`LeaseSession::on_renewed`]. `random`, from 0 to 1, spreads the requests of several instances.
-    pub fn acquire(&mut self, now: Millis, random: f64) -> Option<LeaseCommand> {
+    pub fn due_command(&mut self, now: Millis, random: f64) -> Option<LeaseCommand> {
         self.expire(now);
         if now < self.next_request_at {
             return None;
--- a/crates/lease/src/table.rs
+++ b/crates/lease/src/table.rs
@@ -52,7 +52,7 @@
 
 impl LeaseRecord {
     /// Whether holder, token and candidates are the same, whatever the counts of renewals and heartbeats.
-    pub fn has_same_parties(&self, other: &LeaseRecord) -> bool {
+    pub fn has_same_holder_and_candidates(&self, other: &LeaseRecord) -> bool {
         self.holder_and_token() == other.holder_and_token()
             && self.candidates.len() == other.candidates.len()
             && self.candidates.iter().zip(&other.candidates).all(|(a, b)| a.is_same_candidate(b))
--- a/crates/lease/tests/fleet/simulation.rs
+++ b/crates/lease/tests/fleet/simulation.rs
@@ -307,7 +307,7 @@
         let jitter = self.random_below(1_000) as f64 / 1_000.0;
         let instance = &mut self.instances[index];
         let (id, local) = (instance.id, instance.clock.read(self.now));
-        let request = instance.session.acquire(local, jitter);
+        let request = instance.session.due_command(local, jitter);
         // A command decided on before a suspension is sent now, whatever has happened; only then is the lease checked.
         let token = instance.pending_token.take().or(instance.session.token(local));
         let needs_minimum = instance.fencing.minimum(&lease_name()).is_none();
