--- a/crates/lease/src/fencing.rs
+++ b/crates/lease/src/fencing.rs
@@ -1,36 +1,38 @@
-//! The fencing check of an instance that carries out a lease holder's commands.
+//! The fencing check of an instance that executes the commands of lease holders.
 //!
-//! Stale commands are stopped here and not at the sender: a holder that is suspended between its own check and its act
-//! can't know what has happened meanwhile.
+//! Stale commands are rejected by their receivers, because the sender cannot do it reliably: a holder may be suspended
+//! between checking its lease and sending the command, and lose the lease meanwhile.
 
 use crate::{FencingToken, LeaseName, Millis};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A command of a lease holder to an instance. `T` is the value that it sets.
+/// A command of a lease holder to an instance, which sets a value of type `T` for a limited time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FencedCommand<T> {
-    /// The lease under which it is given.
+    /// The lease under which the command is sent.
     pub lease: LeaseName,
     /// The token of the sender's grant.
     pub token: FencingToken,
     /// Increases with each command under the same grant.
     pub sequence: u64,
-    /// How long `value` applies after it was accepted, in milliseconds.
+    /// How long `value` stays in effect after it was accepted, in milliseconds.
     pub valid_for: Millis,
-    /// The value that applies.
+    /// The value to set.
     pub value: T,
-    /// The value that applies once `valid_for` is over and no newer command was accepted.
+    /// The value in effect once `valid_for` is over, unless a newer command was accepted.
     pub fallback: T,
 }
 
 /// Why a command was not accepted.
+// The messages are written to audit logs, whose readers match them: they say order for command, gate for fencing
+// check and floor for minimum token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FencingError {
-    /// This instance does not know yet which commands are stale.
+    /// No minimum token is known yet, so a stale command could not be told from a current one.
     #[error("the gate is closed: no floor was told since the start")]
     NoMinimumToken,
-    /// A newer holder has given a command, or is known to exist.
+    /// The lease was granted again since the grant under which the command was sent.
     #[error("the order's token Token({}) is below Token({})", token.0, minimum.0)]
     StaleToken {
         /// The command's token.
@@ -38,7 +40,7 @@
         /// The lowest token that is accepted.
         minimum: FencingToken,
     },
-    /// A newer command of the same holder was accepted, or this same command.
+    /// This command, or a newer one under the same grant, was accepted before.
     #[error("order {sequence} came after {newest}")]
     StaleSequence {
         /// The command's sequence number.
@@ -48,13 +50,13 @@
     },
 }
 
-/// The oldest command that is still accepted under a lease. An instance with a disk stores it before it acts; one without
-/// loses it at a restart and has to learn it from the replicas.
+/// The lower bound for commands that are accepted under a lease. An instance with persistent storage stores it before it
+/// executes a command; one without loses it at a restart and has to read it from the replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MinimumToken {
     /// The lowest token that is accepted.
     pub token: FencingToken,
-    /// The highest sequence number that was accepted under that token.
+    /// The highest sequence number accepted under that token; `None` if no command was accepted under it.
     pub sequence: Option<u64>,
 }
 
@@ -65,7 +67,7 @@
     valid_until: Millis,
 }
 
-/// The fencing checks of one instance, by lease. A lease without a known minimum token accepts nothing.
+/// The fencing checks of one instance, by lease. Commands under a lease without a known minimum token are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct FencingChecks<T> {
     minimums: BTreeMap<LeaseName, MinimumToken>,
@@ -73,15 +75,16 @@
 }
 
 impl<T> Default for FencingChecks<T> {
-    /// No minimum token is known: nothing is accepted.
+    /// No minimum token is known, so that all commands are rejected.
     fn default() -> FencingChecks<T> {
         FencingChecks { minimums: BTreeMap::new(), accepted: BTreeMap::new() }
     }
 }
 
 impl<T: Clone> FencingChecks<T> {
-    /// Raises the minimum token of a lease, after a linearizable read of the replicas or a read of this instance's own
-    /// disk. From then on commands under that lease can be accepted. A lower minimum than the known one is ignored.
+    /// Raises the minimum token of a lease. `minimum` must come from a linearizable read of the replicas or from this
+    /// instance's own storage. From then on commands under that lease can be accepted. A minimum below the known one
+    /// is ignored.
     pub fn raise_minimum(&mut self, lease: &LeaseName, minimum: MinimumToken) {
         let known = self.minimums.entry(lease.clone()).or_default();
         if (minimum.token, minimum.sequence) > (known.token, known.sequence) {
@@ -89,8 +92,8 @@
         }
     }
 
-    /// Checks a command without accepting it. Returns the minimum token that an instance with a disk has to store before
-    /// it calls [`FencingChecks::accept`].
+    /// Checks a command without accepting it. Returns the minimum token that an instance with persistent storage has to
+    /// store before it calls [`FencingChecks::accept`].
     pub fn check(&self, command: &FencedCommand<T>) -> Result<MinimumToken, FencingError> {
         let Some(minimum) = self.minimums.get(&command.lease) else {
             return Err(FencingError::NoMinimumToken);
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Checks a command and accepts it: it applies from now on, and nothing older is accepted any more.
+    /// Checks a command and accepts it: its value is in effect from `now` on, and older commands are rejected.
     pub fn accept(&mut self, now: Millis, command: FencedCommand<T>) -> Result<(), FencingError> {
         let minimum = self.check(&command)?;
         let FencedCommand { lease, valid_for, value, fallback, .. } = command;
@@ -116,7 +119,7 @@
         Ok(())
     }
 
-    /// The value that applies under a lease at `now`; `None` if no command was ever accepted.
+    /// The value in effect under a lease at `now`; `None` if no command was ever accepted.
     pub fn effective_value(&self, lease: &LeaseName, now: Millis) -> Option<&T> {
         let command = self.accepted.get(lease)?;
         Some(if now < command.valid_until { &command.value } else { &command.fallback })
--- a/crates/lease/src/table.rs
+++ b/crates/lease/src/table.rs
@@ -1,7 +1,7 @@
 //! The replicated table of leases: holders, candidates and tokens.
 //!
-//! Each replica applies the same commands in the same order, so nothing here reads a clock. Each command may be applied
-//! twice.
+//! All replicas apply the same commands in the same order, so the result must depend on nothing else, and nothing here
+//! reads a clock. Commands are idempotent, as each may be applied twice.
 
 use crate::{FencingToken, Instance, LeaseName};
 use serde::{Deserialize, Serialize};
@@ -12,10 +12,10 @@
 /// Maximum number of candidates for one lease, which bounds the size of a snapshot.
 pub const MAX_CANDIDATES_PER_LEASE: usize = 64;
 
-/// A lease granted to an instance.
+/// The grant of a lease to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
-    /// The instance that holds it.
+    /// The instance that holds the lease.
     pub holder: Instance,
     /// The token that the holder's commands carry.
     pub token: FencingToken,
@@ -26,9 +26,9 @@
 /// An instance that waits for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Candidate {
-    /// The instance.
+    /// The waiting process; a restarted process is another candidate.
     pub instance: Instance,
-    /// Candidates with a lower rank are preferred: it states how far the instance's site is from the lease's.
+    /// The candidate with the lowest rank is granted the lease first; of equal ranks, the one that came first.
     pub rank: u8,
     /// Increases with each repeated [`LeaseCommand::Acquire`].
     pub heartbeats: u64,
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRecord {
     grant: Option<Grant>,
-    /// The highest token that was ever granted for it.
+    /// The token of the lease's newest grant, which may have ended; 0 before the first grant.
     highest_token: FencingToken,
     /// In the order of arrival.
     candidates: Vec<Candidate>,
@@ -51,7 +51,7 @@
 }
 
 impl LeaseRecord {
-    /// Whether holder, token and candidates are the same, whatever the counts of renewals and heartbeats.
+    /// Whether holder, token and candidates are equal; the numbers of renewals and heartbeats may differ.
     pub fn has_same_holder_and_candidates(&self, other: &LeaseRecord) -> bool {
         self.holder_and_token() == other.holder_and_token()
             && self.candidates.len() == other.candidates.len()
@@ -66,7 +66,8 @@
         self.candidates.retain(|candidate| candidate.instance != instance);
     }
 
-    /// Grants the lease to the preferred candidate, with a token above all earlier ones; leaves it free if there is none.
+    /// Grants the lease to the preferred candidate, with a higher token than all earlier grants. Without a candidate
+    /// the lease becomes free.
     fn grant_next(&mut self, newest_token: &mut FencingToken) {
         let preferred = (0..self.candidates.len()).min_by_key(|index| self.candidates[*index].rank);
         self.grant = preferred.map(|index| {
@@ -81,56 +82,57 @@
 /// A command to the replicated table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LeaseCommand {
-    /// An instance becomes a candidate, or confirms that it still is one. It is granted a free lease at once.
+    /// An instance becomes a candidate, or confirms that it still is one. A free lease is granted at once.
     Acquire {
-        /// The lease.
+        /// The lease to become a candidate for; an unknown one is added to the table.
         lease: LeaseName,
-        /// The instance.
+        /// The candidate.
         instance: Instance,
-        /// See [`Candidate::rank`].
+        /// See [`Candidate::rank`]; replaces the rank of an earlier `Acquire`.
         rank: u8,
     },
     /// The holder renews its grant.
     Renew {
-        /// The lease.
+        /// The lease to renew.
         lease: LeaseName,
-        /// The instance.
+        /// The holder.
         instance: Instance,
-        /// The token of its grant.
+        /// The token of the holder's grant.
         token: FencingToken,
-        /// The number of renewals that the holder has observed. A holder whose requests arrive while the responses are
-        /// lost renews at most once more: otherwise it would keep a lease that it can't act on.
+        /// The number of renewals that the holder has observed. Unless it is the current number, the command is
+        /// rejected: a holder that sends requests but receives no responses can't act on the lease, and would
+        /// otherwise keep it by its renewals.
         known_renewals: u64,
     },
     /// The holder gives up the lease, which is granted to the next candidate at once; or a candidate withdraws.
     Release {
-        /// The lease.
+        /// The lease to give up, or to be no candidate for any more.
         lease: LeaseName,
-        /// The instance.
+        /// The holder or candidate.
         instance: Instance,
     },
-    /// A replica has waited for a whole term since this renewal.
+    /// Ends a grant that was not renewed for a whole term; the lease is granted to the next candidate.
     Expire {
-        /// The lease.
+        /// The lease whose grant has expired.
         lease: LeaseName,
-        /// The token of the grant.
+        /// The token of the expired grant.
         token: FencingToken,
-        /// The number of renewals when its timer started.
+        /// The number of renewals when the replica's timer started; a renewal since then voids the command.
         renewals: u64,
     },
-    /// A replica has waited for a whole term for a heartbeat of a candidate.
+    /// Removes a candidate that did not repeat its `Acquire` for a whole term.
     RemoveCandidate {
-        /// The lease.
+        /// The lease for which the instance is a candidate.
         lease: LeaseName,
-        /// The instance.
+        /// The candidate.
         instance: Instance,
-        /// The number of heartbeats when its timer started.
+        /// The number of heartbeats when the replica's timer started; a heartbeat since then voids the command.
         heartbeats: u64,
     },
 }
 
 impl LeaseCommand {
-    /// The lease that it concerns.
+    /// The lease to which the command applies.
     pub fn lease(&self) -> &LeaseName {
         match self {
             LeaseCommand::Acquire { lease, .. }
@@ -143,18 +145,20 @@
 }
 
 /// Why a command had no effect.
+// The messages are stored and replicated as outcomes of commands, so they keep their words: duty for lease, copies for
+// instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LeaseError {
-    /// It refers to a grant that is over.
+    /// The command refers to a grant that has ended, or to an unknown lease.
     #[error("the grant is over; the duty's newest token is Token({})", newest.0)]
     GrantEnded {
-        /// The highest token that was granted for the lease.
+        /// The highest token that was ever granted for the lease; 0 if there was no grant.
         newest: FencingToken,
     },
-    /// The grant was renewed, and the holder has not observed that.
+    /// The grant was renewed, and the holder has not observed that renewal.
     #[error("there was a renewal that the holder has not heard of")]
     UnobservedRenewal,
-    /// The table has [`MAX_LEASES`] leases.
+    /// The lease is new, and the table has [`MAX_LEASES`] leases.
     #[error("a fleet has at most {MAX_LEASES} duties")]
     TooManyLeases,
     /// The lease has [`MAX_CANDIDATES_PER_LEASE`] candidates.
@@ -219,8 +223,8 @@
             return Err(LeaseError::TooManyLeases);
         }
         let record = self.records.entry(lease.clone()).or_default();
-        // The holder has not learned of its grant yet. This renews nothing, as it may be a late message of a holder that
-        // is gone.
+        // The holder has not learned of its grant yet. The grant is not renewed: the command may be a delayed message of
+        // a holder that no longer runs.
         if record.grant.is_some_and(|grant| grant.holder == instance) {
             return Ok(record.grant);
         }
@@ -232,29 +236,30 @@
         } else {
             record.candidates.push(Candidate { instance, rank, heartbeats: 0 });
         }
-        // A live holder is not replaced by a preferred candidate: each change of holder costs more than it gains.
+        // A holder is not replaced by a candidate of a lower rank: a change of holder costs more than it gains.
         if record.grant.is_none() {
             record.grant_next(&mut self.newest_token);
         }
         Ok(record.grant)
     }
 
-    /// The current grant of a lease; `None` if nobody holds it.
+    /// The current grant of a lease; `None` if the lease is free or unknown.
     pub fn grant(&self, lease: &LeaseName) -> Option<Grant> {
         self.records.get(lease)?.grant
     }
 
-    /// The highest token ever granted for a lease: the minimum of a fencing check that knows none. 0 for an unknown lease.
+    /// The highest token ever granted for a lease, from which a fencing check starts after a restart; 0 for an unknown
+    /// lease.
     pub fn highest_token(&self, lease: &LeaseName) -> FencingToken {
         self.records.get(lease).map_or(FencingToken::default(), |record| record.highest_token)
     }
 
-    /// The table's entry for a lease.
+    /// The table's entry for a lease; `None` if nobody was ever a candidate for it.
     pub fn record(&self, lease: &LeaseName) -> Option<&LeaseRecord> {
         self.records.get(lease)
     }
 
-    /// Replaces the entry for a lease, on an instance that is notified of outcomes and does not apply each command.
+    /// Replaces the entry for a lease, on an instance that receives whole entries instead of applying each command.
     pub fn set_record(&mut self, lease: &LeaseName, record: LeaseRecord) {
         self.newest_token = self.newest_token.max(record.highest_token);
         self.records.insert(lease.clone(), record);
--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 use hillstall_lease::LeaseName;
 
-/// The lease that the tests are about.
+/// The one lease that the tests of this package use.
 pub fn lease_name() -> LeaseName {
     LeaseName::new("shift/north").expect("a valid name")
 }
--- a/crates/lease/tests/fleet/events.rs
+++ b/crates/lease/tests/fleet/events.rs
@@ -1,4 +1,4 @@
-//! What happens in the simulation, and the queue that orders it.
+//! The events of the simulation, and the queue that orders them by time.
 
 use hillstall_lease::fencing::FencedCommand;
 use hillstall_lease::table::{Grant, LeaseCommand};
@@ -6,13 +6,13 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// A deliberate fault of the implementation that the invariants must detect.
+/// A fault planted in the implementation, which the invariant checks must detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PlantedFault {
     None,
     /// A holder counts its grant from the response, not from the request.
     CountFromResponse,
-    /// Commands are carried out whatever their token.
+    /// Commands are executed without a check of their token.
     NoFencingCheck,
     /// A restarted instance accepts commands before it knows a minimum token.
     AcceptAtStart,
@@ -32,11 +32,11 @@
     Response(LeaseResponse),
     /// A holder's command to an instance.
     Command { to: usize, command: FencedCommand<u64> },
-    /// An instance asks for the minimum token.
+    /// An instance's request to the replicas for the minimum token.
     ReadMinimum(Instance),
-    /// The response to it.
+    /// The replicas' response to [`Event::ReadMinimum`].
     MinimumRead { instance: Instance, token: FencingToken },
-    /// An event of a process that no longer exists.
+    /// Takes the place of an event of a process that no longer exists.
     Cancelled,
 }
 
@@ -52,7 +52,7 @@
     pub result: Result<Option<Grant>, FencingToken>,
 }
 
-/// Events by time; those of one instant in the order in which they were scheduled.
+/// Events by time. Events of the same time happen in the order in which they were scheduled.
 #[derive(Default)]
 pub struct EventQueue {
     scheduled: u64,
--- a/crates/lease/tests/fleet/main.rs
+++ b/crates/lease/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! Leases in a simulated fleet, under faults. A seed determines a run; the invariants are checked after each event.
+//! Leases in a simulated fleet under faults. A seed determines a run; the invariants are checked after each event.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -10,7 +10,7 @@
 use std::ops::Range;
 
 const DEFAULT_SEEDS: u64 = 300;
-/// How long before the end a candidate must have become the holder at the latest.
+/// An instance must have held the lease within this time before the end of a run.
 const HOLDER_SEEN_WITHIN_MS: u64 = 5_000;
 
 /// The seeds to run: 0 up to `HILLSTALL_SEEDS`, or `HILLSTALL_SEED` alone.
@@ -30,8 +30,8 @@
         assert!(simulation.violations.is_empty(), "HILLSTALL_SEED={seed}: {:?}", simulation.violations);
         grants += simulation.grants;
         accepted_commands += simulation.accepted_commands;
-        // All candidates may have released the lease; then nobody has to hold it.
-        if simulation.has_parties() && simulation.last_held_at + HOLDER_SEEN_WITHIN_MS < END_AT {
+        // If all candidates have released the lease, nobody has to hold it.
+        if simulation.has_holder_or_candidates() && simulation.last_held_at + HOLDER_SEEN_WITHIN_MS < END_AT {
             seeds_without_holder.push(seed);
         }
     }
@@ -40,7 +40,10 @@
         seeds_without_holder.is_empty(),
         "no holder {recovery} s after the last fault: {seeds_without_holder:?}"
     );
-    assert!(grants > 0 && accepted_commands > 0, "nothing happened");
+    assert!(
+        grants > 0 && accepted_commands > 0,
+        "no lease was granted or no command accepted: {grants} grants, {accepted_commands} commands"
+    );
     println!("{} seeds, {grants} grants, {accepted_commands} commands accepted", seeds().end - seeds().start);
 }
 
--- a/crates/lease/tests/fleet/simulation.rs
+++ b/crates/lease/tests/fleet/simulation.rs
@@ -19,10 +19,11 @@
 pub const FAULTS_END_AT: Millis = 40_000;
 /// The end of the simulation.
 pub const END_AT: Millis = 60_000;
-/// Clock rates differ from true time by less than this, so that two differ by what the lease timing allows.
+/// Each clock's rate differs from true time by at most this, so that two clocks drift apart by less than the lease timing
+/// allows.
 const MAX_RATE_ERROR_PPM: u64 = 24_000;
 const MAX_CLOCK_OFFSET: u64 = 1_000_000_000;
-/// How long an instance is suspended.
+/// How long an instance is suspended: shorter than a lease term, as long, and longer.
 const SUSPENSIONS_MS: [Millis; 3] = [300, 2_000, 10_000];
 
 fn timing() -> LeaseTiming {
@@ -51,7 +52,7 @@
     session: LeaseSession,
     fencing: FencingChecks<u64>,
     suspended_until: Millis,
-    /// The token of a command that was decided on before a suspension and is sent after it.
+    /// The token of a command that the instance decided to send before a suspension, and sends after it.
     pending_token: Option<FencingToken>,
     commands_sent: u64,
 }
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Replaces the process by a new one without any state.
+    /// Replaces the process by a new one, which has no state.
     fn restart(&mut self, now: Millis) {
         self.id.incarnation += 1;
         self.pending_token = None;
@@ -81,7 +82,7 @@
         self.session = new_session(self.id, self.clock.read(now));
     }
 
-    /// Suspends the process, most often in the middle of an act.
+    /// Suspends the process. A holder is suspended between the check of its lease and the sending of a command.
     fn suspend(&mut self, now: Millis, duration: Millis) {
         self.pending_token = self.session.token(self.clock.read(now));
         self.suspended_until = now + duration;
@@ -111,7 +112,7 @@
     LeaseSession::new(lease_name(), instance, instance.rank as u8 % 2, timing(), local)
 }
 
-/// The simulated fleet and what was observed of it.
+/// The simulated fleet and the observations of a run.
 pub struct Simulation {
     fault: PlantedFault,
     random: Xoshiro256PlusPlus,
@@ -122,13 +123,13 @@
     leader_clock: Clock,
     leader_down_until: Millis,
     instances: Vec<SimulatedInstance>,
-    /// The highest token carried out by each instance.
+    /// The highest token of a command that each instance has executed.
     pub highest_accepted: Vec<FencingToken>,
-    /// Violated invariants.
+    /// Descriptions of the invariants that were violated.
     pub violations: Vec<String>,
-    /// The highest token that was granted.
+    /// The number of grants, which is the highest token that was granted.
     pub grants: u64,
-    /// When some instance was last the holder by its own knowledge.
+    /// When an instance last believed that it held the lease.
     pub last_held_at: Millis,
     pub accepted_commands: u64,
 }
@@ -175,7 +176,7 @@
     }
 
     /// Whether the lease has a holder or a candidate.
-    pub fn has_parties(&self) -> bool {
+    pub fn has_holder_or_candidates(&self) -> bool {
         self.table.leases().any(|(_, grant, candidates)| grant.is_some() || !candidates.is_empty())
     }
 
@@ -187,7 +188,7 @@
         self.random.next_u64() % limit
     }
 
-    /// Sends a message. Before the faults end, it may arrive late, twice or never.
+    /// Sends a message. As long as faults are injected, it may arrive late, twice or never.
     fn send(&mut self, message: impl Fn() -> Event) {
         let faulty = self.now < FAULTS_END_AT;
         let fate = if faulty { self.random_below(100) } else { 50 };
@@ -239,7 +240,7 @@
     fn on_poll_expiry(&mut self) {
         if self.is_leader_up() {
             for command in self.expiry.poll(self.leader_clock.read(self.now), &self.table) {
-                // The command before may have changed the entry.
+                // Fails if an earlier command of this poll has changed the entry, which is no fault.
                 let _ = self.table.apply(&command);
             }
         }
@@ -255,7 +256,7 @@
             _ => None,
         };
         let applied = self.table.apply(command);
-        // A holder whose last response was lost gets the current grant and renews from there.
+        // A holder whose last response was lost receives the current grant, so that it can renew again.
         let unobserved = applied == Err(LeaseError::UnobservedRenewal);
         let renewed = renewal.filter(|_| !unobserved);
         let result = match unobserved {
@@ -308,7 +309,7 @@
         let instance = &mut self.instances[index];
         let (id, local) = (instance.id, instance.clock.read(self.now));
         let request = instance.session.due_command(local, jitter);
-        // A command decided on before a suspension is sent now, whatever has happened; only then is the lease checked.
+        // A command decided on before a suspension is sent without another check of the lease.
         let token = instance.pending_token.take().or(instance.session.token(local));
         let needs_minimum = instance.fencing.minimum(&lease_name()).is_none();
         if let Some(command) = request {
@@ -368,7 +369,7 @@
         self.queue.schedule(next, Event::InjectFault);
     }
 
-    /// Another replica, with another clock, becomes leader after a while without any.
+    /// After a time without a leader, a replica with another clock becomes leader.
     fn replace_leader(&mut self) {
         self.leader_down_until = self.now + self.random_below(3_000);
         self.leader_clock = Clock::random(&mut self.random);
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -1,7 +1,7 @@
-//! A model check of grants and fencing, exhaustive within the bounds below.
+//! Model checking of grants and fencing, exhaustive within the bounds below.
 //!
-//! A few holders and one instance that carries out their commands, with messages that arrive late, twice or never, in every
-//! order. Each planted fault must be found.
+//! The model has a few lease holders and one instance that executes their commands. Messages arrive late, twice or
+//! never, in every order. The model is also checked with planted faults, each of which must be found.
 
 mod common;
 
@@ -13,18 +13,18 @@
 
 const HOLDERS: u32 = 3;
 const MAX_GRANTS: u64 = 3;
-/// How often the instance that carries out commands is started.
+/// How often the instance that executes commands is started.
 const MAX_STARTS: u8 = 3;
-const NO_STALE_COMMAND: &str = "no command has an effect after one of a later holder";
+const NO_STALE_COMMAND: &str = "no command is executed after one of a later holder";
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum PlantedFault {
     None,
-    /// Commands are carried out whatever their token.
+    /// Commands are executed without a check of their token.
     NoFencingCheck,
     /// A restarted instance accepts commands before it knows a minimum token.
     AcceptAtStart,
-    /// The minimum token is read from a replica that lags behind.
+    /// The minimum token is read from a replica that lags behind, instead of by a linearizable read.
     StaleRead,
 }
 
@@ -33,17 +33,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     table: LeaseTable,
-    /// The table of a replica that lags behind.
+    /// The table of a replica that lags behind by one command.
     stale_table: LeaseTable,
-    /// The last grant that each holder has learned of. It may be long over, as holders are suspended and go on.
+    /// The token of the last grant that each holder has learned of. The grant may have ended long ago, as a holder may
+    /// be suspended at any time.
     known_tokens: Vec<Option<FencingToken>>,
-    /// Commands in flight. They stay, so that each may arrive late, twice or never.
+    /// All commands ever sent. Delivered ones stay, so that each may arrive late, twice or never.
     sent: Vec<FencedCommand<u64>>,
     fencing: FencingChecks<u64>,
     starts: u8,
-    /// The highest token ever carried out, over all starts.
+    /// The highest token of an executed command, over all starts.
     highest_accepted: FencingToken,
-    /// A command was carried out after one with a higher token.
+    /// Whether a command was executed after one with a higher token.
     stale_accepted: bool,
 }
 
@@ -75,7 +76,7 @@
         self.apply(&LeaseCommand::Acquire { lease: lease_name(), instance: holder(rank), rank: 0 })
     }
 
-    /// Possible at any time, also while the holder is alive: that covers clocks that drift without bound.
+    /// A grant may expire at any time, also while its holder is alive: that covers clocks that drift without bound.
     fn expire(&mut self) -> Option<()> {
         let grant = self.table.grant(&lease_name())?;
         let (token, renewals) = (grant.token, grant.renewals);
@@ -191,15 +192,18 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(NO_STALE_COMMAND, |_, state: &State| !state.stale_accepted),
-            Property::sometimes("the last grant has an effect after a restart", |_, state: &State| {
-                state.highest_accepted == FencingToken(MAX_GRANTS) && state.starts == MAX_STARTS
-            }),
+            Property::sometimes(
+                "a command of the last grant is executed after a restart",
+                |_, state: &State| {
+                    state.highest_accepted == FencingToken(MAX_GRANTS) && state.starts == MAX_STARTS
+                },
+            ),
         ]
     }
 }
 
 #[test]
-fn no_command_has_an_effect_after_one_of_a_later_holder() {
+fn no_command_is_executed_after_one_of_a_later_holder() {
     let checker = FleetModel(PlantedFault::None).checker().threads(2).spawn_bfs().join();
     checker.assert_properties();
     assert!(checker.is_done());
