--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -62,7 +62,7 @@
 }
 
 /// Turns the error of decoding a part into that of the log.
-fn corrupt(part: &'static str) -> impl Fn(ProtobufError) -> CorruptLog {
+fn decode_error(part: &'static str) -> impl Fn(ProtobufError) -> CorruptLog {
     move |source| CorruptLog::Decode { part, source }
 }
 
@@ -96,21 +96,21 @@
     ///
     /// Fails if a part can't be decoded, or the parts don't fit together.
     pub fn read(persistent: &PersistentState) -> Result<RaftLog, CorruptLog> {
-        let hard_state = HardState::parse_from_bytes(&persistent.hard_state).map_err(corrupt("the vote"))?;
-        let snapshot = Snapshot::parse_from_bytes(&persistent.snapshot).map_err(corrupt("the snapshot"))?;
+        let hard_state = HardState::parse_from_bytes(&persistent.hard_state).map_err(decode_error("the vote"))?;
+        let snapshot = Snapshot::parse_from_bytes(&persistent.snapshot).map_err(decode_error("the snapshot"))?;
         // The members belong to the applied index: changes after the snapshot will be applied once more.
         let members = snapshot.get_metadata().get_conf_state().clone();
         let entries = persistent.entries.values().map(|bytes| Entry::parse_from_bytes(bytes));
-        let entries = entries.collect::<Result<Vec<_>, _>>().map_err(corrupt("an entry"))?;
+        let entries = entries.collect::<Result<Vec<_>, _>>().map_err(decode_error("an entry"))?;
         let log = RaftLog { hard_state, members, snapshot, entries, unsaved: WriteBatch::default() };
-        log.check_places(persistent.entries.keys())?;
-        log.check_range()?;
+        log.check_entry_indexes(persistent.entries.keys())?;
+        log.check_consistency()?;
         Ok(log)
     }
 
     /// Checks that the entries follow each other, each stored under its own index.
-    fn check_places<'a>(&self, keys: impl Iterator<Item = &'a u64>) -> Result<(), CorruptLog> {
-        let first = self.first();
+    fn check_entry_indexes<'a>(&self, keys: impl Iterator<Item = &'a u64>) -> Result<(), CorruptLog> {
+        let first = self.first_entry_index();
         for (offset, (key, entry)) in keys.zip(&self.entries).enumerate() {
             let expected_index = first.saturating_add(offset as u64);
             if *key != entry.index || entry.index != expected_index {
@@ -121,8 +121,8 @@
     }
 
     /// Checks that the entries reach the snapshot, and the commit index lies within what is known.
-    fn check_range(&self) -> Result<(), CorruptLog> {
-        let (first, last) = (self.first(), self.last_entry_index());
+    fn check_consistency(&self) -> Result<(), CorruptLog> {
+        let (first, last) = (self.first_entry_index(), self.last_entry_index());
         let snapshot = self.snapshot.get_metadata().index;
         let committed = self.hard_state.commit;
         let reaches_snapshot = first <= snapshot + 1 && last >= snapshot;
@@ -146,7 +146,7 @@
         std::mem::take(&mut self.unsaved)
     }
 
-    fn first(&self) -> u64 {
+    fn first_entry_index(&self) -> u64 {
         self.entries.first().map_or(self.snapshot.get_metadata().index + 1, |entry| entry.index)
     }
 
@@ -168,9 +168,9 @@
     /// Sets the term, the vote and the commit index. A new commit index alone need not be stored: see
     /// [`RaftLog::set_commit`].
     pub fn set_hard_state(&mut self, hard_state: &HardState) {
-        let is_promise = (hard_state.term, hard_state.vote) != (self.hard_state.term, self.hard_state.vote);
+        let changes_term_or_vote = (hard_state.term, hard_state.vote) != (self.hard_state.term, self.hard_state.vote);
         self.hard_state = hard_state.clone();
-        if is_promise {
+        if changes_term_or_vote {
             self.unsaved.hard_state = Some(encode(&self.hard_state));
         }
     }
@@ -239,13 +239,13 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<Entry>> {
-        if low < self.first() {
+        if low < self.first_entry_index() {
             return Err(Error::Store(StorageError::Compacted));
         }
         if high > self.last_entry_index() + 1 {
             return Err(Error::Store(StorageError::Unavailable));
         }
-        let from = (low - self.first()) as usize;
+        let from = (low - self.first_entry_index()) as usize;
         let mut found = self.entries[from..from + (high - low) as usize].to_vec();
         let max_size = max_size.into().unwrap_or(u64::MAX);
         let mut size = 0;
@@ -264,15 +264,15 @@
         if index == metadata.index {
             return Ok(metadata.term);
         }
-        if index < self.first() {
+        if index < self.first_entry_index() {
             return Err(Error::Store(StorageError::Compacted));
         }
-        let found = self.entries.get((index - self.first()) as usize);
+        let found = self.entries.get((index - self.first_entry_index()) as usize);
         found.map(|entry| entry.term).ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.first())
+        Ok(self.first_entry_index())
     }
 
     fn last_index(&self) -> raft::Result<u64> {
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -196,7 +196,7 @@
             self.act_as_lease_holder(now, unix);
             self.output_changed_fractions(now);
         }
-        self.feed_followers(now);
+        self.stream_to_followers(now);
     }
 
     /// Updates the leases after a change of the state, and accepts fenced commands once the read index is reached.
--- a/crates/consensus/src/node/following.rs
+++ b/crates/consensus/src/node/following.rs
@@ -9,7 +9,7 @@
 
 /// A follower that receives nothing for this long turns to another replica. After the first change the wait is drawn at
 /// random from once to twice this.
-const LEADER_SILENCE_TIMEOUT_MS: Millis = 1_500;
+const REPLICA_SILENCE_TIMEOUT_MS: Millis = 1_500;
 /// The acknowledged index by which a follower asks for the whole state.
 const REQUEST_STATE: u64 = 0;
 
@@ -35,7 +35,7 @@
             state: State::default(),
             state_updated_at: None,
             last_received_at: now,
-            silence_timeout: LEADER_SILENCE_TIMEOUT_MS,
+            silence_timeout: REPLICA_SILENCE_TIMEOUT_MS,
         }
     }
 
@@ -147,8 +147,8 @@
         self.followed.connected = false;
         self.followed.last_received_at = now;
         // Jitter: followers that lost the same replica must not turn to the next one all at once.
-        let jitter = self.random.next_u64() % LEADER_SILENCE_TIMEOUT_MS;
-        self.followed.silence_timeout = LEADER_SILENCE_TIMEOUT_MS + jitter;
+        let jitter = self.random.next_u64() % REPLICA_SILENCE_TIMEOUT_MS;
+        self.followed.silence_timeout = REPLICA_SILENCE_TIMEOUT_MS + jitter;
         self.outputs.push(Output::Follow(self.followed.slot));
     }
 }
--- a/crates/consensus/src/node/lease_holder.rs
+++ b/crates/consensus/src/node/lease_holder.rs
@@ -25,13 +25,13 @@
                     self.broadcast_command(now, command);
                 }
             } else if is_coordinator(&held) {
-                self.coordinate(now, held.token);
+                self.propose_incident_changes(now, held.token);
             }
         }
     }
 
     /// Proposes the incidents that the rules open and resolve.
-    fn coordinate(&mut self, now: Millis, token: FencingToken) {
+    fn propose_incident_changes(&mut self, now: Millis, token: FencingToken) {
         let mut observations = self.reports.observations(now);
         observations.extend(self.observe_quorum_margin());
         let freeze = known_state(&self.replica, &self.followed).freeze();
--- a/crates/consensus/src/node/replication.rs
+++ b/crates/consensus/src/node/replication.rs
@@ -158,7 +158,7 @@
     }
 
     /// Sends the state, or what was applied since, to the followers of the local replica.
-    pub(super) fn feed_followers(&mut self, now: Millis) {
+    pub(super) fn stream_to_followers(&mut self, now: Millis) {
         let Some(replica) = &self.replica else { return };
         let frames = self.followers.take_frames(now, replica.applied_index(), replica.state());
         let to_output = |(instance, frame)| Output::Send(Destination::Instance(instance), frame);
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -156,7 +156,7 @@
         self.save(WriteBatch { boot: Some(boot), ..WriteBatch::default() });
         if self.persistent.participates {
             if let Ok(log) = RaftLog::read(&self.persistent) {
-                self.open(log);
+                self.start_raft(log);
             }
         }
     }
@@ -198,7 +198,7 @@
     }
 
     /// Starts the raft node over a log.
-    fn open(&mut self, log: RaftLog) {
+    fn start_raft(&mut self, log: RaftLog) {
         let (snapshot_index, snapshot) = log.snapshot_state();
         let state = if snapshot.is_empty() { Ok(State::default()) } else { State::from_bytes(snapshot) };
         match state {
@@ -245,7 +245,7 @@
             return;
         }
         self.ticked_at = now;
-        if !self.is_acknowledged() {
+        if !self.is_start_acknowledged() {
             return;
         }
         if let Some(node) = &mut self.raft {
--- a/crates/consensus/src/replica/member_changes.rs
+++ b/crates/consensus/src/replica/member_changes.rs
@@ -10,7 +10,7 @@
 use raft::{RawNode, StateRole};
 
 /// The most entries that a learner may lack of the leader's committed ones to become a voter.
-const MAX_LEARNER_LAG: u64 = 16;
+const MAX_LEARNER_LAG_ENTRIES: u64 = 16;
 
 impl<D: ReplicaStorage> Replica<D> {
     /// Proposes the next change of members, if this replica leads and no change is pending.
@@ -54,7 +54,7 @@
 /// Whether a learner's log is near enough to the leader's committed entries.
 fn has_caught_up(node: &RawNode<RaftLog>, id: u64) -> bool {
     let matched = node.raft.prs().get(id).map_or(0, |progress| progress.matched);
-    matched + MAX_LEARNER_LAG >= node.raft.raft_log.committed
+    matched + MAX_LEARNER_LAG_ENTRIES >= node.raft.raft_log.committed
 }
 
 fn single_change(change_type: ConfChangeType, id: u64) -> ConfChangeSingle {
--- a/crates/consensus/src/replica/membership.rs
+++ b/crates/consensus/src/replica/membership.rs
@@ -25,7 +25,7 @@
 
 impl<D: ReplicaStorage> Replica<D> {
     /// Whether a majority, this replica included, knows of this start. Only then may it send raft messages.
-    pub(super) fn is_acknowledged(&self) -> bool {
+    pub(super) fn is_start_acknowledged(&self) -> bool {
         let needed = self.slots / 2;
         self.acknowledged_by.len() >= needed
     }
@@ -47,7 +47,7 @@
 
     /// Announces this replica again and again until it takes part as a voter.
     pub(super) fn announce_if_due(&mut self, now: Millis) {
-        let takes_part = self.raft.is_some() && self.is_acknowledged() && self.is_voter();
+        let takes_part = self.raft.is_some() && self.is_start_acknowledged() && self.is_voter();
         let is_due = self.announced_at.is_none_or(|at| now.saturating_sub(at) >= ANNOUNCE_INTERVAL_MS);
         if !takes_part && is_due {
             self.announced_at = Some(now);
@@ -61,7 +61,7 @@
 
     /// Announces this replica to all others, and asks to join if it runs and is no voter.
     fn announce(&mut self) {
-        let joins = self.raft.is_some() && self.is_acknowledged() && !self.is_voter();
+        let joins = self.raft.is_some() && self.is_start_acknowledged() && !self.is_voter();
         for slot in self.other_slots() {
             self.send_membership(slot, self.announcement());
             if joins {
@@ -158,13 +158,13 @@
 
     /// Starts a replica whose storage is new: it bootstraps the fleet with the others if all of them are new, or joins.
     fn bootstrap_or_join(&mut self, now: Millis) {
-        if self.raft.is_some() || self.persistent.participates || !self.is_acknowledged() {
+        if self.raft.is_some() || self.persistent.participates || !self.is_start_acknowledged() {
             return;
         }
         let Some((mut log, founders)) = self.initial_log(now) else { return };
         let batch = WriteBatch { participates: Some(true), founders: Some(founders), ..log.take_unsaved() };
         if self.save(batch) {
-            self.open(log);
+            self.start_raft(log);
             self.announce();
         }
     }
--- a/crates/consensus/src/replica/ready.rs
+++ b/crates/consensus/src/replica/ready.rs
@@ -10,7 +10,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 /// The bytes of a read's context that hold its number; the replica's id comes before.
-const READ_NUMBER_BYTES: std::ops::Range<usize> = 8..16;
+const READ_NUMBER_RANGE: std::ops::Range<usize> = 8..16;
 
 /// A linearizable read whose index is known and not applied yet.
 pub(super) struct PendingRead {
@@ -24,7 +24,7 @@
     /// Proposes a command, which [`Replica::flush`] then stores. The proposal may be lost; its author retries it.
     pub fn propose(&mut self, proposal: &Proposal) {
         let Ok(bytes) = postcard::to_stdvec(proposal) else { return };
-        if !self.is_acknowledged() {
+        if !self.is_start_acknowledged() {
             return;
         }
         if let Some(node) = &mut self.raft {
@@ -36,7 +36,7 @@
     /// Requests a linearizable read under a number. [`ReplicaEvent::ReadReady`] follows once the state is new enough, or
     /// never if the request is lost.
     pub fn read_index(&mut self, number: u64) {
-        if !self.is_acknowledged() {
+        if !self.is_start_acknowledged() {
             return;
         }
         if let Some(node) = &mut self.raft {
@@ -48,7 +48,7 @@
 
     /// Takes an encoded message of the raft protocol.
     pub(super) fn on_raft_message(&mut self, bytes: &[u8]) {
-        if !self.is_acknowledged() {
+        if !self.is_start_acknowledged() {
             return;
         }
         let Some(node) = &mut self.raft else { return };
@@ -215,7 +215,7 @@
 
     fn add_pending_reads(&mut self, reads: Vec<ReadState>) {
         for read in reads {
-            let number = read.request_ctx.get(READ_NUMBER_BYTES).and_then(|bytes| bytes.try_into().ok());
+            let number = read.request_ctx.get(READ_NUMBER_RANGE).and_then(|bytes| bytes.try_into().ok());
             if let Some(number) = number.map(u64::from_be_bytes) {
                 self.pending_reads.push(PendingRead { index: read.index, number });
             }
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -13,7 +13,7 @@
 /// The number of latest outcomes stored for each instance, to answer commands that come once more.
 const MAX_OUTCOMES_PER_INSTANCE: usize = 32;
 /// The number of instances whose outcomes are stored; the one whose last command is oldest goes first.
-const MAX_REMEMBERED_INSTANCES: usize = 1_024;
+const MAX_INSTANCES_WITH_OUTCOMES: usize = 1_024;
 
 /// The name of the coordinator's lease: its holder opens and resolves incidents by rule.
 pub const COORDINATOR_LEASE: &str = "freeze/coordinator";
@@ -129,13 +129,13 @@
         }
         let outcome = self.execute(&proposal.command);
         self.answered.entry(instance).or_default().insert(number, outcome.clone());
-        self.forget_oldest_instance();
+        self.evict_oldest_instance();
         outcome
     }
 
     /// Drops the outcomes of the instance whose last proposal is oldest, if there are too many instances.
-    fn forget_oldest_instance(&mut self) {
-        if self.answered.len() <= MAX_REMEMBERED_INSTANCES {
+    fn evict_oldest_instance(&mut self) {
+        if self.answered.len() <= MAX_INSTANCES_WITH_OUTCOMES {
             return;
         }
         let oldest = self.answered.iter().min_by_key(|(_, answered)| answered.last_index);
--- a/crates/lease/src/expiry.rs
+++ b/crates/lease/src/expiry.rs
@@ -1,7 +1,7 @@
 //! Decides when a replica proposes that a grant or a candidate has expired.
 //!
-//! Every replica runs the timers, each on its own monotonic clock; readings of two clocks are never compared. Only the
-//! leader proposes the resulting commands.
+//! Every replica runs the timers, each on its own monotonic clock; readings of two clocks are never compared.
+//! Only the leader proposes the resulting commands.
 
 use crate::table::{Grant, LeaseCommand, LeaseTable};
 use crate::timers::DeadlineTimers;
@@ -25,24 +25,27 @@
 }
 
 impl ExpiryMonitor {
-    /// Creates a monitor without running timers. A replica that has just started waits for a whole term before it
-    /// expires a grant, as it does not know how long other replicas have waited.
+    /// Creates a monitor without running timers. A replica that has just started waits for a whole term
+    /// before it expires a grant, as it does not know how long other replicas have waited.
     pub fn new(timing: LeaseTiming) -> ExpiryMonitor {
         ExpiryMonitor { timing, timers: DeadlineTimers::default() }
     }
 
-    /// Records that the renewal which led to `grant` was received by this replica at `at`, before it was applied.
+    /// Records that the renewal which led to `grant` was received by this replica at `at`, before it was
+    /// applied.
     ///
-    /// The timer starts at the receipt, so that a lease is not prolonged by the time until the entry is applied, such
-    /// as during an election. This is safe, as the holder counts from the earlier time at which it sent the renewal.
+    /// The timer starts at the receipt, so that a lease is not prolonged by the time until the entry is
+    /// applied, such as during an election. This is safe, as the holder counts from the earlier time at which
+    /// it sent the renewal.
     pub fn observe(&mut self, at: Millis, lease: &LeaseName, grant: Grant) {
         self.timers.observe(at, renewal_key(lease, grant), grant.renewals);
     }
 
-    /// Returns the commands to propose now, given the applied table: removals of candidates, then expired grants.
+    /// Returns the commands to propose now, given the applied table: removals of candidates, then expired
+    /// grants.
     ///
-    /// A command is returned on each call until the table has changed, as a proposal may be lost; a second proposal of
-    /// the same command has no effect.
+    /// A command is returned on each call until the table has changed, as a proposal may be lost; a second
+    /// proposal of the same command has no effect.
     pub fn poll(&mut self, now: Millis, table: &LeaseTable) -> Vec<LeaseCommand> {
         let term = self.timing.term();
         let deadlines = table.leases().flat_map(|(lease, grant, candidates)| {
@@ -66,8 +69,8 @@
     TimerKey::Renewal { lease: lease.clone(), holder: grant.holder, token: grant.token }
 }
 
-/// The command to propose for a timer that has run out. `version` is the number of renewals or heartbeats for which it
-/// was started.
+/// The command to propose for a timer that has run out. `version` is the number of renewals or heartbeats for
+/// which it was started.
 fn expiry_command(key: TimerKey, version: u64) -> LeaseCommand {
     match key {
         TimerKey::Renewal { lease, token, .. } => LeaseCommand::Expire { lease, token, renewals: version },
--- a/crates/lease/src/fencing.rs
+++ b/crates/lease/src/fencing.rs
@@ -1,7 +1,7 @@
 //! The fencing check of an instance that executes the commands of lease holders.
 //!
-//! Stale commands are rejected by their receivers, because the sender cannot do it reliably: a holder may be suspended
-//! between checking its lease and sending the command, and lose the lease meanwhile.
+//! Stale commands are rejected by their receivers, because the sender cannot do it reliably: a holder may be
+//! suspended between checking its lease and sending the command, and lose the lease meanwhile.
 
 use crate::{FencingToken, LeaseName, Millis};
 use serde::{Deserialize, Serialize};
@@ -25,8 +25,8 @@
 }
 
 /// Why a command was not accepted.
-// The messages are written to audit logs, whose readers match them: they say order for command, gate for fencing
-// check and floor for minimum token.
+// The messages are written to audit logs, whose readers match them: they say order for command, gate for
+// fencing check and floor for minimum token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FencingError {
     /// No minimum token is known yet, so a stale command could not be told from a current one.
@@ -50,8 +50,8 @@
     },
 }
 
-/// The lower bound for commands that are accepted under a lease. An instance with persistent storage stores it before it
-/// executes a command; one without loses it at a restart and has to read it from the replicas.
+/// The lower bound for commands that are accepted under a lease. An instance with persistent storage stores
+/// it before it executes a command; one without loses it at a restart and has to read it from the replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MinimumToken {
     /// The lowest token that is accepted.
@@ -67,7 +67,8 @@
     valid_until: Millis,
 }
 
-/// The fencing checks of one instance, by lease. Commands under a lease without a known minimum token are rejected.
+/// The fencing checks of one instance, by lease. Commands under a lease without a known minimum token are
+/// rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct FencingChecks<T> {
     minimums: BTreeMap<LeaseName, MinimumToken>,
@@ -82,9 +83,9 @@
 }
 
 impl<T: Clone> FencingChecks<T> {
-    /// Raises the minimum token of a lease. `minimum` must come from a linearizable read of the replicas or from this
-    /// instance's own storage. From then on commands under that lease can be accepted. A minimum below the known one
-    /// is ignored.
+    /// Raises the minimum token of a lease. `minimum` must come from a linearizable read of the replicas or
+    /// from this instance's own storage. From then on commands under that lease can be accepted. A minimum
+    /// below the known one is ignored.
     pub fn raise_minimum(&mut self, lease: &LeaseName, minimum: MinimumToken) {
         let known = self.minimums.entry(lease.clone()).or_default();
         if (minimum.token, minimum.sequence) > (known.token, known.sequence) {
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Checks a command without accepting it. Returns the minimum token that an instance with persistent storage has to
-    /// store before it calls [`FencingChecks::accept`].
+    /// Checks a command without accepting it. Returns the minimum token that an instance with persistent
+    /// storage has to store before it calls [`FencingChecks::accept`].
     pub fn check(&self, command: &FencedCommand<T>) -> Result<MinimumToken, FencingError> {
         let Some(minimum) = self.minimums.get(&command.lease) else {
             return Err(FencingError::NoMinimumToken);
@@ -109,7 +110,8 @@
         }
     }
 
-    /// Checks a command and accepts it: its value is in effect from `now` on, and older commands are rejected.
+    /// Checks a command and accepts it: its value is in effect from `now` on, and older commands are
+    /// rejected.
     pub fn accept(&mut self, now: Millis, command: FencedCommand<T>) -> Result<(), FencingError> {
         let minimum = self.check(&command)?;
         let FencedCommand { lease, valid_for, value, fallback, .. } = command;
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,11 +1,14 @@
-//! Leases: each task that one instance does on behalf of the whole fleet has at most one lease holder at a time.
+//! Leases: each task that one instance does on behalf of the whole fleet has at most one lease holder at a
+//! time.
 //!
 //! The crate does no I/O and reads no clock: the time is an argument, and equal inputs give equal outputs.
 //!
 //! - [`table`]: the replicated table of grants; its entries expire only by commands of the leading replica.
-//! - [`expiry`]: decides when the leading replica proposes such a command, by its monotonic clock and [`timers`].
+//! - [`expiry`]: decides when the leading replica proposes such a command, by its monotonic clock and
+//!   [`timers`].
 //! - [`session`]: the client side of one lease; it stops acting before another instance can get the lease.
-//! - [`fencing`]: the check at the instances that execute a holder's commands; it rejects those of earlier holders.
+//! - [`fencing`]: the check at the instances that execute a holder's commands; it rejects those of earlier
+//!   holders.
 //! - [`timing`]: the durations that holders and replicas must agree on.
 //!
 //! Leases bound how long a failover takes; fencing tokens make it safe. If clocks drift by more than
@@ -22,8 +25,8 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A duration, or a reading of one process's monotonic clock, in milliseconds. Clock readings of two processes are
-/// not comparable.
+/// A duration, or a reading of one process's monotonic clock, in milliseconds. Clock readings of two
+/// processes are not comparable.
 pub type Millis = u64;
 
 /// Maximum length of a [`LeaseName`], in bytes.
@@ -73,8 +76,8 @@
     }
 }
 
-/// The identity of one process of the fleet. During an upgrade two processes share a rank, and only one of them may
-/// hold a lease: the incarnation distinguishes them.
+/// The identity of one process of the fleet. During an upgrade two processes share a rank, and only one of
+/// them may hold a lease: the incarnation distinguishes them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Instance {
     /// The instance's number in the fleet; it does not change at a restart.
@@ -83,7 +86,7 @@
     pub incarnation: u64,
 }
 
-/// Identifies one grant of a lease. Each grant of any lease gets a higher token than all grants before it, also across
-/// snapshots, restores and membership changes of the replicas.
+/// Identifies one grant of a lease. Each grant of any lease gets a higher token than all grants before it,
+/// also across snapshots, restores and membership changes of the replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingToken(pub u64);
--- a/crates/lease/src/session.rs
+++ b/crates/lease/src/session.rs
@@ -1,8 +1,8 @@
 //! The client side of one lease, on an instance that is a candidate for it or holds it.
 //!
-//! An instance must not act on a grant before it has renewed it: the replicas' term starts when they grant the lease,
-//! and the instance may learn of that much later. A renewal is applied after its request was sent, so it is safe to
-//! count the time of a renewed grant from the sending of the request.
+//! An instance must not act on a grant before it has renewed it: the replicas' term starts when they grant
+//! the lease, and the instance may learn of that much later. A renewal is applied after its request was sent,
+//! so it is safe to count the time of a renewed grant from the sending of the request.
 
 use crate::table::{Grant, LeaseCommand};
 use crate::timing::LeaseTiming;
@@ -30,14 +30,16 @@
     unconfirmed: Option<FencingToken>,
     /// The number of renewals of this instance's grant that it has observed.
     known_renewals: u64,
-    /// Grants to this instance with this token or a lower one have ended, even if a late response states otherwise.
+    /// Grants to this instance with this token or a lower one have ended, even if a late response states
+    /// otherwise.
     ended_up_to: FencingToken,
     next_request_at: Millis,
     releasing: bool,
 }
 
 impl LeaseSession {
-    /// Creates the session of an instance that is a candidate from `now` on. Candidates with a lower `rank` are preferred.
+    /// Creates the session of an instance that is a candidate from `now` on. Candidates with a lower `rank`
+    /// are preferred.
     pub fn new(
         lease: LeaseName,
         instance: Instance,
@@ -59,15 +61,15 @@
         }
     }
 
-    /// The token to act with at `now`; `None` if this instance must not act. The caller has to ask right before each
-    /// act, as the lease may end at any time.
+    /// The token to act with at `now`; `None` if this instance must not act. The caller has to ask right
+    /// before each act, as the lease may end at any time.
     pub fn token(&self, now: Millis) -> Option<FencingToken> {
         self.confirmed.filter(|grant| now < grant.valid_until).map(|grant| grant.token)
     }
 
-    /// The command to propose to the replicas now, if one is due: to acquire, renew or release the lease. For a renewal
-    /// the caller has to pass this `now` to [`LeaseSession::on_renewed`] with the response. `random`, from 0 to 1,
-    /// spreads the requests of several instances.
+    /// The command to propose to the replicas now, if one is due: to acquire, renew or release the lease. For
+    /// a renewal the caller has to pass this `now` to [`LeaseSession::on_renewed`] with the response.
+    /// `random`, from 0 to 1, spreads the requests of several instances.
     pub fn due_command(&mut self, now: Millis, random: f64) -> Option<LeaseCommand> {
         self.expire(now);
         if now < self.next_request_at {
@@ -120,7 +122,8 @@
         }
     }
 
-    /// Ends this instance's grants if the grant to another instance is newer; an older one is late information.
+    /// Ends this instance's grants if the grant to another instance is newer; an older one is late
+    /// information.
     fn on_other_grant(&mut self, token: FencingToken) {
         if self.confirmed.is_some_and(|confirmed| token > confirmed.token) {
             self.end_confirmed_grant();
@@ -128,7 +131,8 @@
         self.unconfirmed = self.unconfirmed.filter(|unconfirmed| *unconfirmed > token);
     }
 
-    /// Handles the successful response to a renewal, which was requested at `sent_at`, of the grant with this token.
+    /// Handles the successful response to a renewal, which was requested at `sent_at`, of the grant with this
+    /// token.
     pub fn on_renewed(&mut self, now: Millis, sent_at: Millis, token: FencingToken) {
         self.expire(now);
         if token <= self.ended_up_to || self.releasing {
@@ -145,7 +149,8 @@
         self.expire(now);
     }
 
-    /// Handles the rejection of a command: all grants to this instance up to the lease's `newest` token have ended.
+    /// Handles the rejection of a command: all grants to this instance up to the lease's `newest` token have
+    /// ended.
     pub fn on_rejected(&mut self, newest: FencingToken) {
         if self.confirmed.is_some_and(|grant| newest >= grant.token) {
             self.end_confirmed_grant();
@@ -168,8 +173,8 @@
         }
     }
 
-    /// Marks an expired grant as unconfirmed: it may still be valid in the replicas' table, but has to be renewed before
-    /// this instance acts again.
+    /// Marks an expired grant as unconfirmed: it may still be valid in the replicas' table, but has to be
+    /// renewed before this instance acts again.
     fn expire(&mut self, now: Millis) {
         if let Some(grant) = self.confirmed.filter(|grant| now >= grant.valid_until) {
             self.confirmed = None;
--- a/crates/lease/src/table.rs
+++ b/crates/lease/src/table.rs
@@ -1,7 +1,7 @@
 //! The replicated table of leases: holders, candidates and tokens.
 //!
-//! All replicas apply the same commands in the same order, so the result must depend on nothing else, and nothing here
-//! reads a clock. Commands are idempotent, as each may be applied twice.
+//! All replicas apply the same commands in the same order, so the result must depend on nothing else, and
+//! nothing here reads a clock. Commands are idempotent, as each may be applied twice.
 
 use crate::{FencingToken, Instance, LeaseName};
 use serde::{Deserialize, Serialize};
@@ -28,7 +28,8 @@
 pub struct Candidate {
     /// The waiting process; a restarted process is another candidate.
     pub instance: Instance,
-    /// The candidate with the lowest rank is granted the lease first; of equal ranks, the one that came first.
+    /// The candidate with the lowest rank is granted the lease first; of equal ranks, the one that came
+    /// first.
     pub rank: u8,
     /// Increases with each repeated [`LeaseCommand::Acquire`].
     pub heartbeats: u64,
@@ -66,8 +67,8 @@
         self.candidates.retain(|candidate| candidate.instance != instance);
     }
 
-    /// Grants the lease to the preferred candidate, with a higher token than all earlier grants. Without a candidate
-    /// the lease becomes free.
+    /// Grants the lease to the preferred candidate, with a higher token than all earlier grants. Without a
+    /// candidate the lease becomes free.
     fn grant_next(&mut self, newest_token: &mut FencingToken) {
         let preferred = (0..self.candidates.len()).min_by_key(|index| self.candidates[*index].rank);
         self.grant = preferred.map(|index| {
@@ -99,12 +100,13 @@
         instance: Instance,
         /// The token of the holder's grant.
         token: FencingToken,
-        /// The number of renewals that the holder has observed. Unless it is the current number, the command is
-        /// rejected: a holder that sends requests but receives no responses can't act on the lease, and would
-        /// otherwise keep it by its renewals.
+        /// The number of renewals that the holder has observed. Unless it is the current number, the command
+        /// is rejected: a holder that sends requests but receives no responses can't act on the lease, and
+        /// would otherwise keep it by its renewals.
         known_renewals: u64,
     },
-    /// The holder gives up the lease, which is granted to the next candidate at once; or a candidate withdraws.
+    /// The holder gives up the lease, which is granted to the next candidate at once; or a candidate
+    /// withdraws.
     Release {
         /// The lease to give up, or to be no candidate for any more.
         lease: LeaseName,
@@ -126,7 +128,8 @@
         lease: LeaseName,
         /// The candidate.
         instance: Instance,
-        /// The number of heartbeats when the replica's timer started; a heartbeat since then voids the command.
+        /// The number of heartbeats when the replica's timer started; a heartbeat since then voids the
+        /// command.
         heartbeats: u64,
     },
 }
@@ -145,8 +148,8 @@
 }
 
 /// Why a command had no effect.
-// The messages are stored and replicated as outcomes of commands, so they keep their words: duty for lease, copies for
-// instances.
+// The messages are stored and replicated as outcomes of commands, so they keep their words: duty for lease,
+// copies for instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LeaseError {
     /// The command refers to a grant that has ended, or to an unknown lease.
@@ -223,8 +226,8 @@
             return Err(LeaseError::TooManyLeases);
         }
         let record = self.records.entry(lease.clone()).or_default();
-        // The holder has not learned of its grant yet. The grant is not renewed: the command may be a delayed message of
-        // a holder that no longer runs.
+        // The holder has not learned of its grant yet. The grant is not renewed: the command may be a delayed
+        // message of a holder that no longer runs.
         if record.grant.is_some_and(|grant| grant.holder == instance) {
             return Ok(record.grant);
         }
@@ -236,7 +239,8 @@
         } else {
             record.candidates.push(Candidate { instance, rank, heartbeats: 0 });
         }
-        // A holder is not replaced by a candidate of a lower rank: a change of holder costs more than it gains.
+        // A holder is not replaced by a candidate of a lower rank: a change of holder costs more than it
+        // gains.
         if record.grant.is_none() {
             record.grant_next(&mut self.newest_token);
         }
@@ -248,8 +252,8 @@
         self.records.get(lease)?.grant
     }
 
-    /// The highest token ever granted for a lease, from which a fencing check starts after a restart; 0 for an unknown
-    /// lease.
+    /// The highest token ever granted for a lease, from which a fencing check starts after a restart; 0 for
+    /// an unknown lease.
     pub fn highest_token(&self, lease: &LeaseName) -> FencingToken {
         self.records.get(lease).map_or(FencingToken::default(), |record| record.highest_token)
     }
@@ -259,7 +263,8 @@
         self.records.get(lease)
     }
 
-    /// Replaces the entry for a lease, on an instance that receives whole entries instead of applying each command.
+    /// Replaces the entry for a lease, on an instance that receives whole entries instead of applying each
+    /// command.
     pub fn set_record(&mut self, lease: &LeaseName, record: LeaseRecord) {
         self.newest_token = self.newest_token.max(record.highest_token);
         self.records.insert(lease.clone(), record);
--- a/crates/lease/src/timing.rs
+++ b/crates/lease/src/timing.rs
@@ -21,14 +21,15 @@
 /// A timing that [`LeaseTiming::new`] rejects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidTiming {
-    /// The term, in milliseconds, is too short to renew over a network, or too long to wait for after a failure.
+    /// The term, in milliseconds, is too short to renew over a network, or too long to wait for after a
+    /// failure.
     #[error("a term lasts 200 ms to 10 minutes, not {0} ms")]
     Term(Millis),
     /// The clock drift, in parts per million, leaves too little of the term to the holder.
     #[error("clock drift has to be below {DRIFT_LIMIT_PPM} ppm (20%), not {0} ppm")]
     Drift(u32),
     /// The safety margin takes more than half of the time that the drift leaves to the holder.
-    #[error("a safety margin of {safety_margin} ms is more than half of what clock drift leaves of a term of {term} ms")]
+    #[error("a safety margin of {safety_margin} ms exceeds half of a term of {term} ms less clock drift")]
     SafetyMargin {
         /// The safety margin, in milliseconds.
         safety_margin: Millis,
@@ -41,8 +42,8 @@
     /// Checks and returns a timing.
     ///
     /// - `term`: how long replicas wait for a renewal, in milliseconds.
-    /// - `drift_ppm`: by how much the rates of two clocks may differ, in parts per million. The offset between two clocks
-    ///   does not matter, as their readings are never compared.
+    /// - `drift_ppm`: by how much the rates of two clocks may differ, in parts per million. The offset
+    ///   between two clocks does not matter, as their readings are never compared.
     /// - `safety_margin`: how long before the end of its grant a holder stops acting, in milliseconds.
     ///
     /// # Errors
@@ -62,26 +63,28 @@
         Ok(timing)
     }
 
-    /// How long a replica waits for a renewal, by its own clock, before it proposes the expiry; in milliseconds.
+    /// How long a replica waits for a renewal, by its own clock, before it proposes the expiry; in
+    /// milliseconds.
     pub fn term(&self) -> Millis {
         self.term
     }
 
-    /// The time on the holder's clock in which no replica's clock has counted a whole term, whatever the drift.
+    /// The time on the holder's clock in which no replica's clock has counted a whole term, whatever the
+    /// drift.
     fn holder_term(&self) -> Millis {
         // 128 bits can't overflow here. Rounding down makes the holder stop sooner, which is the safe side.
         let holder_term = u128::from(self.term) * PPM / (PPM + u128::from(self.drift_ppm));
         holder_term as Millis
     }
 
-    /// How long a holder may act on a grant, by its own clock, in milliseconds. It counts from when it *sent* the
-    /// renewal; the replicas count from when they received that renewal, which is later.
+    /// How long a holder may act on a grant, by its own clock, in milliseconds. It counts from when it *sent*
+    /// the renewal; the replicas count from when they received that renewal, which is later.
     pub fn hold_duration(&self) -> Millis {
         self.holder_term() - self.safety_margin
     }
 
-    /// The time between two requests of a holder, in milliseconds, so that two retries fit in before the holder has to
-    /// stop acting.
+    /// The time between two requests of a holder, in milliseconds, so that two retries fit in before the
+    /// holder has to stop acting.
     pub fn renew_interval(&self) -> Millis {
         self.hold_duration() / RENEWALS_PER_HOLD
     }
--- a/crates/lease/tests/fleet/main.rs
+++ b/crates/lease/tests/fleet/main.rs
@@ -1,4 +1,5 @@
-//! Leases in a simulated fleet under faults. A seed determines a run; the invariants are checked after each event.
+//! Leases in a simulated fleet under faults. A seed determines a run; the invariants are checked after each
+//! event.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/lease/tests/fleet/simulation.rs
+++ b/crates/lease/tests/fleet/simulation.rs
@@ -1,5 +1,5 @@
-//! A small fleet in simulated time: replicas that change, instances that are suspended and restarted, clocks that run at
-//! different rates, and messages that arrive late, twice or never.
+//! A small fleet in simulated time: replicas that change, instances that are suspended and restarted, clocks
+//! that run at different rates, and messages that arrive late, twice or never.
 
 use crate::common::lease_name;
 use crate::events::{Event, EventQueue, LeaseResponse, PlantedFault};
@@ -19,8 +19,8 @@
 pub const FAULTS_END_AT: Millis = 40_000;
 /// The end of the simulation.
 pub const END_AT: Millis = 60_000;
-/// Each clock's rate differs from true time by at most this, so that two clocks drift apart by less than the lease timing
-/// allows.
+/// Each clock's rate differs from true time by at most this, so that two clocks drift apart by less than the
+/// lease timing allows.
 const MAX_RATE_ERROR_PPM: u64 = 24_000;
 const MAX_CLOCK_OFFSET: u64 = 1_000_000_000;
 /// How long an instance is suspended: shorter than a lease term, as long, and longer.
@@ -82,7 +82,8 @@
         self.session = new_session(self.id, self.clock.read(now));
     }
 
-    /// Suspends the process. A holder is suspended between the check of its lease and the sending of a command.
+    /// Suspends the process. A holder is suspended between the check of its lease and the sending of a
+    /// command.
     fn suspend(&mut self, now: Millis, duration: Millis) {
         self.pending_token = self.session.token(self.clock.read(now));
         self.suspended_until = now + duration;
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -1,7 +1,8 @@
 //! Model checking of grants and fencing, exhaustive within the bounds below.
 //!
-//! The model has a few lease holders and one instance that executes their commands. Messages arrive late, twice or
-//! never, in every order. The model is also checked with planted faults, each of which must be found.
+//! The model has a few lease holders and one instance that executes their commands. Messages arrive late,
+//! twice or never, in every order. The model is also checked with planted faults, each of which must be
+//! found.
 
 mod common;
 
@@ -35,8 +36,8 @@
     table: LeaseTable,
     /// The table of a replica that lags behind by one command.
     stale_table: LeaseTable,
-    /// The token of the last grant that each holder has learned of. The grant may have ended long ago, as a holder may
-    /// be suspended at any time.
+    /// The token of the last grant that each holder has learned of. The grant may have ended long ago, as a
+    /// holder may be suspended at any time.
     known_tokens: Vec<Option<FencingToken>>,
     /// All commands ever sent. Delivered ones stay, so that each may arrive late, twice or never.
     sent: Vec<FencedCommand<u64>>,
@@ -76,7 +77,8 @@
         self.apply(&LeaseCommand::Acquire { lease: lease_name(), instance: holder(rank), rank: 0 })
     }
 
-    /// A grant may expire at any time, also while its holder is alive: that covers clocks that drift without bound.
+    /// A grant may expire at any time, also while its holder is alive: that covers clocks that drift without
+    /// bound.
     fn expire(&mut self) -> Option<()> {
         let grant = self.table.grant(&lease_name())?;
         let (token, renewals) = (grant.token, grant.renewals);
