--- a/crates/consensus/src/audit.rs
+++ b/crates/consensus/src/audit.rs
@@ -1,10 +1,11 @@
-//! The audit events of an instance: lease changes and fenced commands, by which a fleet's behaviour is checked afterwards.
+//! The audit events of an instance: lease changes and fenced commands. From the events of all instances it
+//! can be checked whether a fleet has kept the rules of leases and fencing.
 
 use hillstall_lease::fencing::FencedCommand;
 use hillstall_lease::{FencingToken, LeaseName};
 use hillstall_maintenance::TrafficFraction;
 
-/// An act of this instance that the leasing rules govern.
+/// Something that this instance did under the rules of leases and fencing.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AuditEvent {
     /// This instance may act under the lease, with this fencing token, from now on.
--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -1,24 +1,25 @@
-//! The configuration of an instance's part in the fleet.
+//! The configuration of a [`Node`](crate::node::Node).
 
 use hillstall_change_freeze::detection::Thresholds;
 use hillstall_lease::timing::LeaseTiming;
 use hillstall_lease::{Instance, Millis};
 use hillstall_maintenance::shift::ShiftPacing;
 
-/// How an instance takes part in the fleet.
+/// The configuration of an instance's [`Node`](crate::node::Node).
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// The identity of this instance.
+    /// The identity of this instance; its incarnation must differ from that of earlier processes.
     pub instance: Instance,
-    /// The replica slot of this instance; `None` for a follower.
+    /// The position of this instance's replica, from 0 to [`NodeConfig::replicas`] - 1; `None` for a
+    /// follower.
     pub slot: Option<usize>,
-    /// The number of replicas in the fleet.
+    /// The number of replica slots in the fleet.
     pub replicas: usize,
-    /// The site of this instance.
+    /// The name of the site that this instance is at.
     pub site: String,
-    /// All sites of the fleet.
+    /// The names of all sites of the fleet, each of which has a shift lease.
     pub sites: Vec<String>,
-    /// The term and clock margins of leases.
+    /// The term, clock drift and safety margin of leases; the same in the whole fleet.
     pub lease_timing: LeaseTiming,
     /// The step size, ramp and limits of a traffic shift.
     pub pacing: ShiftPacing,
--- a/crates/consensus/src/follower_streams.rs
+++ b/crates/consensus/src/follower_streams.rs
@@ -1,5 +1,5 @@
-//! The streams from a replica to its followers: each attached follower receives the whole state once, and then what is
-//! applied, for as long as it keeps up.
+//! The streams from a replica to its followers. Each attached follower receives the whole state once, and
+//! then the items applied after it. A follower that lags too far behind receives the whole state again.
 
 use crate::frame::{Frame, StreamItem};
 use crate::state::{Command, Proposal, State};
@@ -7,20 +7,21 @@
 use hillstall_lease::{Instance, LeaseName, Millis};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The most items in flight to a follower, sent and not acknowledged.
+/// The maximum number of items sent to a follower and not acknowledged by it.
 const MAX_ITEMS_IN_FLIGHT: usize = 128;
-/// The most items stored for followers. One that is further behind gets the whole state.
+/// The maximum number of items stored for followers. A follower that lags further behind is sent the whole
+/// state.
 const MAX_STORED_ITEMS: usize = 512;
-/// A follower to which nothing else was sent for this long gets a heartbeat.
+/// A follower to which nothing else was sent for this long is sent a heartbeat.
 const HEARTBEAT_INTERVAL_MS: Millis = 500;
-/// A follower that has acknowledged nothing for this long gets only heartbeats.
+/// A follower that has acknowledged nothing for this long is sent only heartbeats.
 const FOLLOWER_SILENCE_TIMEOUT_MS: Millis = 5_000;
-/// The acknowledged index by which a follower asks for the whole state, and the heartbeat of a follower that is behind.
+/// In an acknowledgement: the follower requests the whole state. In a heartbeat: items are still to be sent.
 const NO_INDEX: u64 = 0;
 
 /// The stream to one follower.
 struct FollowerStream {
-    /// The index from which on items are to be sent; `None` if the whole state goes first.
+    /// The index of the next item to send; `None` if the whole state has to be sent first.
     next_index: Option<u64>,
     acked_index: u64,
     last_received_at: Millis,
@@ -36,20 +37,22 @@
         now.saturating_sub(self.last_received_at) >= FOLLOWER_SILENCE_TIMEOUT_MS
     }
 
-    /// Whether a state is in flight. No other is sent meanwhile, as the follower may read slowly.
+    /// Whether a whole state was sent and not acknowledged. Nothing but heartbeats is sent meanwhile, as the
+    /// follower may read slowly.
     fn awaits_state_ack(&self) -> bool {
         self.next_index.is_some() && self.acked_index == NO_INDEX
     }
 
-    /// Whether the items that the follower needs are no longer stored.
+    /// Whether the follower has to be sent the whole state, as it has none, or an item that it lacks is no
+    /// longer stored.
     fn needs_state(&self, evicted_index: u64) -> bool {
         self.next_index.is_none_or(|next| next <= evicted_index)
     }
 }
 
-/// An item that was applied, for followers.
+/// An applied item, stored for the followers that have not received it yet.
 struct StoredItem {
-    /// The index of the item before it.
+    /// The index of the item before this one, by which a follower notices that it has missed an item.
     previous_index: u64,
     index: u64,
     item: StreamItem,
@@ -61,12 +64,12 @@
     streams: BTreeMap<Instance, FollowerStream>,
     items: VecDeque<StoredItem>,
     last_index: u64,
-    /// Each lease as it was sent last.
+    /// The record of each lease in its newest item.
     sent_leases: BTreeMap<LeaseName, LeaseRecord>,
 }
 
 impl FollowerStreams {
-    /// Starts the stream to an instance that has connected, perhaps once more.
+    /// Starts the stream to an instance that has connected, or connected again.
     pub fn attach(&mut self, now: Millis, instance: Instance) {
         self.streams.insert(instance, FollowerStream::new(now));
     }
@@ -76,18 +79,21 @@
         self.streams.remove(&instance);
     }
 
-    /// The instances that are attached.
+    /// All attached followers.
     pub fn instances(&self) -> impl Iterator<Item = Instance> + '_ {
         self.streams.keys().copied()
     }
 
-    /// Whether an instance is attached.
+    /// Whether an instance is attached as a follower.
     pub fn is_attached(&self, instance: Instance) -> bool {
         self.streams.contains_key(&instance)
     }
 
-    /// Stores an entry that was applied; with the lease as it was right after, if the entry was about one. Heartbeats and
-    /// renewals are left out: a few instances make some twenty a second, and no follower needs them.
+    /// Stores an applied proposal for the followers. For a lease command, `lease_record` is the lease's
+    /// record right after it.
+    ///
+    /// Heartbeats and renewals are not stored: a few instances send some twenty of them a second, and
+    /// followers do not need them.
     pub fn on_applied(&mut self, index: u64, proposal: &Proposal, lease_record: Option<LeaseRecord>) {
         let item = match &proposal.command {
             Command::Lease(command) => {
@@ -112,7 +118,8 @@
         }
     }
 
-    /// Drops all items, as the state was replaced as a whole by that of `index`.
+    /// Drops all items after the whole state was replaced by that at `index`. All followers will be sent that
+    /// state.
     pub fn on_restored(&mut self, index: u64) {
         self.last_index = index;
         self.sent_leases.clear();
@@ -127,7 +134,8 @@
         self.last_index
     }
 
-    /// Takes a follower's acknowledgement of `index`; 0 if it has missed an item and needs the whole state.
+    /// Handles a follower's acknowledgement of `index`. With 0 the follower requests the whole state, as it
+    /// has missed an item.
     pub fn on_ack(&mut self, now: Millis, instance: Instance, index: u64) {
         if let Some(stream) = self.streams.get_mut(&instance) {
             if index == NO_INDEX {
@@ -138,7 +146,8 @@
         }
     }
 
-    /// Takes the frames to send now. `state` is the replica's, applied up to `applied_index`.
+    /// Returns the frames to send now, with their receivers. `state` is the replica's state at
+    /// `applied_index`.
     pub fn take_frames(&mut self, now: Millis, applied_index: u64, state: &State) -> Vec<(Instance, Frame)> {
         let evicted_index = self.items.front().map_or(NO_INDEX, |stored| stored.previous_index);
         let mut encoded_state = None;
@@ -156,7 +165,7 @@
                 outgoing.extend(next_items(stream, &self.items));
             }
             if outgoing.is_empty() && now.saturating_sub(stream.last_sent_at) >= HEARTBEAT_INTERVAL_MS {
-                // By the index in it a follower notices a loss, even if no item follows for long.
+                // By the index in the heartbeat a follower notices a lost item even if no other item follows.
                 let is_current = stream.next_index.is_some_and(|next| next > self.last_index);
                 outgoing.push(Frame::Heartbeat(if is_current { self.last_index } else { NO_INDEX }));
             }
@@ -169,7 +178,7 @@
     }
 }
 
-/// The next items for a follower, as many as may be in flight.
+/// The next items for a follower, up to the maximum number in flight.
 fn next_items(stream: &mut FollowerStream, items: &VecDeque<StoredItem>) -> Vec<Frame> {
     let Some(next_index) = stream.next_index else { return Vec::new() };
     let first = items.partition_point(|stored| stored.index < next_index);
--- a/crates/consensus/src/frame.rs
+++ b/crates/consensus/src/frame.rs
@@ -1,5 +1,6 @@
-//! What instances send each other: frames, each with the version of the encoding. A frame is encoded by `postcard`, so the
-//! order of variants and fields must not change.
+//! The messages between instances: frames, each with the version of the encoding. Frames are encoded by
+//! `postcard`, which writes no names: variants and fields may be renamed, but their order and types must not
+//! change.
 
 use crate::load_reports::LoadReport;
 use crate::replica::ReplicaMessage;
@@ -10,46 +11,47 @@
 use hillstall_maintenance::TrafficFraction;
 use serde::{Deserialize, Serialize};
 
-/// The version of the encoding. A frame of another version is ignored.
+/// The version of the encoding, which is the first byte of a frame. Frames of other versions are rejected.
 pub const FRAME_VERSION: u8 = 1;
-/// The most bytes of a frame: enough for the largest state.
+/// The maximum size of a frame, which is enough for the largest state.
 pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
-/// What a follower receives of an entry that was applied.
+/// An applied log entry in the form in which followers receive it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StreamItem {
-    /// The proposal itself, which the follower applies in turn.
+    /// The proposal itself, which the follower applies to its state.
     Command(Proposal),
-    /// A lease as it is now, in place of the many commands about it, most of which are heartbeats.
+    /// The resulting record of a lease, instead of a lease command: most of these commands are heartbeats and
+    /// renewals, which are not sent.
     Lease {
-        /// The lease's name.
+        /// The name of the changed lease.
         lease: LeaseName,
-        /// Its holder and candidates.
+        /// The lease's holder and candidates after the command.
         record: LeaseRecord,
     },
 }
 
-/// A frame.
+/// A message from one instance to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
     /// The first frame on each connection, from the instance that opens it.
     Hello {
-        /// The fleet's name: instances of different fleets exchange nothing.
+        /// The name of the sender's fleet. Instances of different fleets do not communicate.
         fleet: String,
-        /// The sender.
+        /// The identity of the sender.
         instance: Instance,
-        /// The sender's slot, if it is a replica.
+        /// The sender's replica slot; `None` for a follower.
         replica: Option<usize>,
     },
     /// A message from one replica to another.
     Replica(ReplicaMessage),
-    /// A follower's proposal.
+    /// A proposal of a follower, or a retry of it.
     Propose(Proposal),
-    /// The outcome of a proposal.
+    /// A replica returns the outcome of a follower's proposal.
     Answer {
-        /// The proposal.
+        /// The id of the proposal.
         id: ProposalId,
-        /// The outcome of its command.
+        /// The outcome of the proposal's command.
         outcome: Outcome,
     },
     /// A follower requests a linearizable read.
@@ -57,59 +59,62 @@
         /// The read's number at the follower.
         number: u64,
     },
-    /// The answer to a read: a state of this index is at least as new as the request.
+    /// A replica answers a read. A state at this index is at least as new as the committed state at the
+    /// request.
     ReadIndex {
         /// The read's number at the follower.
         number: u64,
         /// The index that the follower's state must reach.
         index: u64,
     },
-    /// The whole encoded state: the stream begins, or begins anew for a follower that is too far behind.
+    /// The whole encoded state, with which the stream to a follower starts, or restarts after the follower
+    /// has missed an item.
     State(Vec<u8>),
-    /// The next item of the stream.
+    /// The next item of the stream to a follower.
     Applied {
-        /// The index of the item before it.
+        /// The index of the previous item, which the follower must have.
         previous_index: u64,
-        /// The index of its entry.
+        /// The index of the item's log entry.
         index: u64,
-        /// The item.
+        /// The change to apply.
         item: StreamItem,
     },
-    /// A follower acknowledges the stream up to this index; 0 asks for the whole state.
+    /// A follower acknowledges the stream up to this index; 0 requests the whole state.
     Ack(u64),
-    /// A sign of life with the index of the last item that was sent, or 0 if some are still to be sent.
+    /// A replica has sent a follower all items up to this index; 0 if some are still to be sent.
     Heartbeat(u64),
-    /// A fenced command, on its way to all instances.
+    /// A fenced command of a lease holder, which replicas relay to their followers.
     FencedCommand(FencedCommand<TrafficFraction>),
     /// A follower's load report.
     Report(LoadReport),
-    /// The recent load reports of a replica and its followers.
+    /// A replica's system clock, and the recent load reports of the replica and its followers, for the other
+    /// replicas.
     Reports {
         /// The replica's system clock, in Unix milliseconds.
         unix: u64,
-        /// The reports.
+        /// The reports, each with its age at the sending.
         reports: Vec<LoadReport>,
     },
 }
 
-/// Bytes that are not a frame of this version.
+/// Why bytes are not a frame of this version.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The frame is of another version.
-    #[error("a frame of version {0}, not {FRAME_VERSION}")]
+    /// The frame is of this other version.
+    #[error("frame has version {0}, expected {FRAME_VERSION}")]
     Version(u8),
     /// There are no bytes.
-    #[error("no frame: it is empty")]
+    #[error("frame is empty")]
     Empty,
     /// The bytes after the version can't be decoded.
-    #[error("no frame: {0}")]
+    #[error("frame is malformed: {0}")]
     Malformed(#[source] postcard::Error),
 }
 
 impl Frame {
     /// Encodes the frame, with the version first.
     pub fn encode(&self) -> Vec<u8> {
-        // Only a full writer can fail, and this one grows.
+        // Encoding fails only if the writer is full, and a vector grows.
         postcard::to_extend(self, vec![FRAME_VERSION]).unwrap_or_default()
     }
 
--- a/crates/consensus/src/lease_manager.rs
+++ b/crates/consensus/src/lease_manager.rs
@@ -1,5 +1,5 @@
-//! The leases of one instance: those it competes for or holds, the fenced commands that it sends under them, and the
-//! fencing checks that each command must pass before it is applied here.
+//! The leases of one instance: the leases that it competes for or holds, the fenced commands that it sends
+//! under them, and the fencing checks of the commands that it receives.
 
 use crate::audit::AuditEvent;
 use crate::config::NodeConfig;
@@ -13,41 +13,44 @@
 use hillstall_maintenance::{TrafficFraction, FULL_TRAFFIC};
 use std::collections::BTreeMap;
 
-/// How long an instance does not compete for a lease after it has released it.
+/// How long an instance does not compete for a lease that it has released, so that another instance can
+/// acquire it.
 const REACQUIRE_DELAY_MS: Millis = 5_000;
-/// A site's fraction is reported again once it has changed by this much, or has reached 0 or 1.
+/// A site's traffic fraction is output again once it has changed by this much, or has reached 0 or 1.
 const MIN_FRACTION_CHANGE: f64 = 0.005;
 
 /// A lease that this instance may act under.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldLease {
-    /// The lease's name.
+    /// The name of the held lease.
     pub lease: LeaseName,
-    /// The fencing token of the grant.
+    /// The fencing token of this instance's grant.
     pub token: FencingToken,
-    /// The site, for a shift lease.
+    /// The site of a shift lease; `None` for the coordinator lease.
     pub site: Option<String>,
 }
 
 /// A lease that this instance competes for.
 struct ManagedLease {
     session: LeaseSession,
+    /// The site of a shift lease; `None` for the coordinator lease.
     site: Option<String>,
-    /// The candidate's rank: a lower one is preferred.
+    /// This instance's rank as a candidate; a lower rank is preferred.
     rank: u8,
-    /// The token in the last audit event.
+    /// The token that this instance could act with at the last call of [`LeaseManager::take_audit_events`].
     audited_token: Option<FencingToken>,
     /// The sequence number of the last command sent under the lease.
     last_sequence: u64,
-    /// From when on this instance competes for the lease.
+    /// This instance does not compete for the lease before this time.
     competes_from: Millis,
-    /// Whether the lease was released for good.
+    /// Whether the lease was released for good, before a shutdown.
     is_released: bool,
 }
 
 impl ManagedLease {
     fn new(lease: LeaseName, site: Option<String>, config: &NodeConfig, now: Millis) -> ManagedLease {
-        // An instance that goes down with its site couldn't bring the traffic back, so others are preferred.
+        // Instances at other sites are preferred: one that fails together with the site could not restore its
+        // traffic.
         let rank = u8::from(site.as_deref() == Some(&config.site));
         ManagedLease {
             session: LeaseSession::new(lease, config.instance, rank, config.lease_timing, now),
@@ -64,7 +67,7 @@
 /// The traffic fraction of one site.
 struct SiteTraffic {
     ramp: TrafficRamp,
-    /// The fraction that was reported last.
+    /// The fraction that was output last.
     reported: f64,
 }
 
@@ -77,17 +80,19 @@
     /// The site of each shift lease.
     shift_sites: BTreeMap<LeaseName, String>,
     fencing: FencingChecks<TrafficFraction>,
-    /// Whether a linearizable read has shown which commands are stale.
+    /// Whether a linearizable read has returned the minimum token of each lease.
     knows_minimum_tokens: bool,
+    /// Whether all leases are being released for good, before a shutdown.
     releasing_all: bool,
     traffic: BTreeMap<String, SiteTraffic>,
-    /// The token and value of the command applied last, by lease.
+    /// The token and value of the last applied command, by lease.
     last_applied: BTreeMap<LeaseName, (FencingToken, TrafficFraction)>,
 }
 
 impl LeaseManager {
-    /// The manager of an instance that starts at `now`. Replicas compete for all leases of the fleet; a site's shift
-    /// lease prefers an instance at another site.
+    /// Creates the manager of an instance that starts at `now`. An instance with a replica competes for all
+    /// leases of the fleet, a follower for none. For a site's shift lease, instances at other sites are
+    /// preferred.
     pub fn new(config: &NodeConfig, now: Millis) -> LeaseManager {
         let shift_sites: BTreeMap<LeaseName, String> =
             config.sites.iter().filter_map(|site| Some((shift_lease(site)?, site.clone()))).collect();
@@ -112,22 +117,22 @@
 
     // ---- Leases ----
 
-    /// The lease commands to propose now. `random`, from 0 to 1, spreads the attempts of competing instances.
+    /// The lease commands to propose now. `random`, from 0 to 1, spreads the requests of competing instances.
     pub fn due_commands(&mut self, now: Millis, random: f64) -> Vec<LeaseCommand> {
         let competes = |managed: &&mut ManagedLease| !managed.is_released && now >= managed.competes_from;
         let competing = self.managed.values_mut().filter(competes);
         competing.filter_map(|managed| managed.session.due_command(now, random)).collect()
     }
 
-    /// Takes the lease table as it is known at `now`.
+    /// Updates the sessions from the lease table as it is known at `now`.
     pub fn on_table_update(&mut self, now: Millis, table: &LeaseTable) {
         for (lease, managed) in &mut self.managed {
             managed.session.on_update(now, table.grant(lease));
         }
     }
 
-    /// Takes the outcome of a lease command that was proposed at `proposed_at`; with the token of the grant if the command
-    /// was to renew it.
+    /// Handles the outcome of a lease command that was proposed at `proposed_at`. `renewed_token` is the
+    /// token in a renewal, and `None` for other commands.
     pub fn on_outcome(
         &mut self,
         now: Millis,
@@ -153,7 +158,7 @@
         }
     }
 
-    /// Starts a new session after a release, which competes for the lease after a pause.
+    /// Replaces the session of a released lease by a new one, which competes for the lease after a pause.
     fn on_released(&mut self, now: Millis, lease: &LeaseName) {
         let Some(managed) = self.managed.get_mut(lease) else { return };
         managed.is_released = self.releasing_all;
@@ -162,7 +167,7 @@
             LeaseSession::new(lease.clone(), self.instance, managed.rank, self.timing, managed.competes_from);
     }
 
-    /// Releases all leases for good.
+    /// Releases all leases for good, before a shutdown.
     pub fn release_all(&mut self, now: Millis) {
         self.releasing_all = true;
         for managed in self.managed.values_mut() {
@@ -171,12 +176,13 @@
         }
     }
 
-    /// Whether the replicas have acknowledged the release of all leases.
+    /// Whether the replicas have acknowledged the release of all leases after [`LeaseManager::release_all`].
     pub fn has_released_all(&self) -> bool {
         self.releasing_all && self.managed.values().all(|managed| managed.is_released)
     }
 
-    /// Releases one lease, and competes for it again after a pause. Returns false if it is not held.
+    /// Releases one lease, and competes for it again after a pause. Returns false if this instance does not
+    /// hold it.
     pub fn hand_over(&mut self, now: Millis, lease: &LeaseName) -> bool {
         let Some(managed) = self.managed.get_mut(lease) else { return false };
         let is_held = managed.session.token(now).is_some();
@@ -200,7 +206,7 @@
         held.collect()
     }
 
-    /// Takes the audit events about leases that were acquired or lost since the last call.
+    /// Returns the audit events about leases that were acquired or lost since the last call.
     pub fn take_audit_events(&mut self, now: Millis) -> Vec<AuditEvent> {
         let mut events = Vec::new();
         for (lease, managed) in &mut self.managed {
@@ -216,7 +222,8 @@
 
     // ---- Fenced commands ----
 
-    /// The next command to send under a lease: a site gets `fraction` of its usual traffic.
+    /// The next command to send under a shift lease, which sets the site's traffic to `fraction` of the usual
+    /// one.
     pub fn next_fenced_command(
         &mut self,
         lease: &LeaseName,
@@ -238,7 +245,8 @@
         }
     }
 
-    /// Accepts commands from now on. The table comes from a linearizable read, so it shows the lowest valid tokens.
+    /// Starts to accept commands. `table` must be from a linearizable read, so that commands below its tokens
+    /// are stale.
     pub fn start_accepting_commands(&mut self, table: &LeaseTable) {
         for lease in self.shift_sites.keys() {
             let minimum = MinimumToken { token: table.highest_token(lease), sequence: None };
@@ -247,13 +255,13 @@
         self.knows_minimum_tokens = true;
     }
 
-    /// Whether commands are accepted, or there is no site that one could be about.
+    /// Whether commands are accepted; also true if there are no sites, so that there are no commands.
     pub fn accepts_commands(&self) -> bool {
         self.knows_minimum_tokens || self.shift_sites.is_empty()
     }
 
-    /// Applies a command if it passes the fencing check. Returns what to write to the audit log: nothing for a command
-    /// that only repeats the last one, or arrives after a later one.
+    /// Applies a command if it passes the fencing check. Returns the audit event; `None` for a command that
+    /// repeats the last one, or that arrives after a newer one under the same grant.
     pub fn apply_command(
         &mut self,
         now: Millis,
@@ -276,8 +284,8 @@
         }
     }
 
-    /// Takes the sites whose fraction has changed since the last call. Commands expire, and then the traffic of their
-    /// sites returns gradually.
+    /// Returns the sites whose traffic fraction has changed since the last call, with their fractions. Also
+    /// lets the traffic of a site return gradually once the last command for it has expired.
     pub fn take_changed_fractions(&mut self, now: Millis) -> Vec<(String, f64)> {
         let mut changed = Vec::new();
         for (lease, site) in &self.shift_sites {
@@ -302,7 +310,8 @@
     }
 }
 
-/// The leases that a replica competes for: each site's shift lease and the coordinator's.
+/// The leases that an instance with a replica competes for: each site's shift lease and the coordinator
+/// lease.
 fn managed_leases(
     config: &NodeConfig,
     shift_sites: &BTreeMap<LeaseName, String>,
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,16 +1,18 @@
-//! What the instances of a fleet agree on, and each instance's part in it.
+//! The replicated state of a fleet, the Raft replicas that agree on it, and the node that runs in every
+//! instance.
 //!
-//! Nothing here does I/O: time and randomness are arguments, frames go in and out, and storage is behind a trait. So the
-//! same code runs over sockets and in simulated time.
+//! The crate does no I/O: time and random seeds are arguments, frames are inputs and outputs, and storage is
+//! behind a trait. So the same code runs over sockets and in simulated time.
 //!
 //! - [`state`]: the replicated state: leases, maintenance windows, incidents and change permits.
-//! - [`replica`]: one of the three or five replicas that agree on the state by the Raft protocol, over a [`log`] in a
-//!   [`storage`].
-//! - [`node`]: what every instance does, configured by a [`config`]: it competes for leases, applies fenced commands and
-//!   learns the state.
-//! - [`lease_manager`] and [`load_reports`]: the leases of an instance, and the load of all.
-//! - [`frame`]: what instances send each other.
-//! - [`audit`]: the acts by which a fleet's behaviour is checked afterwards.
+//! - [`replica`]: one of the three or five replicas that agree on the state by the Raft protocol, with its
+//!   [`log`] and its persistent [`storage`].
+//! - [`node`]: the part of every instance, whether replica or follower: it competes for leases, applies
+//!   fenced commands and keeps a copy of the state. [`config`] has its configuration.
+//! - [`lease_manager`]: the leases and fencing checks of one instance.
+//! - [`load_reports`]: the load that all instances report, and what lease holders derive from it.
+//! - [`frame`]: the messages between instances.
+//! - [`audit`]: the audit events of an instance.
 
 pub mod audit;
 pub mod config;
--- a/crates/consensus/src/load_reports.rs
+++ b/crates/consensus/src/load_reports.rs
@@ -1,4 +1,5 @@
-//! Load reports: what each instance has counted, how old it is, and what the fleet's lease holders conclude from it.
+//! Load reports: the counts of each instance, and the load and observations that lease holders derive from
+//! them.
 
 use hillstall_change_freeze::detection::{Observation, Symptom};
 use hillstall_change_freeze::scope::Scope;
@@ -7,52 +8,57 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A report older than this is not used.
+/// A report older than this is ignored.
 const REPORT_TTL_MS: Millis = 3_000;
-/// An instance without a report for this long no longer counts as missing.
+/// An instance whose last report is older than this no longer counts as an instance that does not report.
 const INSTANCE_TTL_MS: Millis = 60_000;
 /// The time between two samples of a site's load.
 const SAMPLE_INTERVAL_MS: Millis = 500;
-/// The most samples stored of a site's load.
+/// The maximum number of stored samples of a site's load.
 const MAX_SAMPLES: usize = 10;
-/// The number of latest samples that a site's present load is the mean of.
+/// A site's current load is the mean of this many latest samples.
 const CURRENT_SAMPLES: usize = 2;
-/// The least attempts that must have ended at a site, over all instances, before the share without an answer is used.
+/// The minimum number of attempts ended at a site, over all instances, for the share of unanswered attempts
+/// to be used.
 const MIN_ENDED_ATTEMPTS: u64 = 5;
-/// The least requests that must have arrived, over all instances, before the share of rejected ones is used.
+/// The minimum number of requests, over all instances, for the share of rejected requests to be used.
 const MIN_REQUESTS: u64 = 20;
-/// [`SiteCounts::utilization_percent`] above this says that the backends don't report it.
+/// A higher [`SiteCounts::utilization_percent`] means that the backends do not report their utilization.
 const MAX_UTILIZATION_PERCENT: u8 = 100;
 
-/// What an instance has counted for one site.
+/// An instance's counts for one site, over the period of the report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SiteCounts {
-    /// Attempts sent to the site.
+    /// The number of attempts sent to the site.
     pub sent: u32,
-    /// Attempts that were served.
+    /// The number of attempts that were served.
     pub served: u32,
-    /// Attempts that ended without a response: no connection, a broken connection, or a timeout.
+    /// The number of attempts that ended without a response: no connection, a broken connection, or a
+    /// time-out.
     pub unanswered: u32,
-    /// The share of its backends' capacity in use, in percent; over 100 if the backends don't report it.
+    /// The share of the capacity of the site's backends in use, in percent; over 100 if the backends don't
+    /// report it.
     pub utilization_percent: u8,
-    /// The fraction of its usual traffic that this instance sends to the site, in thousandths.
+    /// The fraction of its usual traffic that this instance sends to the site, in thousandths. Filled in by
+    /// [`Node::on_report`](crate::node::Node::on_report).
     pub fraction: u16,
 }
 
-/// What an instance has counted over some time.
+/// The counts of an instance over a period of time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The instance that has counted.
+    /// The instance that reports. Filled in by [`Node::on_report`](crate::node::Node::on_report); a report
+    /// without it is ignored.
     pub instance: Option<Instance>,
-    /// The report's age when it is sent, in milliseconds.
+    /// The age of the report when it is sent, in milliseconds.
     pub age_ms: u32,
-    /// The time over which it counts, in milliseconds.
+    /// The length of the period, in milliseconds.
     pub period_ms: u32,
-    /// Client requests that arrived.
+    /// The number of client requests that arrived.
     pub requests: u32,
-    /// Client requests that were rejected.
+    /// The number of client requests that were rejected.
     pub rejected: u32,
-    /// The counts of each site.
+    /// The counts for each site, by the site's name.
     pub sites: BTreeMap<String, SiteCounts>,
 }
 
@@ -72,22 +78,24 @@
 /// The latest report of each instance, and recent samples of each site's load.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReports {
-    /// By rank: two processes of one rank count as one instance here.
+    /// By rank, so that the two processes of one rank during an upgrade count as one instance.
     latest: BTreeMap<u32, ReceivedReport>,
-    /// The attempts sent to each site per second, newest last.
+    /// Samples of the attempts per second sent to each site, newest last.
     samples: BTreeMap<String, VecDeque<f64>>,
     sampled_at: Millis,
 }
 
-/// The sums of all recent reports about one site.
+/// The sums of the counts for one site over all recent reports.
 #[derive(Default)]
 struct SiteTotals {
     sent_per_second: f64,
     served: f64,
     ended: f64,
+    /// The sum of the reported utilizations, each from 0 to 1.
     utilization: f64,
+    /// The number of reports with a utilization.
     utilization_reports: f64,
-    /// The fraction at each instance, in thousandths.
+    /// The traffic fraction at each instance, in thousandths.
     fractions: Vec<u16>,
 }
 
@@ -104,7 +112,8 @@
         self.fractions.push(counts.fraction);
     }
 
-    /// The fractions, from 0 to 1, that three in four instances don't fall below and don't exceed.
+    /// Two traffic fractions, from 0 to 1: at least three in four instances send no less than the first, and
+    /// at least three in four send no more than the second.
     fn quartile_fractions(&mut self) -> (f64, f64) {
         self.fractions.sort_unstable();
         let upper_quartile = (self.fractions.len() * 3).div_ceil(4).max(1) - 1;
@@ -114,7 +123,7 @@
         (fraction_at(lower_quartile), fraction_at(upper_quartile))
     }
 
-    /// The site's load. `samples` are of what was sent per second, newest last.
+    /// The site's load. `samples` are the site's attempts per second, newest last.
     fn into_load(mut self, samples: &VecDeque<f64>) -> SiteLoad {
         let mean =
             |latest: usize| samples.iter().rev().take(latest).sum::<f64>() / samples.len().min(latest) as f64;
@@ -132,7 +141,7 @@
 }
 
 impl LoadReports {
-    /// Records a report received at `now`, unless a newer one of the same instance is known.
+    /// Records a report received at `now`, unless a newer report of the same rank is known.
     pub fn record(&mut self, now: Millis, report: LoadReport) {
         let Some(instance) = report.instance else { return };
         let made_at = now.saturating_sub(u64::from(report.age_ms));
@@ -141,7 +150,7 @@
         }
     }
 
-    /// The recent reports of the selected instances, each with its present age.
+    /// The recent reports of the selected instances, each with its age at `now`.
     pub fn recent(&self, now: Millis, is_selected: impl Fn(Instance) -> bool) -> Vec<LoadReport> {
         let recent = self.recent_entries(now);
         let selected = recent.filter(|received| received.report.instance.is_some_and(&is_selected));
@@ -150,7 +159,8 @@
             .collect()
     }
 
-    /// The load of all sites, for the steps of a traffic shift. The caller fills in [`FleetLoad::blocker`].
+    /// The load of all sites, from which the steps of a traffic shift are decided. Also takes the samples
+    /// that are due. The caller fills in [`FleetLoad::blocker`].
     pub fn fleet_load(&mut self, now: Millis) -> FleetLoad {
         self.latest.retain(|_, received| received.age(now) < INSTANCE_TTL_MS);
         let known_instances = self.latest.len().max(1);
@@ -168,7 +178,8 @@
         }
     }
 
-    /// The fraction of each site's usual traffic that three in four instances send at least, by their recent reports.
+    /// The fraction of its usual traffic, from 0 to 1, that at least three in four instances send to each
+    /// site, by their recent reports.
     pub fn min_fractions(&self, now: Millis) -> BTreeMap<String, f64> {
         let totals = self.site_totals(now).into_iter();
         totals.map(|(site, mut totals)| (site, totals.quartile_fractions().0)).collect()
@@ -184,7 +195,7 @@
         totals
     }
 
-    /// Adds a sample of each site's load if one is due. A site without any gets its first at once.
+    /// Adds a sample of each site's load if one is due, and the first sample of a new site at once.
     fn sample(&mut self, now: Millis, totals: &BTreeMap<String, SiteTotals>) {
         let is_due = now.saturating_sub(self.sampled_at) >= SAMPLE_INTERVAL_MS;
         if is_due {
@@ -205,8 +216,8 @@
         self.latest.values().filter(move |received| received.age(now) < REPORT_TTL_MS)
     }
 
-    /// What the rules of the coordinator evaluate: the share of rejected requests, and each site's share of attempts
-    /// without a response. A share of too few is left out.
+    /// The observations for the coordinator's rules: the fleet's share of rejected requests, and each site's
+    /// share of unanswered attempts. A share of too few requests or attempts is left out.
     pub fn observations(&self, now: Millis) -> Vec<Observation> {
         let (mut requests, mut rejected) = (0, 0);
         let mut sites: BTreeMap<&String, (u64, u64)> = BTreeMap::new();
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,48 +1,54 @@
-//! The log of a replica as the `raft` crate reads it: in memory, and written to the storage before anything is sent.
+//! The Raft log of a replica. The `raft` crate reads it from memory; changes are collected in a
+//! [`WriteBatch`], which the replica stores before it sends any message.
 
 use crate::storage::{PersistentState, WriteBatch};
 use protobuf::{Message as _, ProtobufError};
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 
-/// The index of the snapshot that a new fleet begins with. No entry has this index, so a replica that joins later with an
-/// empty log is always sent a snapshot, and with it the members.
+/// The index of the snapshot that a new fleet begins with. No entry has this index, so a replica that joins
+/// later with an empty log is always sent a snapshot, which contains the members.
 const BOOTSTRAP_INDEX: u64 = 1;
 /// The term of the snapshot that a new fleet begins with.
 const BOOTSTRAP_TERM: u64 = 1;
 
-/// What a replica knows of the log.
+/// The Raft log of a replica, with the hard state, the members and the newest snapshot.
 #[derive(Clone, Debug, Default)]
 pub struct RaftLog {
     hard_state: HardState,
     members: ConfState,
     snapshot: Snapshot,
-    /// The entries, without a gap: they follow the snapshot, or begin before its end.
+    /// Consecutive entries. They start right after the snapshot, or earlier if entries that it covers are
+    /// retained.
     entries: Vec<Entry>,
-    /// What must be in the storage before the next message is sent.
+    /// The changes that must be stored before the next message is sent.
     unsaved: WriteBatch,
 }
 
-/// What the storage holds is not a valid log.
+/// The contents of the storage are not a valid log.
 #[derive(Debug, thiserror::Error)]
 pub enum CorruptLog {
-    /// A part of it can't be decoded.
-    #[error("the disk holds no whole log: {part}: {source}")]
+    /// A part of the log can't be decoded.
+    #[error("the stored Raft log is corrupt: cannot decode {part}: {source}")]
     Decode {
-        /// The part.
+        /// The part that can't be decoded: the hard state, the snapshot or an entry.
         part: &'static str,
-        /// Why it can't be decoded.
+        /// The error of the decoder.
         source: ProtobufError,
     },
-    /// An entry is stored under another index than its own, or does not follow the one before it.
-    #[error("the disk holds no whole log: entry {index} is out of its place")]
+    /// An entry is stored under an index that is not its own, or there is a gap before the entry.
+    #[error(
+        "the stored Raft log is corrupt: the entry under index {index} has another index or follows a gap"
+    )]
     MisplacedEntry {
-        /// The index under which it is stored.
+        /// The index under which the entry is stored.
         index: u64,
     },
-    /// Entries, snapshot and commit index don't fit together.
+    /// There is a gap between snapshot and entries, or the commit index is not from the snapshot to the last
+    /// entry.
     #[error(
-        "the disk holds no whole log: entries {first} to {last}, snapshot {snapshot}, committed {committed}"
+        "the stored Raft log is corrupt: it has entries {first} to {last}, a snapshot at {snapshot} \
+         and commit index {committed}"
     )]
     Inconsistent {
         /// The index of the first entry.
@@ -56,18 +62,18 @@
     },
 }
 
-/// Encodes a message. Only a full writer can fail, and this one grows.
 fn encode(message: &impl protobuf::Message) -> Vec<u8> {
+    // Encoding fails only if the writer is full, and a vector grows.
     message.write_to_bytes().unwrap_or_default()
 }
 
-/// Turns the error of decoding a part into that of the log.
 fn decode_error(part: &'static str) -> impl Fn(ProtobufError) -> CorruptLog {
     move |source| CorruptLog::Decode { part, source }
 }
 
 impl RaftLog {
-    /// The log of a replica that bootstraps a fleet of these members, with the encoded state that it begins with.
+    /// The log of a replica that bootstraps a fleet of these members. `state` is the encoded state of the new
+    /// fleet.
     pub fn bootstrapped(members: &[u64], state: Vec<u8>) -> RaftLog {
         let mut log = RaftLog::default();
         log.members.voters = members.to_vec();
@@ -83,22 +89,24 @@
         log
     }
 
-    /// The log of a replica that knows nothing yet, and waits to be made a member.
+    /// The log of a replica that joins a running fleet: without entries, snapshot and members.
     pub fn empty() -> RaftLog {
         let mut log = RaftLog::default();
         log.mark_unsaved();
         log
     }
 
-    /// Decodes the log in the storage.
+    /// Decodes the log from the contents of a storage.
     ///
     /// # Errors
     ///
-    /// Fails if a part can't be decoded, or the parts don't fit together.
+    /// Fails if a part can't be decoded, or the parts are inconsistent.
     pub fn read(persistent: &PersistentState) -> Result<RaftLog, CorruptLog> {
-        let hard_state = HardState::parse_from_bytes(&persistent.hard_state).map_err(decode_error("the vote"))?;
-        let snapshot = Snapshot::parse_from_bytes(&persistent.snapshot).map_err(decode_error("the snapshot"))?;
-        // The members belong to the applied index: changes after the snapshot will be applied once more.
+        let hard_state =
+            HardState::parse_from_bytes(&persistent.hard_state).map_err(decode_error("the hard state"))?;
+        let snapshot =
+            Snapshot::parse_from_bytes(&persistent.snapshot).map_err(decode_error("the snapshot"))?;
+        // A replica starts with the snapshot applied: member changes after it will be applied again.
         let members = snapshot.get_metadata().get_conf_state().clone();
         let entries = persistent.entries.values().map(|bytes| Entry::parse_from_bytes(bytes));
         let entries = entries.collect::<Result<Vec<_>, _>>().map_err(decode_error("an entry"))?;
@@ -108,7 +116,7 @@
         Ok(log)
     }
 
-    /// Checks that the entries follow each other, each stored under its own index.
+    /// Checks that there is no gap between the entries, and that each is stored under its own index.
     fn check_entry_indexes<'a>(&self, keys: impl Iterator<Item = &'a u64>) -> Result<(), CorruptLog> {
         let first = self.first_entry_index();
         for (offset, (key, entry)) in keys.zip(&self.entries).enumerate() {
@@ -120,7 +128,8 @@
         Ok(())
     }
 
-    /// Checks that the entries reach the snapshot, and the commit index lies within what is known.
+    /// Checks that there is no gap between snapshot and entries, and that the commit index lies from the
+    /// snapshot to the last entry.
     fn check_consistency(&self) -> Result<(), CorruptLog> {
         let (first, last) = (self.first_entry_index(), self.last_entry_index());
         let snapshot = self.snapshot.get_metadata().index;
@@ -137,8 +146,8 @@
         self.unsaved.snapshot = Some(encode(&self.snapshot));
     }
 
-    /// Takes what has to be stored now. The commit index goes along with whatever is stored, so that it is never behind a
-    /// stored snapshot.
+    /// Returns the changes that have to be stored now. Each batch contains the commit index, so that the
+    /// stored commit index is never behind the stored snapshot.
     pub fn take_unsaved(&mut self) -> WriteBatch {
         if !self.unsaved.is_empty() {
             self.unsaved.hard_state = Some(encode(&self.hard_state));
@@ -150,42 +159,45 @@
         self.entries.first().map_or(self.snapshot.get_metadata().index + 1, |entry| entry.index)
     }
 
-    /// The index of the last entry, or of the snapshot if no entry follows it.
+    /// The index of the last entry; without entries, that of the snapshot.
     pub fn last_entry_index(&self) -> u64 {
         self.entries.last().map_or(self.snapshot.get_metadata().index, |entry| entry.index)
     }
 
-    /// The index of the snapshot, and the encoded state in it.
+    /// The index of the newest snapshot, and the encoded state in it, which is empty before the first
+    /// snapshot.
     pub fn snapshot_state(&self) -> (u64, &[u8]) {
         (self.snapshot.get_metadata().index, &self.snapshot.data)
     }
 
-    /// The members.
+    /// The voters and learners as of the applied index.
     pub fn members(&self) -> &ConfState {
         &self.members
     }
 
-    /// Sets the term, the vote and the commit index. A new commit index alone need not be stored: see
+    /// Sets the term, the vote and the commit index. A new commit index alone is not stored; see
     /// [`RaftLog::set_commit`].
     pub fn set_hard_state(&mut self, hard_state: &HardState) {
-        let changes_term_or_vote = (hard_state.term, hard_state.vote) != (self.hard_state.term, self.hard_state.vote);
+        let changes_term_or_vote =
+            (hard_state.term, hard_state.vote) != (self.hard_state.term, self.hard_state.vote);
         self.hard_state = hard_state.clone();
         if changes_term_or_vote {
             self.unsaved.hard_state = Some(encode(&self.hard_state));
         }
     }
 
-    /// Sets the commit index. It need not be stored: a replica learns it again.
+    /// Sets the commit index. It causes no write: after a start, a replica learns it from the leader.
     pub fn set_commit(&mut self, commit: u64) {
         self.hard_state.commit = commit;
     }
 
-    /// Sets the members. They are stored with the next snapshot; a start before that applies the change once more.
+    /// Sets the members. They are stored with the next snapshot; after a start before that, the change is
+    /// applied again.
     pub fn set_members(&mut self, members: ConfState) {
         self.members = members;
     }
 
-    /// Appends entries. They replace those from the index of the first one on.
+    /// Appends entries. They replace all existing entries from the index of the first new one on.
     pub fn append(&mut self, entries: &[Entry]) {
         let Some(from) = entries.first().map(|entry| entry.index) else { return };
         self.entries.retain(|entry| entry.index < from);
@@ -209,8 +221,8 @@
         self.unsaved.entries.clear();
     }
 
-    /// Makes a snapshot of the encoded state applied up to `index`, and drops the entries before it but for the last
-    /// `retained`, which members that are a little behind need.
+    /// Makes a snapshot of the encoded `state`, which was applied up to `index`, and drops the entries that
+    /// it covers. The last `retained` of them are kept, so that members that lag a little need no snapshot.
     pub fn compact(&mut self, index: u64, state: Vec<u8>, retained: u64) {
         let Ok(term) = self.term(index) else { return };
         let mut snapshot = Snapshot { data: state.into(), ..Snapshot::default() };
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,17 +1,19 @@
-//! An instance's part in the fleet: it competes for leases, applies fenced commands, reports its load and learns the
-//! replicated state. Some instances run a [`Replica`]; all others follow one of the replicas.
+//! The node of an instance: it competes for leases, applies fenced commands, reports its load and keeps a
+//! copy of the replicated state. The nodes of some instances run a [`Replica`]; all others follow one of the
+//! replicas.
 //!
-//! A [`Node`] does no I/O. Its owner passes in frames, reports and the time, and carries out the [`Output`]s.
+//! A [`Node`] does no I/O. Its owner passes in frames, reports and the time, and executes the [`Output`]s.
 //!
 //! - `replication`: frames from replicas and followers, and the events of the local replica;
-//! - `following`: what a follower learns, and the choice of the replica that it follows;
+//! - `following`: the stream that a follower receives, and the choice of the replica that it follows;
 //! - `proposals`: proposals, their retries and their outcomes;
 //! - `reads`: linearizable reads;
 //! - `leases`: acquiring, renewing and releasing leases;
 //! - `fenced_commands`: the distribution and application of fenced commands;
-//! - `lease_holder`: what the holder of a lease does, and `traffic_shift` for one site's windows;
+//! - `lease_holder`: the periodic work of a lease holder, and `traffic_shift`: that work for one site's
+//!   windows;
 //! - `clock`: the median of the replicas' clocks;
-//! - `output`: what the owner is to carry out.
+//! - `output`: the actions that the owner has to execute.
 
 mod clock;
 mod fenced_commands;
@@ -49,27 +51,29 @@
 use reads::ReadRequester;
 use std::collections::BTreeMap;
 
-/// How often a lease holder evaluates what it has to do.
+/// The time between two evaluations of a lease holder's work.
 const POLL_INTERVAL_MS: Millis = 100;
 
-/// An instance of the fleet: a replica or a follower.
+/// The node of an instance, which is a replica or a follower. `D` is the storage of the replica.
 pub struct Node<D> {
     config: NodeConfig,
     random: Xoshiro256PlusPlus,
     /// The replica that runs in this instance, if it has a slot.
     replica: Option<Replica<D>>,
-    /// What a follower knows of the state, and from whom. Unused on an instance that runs a replica.
+    /// The replica that a follower follows, and the state received from it. Unused on an instance that runs a
+    /// replica.
     followed: FollowedReplica,
     /// The followers that are attached to the local replica.
     followers: FollowerStreams,
     leases: LeaseManager,
     /// Proposals without an outcome yet, by their number.
     pending_proposals: BTreeMap<u64, PendingProposal>,
-    /// The last number given to a proposal or a read.
+    /// The number of the newest proposal or read; they share one sequence.
     last_number: u64,
     /// Reads without an answer yet, by their number.
     pending_reads: BTreeMap<u64, ReadRequester>,
-    /// The index that the state must reach before fenced commands are accepted.
+    /// The index that the state must reach before fenced commands are accepted, once the read has returned
+    /// it.
     fencing_read_index: Option<u64>,
     read_sent_at: Option<Millis>,
     lease_expiry: ExpiryMonitor,
@@ -80,13 +84,14 @@
     shift_controllers: BTreeMap<LeaseName, ShiftController>,
     clocks: ReplicaClocks,
     polled_at: Millis,
-    /// Whether this instance shuts down and gives up its leases.
+    /// Whether this instance shuts down and has given up its leases for good.
     releasing_leases: bool,
     outputs: Vec<Output>,
 }
 
 impl<D: ReplicaStorage> Node<D> {
-    /// Starts an instance at `now`. `storage` must be given exactly when the configuration has a replica slot.
+    /// Starts the node of an instance at `now`. `storage` must be given if and only if the configuration has
+    /// a replica slot.
     pub fn start(config: NodeConfig, storage: Option<D>, now: Millis) -> Node<D> {
         let mut random = Xoshiro256PlusPlus::seed_from_u64(config.seed);
         let replica_seed = random.next_u64();
@@ -124,21 +129,23 @@
         node
     }
 
-    /// Takes the outputs since the last call, in the order in which they are to be carried out. To be called after each
-    /// input, or after several that arrived together: a replica then stores what they lead to in one write.
+    /// Returns the outputs since the last call, in the order in which the owner has to execute them. The
+    /// owner calls this after each input, or once after several inputs that arrived together, so that a
+    /// replica stores their results in one write.
     pub fn take_outputs(&mut self, now: Millis) -> Vec<Output> {
         self.process_replica_events(now);
         self.outputs.extend(self.leases.take_audit_events(now).into_iter().map(Output::Audit));
         std::mem::take(&mut self.outputs)
     }
 
-    /// The replicated state as this instance knows it.
+    /// This instance's copy of the replicated state; see [`Node::state_age`].
     pub fn state(&self) -> &State {
         known_state(&self.replica, &self.followed)
     }
 
-    /// The age of [`Node::state`] in milliseconds; `None` if a follower has received no state yet. Always 0 on a
-    /// replica, which doesn't know when the leader last sent something: 0 says only that nothing newer has arrived.
+    /// How long ago, in milliseconds, [`Node::state`] was known to be the state of the followed replica;
+    /// `None` if a follower has received no state yet. Always 0 on a replica, even if it lags behind the
+    /// leader: it does not record when it last received anything from the leader.
     pub fn state_age(&self, now: Millis) -> Option<Millis> {
         match &self.replica {
             Some(_) => Some(0),
@@ -146,7 +153,7 @@
         }
     }
 
-    /// The replica that runs in this instance, if any.
+    /// The replica that runs in this instance; `None` on a follower.
     pub fn replica(&self) -> Option<&Replica<D>> {
         self.replica.as_ref()
     }
@@ -156,12 +163,14 @@
         self.leases.held_tokens(now)
     }
 
-    /// The slot of the replica that this instance follows and whether it is connected to it; `None` on a replica.
+    /// The slot of the replica that this instance follows and whether it is connected to it; `None` on a
+    /// replica.
     pub fn following(&self) -> Option<(usize, bool)> {
         self.replica.is_none().then_some((self.followed.slot, self.followed.connected))
     }
 
-    /// Whether fenced commands are accepted: a linearizable read has shown which of them are stale.
+    /// Whether fenced commands are accepted. They are rejected until a linearizable read has shown the
+    /// minimum token of each lease.
     pub fn accepts_commands(&self) -> bool {
         self.leases.accepts_commands()
     }
@@ -171,14 +180,14 @@
         self.leases.site_fraction(site, now)
     }
 
-    /// The fraction of each site's usual traffic that three in four instances report to send at least. Only replicas
-    /// receive reports.
+    /// The fraction of its usual traffic, from 0 to 1, that at least three in four instances report to send
+    /// to each site. Empty on a follower, as only replicas receive reports.
     pub fn reported_fractions(&self, now: Millis) -> BTreeMap<String, f64> {
         self.reports.min_fractions(now)
     }
 
-    /// Lets time pass to `now`, a monotonic time. `unix` is the system clock, which may step; it is compared with the
-    /// clocks of the other replicas.
+    /// Advances the time to `now`, a monotonic time, and does all work that is due. `unix` is the system
+    /// clock in Unix milliseconds; it may step, and is compared with the clocks of the other replicas.
     pub fn tick(&mut self, now: Millis, unix: Millis) {
         if let Some(replica) = &mut self.replica {
             replica.tick(now);
@@ -199,7 +208,8 @@
         self.stream_to_followers(now);
     }
 
-    /// Updates the leases after a change of the state, and accepts fenced commands once the read index is reached.
+    /// Updates the leases after a change of the state, and starts to accept fenced commands once the state
+    /// has reached the index of the fencing read.
     fn on_state_changed(&mut self, now: Millis) {
         let state = known_state(&self.replica, &self.followed);
         self.leases.on_table_update(now, state.leases());
@@ -210,12 +220,11 @@
         }
     }
 
-    /// Sends a frame to one replica.
     fn send_to_replica(&mut self, slot: usize, frame: Frame) {
         self.outputs.push(Output::Send(Destination::Replica(slot), frame));
     }
 
-    /// Sends a frame to one attached instance.
+    /// Sends a frame to an instance that is attached to the local replica.
     fn send_to_instance(&mut self, instance: Instance, frame: Frame) {
         self.outputs.push(Output::Send(Destination::Instance(instance), frame));
     }
@@ -227,7 +236,8 @@
     }
 }
 
-/// The state as this instance knows it. Borrows only these two fields, so that others stay free to change.
+/// The implementation of [`Node::state`], which borrows only these two fields: callers change other fields
+/// meanwhile.
 fn known_state<'a, D: ReplicaStorage>(
     replica: &'a Option<Replica<D>>,
     followed: &'a FollowedReplica,
--- a/crates/consensus/src/node/clock.rs
+++ b/crates/consensus/src/node/clock.rs
@@ -1,14 +1,14 @@
-//! A common time of day: the median of the replicas' system clocks, so that one clock that is off has no effect.
+//! A common time of day: the median of the replicas' system clocks, so that one wrong clock has no effect.
 
 use super::Node;
 use crate::storage::ReplicaStorage;
 use hillstall_lease::Millis;
 use std::collections::BTreeMap;
 
-/// A replica's clock offset that was received longer ago than this is ignored.
+/// A clock offset received longer ago than this is ignored.
 const CLOCK_OFFSET_TTL_MS: Millis = 10_000;
 
-/// The offset of a replica's system clock from the local monotonic time.
+/// How far a replica's system clock was ahead of the local monotonic time when it was received.
 #[derive(Clone, Copy, Debug)]
 struct ClockOffset {
     offset_ms: i64,
@@ -22,12 +22,12 @@
 }
 
 impl ReplicaClocks {
-    /// Records the system clock that a replica reported at `now`.
+    /// Records the system clock of the replica in `slot`, received at `now`.
     pub(super) fn record(&mut self, now: Millis, slot: usize, unix: Millis) {
         self.offsets.insert(slot, ClockOffset { offset_ms: offset_ms(now, unix), received_at: now });
     }
 
-    /// The median of the recent offsets and the local one, as a time of day.
+    /// The median of the recently received clocks and the local one, in Unix milliseconds.
     fn median_time(&self, now: Millis, unix: Millis) -> Millis {
         let is_recent = |offset: &&ClockOffset| now.saturating_sub(offset.received_at) < CLOCK_OFFSET_TTL_MS;
         let recent = self.offsets.values().filter(is_recent);
@@ -45,7 +45,8 @@
 }
 
 impl<D: ReplicaStorage> Node<D> {
-    /// The time of day in Unix milliseconds, as the median of the replicas' clocks and the local one (`unix`).
+    /// The time of day in Unix milliseconds, as the median of the replicas' clocks and the local one
+    /// (`unix`).
     pub fn consensus_time(&self, now: Millis, unix: Millis) -> Millis {
         self.clocks.median_time(now, unix)
     }
--- a/crates/consensus/src/node/fenced_commands.rs
+++ b/crates/consensus/src/node/fenced_commands.rs
@@ -1,5 +1,5 @@
-//! Fenced commands: a lease holder sends them to all instances, and each instance checks the fencing token before it
-//! applies one.
+//! Fenced commands: a lease holder sends them to all instances, and each instance checks the fencing token of
+//! a command before it applies it.
 
 use super::{Node, Output};
 use crate::frame::Frame;
@@ -9,7 +9,8 @@
 use hillstall_maintenance::TrafficFraction;
 
 impl<D: ReplicaStorage> Node<D> {
-    /// Sends a command to all instances, this one included. Each decides by its fencing check whether to apply it.
+    /// Sends a command to all instances, this one included: to the other replicas, which relay it to their
+    /// followers.
     pub(super) fn broadcast_command(&mut self, now: Millis, command: FencedCommand<TrafficFraction>) {
         for slot in self.other_replica_slots() {
             self.send_to_replica(slot, Frame::FencedCommand(command.clone()));
@@ -18,7 +19,7 @@
         self.apply_command(now, command);
     }
 
-    /// Passes a command on to the instances that are attached here.
+    /// Sends a command to the followers that are attached to the local replica.
     pub(super) fn relay_command(&mut self, command: &FencedCommand<TrafficFraction>) {
         let attached: Vec<Instance> = self.followers.instances().collect();
         for instance in attached {
@@ -26,14 +27,14 @@
         }
     }
 
-    /// Applies a command here, unless its fencing check fails.
+    /// Applies a command on this instance, unless the fencing check rejects it.
     pub(super) fn apply_command(&mut self, now: Millis, command: FencedCommand<TrafficFraction>) {
         let audit_event = self.leases.apply_command(now, command);
         self.output_changed_fractions(now);
         self.outputs.extend(audit_event.map(Output::Audit));
     }
 
-    /// Reports the sites whose traffic fraction has changed.
+    /// Outputs the traffic fractions that have changed.
     pub(super) fn output_changed_fractions(&mut self, now: Millis) {
         let changed = self.leases.take_changed_fractions(now);
         self.outputs.extend(changed.into_iter().map(|(site, fraction)| Output::SiteFraction(site, fraction)));
--- a/crates/consensus/src/node/following.rs
+++ b/crates/consensus/src/node/following.rs
@@ -1,4 +1,5 @@
-//! How a follower learns the state: it is attached to one replica, and turns to another when that one falls silent.
+//! The follower's side of replication: it receives the state from one replica, and follows another one when
+//! it has received nothing for some time.
 
 use super::{Node, Output};
 use crate::frame::{Frame, StreamItem};
@@ -7,20 +8,19 @@
 use hillstall_lease::Millis;
 use rand_xoshiro::rand_core::RngCore;
 
-/// A follower that receives nothing for this long turns to another replica. After the first change the wait is drawn at
-/// random from once to twice this.
+/// A follower that has received nothing for this long follows another replica. After the first change of the
+/// replica the time-out is drawn at random from once to twice this value.
 const REPLICA_SILENCE_TIMEOUT_MS: Millis = 1_500;
-/// The acknowledged index by which a follower asks for the whole state.
+/// A follower acknowledges this index to request the whole state.
 const REQUEST_STATE: u64 = 0;
 
-/// The replica that a follower is attached to, and the state learned from it.
+/// The replica that a follower is attached to, and the state received from it.
 pub(super) struct FollowedReplica {
-    /// The replica's slot.
     pub(super) slot: usize,
-    /// Whether the connection to it is up.
+    /// Whether the connection to the replica is up.
     pub(super) connected: bool,
-    /// The state as last received.
     pub(super) state: State,
+    /// When the state was last known to be the replica's; `None` before the first state was received.
     state_updated_at: Option<Millis>,
     last_received_at: Millis,
     silence_timeout: Millis,
@@ -39,12 +39,13 @@
         }
     }
 
-    /// How long ago the state was known to be current, in milliseconds.
+    /// How long ago the state was last known to be the replica's, in milliseconds; `None` if none was
+    /// received yet.
     pub(super) fn state_age(&self, now: Millis) -> Option<Millis> {
         self.state_updated_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Whether the replica has sent nothing for too long.
+    /// Whether nothing was received from the replica for the whole time-out.
     pub(super) fn is_silent(&self, now: Millis) -> bool {
         now.saturating_sub(self.last_received_at) >= self.silence_timeout
     }
@@ -56,11 +57,12 @@
         self.state.index()
     }
 
-    /// Applies the item at `index`, which follows the one at `previous_index`. Returns the index to acknowledge.
+    /// Applies the item at `index`, which follows the one at `previous_index`. Returns the index to
+    /// acknowledge.
     fn apply_item(&mut self, now: Millis, previous_index: u64, index: u64, item: StreamItem) -> u64 {
         let known_index = self.state.index();
         if previous_index > known_index {
-            // Items were lost on the way, so no later one can be applied.
+            // An item before this one was lost, so this one can't be applied.
             return REQUEST_STATE;
         }
         if index > known_index {
@@ -75,7 +77,8 @@
         index
     }
 
-    /// Takes the index of the last item that the replica has sent. Returns the index to acknowledge.
+    /// Handles a heartbeat with the index of the last item that the replica has sent. Returns the index to
+    /// acknowledge.
     fn on_heartbeat(&mut self, now: Millis, sent_index: u64) -> u64 {
         if sent_index > self.state.index() {
             return REQUEST_STATE;
@@ -88,19 +91,21 @@
 }
 
 impl<D: ReplicaStorage> Node<D> {
-    /// Takes note that the connection to the replica in `slot` is up or was lost. Ignored unless it is followed.
+    /// Handles that the connection to the replica in `slot` is up or was lost. Has no effect unless this
+    /// instance follows that replica.
     pub fn on_connection(&mut self, slot: usize, is_up: bool) {
         if self.replica.is_some() || slot != self.followed.slot {
             return;
         }
         self.followed.connected = is_up;
-        // The time of the last message stays: a connection may be accepted by something in front of a dead replica.
+        // `last_received_at` is not updated here: an intermediary may have accepted the connection although
+        // the replica is down.
         if is_up {
             self.read_sent_at = None;
         }
     }
 
-    /// Takes a frame of the followed replica.
+    /// Handles a frame from the followed replica.
     pub(super) fn on_followed_frame(&mut self, now: Millis, frame: Frame) {
         self.followed.last_received_at = now;
         self.followed.connected = true;
@@ -132,13 +137,16 @@
         match State::from_bytes(bytes) {
             Ok(state) => Some(self.followed.replace_state(now, state)),
             Err(error) => {
-                self.outputs.push(Output::Log(format!("a state of another version: {error}")));
+                let (size, slot) = (bytes.len(), self.followed.slot);
+                self.outputs.push(Output::Log(format!(
+                    "ignored a state of {size} bytes from replica {slot}, not of this version: {error}"
+                )));
                 None
             }
         }
     }
 
-    /// Turns to a replica drawn at random among the others.
+    /// Follows another replica, drawn at random.
     pub(super) fn follow_another_replica(&mut self, now: Millis) {
         let replicas = self.config.replicas;
         let others = replicas.max(2) as u64 - 1;
@@ -146,7 +154,8 @@
         self.followed.slot = (self.followed.slot + step) % replicas.max(1);
         self.followed.connected = false;
         self.followed.last_received_at = now;
-        // Jitter: followers that lost the same replica must not turn to the next one all at once.
+        // Without jitter, all followers that have lost the same replica would connect to others at the same
+        // times.
         let jitter = self.random.next_u64() % REPLICA_SILENCE_TIMEOUT_MS;
         self.followed.silence_timeout = REPLICA_SILENCE_TIMEOUT_MS + jitter;
         self.outputs.push(Output::Follow(self.followed.slot));
--- a/crates/consensus/src/node/lease_holder.rs
+++ b/crates/consensus/src/node/lease_holder.rs
@@ -1,5 +1,5 @@
-//! What the holder of a lease does: the coordinator opens and resolves incidents by rule, the holder of a site's shift
-//! lease leads its maintenance windows.
+//! The periodic work of a lease holder. The coordinator, which holds the coordinator lease, opens and
+//! resolves incidents by rule; the holder of a site's shift lease executes the site's maintenance windows.
 
 use super::proposals::PROPOSAL_TIMEOUT_MS;
 use super::{known_state, Node};
@@ -11,7 +11,7 @@
 use hillstall_lease::{FencingToken, Millis};
 
 impl<D: ReplicaStorage> Node<D> {
-    /// Evaluates each lease that is held.
+    /// Does the work of each lease that this instance holds.
     pub(super) fn act_as_lease_holder(&mut self, now: Millis, unix: Millis) {
         let held_leases = self.leases.held_leases(now);
         if held_leases.is_empty() {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Proposes the incidents that the rules open and resolve.
+    /// Proposes to open and resolve incidents, as the rules say for the current load reports.
     fn propose_incident_changes(&mut self, now: Millis, token: FencingToken) {
         let mut observations = self.reports.observations(now);
         observations.extend(self.observe_quorum_margin());
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Whether the loss of one more replica would end the quorum, as the leader sees it; `None` on all others.
+    /// Observes whether the loss of one more replica would end the quorum; `None` unless the local replica is
+    /// the leader, which alone knows the active voters.
     fn observe_quorum_margin(&self) -> Option<Observation> {
         let active_voters = self.replica.as_ref()?.active_voters()?;
         let replicas = self.config.replicas;
--- a/crates/consensus/src/node/output.rs
+++ b/crates/consensus/src/node/output.rs
@@ -1,4 +1,5 @@
-//! What a node's owner is to carry out: frames to send, connections to open, values to pass on and lines to log.
+//! The actions that a node's owner has to execute: frames to send, connections to open, values to set, lines
+//! to log.
 
 use crate::audit::AuditEvent;
 use crate::frame::Frame;
@@ -8,22 +9,24 @@
 /// The receiver of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Destination {
-    /// A replica, by its slot, over the connection that this instance opened to it.
+    /// The replica in this slot, over the connection that this instance opened to it.
     Replica(usize),
-    /// An instance that is attached here, over the connection that it opened.
+    /// A follower that is attached to the local replica, over the connection that the follower opened.
     Instance(Instance),
 }
 
-/// An action for the owner of a [`Node`](super::Node), who has the sockets and the logs.
+/// An action that the owner of a [`Node`](super::Node) has to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a frame. It may be lost.
     Send(Destination, Frame),
-    /// Connect to the replica of this slot, and close the connection to any other: it is the one to follow.
+    /// Connect to the replica in this slot, which this instance follows from now on, and close the connection
+    /// to any other replica.
     Follow(usize),
-    /// From now on a site gets this fraction of its usual traffic, from 0 to 1.
+    /// Send the named site this fraction of its usual traffic, from 0 to 1, from now on.
     SiteFraction(String, f64),
-    /// The outcome of the request with this ticket; `None` if the replicas did not answer in time.
+    /// Report the outcome of the request with this ticket; see [`Node::request`](super::Node::request).
+    /// `None` if the replicas did not answer in time: the command may still take effect.
     Answered(u64, Option<Outcome>),
     /// Write a line to the log.
     Log(String),
--- a/crates/consensus/src/node/proposals.rs
+++ b/crates/consensus/src/node/proposals.rs
@@ -1,4 +1,5 @@
-//! Proposals: they are retried until they have an outcome or time out. A retry has the same id, so it is applied once.
+//! Proposals of this instance. Each is retried until it has an outcome or times out. A retry has the same id,
+//! so that the proposal is applied at most once.
 
 use super::{Node, Output};
 use crate::frame::Frame;
@@ -8,19 +9,19 @@
 
 /// A proposal without an outcome is sent again after this long.
 pub(super) const PROPOSAL_RETRY_INTERVAL_MS: Millis = 250;
-/// How long a proposal that nobody waits for is retried.
+/// How long a proposal of the node itself is retried.
 pub(super) const PROPOSAL_TIMEOUT_MS: Millis = 3_000;
-/// How long a requester waits for an outcome.
+/// How long a proposal for a requester is retried before the requester is told that there is no outcome.
 const REQUEST_TIMEOUT_MS: Millis = 1_700;
 
-/// Where a proposal comes from, which decides what happens with its outcome.
+/// The origin of a proposal, which determines how its outcome is handled.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ProposalOrigin {
-    /// This instance acquires, renews or releases a lease; with the token of the grant that is renewed.
+    /// This instance acquires, renews or releases a lease. A renewal has the token of the grant to renew.
     Lease { renewed_token: Option<FencingToken> },
-    /// A requester waits for the outcome, by this ticket.
+    /// A requester waits for the outcome; the ticket identifies the request.
     Request { ticket: u64 },
-    /// Nobody waits for the outcome.
+    /// The outcome is ignored.
     Background,
 }
 
@@ -35,12 +36,13 @@
 }
 
 impl<D: ReplicaStorage> Node<D> {
-    /// Proposes a command for a requester; [`Output::Answered`] with this ticket gives the outcome.
+    /// Proposes a command for a requester. [`Output::Answered`] with this `ticket`, which the caller chooses,
+    /// gives the outcome.
     pub fn request(&mut self, now: Millis, ticket: u64, command: Command) {
         self.propose(now, command, ProposalOrigin::Request { ticket }, REQUEST_TIMEOUT_MS);
     }
 
-    /// Proposes a command that nobody waits for.
+    /// Proposes a command whose outcome the caller does not need; there is no [`Output::Answered`].
     pub fn submit(&mut self, now: Millis, command: Command) {
         self.propose(now, command, ProposalOrigin::Background, PROPOSAL_TIMEOUT_MS);
     }
@@ -57,14 +59,14 @@
         self.pending_proposals.insert(number, pending);
     }
 
-    /// Proposes a command that nobody waits for, unless the same command is pending.
+    /// Proposes a command whose outcome is not needed, unless the same command is pending.
     pub(super) fn propose_once(&mut self, now: Millis, command: Command, timeout: Millis) {
         if !self.has_pending(|pending| *pending == command) {
             self.propose(now, command, ProposalOrigin::Background, timeout);
         }
     }
 
-    /// Whether a command that matches is pending.
+    /// Whether a pending proposal has a command that matches.
     pub(super) fn has_pending(&self, matches: impl Fn(&Command) -> bool) -> bool {
         self.pending_proposals.values().any(|pending| matches(&pending.proposal.command))
     }
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Ends the proposals whose time is over, and sends the others again when they are due.
+    /// Drops the proposals whose deadline has passed, and sends those again whose retry is due.
     pub(super) fn retry_proposals(&mut self, now: Millis) {
         self.time_out_proposals(now);
         let mut retries = Vec::new();
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Takes the outcome of a proposal of this instance.
+    /// Handles the outcome of this instance's proposal with this number.
     pub(super) fn on_outcome(&mut self, now: Millis, number: u64, outcome: Outcome) {
         let Some(pending) = self.pending_proposals.remove(&number) else { return };
         match pending.origin {
--- a/crates/consensus/src/node/reads.rs
+++ b/crates/consensus/src/node/reads.rs
@@ -1,27 +1,27 @@
-//! Linearizable reads. After a start an instance doesn't know which fenced commands are stale; it accepts none before a
-//! read has shown the highest token of each lease.
+//! Linearizable reads. After a start an instance does not know which fenced commands are stale, so it rejects
+//! all of them until such a read has returned the highest token of each lease.
 
 use super::Node;
 use crate::frame::Frame;
 use crate::storage::ReplicaStorage;
 use hillstall_lease::{Instance, Millis};
 
-/// A read without an answer is requested again after this long.
+/// A read that was not answered for this long is requested again.
 const READ_RETRY_INTERVAL_MS: Millis = 300;
-/// The most reads that may wait for an answer; the oldest are dropped first.
+/// The maximum number of unanswered reads; beyond it the oldest are dropped.
 const MAX_PENDING_READS: usize = 4_096;
 
-/// Who waits for the answer of a read.
+/// The requester of a read, which receives the answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ReadRequester {
     /// This instance.
     Local,
-    /// An attached instance, with the number that the read has there.
+    /// An attached follower; `number` is the read's number at the follower.
     Follower { instance: Instance, number: u64 },
 }
 
 impl<D: ReplicaStorage> Node<D> {
-    /// Requests a read if fenced commands aren't accepted yet and no recent request is out.
+    /// Requests a read if fenced commands are not accepted yet and the last request is too old to wait for.
     pub(super) fn request_fencing_read(&mut self, now: Millis) {
         let is_due = self.read_sent_at.is_none_or(|at| now.saturating_sub(at) >= READ_RETRY_INTERVAL_MS);
         if self.leases.accepts_commands() || self.fencing_read_index.is_some() || !is_due {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Starts a read for an attached instance.
+    /// Starts a read for an attached follower.
     pub(super) fn on_read_request(&mut self, instance: Instance, number: u64) {
         let Some(replica) = &mut self.replica else { return };
         self.last_number += 1;
@@ -54,7 +54,7 @@
         replica.read_index(self.last_number);
     }
 
-    /// Passes the answer of a read of the local replica to whoever waits for it.
+    /// Passes the answer to a read of the local replica to the requester.
     pub(super) fn on_read_ready(&mut self, number: u64) {
         let index = self.followers.last_index();
         match self.pending_reads.remove(&number) {
--- a/crates/consensus/src/node/replication.rs
+++ b/crates/consensus/src/node/replication.rs
@@ -1,5 +1,6 @@
-//! Frames from replicas and attached instances, the events of the local replica, and what a replica does for the others:
-//! it feeds its followers, shares load reports and proposes expirations.
+//! Handling of frames from replicas and attached followers, and of the events of the local replica. An
+//! instance with a replica also streams the state to its followers, shares load reports and proposes
+//! expirations.
 
 use super::proposals::PROPOSAL_RETRY_INTERVAL_MS;
 use super::{Destination, Node, Output};
@@ -13,23 +14,25 @@
 
 /// How often a replica sends the load reports of its instances to the other replicas.
 const REPORT_SHARE_INTERVAL_MS: Millis = 500;
-/// How long an expiration is retried; it is proposed again as long as it is due.
+/// How long the proposal of an expiration is pending. It needs no retry, as an expiration is proposed anew
+/// for as long as it is due.
 const EXPIRATION_PROPOSAL_TIMEOUT_MS: Millis = PROPOSAL_RETRY_INTERVAL_MS;
 
 impl<D: ReplicaStorage> Node<D> {
-    /// Takes note that an instance has attached here as a follower.
+    /// Handles that an instance has connected to the local replica as a follower.
     pub fn on_attached(&mut self, now: Millis, instance: Instance) {
         if self.replica.is_some() {
             self.followers.attach(now, instance);
         }
     }
 
-    /// Takes note that the connection of an attached instance was lost.
+    /// Handles that the connection of an attached follower was lost.
     pub fn on_detached(&mut self, instance: Instance) {
         self.followers.detach(instance);
     }
 
-    /// Takes a frame of the replica in `slot`: the followed one, or, on a replica, one of the others.
+    /// Handles a frame from the replica in `slot`: on a follower the followed replica, on a replica any other
+    /// one. Frames that are not expected from that replica are ignored.
     pub fn on_replica_frame(&mut self, now: Millis, slot: usize, frame: Frame) {
         match frame {
             Frame::Replica(message) => {
@@ -50,7 +53,8 @@
         }
     }
 
-    /// Takes a frame of an instance that is attached here.
+    /// Handles a frame from a follower that is attached to the local replica. Frames on behalf of another
+    /// instance are ignored.
     pub fn on_instance_frame(&mut self, now: Millis, instance: Instance, frame: Frame) {
         let Some(replica) = &mut self.replica else { return };
         match frame {
@@ -64,7 +68,8 @@
         }
     }
 
-    /// Takes the load report of this instance.
+    /// Records the load report of this instance, or sends it to the followed replica. Fills in the instance
+    /// and the traffic fraction of each site.
     pub fn on_report(&mut self, now: Millis, mut report: LoadReport) {
         report.instance = Some(self.config.instance);
         for (site, counts) in &mut report.sites {
@@ -77,8 +82,8 @@
         }
     }
 
-    /// Lets the local replica carry out what its inputs have led to, and takes its events. A lease that is granted here is
-    /// confirmed at once, without waiting for the next tick.
+    /// Flushes the local replica and handles its events, until there are none. A lease that is granted to
+    /// this instance is renewed at once, without waiting for the next tick.
     pub(super) fn process_replica_events(&mut self, now: Millis) {
         loop {
             let Some(replica) = &mut self.replica else { return };
@@ -106,13 +111,13 @@
         }
     }
 
-    /// Takes an entry that the local replica has applied.
+    /// Handles a proposal that the local replica has applied.
     fn on_applied(&mut self, now: Millis, applied: AppliedProposal) {
         let AppliedProposal { index, proposal, outcome, lease_record, received_at } = applied;
         if let (Command::Lease(command), Outcome::Lease(Some(grant))) = (&proposal.command, &outcome) {
             self.lease_expiry.observe(received_at, command.lease(), *grant);
         }
-        // Followers remember fewer proposals of an instance, so one that was too late here could be applied there.
+        // Followers store outcomes of fewer proposals, so they might apply one that was too late here.
         if outcome != Outcome::TooLate {
             self.followers.on_applied(index, &proposal, lease_record);
         }
@@ -124,8 +129,8 @@
         }
     }
 
-    /// Proposes the leases and change timers that have expired, if the local replica leads. All replicas keep the
-    /// timers, so that the next leader goes on with them.
+    /// Proposes the expiration of leases and change timers, if the local replica is the leader. All replicas
+    /// run the timers, so that a new leader does not have to start them.
     pub(super) fn propose_expirations(&mut self, now: Millis) {
         let Some(replica) = &self.replica else { return };
         let is_leader = replica.is_leader();
@@ -143,7 +148,8 @@
         }
     }
 
-    /// Sends the load reports of this instance and its followers, and the system clock, to the other replicas.
+    /// Sends the system clock and the recent load reports of this instance and its followers to the other
+    /// replicas, if that is due.
     pub(super) fn share_reports(&mut self, now: Millis, unix: Millis) {
         if now.saturating_sub(self.reports_shared_at) < REPORT_SHARE_INTERVAL_MS {
             return;
@@ -157,7 +163,7 @@
         }
     }
 
-    /// Sends the state, or what was applied since, to the followers of the local replica.
+    /// Sends the whole state, or the items applied since, to the followers of the local replica.
     pub(super) fn stream_to_followers(&mut self, now: Millis) {
         let Some(replica) = &self.replica else { return };
         let frames = self.followers.take_frames(now, replica.applied_index(), replica.state());
--- a/crates/consensus/src/node/traffic_shift.rs
+++ b/crates/consensus/src/node/traffic_shift.rs
@@ -1,5 +1,5 @@
-//! One site's maintenance windows, as the holder of its shift lease leads them: the next step is proposed, and the
-//! fraction that was agreed on is sent to all instances again and again.
+//! The work of the holder of a site's shift lease: it proposes the next step of the site's maintenance
+//! window, and repeatedly sends the committed traffic fraction to all instances.
 
 use super::proposals::{ProposalOrigin, PROPOSAL_TIMEOUT_MS};
 use super::{known_state, Node};
@@ -16,8 +16,8 @@
 use hillstall_maintenance::TrafficFraction;
 
 impl<D: ReplicaStorage> Node<D> {
-    /// Proposes the next step of the site's current window. Returns the command to send to all instances, if the window
-    /// takes traffic away.
+    /// Proposes the next step of the site's current window, if one is due. Returns the command to send to all
+    /// instances if the window takes traffic away from the site.
     pub(super) fn shift_traffic(
         &mut self,
         now: Millis,
@@ -42,7 +42,7 @@
         fenced_command
     }
 
-    /// Proposes one step, unless another by the same grant is pending.
+    /// Proposes one step, unless another step under the same grant is pending.
     fn propose_shift_step(&mut self, now: Millis, token: FencingToken, command: WindowCommand) {
         if self.has_pending(|pending| is_shift_step(pending, token)) {
             return;
@@ -52,7 +52,8 @@
     }
 }
 
-/// The number and window that a site's shift is about: one that has begun goes first, then the one that starts first.
+/// The number and contents of a site's window to work on: one that already takes traffic away, or else the
+/// open one that starts first.
 fn current_window(state: &State, site: &str) -> Option<(u64, Window)> {
     let windows = state.windows().all().iter();
     let open_windows = windows.filter(|(_, window)| window.plan.site == site && !window.stage.is_final());
@@ -61,7 +62,7 @@
     Some((*number, window.clone()))
 }
 
-/// Whether a command is a step of a window that is led by this token.
+/// Whether a command is a step of a window, proposed by the lease holder with this token.
 fn is_shift_step(command: &Command, holder_token: FencingToken) -> bool {
     match command {
         Command::Window { token, command } => {
@@ -71,7 +72,9 @@
     }
 }
 
-/// Why a window must not go on: its change permit has ended, or there is a major incident elsewhere.
+/// Why a window must not continue: its change permit has ended, or an incident in another scope, major or
+/// critical, is active. `None` if it may continue.
+// The texts are stored in the window's reason and replicated, so they stay as they are.
 fn shift_blocker(freeze: &FreezeState, window: &Window, site: &str) -> Option<String> {
     let change = window.change.and_then(|change| freeze.changes().get(&change));
     let is_in_flight = change.is_some_and(|change| change.status == ChangeStatus::InFlight);
@@ -79,7 +82,8 @@
         return Some("its permit is over".into());
     }
     let own_scope = Scope::Site(site.to_owned());
-    // An incident at the site itself does not count: people work there, and that is what the window is for.
+    // An incident at the site itself does not block the window, which takes traffic off the site for work
+    // there.
     let mut incidents = freeze.incidents().iter();
     let (number, incident) = incidents.find(|(_, incident)| {
         !incident.cooling_down && incident.scope != own_scope && incident.severity >= Severity::Major
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,17 +1,19 @@
-//! One replica of the state, in the consensus of three or five. The `raft` crate decides; this module keeps the promises
-//! around it:
+//! One replica of the state. Three or five replicas agree by the Raft protocol, as the `raft` crate
+//! implements it. The protocol is safe only under conditions that this module ensures:
 //!
-//! - nothing is sent before it is in the storage;
-//! - a storage that is new, corrupt or older than what it once confirmed does not vote as its predecessor did, but comes
-//!   back as a new member;
-//! - a replica whose storage fails stops sending.
+//! - everything that a message confirms is stored before the message is sent;
+//! - a replica whose storage is new, corrupt or restored from a backup, so that it lacks what it has
+//!   confirmed, does not vote under its old id, but rejoins as a new member;
+//! - a replica whose storage fails sends nothing more.
 //!
-//! - `message`: what replicas send each other, and the events of a replica;
+//! The submodules:
+//!
+//! - `message`: the messages between replicas, and the events of a replica;
 //! - `membership`: the handshake after a start, and how a fleet is bootstrapped or joined;
-//! - `member_changes`: how the leader makes members of replicas that wait;
-//! - `ready`: proposals, reads, and what the `raft` crate has ready;
-//! - `snapshots`: snapshots that are made, and those that are sent again;
-//! - `status`: what a replica says of itself.
+//! - `member_changes`: how the leader adds joining replicas to the members;
+//! - `ready`: proposals, reads, and the processing of the `raft` crate's `Ready`;
+//! - `snapshots`: log compaction, and the resending of lost snapshots;
+//! - `status`: the state, role and members of a replica, for its owner.
 
 mod member_changes;
 mod membership;
@@ -35,27 +37,28 @@
 
 /// The time between two ticks of the `raft` crate.
 const TICK_INTERVAL_MS: Millis = 50;
-/// Ticks between two heartbeats of a leader.
+/// The number of ticks between two heartbeats of a leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// The least ticks without a heartbeat after which a replica stands for election; the most are twice as many.
+/// The minimum election timeout, in ticks; the maximum is below twice as many.
 const MIN_ELECTION_TICKS: usize = 10;
-/// The most bytes of one message to another replica, not counting its last entry.
+/// The maximum size of the entries in one message to another replica; a message with one entry may be larger.
 const MAX_MESSAGE_BYTES: u64 = 256 * 1024;
-/// The most messages in flight to one replica.
+/// The maximum number of unacknowledged messages to one replica.
 const MAX_MESSAGES_IN_FLIGHT: usize = 64;
-/// The most bytes of entries that are proposed and not committed.
+/// The maximum size of all entries that are proposed and not committed.
 const MAX_UNCOMMITTED_BYTES: u64 = 4 * MAX_MESSAGE_BYTES;
-/// How far a replica's id is shifted to the left by its slot.
+/// The slot is in the bits of a replica's id from this one on; the bits below are random.
 const SLOT_SHIFT: u32 = 32;
-/// The part of a replica's id that differs from storage to storage.
+/// The random bits of a replica's id, which distinguish the storages that a slot has had.
 const RANDOM_ID_MASK: u64 = 0xFFFF_FFFF;
 
-/// The slot of the replica with this id.
+/// The slot in a replica's id; see [`new_replica_id`].
 pub fn replica_slot(id: u64) -> usize {
     (id >> SLOT_SHIFT) as usize
 }
 
-/// The id of a new storage: the slot, and random bits that tell it from all storages the slot had before.
+/// The Raft id for a new storage of the replica in `slot`. The lower half of `random` distinguishes it from
+/// all storages that the slot has had before.
 pub fn new_replica_id(slot: usize, random: u64) -> u64 {
     // The raft crate allows no id of zero.
     ((slot as u64) << SLOT_SHIFT) | (random & RANDOM_ID_MASK).max(1)
@@ -67,32 +70,33 @@
     /// The number of slots in the fleet.
     slots: usize,
     storage: D,
-    /// What the storage holds; without the log once `raft` is running.
+    /// The contents of the storage, but without the log once `raft` is running.
     persistent: PersistentState,
-    /// Drawn at each start.
+    /// Drawn at each start and at each reset of the storage; identifies this start in the handshake.
     incarnation: u64,
     random: Xoshiro256PlusPlus,
-    /// The `raft` crate's node, once this replica takes part.
+    /// The `raft` crate's node; `None` before the fleet is bootstrapped or joined, and after a halt.
     raft: Option<RawNode<RaftLog>>,
-    /// The slots that have acknowledged this start.
+    /// The slots of the replicas that have acknowledged this start.
     acknowledged_by: Vec<usize>,
+    /// The last accepted announcement of each other replica, by slot.
     known_peers: BTreeMap<usize, KnownPeer>,
     state: State,
     applied_index: u64,
-    /// Why this replica has stopped, if it has.
+    /// Why this replica has halted; `None` while it runs.
     halt_reason: Option<String>,
     ticked_at: Millis,
     announced_at: Option<Millis>,
-    /// The term and role for which the present election timeout was drawn.
+    /// The term and role for which `election_timeout_ticks` was drawn.
     timeout_drawn_for: Option<(u64, StateRole)>,
     election_timeout_ticks: usize,
-    /// When each replica that waits to be a member last asked for it, by id.
+    /// When each replica last requested to join, by its id.
     join_requests: BTreeMap<u64, Millis>,
-    /// When each snapshot in flight was first seen, by the id of its receiver.
+    /// When the leader first noticed that a snapshot is in flight, by the id of the receiver.
     snapshots_in_flight: BTreeMap<u64, Millis>,
     /// Whether the members have changed since the last snapshot.
     members_changed: bool,
-    /// When each entry that isn't applied yet was received, by index.
+    /// When each entry that is not applied yet was received, by index.
     received_at: BTreeMap<u64, Millis>,
     now: Millis,
     pending_reads: Vec<PendingRead>,
@@ -100,7 +104,9 @@
 }
 
 impl<D: ReplicaStorage> Replica<D> {
-    /// Starts the replica in `slot`, of `slots`, from what the storage holds. `seed` must differ from start to start.
+    /// Starts the replica in `slot`, one of `slots`, from the contents of its storage. `seed` must be
+    /// different at each start. If the storage can't be read, the replica is halted; see
+    /// [`Replica::halt_reason`].
     pub fn start(slot: usize, slots: usize, storage: D, seed: u64, now: Millis) -> Replica<D> {
         let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
         let incarnation = random.next_u64();
@@ -139,7 +145,7 @@
         if let Ok(persistent) = &loaded {
             let log = persistent.participates.then(|| RaftLog::read(persistent)).transpose();
             if let Err(corrupt) = log {
-                self.log(format!("{corrupt}; it comes back as a new member"));
+                self.log(format!("{corrupt}; the replica resets its storage and rejoins as a new member"));
                 loaded = self.storage.reset();
             }
         }
@@ -149,7 +155,7 @@
         }
     }
 
-    /// Counts this start, and takes part again if the storage says so.
+    /// Counts this start in the storage, and starts the raft node if this replica took part before.
     fn resume(&mut self, persistent: PersistentState) {
         self.persistent = persistent;
         let boot = self.persistent.boot + 1;
@@ -166,7 +172,7 @@
         if batch.is_empty() {
             return true;
         }
-        // The raft node holds the log in memory; it isn't stored a second time in `persistent`.
+        // The raft node has the log in memory, so `persistent` needs no second copy.
         let without_log = WriteBatch {
             boot: batch.boot,
             founders: batch.founders.clone(),
@@ -190,24 +196,26 @@
         self.events.push(ReplicaEvent::Log(line));
     }
 
-    /// Stops this replica until it is started again.
+    /// Halts this replica: it sends nothing more until it is started again.
     fn halt(&mut self, reason: String) {
-        self.log(format!("{reason}; it says nothing more until it is started again"));
+        self.log(format!("{reason}; the replica is halted until its process is started again"));
         self.raft = None;
         self.halt_reason = Some(reason);
     }
 
-    /// Starts the raft node over a log.
+    /// Starts the raft node with a log, and the state from the log's snapshot.
     fn start_raft(&mut self, log: RaftLog) {
         let (snapshot_index, snapshot) = log.snapshot_state();
         let state = if snapshot.is_empty() { Ok(State::default()) } else { State::from_bytes(snapshot) };
         match state {
             Ok(state) => self.state = state,
-            Err(error) => return self.halt(format!("the snapshot is of another version: {error}")),
+            Err(error) => {
+                return self.halt(format!("the stored snapshot is not of this version: {error}"));
+            }
         }
         self.applied_index = snapshot_index;
         let config = raft_config(self.persistent.id, snapshot_index);
-        // The log lines of the raft crate are of use only to its developers.
+        // The log lines of the raft crate are useful only for its development.
         let discard = slog::Logger::root(slog::Discard, slog::o!());
         match RawNode::new(&config, log, &discard) {
             Ok(raft) => {
@@ -216,12 +224,12 @@
                 self.events.push(ReplicaEvent::Restored);
                 self.draw_election_timeout();
             }
-            Err(error) => self.halt(format!("the log can't be used: {error}")),
+            Err(error) => self.halt(format!("the raft crate rejects the stored log: {error}")),
         }
     }
 
-    /// Draws the election timeout for a new term or role. The raft crate would draw it from its own random source; here it
-    /// comes from the seed, so that a run can be replayed.
+    /// Draws the election timeout at each new term or role, and sets it. The raft crate would draw it from
+    /// its own random source; it is drawn from the seed here, so that a run can be replayed.
     fn draw_election_timeout(&mut self) {
         let Some(node) = &mut self.raft else { return };
         let term_and_role = (node.raft.term, node.raft.state);
@@ -233,8 +241,9 @@
         node.raft.set_randomized_election_timeout(self.election_timeout_ticks);
     }
 
-    /// Lets time pass to `now`; [`Replica::flush`] carries out what follows. After a long pause only one tick counts, as
-    /// nothing could be received meanwhile.
+    /// Advances the time to `now`; [`Replica::flush`] processes the results. After a long pause of the
+    /// process only one raft tick is made: a replica must not start an election because it could receive no
+    /// heartbeats meanwhile.
     pub fn tick(&mut self, now: Millis) {
         self.now = now;
         if self.halt_reason.is_some() {
@@ -256,7 +265,7 @@
         self.resend_lost_snapshots(now);
     }
 
-    /// Takes a message of the replica in `slot`; [`Replica::flush`] carries out what follows.
+    /// Handles a message from the replica in `slot`; [`Replica::flush`] processes the results.
     pub fn on_message(&mut self, now: Millis, slot: usize, message: &ReplicaMessage) {
         self.now = now;
         if self.halt_reason.is_some() {
@@ -269,7 +278,8 @@
         self.draw_election_timeout();
     }
 
-    /// Takes the events since the last call, in their order. Messages that wait for [`Replica::flush`] are not among them.
+    /// Returns the events since the last call, in their order. They contain the results of inputs only after
+    /// [`Replica::flush`].
     pub fn take_events(&mut self) -> Vec<ReplicaEvent> {
         std::mem::take(&mut self.events)
     }
--- a/crates/consensus/src/replica/member_changes.rs
+++ b/crates/consensus/src/replica/member_changes.rs
@@ -1,5 +1,5 @@
-//! How the leader makes members of the replicas that ask for it: each becomes a learner first, and once its log is nearly
-//! complete a voter, in the place of the slot's previous storage.
+//! How the leader adds the replicas that request to join: each first becomes a learner, and a voter once its
+//! log has caught up. A new voter replaces the slot's previous one, which had another storage.
 
 use super::membership::ANNOUNCEMENT_TTL_MS;
 use super::{replica_slot, Replica};
@@ -9,11 +9,11 @@
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState};
 use raft::{RawNode, StateRole};
 
-/// The most entries that a learner may lack of the leader's committed ones to become a voter.
+/// A learner may become a voter if it lacks at most this many of the leader's committed entries.
 const MAX_LEARNER_LAG_ENTRIES: u64 = 16;
 
 impl<D: ReplicaStorage> Replica<D> {
-    /// Proposes the next change of members, if this replica leads and no change is pending.
+    /// Proposes the next change of members, if this replica is the leader and no change is pending.
     pub(super) fn change_members(&mut self, now: Millis) {
         self.join_requests.retain(|_, at| now.saturating_sub(*at) < ANNOUNCEMENT_TTL_MS);
         let Some(node) = &mut self.raft else { return };
@@ -31,7 +31,8 @@
     }
 }
 
-/// The next changes that lead to a replica's being a voter; `None` if there is nothing to change now.
+/// The next changes on the way of a joining replica to a voter; `None` if it is a voter, or a learner that
+/// has not caught up.
 fn next_changes(node: &RawNode<RaftLog>, members: &ConfState, id: u64) -> Option<Vec<ConfChangeSingle>> {
     let (addition, replaced_members) = if members.learners.contains(&id) {
         if !has_caught_up(node, id) {
@@ -39,7 +40,7 @@
         }
         (ConfChangeType::AddNode, &members.voters)
     } else if !members.voters.contains(&id) {
-        // A learner whose storage was replaced before it voted goes when the next one comes.
+        // The slot's previous learner is removed, if its storage was replaced before it became a voter.
         (ConfChangeType::AddLearnerNode, &members.learners)
     } else {
         return None;
@@ -51,7 +52,7 @@
     Some(changes)
 }
 
-/// Whether a learner's log is near enough to the leader's committed entries.
+/// Whether a learner lacks few enough of the leader's committed entries to become a voter.
 fn has_caught_up(node: &RawNode<RaftLog>, id: u64) -> bool {
     let matched = node.raft.prs().get(id).map_or(0, |progress| progress.matched);
     matched + MAX_LEARNER_LAG_ENTRIES >= node.raft.raft_log.committed
--- a/crates/consensus/src/replica/membership.rs
+++ b/crates/consensus/src/replica/membership.rs
@@ -1,6 +1,7 @@
-//! The handshake of replicas. After each start a replica announces itself, and takes part once a majority knows of the
-//! start. So a storage that was put back from a backup is found out, and comes back under a new id. Replicas that are all
-//! new bootstrap a fleet; one that is new alone joins the fleet there is.
+//! The handshake of replicas. After each start a replica announces itself with the number of its starts, and
+//! sends raft messages only once a majority has acknowledged that start. The other replicas remember that
+//! number, so they detect a storage that was restored from a backup; its replica then rejoins under a new id.
+//! If all replicas are new they bootstrap a fleet; a new replica among others joins their fleet.
 
 use super::{replica_slot, MembershipMessage, Replica, ReplicaEvent, ReplicaMessage};
 use crate::log::RaftLog;
@@ -9,12 +10,12 @@
 use hillstall_lease::Millis;
 use rand_xoshiro::rand_core::RngCore;
 
-/// How often a replica that does not take part yet announces itself.
+/// The time between two announcements of a replica that is not an acknowledged voter yet.
 const ANNOUNCE_INTERVAL_MS: Millis = 200;
-/// An announcement or a request to join counts for this long.
+/// An announcement or a request to join is ignored once it is older than this.
 pub(super) const ANNOUNCEMENT_TTL_MS: Millis = 2_000;
 
-/// What another replica has announced.
+/// The last accepted announcement of another replica.
 pub(super) struct KnownPeer {
     id: u64,
     incarnation: u64,
@@ -24,13 +25,14 @@
 }
 
 impl<D: ReplicaStorage> Replica<D> {
-    /// Whether a majority, this replica included, knows of this start. Only then may it send raft messages.
+    /// Whether a majority, this replica included, knows of this start. Only then may this replica run the
+    /// raft protocol.
     pub(super) fn is_start_acknowledged(&self) -> bool {
-        let needed = self.slots / 2;
-        self.acknowledged_by.len() >= needed
+        let needed_from_others = self.slots / 2;
+        self.acknowledged_by.len() >= needed_from_others
     }
 
-    /// Whether this replica votes, as far as it knows.
+    /// Whether this replica is a voter, by the members that it knows.
     fn is_voter(&self) -> bool {
         let id = self.persistent.id;
         self.raft.as_ref().is_some_and(|node| node.store().members().voters.contains(&id))
@@ -45,21 +47,22 @@
         self.events.push(ReplicaEvent::Send { slot, message: ReplicaMessage::Membership(message) });
     }
 
-    /// Announces this replica again and again until it takes part as a voter.
+    /// Announces this replica at intervals until it is an acknowledged voter.
     pub(super) fn announce_if_due(&mut self, now: Millis) {
         let takes_part = self.raft.is_some() && self.is_start_acknowledged() && self.is_voter();
         let is_due = self.announced_at.is_none_or(|at| now.saturating_sub(at) >= ANNOUNCE_INTERVAL_MS);
         if !takes_part && is_due {
             self.announced_at = Some(now);
             self.announce();
-            // Nobody else's announcement will ever start a fleet of one.
+            // A fleet of one replica receives no announcement that would trigger the bootstrap.
             if self.slots == 1 {
                 self.bootstrap_or_join(now);
             }
         }
     }
 
-    /// Announces this replica to all others, and asks to join if it runs and is no voter.
+    /// Announces this replica to all others, and requests to join if it runs the raft protocol but is no
+    /// voter.
     fn announce(&mut self) {
         let joins = self.raft.is_some() && self.is_start_acknowledged() && !self.is_voter();
         for slot in self.other_slots() {
@@ -80,7 +83,8 @@
         }
     }
 
-    /// Takes a message about who takes part.
+    /// Handles a message of the handshake. Messages for an earlier start, or on behalf of another slot, are
+    /// ignored.
     pub(super) fn on_membership_message(&mut self, now: Millis, slot: usize, message: &MembershipMessage) {
         match message {
             MembershipMessage::Announce { id, boot, incarnation, founders } if replica_slot(*id) == slot => {
@@ -109,7 +113,7 @@
         }
     }
 
-    /// Takes the announcement of another replica, and acknowledges it unless a newer start is known.
+    /// Handles the announcement of another replica: acknowledges it, or rejects it if a newer start is known.
     fn on_announcement(&mut self, now: Millis, slot: usize, peer: KnownPeer) {
         let KnownPeer { id, boot, incarnation, .. } = peer;
         let known_boot = self.persistent.known_boots.get(&id).copied().unwrap_or(0);
@@ -121,7 +125,8 @@
         if is_newer && !self.save(WriteBatch { known_boots, ..WriteBatch::default() }) {
             return;
         }
-        // A new replica must learn of the founders. Two that are new announce themselves to each other anyway.
+        // A new replica learns by an announcement that there is a fleet, and who its founders are. Without
+        // founders there is nothing to tell it.
         let needs_founders = peer.founders.is_empty() && !self.persistent.founders.is_empty();
         self.known_peers.insert(slot, peer);
         self.send_membership(slot, MembershipMessage::Acknowledge { incarnation });
@@ -131,18 +136,25 @@
         self.bootstrap_or_join(now);
     }
 
-    /// Whether a start that is not newer than the known one may be that one.
+    /// Whether an announcement that is not of a newer start may be of the known start, so that it is merely
+    /// repeated.
     fn may_be_latest_start(&self, slot: usize, peer: &KnownPeer, known_boot: u64) -> bool {
         match self.known_peers.get(&slot) {
             Some(known) => known.id == peer.id && known.incarnation == peer.incarnation,
-            // Incarnations aren't stored: after a start of our own, the same boot may be the same start.
+            // Incarnations are not stored: after a restart of this replica, an equal boot number may be the
+            // same start.
             None => peer.boot == known_boot,
         }
     }
 
-    /// Gives up a storage that has confirmed more than it holds now, and comes back as a new member.
+    /// Resets the storage, which lacks data that this replica has confirmed, so that the replica rejoins as a
+    /// new member.
     pub(super) fn reset_storage(&mut self) {
-        self.log("the disk is older than its word; it comes back as a new member".into());
+        self.log(
+            "the storage is older than what this replica has confirmed; \
+             the replica resets it and rejoins as a new member"
+                .into(),
+        );
         self.raft = None;
         self.acknowledged_by.clear();
         match self.storage.reset() {
@@ -156,7 +168,8 @@
         }
     }
 
-    /// Starts a replica whose storage is new: it bootstraps the fleet with the others if all of them are new, or joins.
+    /// Starts the raft node of a replica whose storage is new: the replica bootstraps a fleet if all others
+    /// are new, too, or joins the fleet of the others.
     fn bootstrap_or_join(&mut self, now: Millis) {
         if self.raft.is_some() || self.persistent.participates || !self.is_start_acknowledged() {
             return;
@@ -169,11 +182,12 @@
         }
     }
 
-    /// The log to begin with, and the founders; `None` if this replica has to wait for the others.
+    /// The log for a new storage, and the founders of the fleet; `None` if announcements of other replicas
+    /// are missing.
     fn initial_log(&self, now: Millis) -> Option<(RaftLog, Vec<u64>)> {
         let bootstrapped_peer = self.known_peers.values().find(|peer| !peer.founders.is_empty());
         if let Some(founders) = bootstrapped_peer.map(|peer| peer.founders.clone()) {
-            // A founder that was counted when the fleet was bootstrapped, and has not taken part yet, starts as one.
+            // The others may have bootstrapped the fleet with this replica before it had all announcements.
             let is_founder = founders.contains(&self.persistent.id);
             let log =
                 if is_founder { RaftLog::bootstrapped(&founders, initial_state()) } else { RaftLog::empty() };
@@ -192,7 +206,7 @@
     }
 }
 
-/// The state that a fleet begins with.
+/// The encoded state of a new fleet.
 fn initial_state() -> Vec<u8> {
     State::default().to_bytes()
 }
--- a/crates/consensus/src/replica/ready.rs
+++ b/crates/consensus/src/replica/ready.rs
@@ -1,5 +1,5 @@
-//! Proposals, reads and raft messages go into the `raft` crate here, and what it has ready is carried out: first what is to
-//! be stored, then what is to be sent, then what is to be applied.
+//! The interface to the `raft` crate: proposals, reads and messages are passed to it, and its `Ready` results
+//! are processed: changes are stored first, then messages are sent, then committed entries are applied.
 
 use super::{replica_slot, AppliedProposal, Replica, ReplicaEvent, ReplicaMessage};
 use crate::state::{Command, Proposal, State};
@@ -9,32 +9,33 @@
 use raft::{ReadState, Ready, Storage};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// The bytes of a read's context that hold its number; the replica's id comes before.
+/// The position of the read's number in the context of a read request; the replica's id comes before.
 const READ_NUMBER_RANGE: std::ops::Range<usize> = 8..16;
 
-/// A linearizable read whose index is known and not applied yet.
+/// A linearizable read whose index is known, but may not be applied yet.
 pub(super) struct PendingRead {
-    /// The index that must be applied first.
+    /// The index that must be applied before the read is ready.
     index: u64,
     /// The number under which the read was requested.
     number: u64,
 }
 
 impl<D: ReplicaStorage> Replica<D> {
-    /// Proposes a command, which [`Replica::flush`] then stores. The proposal may be lost; its author retries it.
+    /// Passes a proposal to the raft protocol; [`Replica::flush`] processes the results. The proposal may be
+    /// lost, so the proposer has to retry it until there is an outcome.
     pub fn propose(&mut self, proposal: &Proposal) {
         let Ok(bytes) = postcard::to_stdvec(proposal) else { return };
         if !self.is_start_acknowledged() {
             return;
         }
         if let Some(node) = &mut self.raft {
-            // Without a leader the proposal is dropped, which is as good as lost.
+            // Without a leader the proposal is rejected, which the proposer's retries cover like a loss.
             let _ = node.propose(Vec::new(), bytes);
         }
     }
 
-    /// Requests a linearizable read under a number. [`ReplicaEvent::ReadReady`] follows once the state is new enough, or
-    /// never if the request is lost.
+    /// Requests a linearizable read. [`ReplicaEvent::ReadReady`] with this `number` follows once the state is
+    /// new enough; it never follows if the request is lost.
     pub fn read_index(&mut self, number: u64) {
         if !self.is_start_acknowledged() {
             return;
@@ -46,35 +47,38 @@
         }
     }
 
-    /// Takes an encoded message of the raft protocol.
+    /// Handles an encoded message of the raft protocol.
     pub(super) fn on_raft_message(&mut self, bytes: &[u8]) {
         if !self.is_start_acknowledged() {
             return;
         }
         let Some(node) = &mut self.raft else { return };
         let Ok(message) = Message::parse_from_bytes(bytes) else {
-            return self.log("a keeper's word can't be read".into());
+            return self
+                .log(format!("ignored a raft message of {} bytes that cannot be decoded", bytes.len()));
         };
-        // It may be meant for the slot's previous storage, or come from a slot that doesn't exist.
+        // A message may be addressed to the id of the slot's previous storage, or come from a slot that does
+        // not exist.
         if message.to != self.persistent.id || replica_slot(message.from) >= self.slots {
             return;
         }
-        // A leader's heartbeat names no more entries as committed than this replica has confirmed.
+        // A leader's heartbeat never has a higher commit index than the last entry that this replica has
+        // confirmed. If it has, the entries were lost with the storage.
         let commits_unknown = message.commit > node.store().last_index().unwrap_or(0);
         let is_heartbeat = message.msg_type == MessageType::MsgHeartbeat;
         if is_heartbeat && commits_unknown && message.term >= node.raft.term {
             return self.reset_storage();
         }
-        // The raft crate panics where the log contradicts what this replica has confirmed before: the storage was
-        // replaced. An error, such as for a message of an older term, is no fault.
+        // The raft crate panics if the log contradicts what this replica has confirmed before, so the storage
+        // was replaced. An error, such as for a message of an older term, needs no action.
         let result = catch_unwind(AssertUnwindSafe(|| node.step(message)));
         if result.is_err() {
             self.reset_storage();
         }
     }
 
-    /// Stores, sends and applies what all inputs since the last call have led to. Inputs that arrive together share one
-    /// write to the storage.
+    /// Processes the results of all inputs since the last call: stores changes, sends messages and applies
+    /// committed entries. Inputs that arrived together share one write to the storage.
     pub fn flush(&mut self) {
         while self.raft.as_ref().is_some_and(|node| node.has_ready()) {
             if !self.process_one_ready() {
@@ -83,7 +87,7 @@
         }
     }
 
-    /// Carries out one round. Returns false if this replica has halted.
+    /// Processes one `Ready` of the raft crate. Returns false if this replica has halted.
     fn process_one_ready(&mut self) -> bool {
         let Some(node) = &mut self.raft else { return false };
         let mut ready = node.ready();
@@ -107,7 +111,7 @@
         true
     }
 
-    /// Takes the entries, snapshot and vote over into the log. Returns what has to be stored.
+    /// Adds the entries, snapshot and hard state of a `Ready` to the log. Returns the changes to store.
     fn append_ready(&mut self, ready: &Ready) -> WriteBatch {
         let Some(node) = &mut self.raft else { return WriteBatch::default() };
         let log = node.mut_store();
@@ -134,7 +138,8 @@
         }
     }
 
-    /// Replaces the state by a snapshot, if there is one. Returns false if that failed, and this replica has halted.
+    /// Replaces the state by that of a snapshot, unless the snapshot is empty. Returns false if this replica
+    /// has halted, as the snapshot can't be decoded.
     fn restore(&mut self, snapshot: &Snapshot) -> bool {
         if snapshot.is_empty() {
             return true;
@@ -142,7 +147,7 @@
         match State::from_bytes(&snapshot.data) {
             Ok(state) => self.state = state,
             Err(error) => {
-                self.halt(format!("a snapshot of another version: {error}"));
+                self.halt(format!("the received snapshot is not of this version: {error}"));
                 return false;
             }
         }
@@ -151,7 +156,8 @@
         true
     }
 
-    /// Ends a round, and carries out what becomes ready by that. Returns false if this replica has halted.
+    /// Tells the raft crate that a `Ready` is processed, and processes the resulting `LightReady`. Returns
+    /// false if this replica has halted.
     fn advance(&mut self, ready: Ready) -> bool {
         let Some(node) = &mut self.raft else { return false };
         let mut light_ready = node.advance(ready);
@@ -190,7 +196,7 @@
     }
 
     fn apply_proposal(&mut self, entry: &Entry) {
-        // A new leader begins its term with an empty entry.
+        // A new leader begins its term with an empty entry, which has no proposal.
         if entry.data.is_empty() {
             return;
         }
@@ -207,7 +213,7 @@
 
     fn set_members(&mut self, members: ConfState) {
         let Some(node) = &mut self.raft else { return };
-        let line = format!("keepers are {:?}, and {:?} listen", members.voters, members.learners);
+        let line = format!("members changed: voters {:?}, learners {:?}", members.voters, members.learners);
         node.mut_store().set_members(members);
         self.members_changed = true;
         self.log(line);
@@ -222,7 +228,7 @@
         }
     }
 
-    /// Answers the reads for which all is applied that was committed when they were requested.
+    /// Answers the reads whose index is applied.
     fn answer_reads(&mut self) {
         let applied_index = self.applied_index;
         let events = &mut self.events;
--- a/crates/consensus/src/replica/snapshots.rs
+++ b/crates/consensus/src/replica/snapshots.rs
@@ -1,20 +1,22 @@
-//! Snapshots: the log is compacted into one now and then, and one that was lost on the way to a member is sent again.
+//! Snapshots: the log is compacted into a snapshot at intervals, and a snapshot that was lost on the way to a
+//! member is sent again.
 
 use super::Replica;
 use crate::storage::ReplicaStorage;
 use hillstall_lease::Millis;
 use raft::{ProgressState, SnapshotStatus, StateRole};
 
-/// Entries applied since the last snapshot after which the next is made.
+/// A snapshot is made after this many entries were applied since the last one.
 const SNAPSHOT_INTERVAL_ENTRIES: u64 = 256;
-/// Entries before a snapshot that stay in the log, for members that are a little behind.
+/// The number of entries before a snapshot that stay in the log, so that members that lag a little need no
+/// snapshot.
 const ENTRIES_BEFORE_SNAPSHOT: u64 = 64;
-/// A snapshot that is in flight for this long counts as lost.
+/// A snapshot that has been in flight for this long is considered lost.
 const SNAPSHOT_TIMEOUT_MS: Millis = 1_000;
 
 impl<D: ReplicaStorage> Replica<D> {
-    /// Reports snapshots that were lost, so that they are sent again: the raft crate would wait for ever, and keep their
-    /// receivers out.
+    /// Reports lost snapshots to the raft crate, which then sends them again. Without a report it would wait
+    /// for ever, and send the receivers no entries.
     pub(super) fn resend_lost_snapshots(&mut self, now: Millis) {
         let Some(node) = self.raft.as_mut().filter(|node| node.raft.state == StateRole::Leader) else {
             return self.snapshots_in_flight.clear();
@@ -34,12 +36,13 @@
         }
     }
 
-    /// Makes a snapshot of the state, if one is due, and drops the entries that it replaces.
+    /// Makes a snapshot of the state if one is due, and drops the entries that it covers.
     pub(super) fn compact_log(&mut self) {
         let Some(node) = &mut self.raft else { return };
         let (snapshot_index, _) = node.store().snapshot_state();
         let is_due = self.applied_index >= snapshot_index + SNAPSHOT_INTERVAL_ENTRIES;
-        // A new member accepts no snapshot that it isn't a member in, so one is made after each change.
+        // A new member rejects a snapshot without itself among the members, so one is made after each change
+        // of members.
         if !self.members_changed && !is_due {
             return;
         }
--- a/crates/hillstall/tests/coordination/lease_holders.rs
+++ b/crates/hillstall/tests/coordination/lease_holders.rs
@@ -227,7 +227,10 @@
         fleet.start_process(back).await?;
         let log = fleet.processes[back].log();
         let end = Instant::now() + STEP_TIMEOUT;
-        while !std::fs::read_to_string(&log).unwrap_or_default().contains("older than its word") {
+        while !std::fs::read_to_string(&log)
+            .unwrap_or_default()
+            .contains("older than what this replica has confirmed")
+        {
             ensure(Instant::now() < end, || "it does not see that its disk is old".into())?;
             sleep(Duration::from_millis(50)).await;
         }
