--- a/crates/change-freeze/src/state/change.rs
+++ b/crates/change-freeze/src/state/change.rs
@@ -1,6 +1,6 @@
 //! Changes: the queue, permits, emergencies and expiry.
 
-use super::{check_name, FreezeState, Number, RejectReason, Response};
+use super::{check_name, FreezeState, RejectReason, Response, SequenceNumber};
 use crate::rules::{ChangeKind, Reaction};
 use crate::scope::Scope;
 use crate::Millis;
@@ -79,7 +79,7 @@
         u32::from(self.request.priority) + self.overtaken.saturating_mul(PRIORITY_PER_OVERTAKE)
     }
 
-    fn queue_position(&self, number: Number) -> QueuePosition {
+    fn queue_position(&self, number: SequenceNumber) -> QueuePosition {
         QueuePosition {
             emergency: self.emergency,
             priority: self.effective_priority(),
@@ -105,16 +105,16 @@
 struct QueuePosition {
     emergency: bool,
     priority: u32,
-    number: Reverse<Number>,
+    number: Reverse<SequenceNumber>,
 }
 
 /// Why a change has no permit.
 #[derive(Clone, Copy, Debug)]
 enum Obstacle {
     /// A change that is in flight or goes first.
-    Change(Number),
+    Change(SequenceNumber),
     /// An incident that blocks it.
-    Incident(Number),
+    Incident(SequenceNumber),
 }
 
 impl FreezeState {
@@ -153,7 +153,7 @@
         &mut self,
         request: &ChangeRequest,
         status: ChangeStatus,
-    ) -> Result<Number, RejectReason> {
+    ) -> Result<SequenceNumber, RejectReason> {
         check_name(&request.requested_by)?;
         if !(1..=MAX_CHANGE_DURATION_MS).contains(&request.max_duration) {
             return Err(RejectReason::InvalidDuration);
@@ -169,7 +169,7 @@
     }
 
     /// Grants a queued change its permit, or responds why not.
-    fn decide(&mut self, change: Number) -> Response {
+    fn decide(&mut self, change: SequenceNumber) -> Response {
         match self.obstacle(change) {
             None => {
                 self.grant_permit(change);
@@ -183,7 +183,7 @@
     }
 
     /// Why a queued change has no permit, by the rules in the order of [`crate::rules::PRECEDENCE`].
-    fn obstacle(&self, number: Number) -> Option<Obstacle> {
+    fn obstacle(&self, number: SequenceNumber) -> Option<Obstacle> {
         let change = self.changes.get(&number)?;
         if let Some(other) = self.overlapping_in_flight(number, change) {
             return Some(Obstacle::Change(other));
@@ -195,13 +195,17 @@
     }
 
     /// The change that [`crate::rules::PrecedenceRule::ExclusiveScope`] makes this one wait for.
-    fn overlapping_in_flight(&self, number: Number, change: &Change) -> Option<Number> {
+    fn overlapping_in_flight(&self, number: SequenceNumber, change: &Change) -> Option<SequenceNumber> {
         let mut others = self.other_overlapping(number, change);
         others.find(|(_, other)| other.status.is_in_flight()).map(|(other, _)| other)
     }
 
     /// The first incident that blocks a change, with remedies and emergencies considered.
-    pub(super) fn incident_blocking(&self, number: Number, change: &Change) -> Option<Number> {
+    pub(super) fn incident_blocking(
+        &self,
+        number: SequenceNumber,
+        change: &Change,
+    ) -> Option<SequenceNumber> {
         let blocking = self.incidents.iter().find(|(_, incident)| incident.blocks(number, change));
         blocking.map(|(incident_number, _)| *incident_number)
     }
@@ -210,7 +214,7 @@
     ///
     /// A queued change keeps its place before newer ones while it waits for other changes: otherwise one with a wide scope
     /// would never find all of it free. While it waits for an incident it does not.
-    fn change_ahead(&self, number: Number, change: &Change) -> Option<Number> {
+    fn change_ahead(&self, number: SequenceNumber, change: &Change) -> Option<SequenceNumber> {
         let own_position = change.queue_position(number);
         let mut others = self.other_overlapping(number, change);
         let ahead = others.find(|(other_number, other)| {
@@ -223,14 +227,14 @@
 
     fn other_overlapping<'a>(
         &'a self,
-        number: Number,
+        number: SequenceNumber,
         change: &'a Change,
-    ) -> impl Iterator<Item = (Number, &'a Change)> {
+    ) -> impl Iterator<Item = (SequenceNumber, &'a Change)> {
         let all = self.changes.iter().map(|(other_number, other)| (*other_number, other));
         all.filter(move |(other_number, other)| *other_number != number && other.overlaps(change))
     }
 
-    fn grant_permit(&mut self, number: Number) {
+    fn grant_permit(&mut self, number: SequenceNumber) {
         let Some(change) = self.changes.get_mut(&number) else { return };
         change.set_status(ChangeStatus::InFlight);
         let scope = change.request.scope.clone();
@@ -249,9 +253,10 @@
         }
     }
 
-    fn next_unblocked_change(&self) -> Option<Number> {
+    fn next_unblocked_change(&self) -> Option<SequenceNumber> {
         let queued = self.changes.iter().filter(|(_, change)| change.status == ChangeStatus::Queued);
-        let mut queued: Vec<(Number, &Change)> = queued.map(|(number, change)| (*number, change)).collect();
+        let mut queued: Vec<(SequenceNumber, &Change)> =
+            queued.map(|(number, change)| (*number, change)).collect();
         queued.sort_by_key(|(_, change)| Reverse(change.effective_priority()));
         let unblocked = queued.into_iter().find(|(number, _)| self.obstacle(*number).is_none());
         unblocked.map(|(number, _)| number)
@@ -260,7 +265,7 @@
     /// Drops a change and its links to incidents, with this audit record.
     pub(super) fn remove_change(
         &mut self,
-        number: Number,
+        number: SequenceNumber,
         description: String,
     ) -> Result<Response, RejectReason> {
         self.changes.remove(&number).ok_or(RejectReason::NotFound)?;
@@ -270,7 +275,11 @@
         Ok(self.append_audit(number, description))
     }
 
-    pub(super) fn expire_change(&mut self, number: Number, version: u64) -> Result<Response, RejectReason> {
+    pub(super) fn expire_change(
+        &mut self,
+        number: SequenceNumber,
+        version: u64,
+    ) -> Result<Response, RejectReason> {
         let change = self.changes.get_mut(&number).ok_or(RejectReason::NotFound)?;
         if change.version != version {
             return Err(RejectReason::Superseded);
--- a/crates/change-freeze/src/state/command.rs
+++ b/crates/change-freeze/src/state/command.rs
@@ -1,6 +1,6 @@
 //! Commands to the replicated state, and the responses to them.
 
-use super::{ChangeRequest, Number};
+use super::{ChangeRequest, SequenceNumber};
 use crate::rules::Severity;
 use crate::scope::Scope;
 use crate::Millis;
@@ -50,30 +50,30 @@
     /// A person takes responsibility for an incident.
     AssignIncident {
         /// The incident.
-        incident: Number,
+        incident: SequenceNumber,
         /// The person.
         person: String,
     },
     /// An incident is over. It still blocks changes until its cooldown has elapsed.
     ResolveIncident {
         /// The incident.
-        incident: Number,
+        incident: SequenceNumber,
         /// Who resolves it. The coordinator resolves only what it has opened and nobody was assigned to.
         resolved_by: Requester,
     },
     /// A replica has waited for an incident's cooldown.
     CooldownElapsed {
         /// The incident.
-        incident: Number,
+        incident: SequenceNumber,
         /// Its version when the timer started.
         version: u64,
     },
     /// Links a change to an incident as its remedy: the incident does not block it.
     LinkRemedy {
         /// The incident.
-        incident: Number,
+        incident: SequenceNumber,
         /// The change.
-        change: Number,
+        change: SequenceNumber,
         /// Who links them.
         person: String,
     },
@@ -84,19 +84,19 @@
     /// A change is complete, was rolled back, or is no longer wanted.
     FinishChange {
         /// The change.
-        change: Number,
+        change: SequenceNumber,
     },
     /// A replica has waited for as long as a change may stay in its status.
     ExpireChange {
         /// The change.
-        change: Number,
+        change: SequenceNumber,
         /// Its version when the timer started.
         version: u64,
     },
     /// A person has checked an overdue change: it is over.
     ClearOverdueChange {
         /// The change.
-        change: Number,
+        change: SequenceNumber,
         /// The person.
         person: String,
     },
@@ -111,24 +111,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Response {
     /// The command took effect on this incident or change.
-    Accepted(Number),
+    Accepted(SequenceNumber),
     /// The change with this number has its permit.
-    Permitted(Number),
+    Permitted(SequenceNumber),
     /// The change waits for another one.
     Queued {
         /// The change's number.
-        change: Number,
+        change: SequenceNumber,
         /// The change that it waits for.
-        behind: Number,
+        behind: SequenceNumber,
     },
     /// The emergency change with this number waits for a second person.
-    AwaitingSecondApproval(Number),
+    AwaitingSecondApproval(SequenceNumber),
     /// The change is blocked by an incident.
     Blocked {
         /// The change's number, under which it can be linked as a remedy.
-        change: Number,
+        change: SequenceNumber,
         /// The incident.
-        incident: Number,
+        incident: SequenceNumber,
         /// When to request again, in milliseconds.
         retry_after: Millis,
     },
--- a/crates/change-freeze/src/state/incident.rs
+++ b/crates/change-freeze/src/state/incident.rs
@@ -1,8 +1,8 @@
 //! Incidents: opening, assignment, resolution and cooldown.
 
 use super::{
-    check_name, printable_prefix, Change, ChangeRequest, ChangeStatus, FreezeState, Number, RejectReason,
-    Requester, Response,
+    check_name, printable_prefix, Change, ChangeRequest, ChangeStatus, FreezeState, RejectReason, Requester,
+    Response, SequenceNumber,
 };
 use crate::rules::{blocking_rule, ChangeKind, Reaction, Severity};
 use crate::scope::Scope;
@@ -30,7 +30,7 @@
     /// It is resolved and still blocks changes until its cooldown has elapsed.
     pub cooling_down: bool,
     /// The changes that are linked to it as its remedies.
-    pub remedies: BTreeSet<Number>,
+    pub remedies: BTreeSet<SequenceNumber>,
     /// Increases with each update, so that a timer that started before one has no effect.
     pub version: u64,
 }
@@ -46,7 +46,7 @@
     }
 
     /// Whether it blocks a change, with remedies and emergencies considered.
-    pub(super) fn blocks(&self, number: Number, change: &Change) -> bool {
+    pub(super) fn blocks(&self, number: SequenceNumber, change: &Change) -> bool {
         let ChangeRequest { kind, scope, .. } = &change.request;
         !change.emergency
             && !self.remedies.contains(&number)
@@ -84,7 +84,7 @@
         scope: &Scope,
         evidence: &str,
         opened_by: &Requester,
-    ) -> Option<Number> {
+    ) -> Option<SequenceNumber> {
         let (number, incident) = self.incidents.iter_mut().find(|(_, incident)| {
             incident.scope == *scope && incident.is_opened_by_coordinator() == opened_by.is_coordinator()
         })?;
@@ -101,7 +101,7 @@
         scope: Scope,
         evidence: String,
         opened_by: Requester,
-    ) -> Result<Number, RejectReason> {
+    ) -> Result<SequenceNumber, RejectReason> {
         if self.incidents.len() >= MAX_INCIDENTS {
             return Err(RejectReason::CapacityReached);
         }
@@ -122,7 +122,7 @@
 
     /// Makes the changes in flight that an incident blocks react as they declared. A change that declared to finish keeps
     /// its permit and its duration.
-    fn interrupt_blocked_changes(&mut self, incident_number: Number) {
+    fn interrupt_blocked_changes(&mut self, incident_number: SequenceNumber) {
         let Some(incident) = self.incidents.get(&incident_number) else { return };
         let mut interrupted = Vec::new();
         for (number, change) in &mut self.changes {
@@ -140,7 +140,11 @@
         }
     }
 
-    pub(super) fn assign_incident(&mut self, number: Number, person: &str) -> Result<Response, RejectReason> {
+    pub(super) fn assign_incident(
+        &mut self,
+        number: SequenceNumber,
+        person: &str,
+    ) -> Result<Response, RejectReason> {
         check_name(person)?;
         let incident = self.incidents.get_mut(&number).ok_or(RejectReason::NotFound)?;
         incident.assignee = Some(person.to_owned());
@@ -150,7 +154,7 @@
 
     pub(super) fn resolve_incident(
         &mut self,
-        number: Number,
+        number: SequenceNumber,
         resolved_by: &Requester,
     ) -> Result<Response, RejectReason> {
         let incident = self.incidents.get_mut(&number).ok_or(RejectReason::NotFound)?;
@@ -169,7 +173,11 @@
         Ok(self.append_audit(number, format!("resolved by {resolved_by}")))
     }
 
-    pub(super) fn end_cooldown(&mut self, number: Number, version: u64) -> Result<Response, RejectReason> {
+    pub(super) fn end_cooldown(
+        &mut self,
+        number: SequenceNumber,
+        version: u64,
+    ) -> Result<Response, RejectReason> {
         let incident = self.incidents.get(&number).ok_or(RejectReason::NotFound)?;
         if !incident.cooling_down || incident.version != version {
             return Err(RejectReason::Superseded);
@@ -180,8 +188,8 @@
 
     pub(super) fn link_remedy(
         &mut self,
-        incident_number: Number,
-        change: Number,
+        incident_number: SequenceNumber,
+        change: SequenceNumber,
         person: &str,
     ) -> Result<Response, RejectReason> {
         check_name(person)?;
@@ -195,7 +203,7 @@
     }
 
     /// The first incident that would block such a change now, if it were neither a remedy nor an emergency.
-    pub fn blocking_incident(&self, kind: ChangeKind, scope: &Scope) -> Option<Number> {
+    pub fn blocking_incident(&self, kind: ChangeKind, scope: &Scope) -> Option<SequenceNumber> {
         let blocks =
             |incident: &Incident| blocking_rule(incident.severity, &incident.scope, kind, scope).is_some();
         self.incidents.iter().find(|(_, incident)| blocks(incident)).map(|(number, _)| *number)
--- a/crates/change-freeze/src/state/mod.rs
+++ b/crates/change-freeze/src/state/mod.rs
@@ -22,15 +22,15 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The number of an incident or a change.
-pub type Number = u64;
+/// Identifies an incident or a change. Numbers are assigned in increasing order, from 1, and are never reused.
+pub type SequenceNumber = u64;
 
 /// All incidents, changes and audit records. Equal commands in equal order give equal states on all replicas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FreezeState {
-    last_number: Number,
-    incidents: BTreeMap<Number, Incident>,
-    changes: BTreeMap<Number, Change>,
+    last_number: SequenceNumber,
+    incidents: BTreeMap<SequenceNumber, Incident>,
+    changes: BTreeMap<SequenceNumber, Change>,
     audit_sequence: u64,
     audit_log: VecDeque<AuditRecord>,
 }
@@ -68,18 +68,18 @@
         }
     }
 
-    fn next_number(&mut self) -> Number {
+    fn next_number(&mut self) -> SequenceNumber {
         self.last_number += 1;
         self.last_number
     }
 
     /// All incidents that are open or cool down.
-    pub fn incidents(&self) -> &BTreeMap<Number, Incident> {
+    pub fn incidents(&self) -> &BTreeMap<SequenceNumber, Incident> {
         &self.incidents
     }
 
     /// All changes that are queued or in flight.
-    pub fn changes(&self) -> &BTreeMap<Number, Change> {
+    pub fn changes(&self) -> &BTreeMap<SequenceNumber, Change> {
         &self.changes
     }
 
--- a/crates/change-freeze/src/state/timer.rs
+++ b/crates/change-freeze/src/state/timer.rs
@@ -1,6 +1,6 @@
 //! What expires by itself. Replicas run the timers and propose the commands.
 
-use super::{Change, ChangeStatus, FreezeCommand, FreezeState, Number};
+use super::{Change, ChangeStatus, FreezeCommand, FreezeState, SequenceNumber};
 use crate::Millis;
 
 /// How long a change that an incident blocks in flight has to react before it is overdue, in milliseconds.
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TimerKey {
     /// The end of an incident's cooldown.
-    Incident(Number),
+    Incident(SequenceNumber),
     /// The end of the time that a change may stay in its status.
-    Change(Number),
+    Change(SequenceNumber),
 }
 
 impl Change {
--- a/crates/change-freeze/tests/freeze/common.rs
+++ b/crates/change-freeze/tests/freeze/common.rs
@@ -2,7 +2,7 @@
 
 use hillstall_change_freeze::rules::{ChangeKind, Reaction, Severity};
 use hillstall_change_freeze::state::{
-    ChangeRequest, ChangeStatus, FreezeCommand, FreezeState, Number, Requester, Response,
+    ChangeRequest, ChangeStatus, FreezeCommand, FreezeState, Requester, Response, SequenceNumber,
 };
 
 pub fn request(kind: ChangeKind, scope: &str, requested_by: &str, reaction: Reaction) -> ChangeRequest {
@@ -29,7 +29,7 @@
     }
 }
 
-pub fn resolve_incident(incident: Number, resolved_by: Requester) -> FreezeCommand {
+pub fn resolve_incident(incident: SequenceNumber, resolved_by: Requester) -> FreezeCommand {
     FreezeCommand::ResolveIncident { incident, resolved_by }
 }
 
@@ -38,23 +38,23 @@
 }
 
 /// The number of a change that has its permit.
-pub fn permitted(response: Response) -> Number {
+pub fn permitted(response: Response) -> SequenceNumber {
     let Response::Permitted(number) = response else { panic!("no permit: {response:?}") };
     number
 }
 
-pub fn status(state: &FreezeState, change: Number) -> ChangeStatus {
+pub fn status(state: &FreezeState, change: SequenceNumber) -> ChangeStatus {
     state.changes()[&change].status
 }
 
 /// Expires a change as a replica does that has waited for its current version.
-pub fn expire_change(state: &mut FreezeState, change: Number) -> Response {
+pub fn expire_change(state: &mut FreezeState, change: SequenceNumber) -> Response {
     let version = state.changes()[&change].version;
     state.apply(&FreezeCommand::ExpireChange { change, version })
 }
 
 /// Ends an incident's cooldown as a replica does that has waited for its current version.
-pub fn end_cooldown(state: &mut FreezeState, incident: Number) -> Response {
+pub fn end_cooldown(state: &mut FreezeState, incident: SequenceNumber) -> Response {
     let version = state.incidents()[&incident].version;
     state.apply(&FreezeCommand::CooldownElapsed { incident, version })
 }
--- a/crates/consensus/tests/samples/history.rs
+++ b/crates/consensus/tests/samples/history.rs
@@ -5,7 +5,7 @@
 use super::maintenance::plan;
 use hillstall_change_freeze::rules::{ChangeKind, Severity};
 use hillstall_change_freeze::scope::Scope;
-use hillstall_change_freeze::state::{FreezeCommand as Freeze, Number, Requester, Response};
+use hillstall_change_freeze::state::{FreezeCommand as Freeze, Requester, Response, SequenceNumber};
 use hillstall_consensus::state::{Command, Outcome, Proposal, ProposalId, State};
 use hillstall_lease::table::LeaseCommand as Lease;
 use hillstall_lease::FencingToken;
@@ -75,7 +75,7 @@
     }
 
     /// Gives the number of the incident or change that it is about.
-    fn freeze(&mut self, command: Freeze) -> Number {
+    fn freeze(&mut self, command: Freeze) -> SequenceNumber {
         match self.propose(9, Command::Freeze(command)) {
             Outcome::Freeze(
                 Response::Accepted(number)
@@ -87,7 +87,7 @@
         }
     }
 
-    fn open(&mut self, severity: Severity, scope: Scope, evidence: &str, by: Requester) -> Number {
+    fn open(&mut self, severity: Severity, scope: Scope, evidence: &str, by: Requester) -> SequenceNumber {
         self.freeze(Freeze::OpenIncident { severity, scope, evidence: evidence.into(), opened_by: by })
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// First a change goes before it, then an incident.
-    fn window_that_is_blocked(&mut self, change: Number) {
+    fn window_that_is_blocked(&mut self, change: SequenceNumber) {
         self.window(None, Window::Plan(plan("east", 1_777_600_000_000, OverrunPolicy::Return)));
         self.window(Some(6), Window::Admit { window: 1, baseline_rate: 1 });
         self.freeze(Freeze::FinishChange { change });
--- a/crates/maintenance/src/shift/mod.rs
+++ b/crates/maintenance/src/shift/mod.rs
@@ -20,7 +20,7 @@
 
 use crate::windows::{OverrunPolicy, Stage, Window, WindowCommand};
 use crate::{Millis, TrafficFraction, FULL_TRAFFIC};
-use hillstall_change_freeze::state::Number;
+use hillstall_change_freeze::state::SequenceNumber;
 use recovery::Recovery;
 
 const LATE_REASON: &str = "it could not begin in time";
@@ -32,7 +32,7 @@
 /// What was last observed of a window, and since when.
 #[derive(Clone, Copy, Debug)]
 struct ObservedStep {
-    window: Number,
+    window: SequenceNumber,
     stage: Stage,
     fraction: TrafficFraction,
     since: Millis,
@@ -49,7 +49,7 @@
     pub fn next_command(
         &mut self,
         (unix_now, monotonic_now): (Millis, Millis),
-        (number, window): (Number, &Window),
+        (number, window): (SequenceNumber, &Window),
         load: &FleetLoad,
         pacing: &ShiftPacing,
     ) -> Option<WindowCommand> {
@@ -58,7 +58,7 @@
     }
 
     /// Since when the window has its stage and its fraction.
-    fn unchanged_since(&mut self, now: Millis, number: Number, window: &Window) -> Millis {
+    fn unchanged_since(&mut self, now: Millis, number: SequenceNumber, window: &Window) -> Millis {
         let is_same = |step: &ObservedStep| {
             (step.window, step.stage, step.fraction) == (number, window.stage, window.fraction)
         };
@@ -75,7 +75,7 @@
 struct Decision<'a> {
     /// Unix time.
     now: Millis,
-    number: Number,
+    number: SequenceNumber,
     window: &'a Window,
     load: &'a FleetLoad,
     pacing: &'a ShiftPacing,
--- a/crates/maintenance/src/windows/command.rs
+++ b/crates/maintenance/src/windows/command.rs
@@ -2,7 +2,7 @@
 
 use super::{Stage, WindowPlan, MAX_WINDOWS};
 use crate::TrafficFraction;
-use hillstall_change_freeze::state::Number;
+use hillstall_change_freeze::state::SequenceNumber;
 use serde::{Deserialize, Serialize};
 
 /// A command to the replicated windows. A window is identified by its number.
@@ -13,53 +13,53 @@
     /// A person cancels a window. If it has begun, the site first gets its traffic back.
     Cancel {
         /// The window.
-        window: Number,
+        window: SequenceNumber,
     },
     /// A person reports the end of the work.
     End {
         /// The window.
-        window: Number,
+        window: SequenceNumber,
     },
     /// The lease holder: the other sites can take the site's traffic.
     Admit {
         /// The window.
-        window: Number,
+        window: SequenceNumber,
         /// See [`super::Window::baseline_rate`].
         baseline_rate: u64,
     },
     /// The lease holder: the window can't or must not begin in time.
     Postpone {
         /// The window.
-        window: Number,
+        window: SequenceNumber,
         /// The reason, for people.
         reason: String,
     },
     /// The lease holder: the site is to get this fraction of its traffic, less than before.
     ReduceTraffic {
         /// The window.
-        window: Number,
+        window: SequenceNumber,
         /// The fraction.
         fraction: TrafficFraction,
     },
     /// The lease holder: the site gets next to no requests any more.
     MarkEmpty {
         /// The window.
-        window: Number,
+        window: SequenceNumber,
     },
     /// The lease holder: people may begin to work.
     Begin {
         /// The window.
-        window: Number,
+        window: SequenceNumber,
     },
     /// The lease holder: the time is over, and the site stays without traffic.
     MarkOverrun {
         /// The window.
-        window: Number,
+        window: SequenceNumber,
     },
     /// The lease holder: the site is to get this fraction of its traffic, at least as much as before.
     RestoreTraffic {
         /// The window.
-        window: Number,
+        window: SequenceNumber,
         /// The fraction.
         fraction: TrafficFraction,
         /// Why the window is aborted, for people; `None` if it is not.
@@ -68,7 +68,7 @@
     /// The lease holder: the site has all of its traffic again.
     Finish {
         /// The window.
-        window: Number,
+        window: SequenceNumber,
     },
 }
 
@@ -79,7 +79,7 @@
     }
 
     /// The window that it concerns; `None` for a new one.
-    pub(super) fn window(&self) -> Option<Number> {
+    pub(super) fn window(&self) -> Option<SequenceNumber> {
         match self {
             WindowCommand::Plan(_) => None,
             WindowCommand::Cancel { window }
@@ -107,7 +107,7 @@
     Stage(Stage),
     /// Another site is without its traffic; holds the number of its window.
     #[error("window {0} has its site away")]
-    OtherSiteAway(Number),
+    OtherSiteAway(SequenceNumber),
     /// The fraction does not change in the direction of the command.
     #[error("a site that gets {from} in a thousand can't go to {to} this way")]
     InvalidFraction {
--- a/crates/maintenance/src/windows/mod.rs
+++ b/crates/maintenance/src/windows/mod.rs
@@ -12,7 +12,7 @@
 pub use plan::{OverrunPolicy, WindowPlan};
 pub use window::{Stage, Window};
 
-use hillstall_change_freeze::state::{FreezeState, Number};
+use hillstall_change_freeze::state::{FreezeState, SequenceNumber};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -22,8 +22,8 @@
 /// All windows. Equal commands in equal order give equal states on all replicas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Windows {
-    last_number: Number,
-    all: BTreeMap<Number, Window>,
+    last_number: SequenceNumber,
+    all: BTreeMap<SequenceNumber, Window>,
 }
 
 impl Windows {
@@ -51,12 +51,12 @@
         }
     }
 
-    fn window_mut(&mut self, number: Number) -> Result<&mut Window, WindowError> {
+    fn window_mut(&mut self, number: SequenceNumber) -> Result<&mut Window, WindowError> {
         self.all.get_mut(&number).ok_or(WindowError::NotFound)
     }
 
     /// Another window whose site is without its usual traffic.
-    fn other_away(&self, number: Number) -> Option<Number> {
+    fn other_away(&self, number: SequenceNumber) -> Option<SequenceNumber> {
         let mut others = self.all.iter().filter(|(other, _)| **other != number);
         others.find(|(_, window)| window.stage.takes_traffic_away()).map(|(other, _)| *other)
     }
@@ -88,7 +88,7 @@
     }
 
     /// All windows by number.
-    pub fn all(&self) -> &BTreeMap<Number, Window> {
+    pub fn all(&self) -> &BTreeMap<SequenceNumber, Window> {
         &self.all
     }
 
--- a/crates/maintenance/src/windows/permit.rs
+++ b/crates/maintenance/src/windows/permit.rs
@@ -4,7 +4,7 @@
 use hillstall_change_freeze::rules::{ChangeKind, Reaction};
 use hillstall_change_freeze::scope::Scope;
 use hillstall_change_freeze::state::{
-    ChangeRequest, ChangeStatus, FreezeCommand, FreezeState, Number, RejectReason, Response,
+    ChangeRequest, ChangeStatus, FreezeCommand, FreezeState, RejectReason, Response, SequenceNumber,
     MAX_CHANGE_DURATION_MS,
 };
 
@@ -12,7 +12,10 @@
 const PRIORITY: u8 = 100;
 
 /// Requests a permit that is granted now or not at all: a window that was queued would keep other changes waiting.
-pub(super) fn request_permit(plan: &WindowPlan, freeze: &mut FreezeState) -> Result<Number, WindowError> {
+pub(super) fn request_permit(
+    plan: &WindowPlan,
+    freeze: &mut FreezeState,
+) -> Result<SequenceNumber, WindowError> {
     match freeze.apply(&FreezeCommand::RequestChange(change_request(plan))) {
         Response::Permitted(number) => Ok(number),
         Response::Queued { change, behind } => {
@@ -45,12 +48,12 @@
 }
 
 /// Returns a permit, or withdraws a request for one.
-pub(super) fn return_permit(change: Number, freeze: &mut FreezeState) {
+pub(super) fn return_permit(change: SequenceNumber, freeze: &mut FreezeState) {
     freeze.apply(&FreezeCommand::FinishChange { change });
 }
 
 /// Checks that a window may still take traffic away from its site.
-pub(super) fn check_permit(change: Option<Number>, freeze: &FreezeState) -> Result<(), WindowError> {
+pub(super) fn check_permit(change: Option<SequenceNumber>, freeze: &FreezeState) -> Result<(), WindowError> {
     let change = change.and_then(|number| freeze.changes().get(&number));
     match change.map(|change| change.status) {
         Some(ChangeStatus::InFlight) => Ok(()),
--- a/crates/maintenance/src/windows/window.rs
+++ b/crates/maintenance/src/windows/window.rs
@@ -3,7 +3,7 @@
 use super::permit::{check_permit, request_permit, return_permit};
 use super::{WindowError, WindowPlan};
 use crate::{TrafficFraction, FULL_TRAFFIC};
-use hillstall_change_freeze::state::{FreezeState, Number};
+use hillstall_change_freeze::state::{FreezeState, SequenceNumber};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -75,7 +75,7 @@
     /// The site's usual traffic before the shift, in requests per 1,000 seconds.
     pub baseline_rate: u64,
     /// Its permit.
-    pub change: Option<Number>,
+    pub change: Option<SequenceNumber>,
     /// Its time is over, and people still work.
     pub overrun: bool,
     /// Why it was postponed, cancelled or aborted; empty if it was not.
@@ -118,7 +118,7 @@
     pub(super) fn admit(
         &mut self,
         baseline_rate: u64,
-        other_away: Option<Number>,
+        other_away: Option<SequenceNumber>,
         freeze: &mut FreezeState,
     ) -> Result<(), WindowError> {
         self.require_stage(&[Stage::Planned])?;
