--- a/crates/change-freeze/src/rules.rs
+++ b/crates/change-freeze/src/rules.rs
@@ -37,15 +37,15 @@
 }
 
 /// Defines the words for an enum's variants, with conversions both ways.
-macro_rules! words {
-    ($enum:ident, $noun:literal, $($variant:ident = $word:literal),+) => {
+macro_rules! keyword_enum {
+    ($enum:ident, $noun:literal, $($variant:ident = $keyword:literal),+) => {
         impl $enum {
             /// All variants, in order.
             pub const ALL: &'static [$enum] = &[$($enum::$variant),+];
 
             /// The word for it.
             pub fn as_str(self) -> &'static str {
-                match self { $($enum::$variant => $word),+ }
+                match self { $($enum::$variant => $keyword),+ }
             }
         }
 
@@ -56,11 +56,11 @@
         }
 
         impl FromStr for $enum {
-            type Err = ParseWordError;
+            type Err = ParseKeywordError;
 
-            fn from_str(text: &str) -> Result<$enum, ParseWordError> {
+            fn from_str(text: &str) -> Result<$enum, ParseKeywordError> {
                 let found = $enum::ALL.iter().find(|value| value.as_str() == text).copied();
-                found.ok_or_else(|| ParseWordError {
+                found.ok_or_else(|| ParseKeywordError {
                     noun: $noun,
                     word: text.chars().take(crate::MAX_NAME_BYTES).collect(),
                     expected: $enum::ALL.iter().map(|value| value.as_str()).collect::<Vec<_>>().join(", "),
@@ -73,7 +73,7 @@
 /// A text that is none of the expected words.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{word:?} is no {noun}: {expected}")]
-pub struct ParseWordError {
+pub struct ParseKeywordError {
     /// What the word stands for.
     noun: &'static str,
     /// The text, truncated.
@@ -82,8 +82,8 @@
     expected: String,
 }
 
-words!(Severity, "severity", Minor = "minor", Major = "major", Critical = "critical");
-words!(
+keyword_enum!(Severity, "severity", Minor = "minor", Major = "major", Critical = "critical");
+keyword_enum!(
     ChangeKind,
     "kind of change",
     OperatorFile = "operator-file",
@@ -105,11 +105,11 @@
     Undo,
 }
 
-words!(Reaction, "reaction", Finish = "finish", Pause = "pause", Undo = "undo");
+keyword_enum!(Reaction, "reaction", Finish = "finish", Pause = "pause", Undo = "undo");
 
 impl ChangeKind {
     /// Whether the fleet has less capacity while the change is in flight.
-    pub fn takes_capacity(self) -> bool {
+    pub fn reduces_capacity(self) -> bool {
         matches!(self, ChangeKind::Upgrade | ChangeKind::Drain | ChangeKind::Window | ChangeKind::Replica)
     }
 }
@@ -186,7 +186,7 @@
     match severity {
         Severity::Critical => Some(PrecedenceRule::Critical),
         Severity::Major => overlaps().then_some(PrecedenceRule::Major),
-        Severity::Minor => (overlaps() && kind.takes_capacity()).then_some(PrecedenceRule::Minor),
+        Severity::Minor => (overlaps() && kind.reduces_capacity()).then_some(PrecedenceRule::Minor),
     }
 }
 
--- a/crates/consensus/tests/samples/maintenance.rs
+++ b/crates/consensus/tests/samples/maintenance.rs
@@ -75,7 +75,7 @@
     each_variant!(named, WindowError {
         "maintenance/rejected/unknown": WindowError::NotFound => WindowError::NotFound,
         "maintenance/rejected/stage": WindowError::Stage(_) => WindowError::Stage(Stage::Postponed),
-        "maintenance/rejected/other-site-away": WindowError::OtherSiteAway(_) => WindowError::OtherSiteAway(516),
+        "maintenance/rejected/other-site-away": WindowError::OtherSiteShifted(_) => WindowError::OtherSiteShifted(516),
         "maintenance/rejected/fraction": WindowError::InvalidFraction { .. } => WindowError::InvalidFraction { from: 517, to: 518 },
         "maintenance/rejected/no-permit": WindowError::NoPermit(_) => WindowError::NoPermit("it waits".into()),
         "maintenance/rejected/full": WindowError::CapacityReached => WindowError::CapacityReached,
--- a/crates/coordination/src/admin_commands/mod.rs
+++ b/crates/coordination/src/admin_commands/mod.rs
@@ -6,7 +6,7 @@
 mod parser;
 pub mod render;
 
-use hillstall_change_freeze::rules::ParseWordError;
+use hillstall_change_freeze::rules::ParseKeywordError;
 use hillstall_change_freeze::scope::ParseScopeError;
 use hillstall_consensus::state::Command;
 use hillstall_lease::{InvalidLeaseName, LeaseName};
@@ -95,7 +95,7 @@
     Number(#[from] ParseIntError),
     /// Not one of the known words.
     #[error(transparent)]
-    Word(#[from] ParseWordError),
+    Word(#[from] ParseKeywordError),
     /// Not a scope.
     #[error(transparent)]
     Scope(#[from] ParseScopeError),
--- a/crates/maintenance/src/windows/command.rs
+++ b/crates/maintenance/src/windows/command.rs
@@ -107,7 +107,7 @@
     Stage(Stage),
     /// Another site is without its traffic; holds the number of its window.
     #[error("window {0} has its site away")]
-    OtherSiteAway(SequenceNumber),
+    OtherSiteShifted(SequenceNumber),
     /// The fraction does not change in the direction of the command.
     #[error("a site that gets {from} in a thousand can't go to {to} this way")]
     InvalidFraction {
--- a/crates/maintenance/src/windows/mod.rs
+++ b/crates/maintenance/src/windows/mod.rs
@@ -34,8 +34,8 @@
             WindowCommand::Cancel { window } => self.window_mut(*window)?.cancel(freeze),
             WindowCommand::End { window } => self.window_mut(*window)?.end_work(),
             WindowCommand::Admit { window, baseline_rate } => {
-                let other_away = self.other_away(*window);
-                self.window_mut(*window)?.admit(*baseline_rate, other_away, freeze)
+                let other_shifted = self.other_shifted(*window);
+                self.window_mut(*window)?.admit(*baseline_rate, other_shifted, freeze)
             }
             WindowCommand::Postpone { window, reason } => self.window_mut(*window)?.postpone(reason, freeze),
             WindowCommand::ReduceTraffic { window, fraction } => {
@@ -56,7 +56,7 @@
     }
 
     /// Another window whose site is without its usual traffic.
-    fn other_away(&self, number: SequenceNumber) -> Option<SequenceNumber> {
+    fn other_shifted(&self, number: SequenceNumber) -> Option<SequenceNumber> {
         let mut others = self.all.iter().filter(|(other, _)| **other != number);
         others.find(|(_, window)| window.stage.takes_traffic_away()).map(|(other, _)| *other)
     }
--- a/crates/maintenance/src/windows/window.rs
+++ b/crates/maintenance/src/windows/window.rs
@@ -113,17 +113,17 @@
         Ok(())
     }
 
-    /// Requests the permit and admits the window in one step, so that no incident can open in between. `other_away` is
+    /// Requests the permit and admits the window in one step, so that no incident can open in between. `other_shifted` is
     /// another window whose site is without its traffic.
     pub(super) fn admit(
         &mut self,
         baseline_rate: u64,
-        other_away: Option<SequenceNumber>,
+        other_shifted: Option<SequenceNumber>,
         freeze: &mut FreezeState,
     ) -> Result<(), WindowError> {
         self.require_stage(&[Stage::Planned])?;
-        if let Some(other) = other_away {
-            return Err(WindowError::OtherSiteAway(other));
+        if let Some(other) = other_shifted {
+            return Err(WindowError::OtherSiteShifted(other));
         }
         self.change = Some(request_permit(&self.plan, freeze)?);
         self.stage = Stage::Admitted;
--- a/crates/maintenance/tests/windows/lifecycle.rs
+++ b/crates/maintenance/tests/windows/lifecycle.rs
@@ -25,7 +25,7 @@
     }
     apply(WindowCommand::Admit { window: 1, baseline_rate: 1 }, &mut freeze).expect("admitted");
     let other = apply(WindowCommand::Admit { window: 2, baseline_rate: 1 }, &mut freeze);
-    assert_eq!(other, Err(WindowError::OtherSiteAway(1)), "one site at a time");
+    assert_eq!(other, Err(WindowError::OtherSiteShifted(1)), "one site at a time");
     apply(WindowCommand::ReduceTraffic { window: 1, fraction: 500 }, &mut freeze).expect("reduced");
 
     open_critical_incident(&mut freeze, "south");
