--- a/crates/change-freeze/src/detection.rs
+++ b/crates/change-freeze/src/detection.rs
@@ -1,7 +1,7 @@
 //! How a coordinator derives incidents from the instances' reports.
 //!
-//! An incident opens when a level was high for long enough, and closes when it was low for longer. The detector only
-//! proposes commands; the replicated state decides.
+//! An incident opens once a symptom's level has been high for a minimum time, and is resolved once the level
+//! has been low for a minimum time. The detector only proposes commands; the replicated state decides.
 
 use crate::rules::Severity;
 use crate::scope::Scope;
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// What is observed of a part of the fleet.
+/// A measure of how badly a part of the fleet works; its level is between 0 and 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Symptom {
     /// The fraction of a site's requests that none of its backends answered.
@@ -19,12 +19,13 @@
     Rejected,
     /// The fraction of requests that failed.
     Failed,
-    /// 1 if the loss of one more replica would end the quorum.
+    /// 1 if the loss of one more replica would lose the quorum, else 0.
     QuorumMargin,
 }
 
 impl fmt::Display for Symptom {
-    /// The word for it in an incident's evidence. It is replicated, so every version has to write the same bytes.
+    /// The symptom's name in an incident's evidence. Evidence is replicated, so all versions must write the
+    /// same bytes.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Symptom::Unanswered => "Lost",
@@ -35,51 +36,53 @@
     }
 }
 
-/// A current level, from reports that are recent enough.
+/// The current level of a symptom, from recent reports of the instances.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
-    /// The part of the fleet that it concerns.
+    /// The part of the fleet that was observed.
     pub scope: Scope,
-    /// What was observed.
+    /// The observed symptom.
     pub symptom: Symptom,
     /// The level, from 0 to 1.
     pub level: f64,
 }
 
-/// When a symptom is an incident.
+/// At which levels, and after how long, a symptom opens an incident and resolves it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Threshold {
-    /// An incident opens at this level or above.
+    /// An incident opens at this level or above; from 0 to 1.
     pub opens_at: f64,
-    /// An incident closes below this level; between the two nothing changes.
+    /// An incident is resolved below this level, which is lower than `opens_at`; between the two nothing
+    /// changes.
     pub closes_below: f64,
     /// How long the level must stay at or above `opens_at`, in milliseconds.
     pub opens_after: Millis,
     /// How long the level must stay below `closes_below`, in milliseconds.
     pub closes_after: Millis,
-    /// The severity of the incident.
+    /// The severity of the incident that is opened.
     pub severity: Severity,
 }
 
 /// The thresholds of all symptoms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
-    /// See [`Symptom::Unanswered`].
+    /// The threshold for [`Symptom::Unanswered`].
     pub unanswered: Threshold,
-    /// See [`Symptom::Rejected`].
+    /// The threshold for [`Symptom::Rejected`].
     pub rejected: Threshold,
-    /// See [`Symptom::Failed`].
+    /// The threshold for [`Symptom::Failed`].
     pub failed: Threshold,
-    /// See [`Symptom::QuorumMargin`].
+    /// The threshold for [`Symptom::QuorumMargin`].
     pub quorum_margin: Threshold,
 }
 
-/// How long a level must be low before an incident closes, by default.
+/// How long a level must be low before an incident is resolved, by default.
 const DEFAULT_CLOSES_AFTER_MS: Millis = 10_000;
 
 impl Default for Thresholds {
-    /// Opens at half of a site's requests unanswered for 1 s, a fifth rejected or a tenth failed for 3 s, or a quorum
-    /// without margin for 5 s; closes after 10 s at a low level.
+    /// An incident opens when 50% of a site's requests are unanswered for 1 s, 20% are rejected or 10% fail
+    /// for 3 s, or the loss of one more replica would lose the quorum for 5 s. It is resolved after 10 s at a
+    /// low level.
     fn default() -> Thresholds {
         let threshold = |opens_at, closes_below, opens_after, severity| Threshold {
             opens_at,
@@ -108,7 +111,7 @@
     }
 }
 
-/// The last level of a symptom, and since when it is above or below its threshold.
+/// The last level of a symptom, and since when it has been at or above `opens_at` or below `closes_below`.
 #[derive(Clone, Copy, Debug, Default)]
 struct SymptomState {
     above_since: Option<Millis>,
@@ -137,14 +140,15 @@
     since.is_some_and(|since| now.saturating_sub(since) >= duration)
 }
 
-/// The symptoms that a coordinator has observed. A new coordinator starts without any.
+/// Derives incidents from the symptoms that a coordinator observes. A new coordinator starts without
+/// observations.
 #[derive(Clone, Debug)]
 pub struct Detector {
     thresholds: Thresholds,
     symptoms: BTreeMap<(Scope, Symptom), SymptomState>,
 }
 
-/// A symptom that was not observed for this long is dropped.
+/// A symptom that has not been observed for this long is forgotten.
 const OBSERVATION_TTL_MS: Millis = 10_000;
 
 impl Detector {
@@ -153,8 +157,9 @@
         Detector { thresholds, symptoms: BTreeMap::new() }
     }
 
-    /// Records the current observations and returns the commands to propose with the coordinator's token: first incidents
-    /// to open, then incidents to resolve.
+    /// Records the current observations and returns the commands to propose: first incidents to open, then
+    /// incidents to resolve. `now` is a reading of the monotonic clock, `token` the fencing token of the
+    /// coordinator's lease.
     pub fn poll(
         &mut self,
         now: Millis,
@@ -177,7 +182,7 @@
         self.symptoms.retain(|_, symptom| now.saturating_sub(symptom.observed_at) < OBSERVATION_TTL_MS);
     }
 
-    /// The symptoms that have been at or above their threshold for long enough.
+    /// The symptoms that have been at or above `opens_at` for `opens_after`.
     fn open_symptoms(&self, now: Millis) -> impl Iterator<Item = (&Scope, Symptom, &SymptomState)> {
         self.symptoms
             .iter()
@@ -224,8 +229,8 @@
             .collect()
     }
 
-    /// Whether all symptoms of a scope have been below their threshold for long enough. A scope without observations has
-    /// not recovered: nothing is known of it.
+    /// Whether all symptoms of a scope have been below `closes_below` for `closes_after`. A scope without
+    /// observations does not count as recovered, as nothing is known about it.
     fn has_recovered(&self, now: Millis, scope: &Scope) -> bool {
         let mut observed = self.symptoms.iter().filter(|((other, _), _)| other == scope).peekable();
         observed.peek().is_some()
--- a/crates/change-freeze/src/rules.rs
+++ b/crates/change-freeze/src/rules.rs
@@ -1,7 +1,7 @@
 //! Which changes an incident blocks.
 //!
-//! The rules in [`PRECEDENCE`] apply in that order, and the first that matches decides. The operators' page shows the same
-//! table, and a test compares the two.
+//! The rules apply in the order of [`PRECEDENCE`], and the first that matches decides. The operator
+//! documentation shows the same table, and a test compares the two.
 
 use crate::scope::Scope;
 use serde::{Deserialize, Serialize};
@@ -11,9 +11,9 @@
 /// The severity of an incident.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Severity {
-    /// Blocks changes that reduce capacity, within its scope.
+    /// Blocks changes that reduce capacity and whose scope overlaps the incident's.
     Minor,
-    /// Blocks all changes within its scope.
+    /// Blocks all changes whose scope overlaps the incident's.
     Major,
     /// Blocks all changes of the fleet.
     Critical,
@@ -22,28 +22,29 @@
 /// A kind of deliberate change to the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ChangeKind {
-    /// A new operator file.
+    /// New settings in the operator file.
     OperatorFile,
-    /// A new version of the program.
+    /// A new version of the proxy program.
     Upgrade,
-    /// An instance that drains.
+    /// Draining an instance.
     Drain,
-    /// Maintenance of a site.
+    /// A maintenance window of a site.
     Window,
-    /// A replica that is replaced.
+    /// Replacing a replica of the coordination state.
     Replica,
     /// A roll-out of settings.
     Settings,
 }
 
-/// Defines the words for an enum's variants, with conversions both ways.
+/// Defines a keyword for each variant of an enum, with `as_str`, `Display` and `FromStr`. Keywords are stored
+/// in audit records and read from admin commands, so they must not change.
 macro_rules! keyword_enum {
     ($enum:ident, $noun:literal, $($variant:ident = $keyword:literal),+) => {
         impl $enum {
-            /// All variants, in order.
+            /// All variants, in the order of their declaration.
             pub const ALL: &'static [$enum] = &[$($enum::$variant),+];
 
-            /// The word for it.
+            /// The variant's keyword, as in admin commands and audit records.
             pub fn as_str(self) -> &'static str {
                 match self { $($enum::$variant => $keyword),+ }
             }
@@ -70,15 +71,15 @@
     };
 }
 
-/// A text that is none of the expected words.
+/// The error for a text that is none of an enum's keywords.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{word:?} is no {noun}: {expected}")]
 pub struct ParseKeywordError {
-    /// What the word stands for.
+    /// What kind of keyword was expected.
     noun: &'static str,
     /// The text, truncated.
     word: String,
-    /// The expected words, separated by commas.
+    /// The valid keywords, separated by commas.
     expected: String,
 }
 
@@ -97,11 +98,11 @@
 /// What a change in flight does when an incident opens that blocks it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Reaction {
-    /// It continues to its end.
+    /// The change continues to its end.
     Finish,
-    /// It pauses in its current state.
+    /// The change pauses in its current state.
     Pause,
-    /// It is rolled back.
+    /// The change is rolled back.
     Undo,
 }
 
@@ -114,7 +115,8 @@
     }
 }
 
-/// A rule that decides whether a change gets its permit. It displays as its name on the operators' page.
+/// A rule that decides whether a change gets its permit. `Display` writes its name in the operator
+/// documentation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PrecedenceRule {
     /// Two changes whose scopes overlap are never in flight at once.
@@ -133,14 +135,15 @@
     QueueOrder,
 }
 
-/// A row of the table of precedence.
+/// A row of the [`PRECEDENCE`] table. Name and description stand in the operator documentation letter for
+/// letter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrecedenceEntry {
-    /// The rule.
+    /// The rule that this row describes.
     pub rule: PrecedenceRule,
-    /// Its name on the operators' page.
+    /// The rule's name in the operator documentation.
     pub name: &'static str,
-    /// Its text on the operators' page.
+    /// The rule's text in the operator documentation.
     pub description: &'static str,
 }
 
@@ -175,7 +178,8 @@
     ),
 ];
 
-/// The rule by which an incident blocks a change; remedies and emergencies are not considered.
+/// The rule by which an incident of this severity and scope blocks a change; `None` if it does not block it.
+/// Whether the change is a remedy or an emergency is not considered.
 pub fn blocking_rule(
     severity: Severity,
     incident_scope: &Scope,
--- a/crates/change-freeze/src/scope.rs
+++ b/crates/change-freeze/src/scope.rs
@@ -13,7 +13,8 @@
     Site(String),
     /// One tier, on all sites.
     Tier(String),
-    /// The instances that hold the replicated state. They serve requests as others do, so this overlaps no site.
+    /// The instances that hold the replicated state. They serve requests like all other instances, so this
+    /// scope overlaps no site, tier, class or tenant.
     Replicas,
     /// One class of requests.
     Class(String),
@@ -21,21 +22,23 @@
     Tenant(String),
     /// One instance.
     Instance {
-        /// The site that it runs on.
+        /// The site that the instance runs on.
         site: String,
-        /// Its position in the fleet.
+        /// The instance's number in the fleet.
         rank: u32,
     },
 }
 
-/// A text that is not a valid [`Scope`]; holds its beginning.
+/// The error for a text that is not a valid [`Scope`]; holds the text, truncated to [`crate::MAX_NAME_BYTES`]
+/// characters.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is no scope: fleet, keepers, site:NAME, tier:NAME, class:NAME, tenant:NAME or copy:SITE/RANK")]
 pub struct ParseScopeError(String);
 
 impl Scope {
-    /// Whether some part of the fleet may belong to both. Only scopes that are certainly disjoint do not overlap: a tier
-    /// and a site overlap, as the tier may have backends there, and so do a class and a tenant.
+    /// Whether some part of the fleet may belong to both scopes. Only scopes that are certainly disjoint do
+    /// not overlap: a tier and a site overlap, as the tier may have backends at the site, and so do a class
+    /// and a tenant.
     pub fn overlaps(&self, other: &Scope) -> bool {
         match (self, other) {
             (Scope::Site(a), Scope::Site(b))
@@ -78,7 +81,7 @@
     }
 }
 
-/// Parses the `SITE/RANK` of an instance.
+/// Parses `SITE/RANK`, the part of an instance's scope after `copy:`.
 fn parse_instance(text: &str) -> Option<Scope> {
     let (site, rank) = text.rsplit_once('/')?;
     let rank = rank.parse().ok()?;
@@ -86,6 +89,8 @@
 }
 
 impl fmt::Display for Scope {
+    /// The form that [`FromStr`] parses. It is stored in audit records and shown to people, so it must not
+    /// change.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Scope::Fleet => f.write_str("fleet"),
--- a/crates/change-freeze/src/state/change.rs
+++ b/crates/change-freeze/src/state/change.rs
@@ -11,62 +11,62 @@
 pub const MAX_CHANGES: usize = 256;
 /// Maximum duration of a change, in milliseconds: one day.
 pub const MAX_CHANGE_DURATION_MS: Millis = 86_400_000;
-/// When a client whose change is blocked by an incident is to request again, in milliseconds.
+/// After how many milliseconds a client whose change is blocked by an incident should request again.
 pub const BLOCKED_RETRY_AFTER_MS: Millis = 5_000;
-/// By how much a queued change's priority increases each time that another one overtakes it.
+/// By how much a queued change's priority increases each time that a newer change gets its permit first.
 const PRIORITY_PER_OVERTAKE: u32 = 16;
 
 /// The status of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ChangeStatus {
-    /// It waits for an incident to end or for another change.
+    /// The change waits for an incident to end or for another change.
     Queued,
-    /// An emergency that one person has requested.
+    /// One person has requested the change as an emergency; a second person must request it too.
     AwaitingSecondApproval,
-    /// It has its permit.
+    /// The change has its permit.
     InFlight,
-    /// An incident has opened: it reacts as it declared.
+    /// An incident blocks the change in flight, which has to react as declared in its request.
     Reacting,
-    /// It has not reported in time that it has reacted.
+    /// The change did not report within the reaction timeout that it has reacted.
     Overdue,
 }
 
 impl ChangeStatus {
-    /// Whether the change may be altering the fleet.
+    /// Whether the change may be modifying the fleet.
     pub fn is_in_flight(self) -> bool {
         matches!(self, ChangeStatus::InFlight | ChangeStatus::Reacting | ChangeStatus::Overdue)
     }
 }
 
-/// A request for a permit.
+/// A request for a permit. The order of the fields is the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ChangeRequest {
     /// The kind of change.
     pub kind: ChangeKind,
-    /// The part of the fleet that it concerns.
+    /// The part of the fleet that the change concerns.
     pub scope: Scope,
-    /// The name of the person or component that requests it.
+    /// The name of the person or component that requests the permit.
     pub requested_by: String,
-    /// Its priority in the queue; higher goes first.
+    /// The priority in the queue; a higher one goes first.
     pub priority: u8,
-    /// The maximum time in the queue and, again, in flight; in milliseconds.
+    /// The maximum time in the queue and the maximum time in flight, each in milliseconds.
     pub max_duration: Millis,
-    /// What it does when an incident opens that blocks it.
+    /// What the change does if an incident blocks it in flight.
     pub reaction: Reaction,
 }
 
 /// A change that is queued or in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
-    /// The request for it.
+    /// The request that created the change.
     pub request: ChangeRequest,
-    /// Its status.
+    /// The current status.
     pub status: ChangeStatus,
-    /// Two people have requested it as an emergency.
+    /// Whether two people have requested the change as an emergency.
     pub emergency: bool,
-    /// How often a newer change got its permit first.
+    /// How often a newer change whose scope overlaps got its permit first.
     pub overtaken: u32,
-    /// Increases with each update, so that a timer that started before one has no effect.
+    /// Increases with each update, so that a timer that was started for an older version has no effect.
     pub version: u64,
 }
 
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Whether this is the first request of the same emergency.
+    /// Whether this is an emergency change that waits for a second request like this one.
     fn awaits_approval_of(&self, request: &ChangeRequest) -> bool {
         self.status == ChangeStatus::AwaitingSecondApproval
             && self.request.kind == request.kind
@@ -111,9 +111,9 @@
 /// Why a change has no permit.
 #[derive(Clone, Copy, Debug)]
 enum Obstacle {
-    /// A change that is in flight or goes first.
+    /// Another change is in flight or goes first.
     Change(SequenceNumber),
-    /// An incident that blocks it.
+    /// An incident blocks the change.
     Incident(SequenceNumber),
 }
 
@@ -168,7 +168,7 @@
         Ok(number)
     }
 
-    /// Grants a queued change its permit, or responds why not.
+    /// Grants a queued change its permit, or responds why it has to wait.
     fn decide(&mut self, change: SequenceNumber) -> Response {
         match self.obstacle(change) {
             None => {
@@ -194,13 +194,13 @@
         self.change_ahead(number, change).map(Obstacle::Change)
     }
 
-    /// The change that [`crate::rules::PrecedenceRule::ExclusiveScope`] makes this one wait for.
+    /// The change in flight for which this one waits by [`crate::rules::PrecedenceRule::ExclusiveScope`].
     fn overlapping_in_flight(&self, number: SequenceNumber, change: &Change) -> Option<SequenceNumber> {
         let mut others = self.other_overlapping(number, change);
         others.find(|(_, other)| other.status.is_in_flight()).map(|(other, _)| other)
     }
 
-    /// The first incident that blocks a change, with remedies and emergencies considered.
+    /// The first incident that blocks a change. Incidents block neither their remedies nor emergency changes.
     pub(super) fn incident_blocking(
         &self,
         number: SequenceNumber,
@@ -210,10 +210,10 @@
         blocking.map(|(incident_number, _)| *incident_number)
     }
 
-    /// The change that [`crate::rules::PrecedenceRule::QueueOrder`] makes this one wait for.
+    /// The queued change for which this one waits by [`crate::rules::PrecedenceRule::QueueOrder`].
     ///
-    /// A queued change keeps its place before newer ones while it waits for other changes: otherwise one with a wide scope
-    /// would never find all of it free. While it waits for an incident it does not.
+    /// A change that waits for other changes holds back newer ones that overlap it; otherwise a change with a
+    /// wide scope could be starved by narrow ones. A change that waits for an incident holds back none.
     fn change_ahead(&self, number: SequenceNumber, change: &Change) -> Option<SequenceNumber> {
         let own_position = change.queue_position(number);
         let mut others = self.other_overlapping(number, change);
@@ -246,7 +246,7 @@
         self.append_audit(number, "permit given".into());
     }
 
-    /// Grants permits to the queued changes that nothing blocks any more, in the order of their priority.
+    /// Grants permits to the queued changes that nothing blocks any more, highest priority first.
     pub(super) fn grant_unblocked_changes(&mut self) {
         while let Some(number) = self.next_unblocked_change() {
             self.grant_permit(number);
@@ -262,7 +262,7 @@
         unblocked.map(|(number, _)| number)
     }
 
-    /// Drops a change and its links to incidents, with this audit record.
+    /// Removes a change and its links to incidents, and appends an audit record with this description.
     pub(super) fn remove_change(
         &mut self,
         number: SequenceNumber,
@@ -285,7 +285,8 @@
             return Err(RejectReason::Superseded);
         }
         match change.status {
-            // It may be half done, and nobody knows: it stays and keeps overlapping changes waiting.
+            // The change may be incomplete. It stays, and overlapping changes wait, until a person has
+            // checked it.
             ChangeStatus::Reacting => {
                 change.set_status(ChangeStatus::Overdue);
                 Ok(self.append_audit(number, "stuck".into()))
--- a/crates/change-freeze/src/state/command.rs
+++ b/crates/change-freeze/src/state/command.rs
@@ -10,21 +10,21 @@
 /// Who issued a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Requester {
-    /// A person, by the one name that all of their aliases stand for.
+    /// A person, by their main name; aliases are resolved before the command is proposed.
     Person(String),
-    /// The coordinator, with this token. Whether it is the newest is checked before the command is applied.
+    /// The coordinator, with the fencing token of its lease. A command with an older token is rejected before
+    /// it gets here.
     Coordinator(u64),
 }
 
 impl Requester {
-    /// Whether this is the coordinator and not a person.
     pub(super) fn is_coordinator(&self) -> bool {
         matches!(self, Requester::Coordinator(_))
     }
 }
 
 impl fmt::Display for Requester {
-    /// The form in audit records. These are replicated, so every version has to write the same bytes.
+    /// The form in audit records. They are replicated, so all versions must write the same bytes.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Requester::Person(name) => write!(f, "Person({name:?})"),
@@ -36,15 +36,15 @@
 /// A command to the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum FreezeCommand {
-    /// Opens an incident, or updates the one that the same kind of requester opened for the same scope.
+    /// Opens an incident, or updates the one that the same kind of requester has opened for the same scope.
     OpenIncident {
-        /// The severity; that of a known incident is only raised.
+        /// The severity. An update never lowers an incident's severity.
         severity: Severity,
-        /// The part of the fleet that it concerns.
+        /// The part of the fleet that the incident concerns.
         scope: Scope,
-        /// What was observed.
+        /// What was observed, for people.
         evidence: String,
-        /// Who opens it.
+        /// Who opens the incident.
         opened_by: Requester,
     },
     /// A person takes responsibility for an incident.
@@ -58,17 +58,18 @@
     ResolveIncident {
         /// The incident.
         incident: SequenceNumber,
-        /// Who resolves it. The coordinator resolves only what it has opened and nobody was assigned to.
+        /// Who resolves the incident. The coordinator may resolve only incidents that it has opened and that
+        /// have no assignee.
         resolved_by: Requester,
     },
-    /// A replica has waited for an incident's cooldown.
+    /// An incident's cooldown has elapsed, as measured by a replica.
     CooldownElapsed {
         /// The incident.
         incident: SequenceNumber,
-        /// Its version when the timer started.
+        /// The incident's version when the timer started.
         version: u64,
     },
-    /// Links a change to an incident as its remedy: the incident does not block it.
+    /// Links a change to an incident as its remedy, so that the incident does not block the change.
     LinkRemedy {
         /// The incident.
         incident: SequenceNumber,
@@ -77,30 +78,32 @@
         /// Who links them.
         person: String,
     },
-    /// Requests a permit.
+    /// Requests a permit for a change.
     RequestChange(ChangeRequest),
-    /// Requests a permit in spite of incidents. It is granted to the second of two different people.
+    /// Requests a permit that incidents don't block. It is granted once two different people have requested
+    /// the same change.
     RequestEmergencyChange(ChangeRequest),
     /// A change is complete, was rolled back, or is no longer wanted.
     FinishChange {
         /// The change.
         change: SequenceNumber,
     },
-    /// A replica has waited for as long as a change may stay in its status.
+    /// A change has stayed in its status for the maximum time, as measured by a replica.
     ExpireChange {
         /// The change.
         change: SequenceNumber,
-        /// Its version when the timer started.
+        /// The change's version when the timer started.
         version: u64,
     },
-    /// A person has checked an overdue change: it is over.
+    /// A person has checked that an overdue change is over.
     ClearOverdueChange {
         /// The change.
         change: SequenceNumber,
         /// The person.
         person: String,
     },
-    /// A signal of the platform. It needs no permit and is only recorded.
+    /// The platform has sent an instance a signal. This needs no permit and is only recorded in the audit
+    /// log.
     RecordSignal {
         /// The signal and the instance that received it.
         description: String,
@@ -123,20 +126,21 @@
     },
     /// The emergency change with this number waits for a second person.
     AwaitingSecondApproval(SequenceNumber),
-    /// The change is blocked by an incident.
+    /// The change stays queued because an incident blocks it.
     Blocked {
         /// The change's number, under which it can be linked as a remedy.
         change: SequenceNumber,
         /// The incident.
         incident: SequenceNumber,
-        /// When to request again, in milliseconds.
+        /// After how many milliseconds to request again.
         retry_after: Millis,
     },
     /// The command had no effect.
     Rejected(RejectReason),
 }
 
-/// Why a command had no effect.
+/// Why a command had no effect. The texts are answers of admin commands, which clients read, so they stay as
+/// they are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum RejectReason {
     /// There is no such incident or change.
--- a/crates/change-freeze/src/state/incident.rs
+++ b/crates/change-freeze/src/state/incident.rs
@@ -11,27 +11,26 @@
 
 /// Maximum number of incidents, which bounds the size of a snapshot.
 pub const MAX_INCIDENTS: usize = 256;
-/// Maximum length of an incident's evidence.
 const MAX_EVIDENCE_CHARS: usize = 200;
 
-/// An incident that is open or cools down.
+/// An incident that is open or cooling down. The order of the fields is the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Incident {
-    /// The highest severity that it had.
+    /// The highest severity that the incident has had.
     pub severity: Severity,
-    /// The part of the fleet that it concerns.
+    /// The part of the fleet that the incident concerns.
     pub scope: Scope,
-    /// What was observed last.
+    /// What was last observed, for people; truncated if it is long.
     pub evidence: String,
-    /// Who opened it.
+    /// Who opened the incident first.
     pub opened_by: Requester,
-    /// The person who has taken responsibility.
+    /// The person who has taken responsibility, if any.
     pub assignee: Option<String>,
-    /// It is resolved and still blocks changes until its cooldown has elapsed.
+    /// Whether the incident is resolved. It still blocks changes until its cooldown has elapsed.
     pub cooling_down: bool,
-    /// The changes that are linked to it as its remedies.
+    /// The changes that are linked as remedies; the incident does not block them.
     pub remedies: BTreeSet<SequenceNumber>,
-    /// Increases with each update, so that a timer that started before one has no effect.
+    /// Increases with each update, so that a timer that was started for an older version has no effect.
     pub version: u64,
 }
 
@@ -40,12 +39,12 @@
         self.opened_by.is_coordinator()
     }
 
-    /// Whether the coordinator may resolve it: people have neither opened it nor been assigned to it.
+    /// Whether the coordinator may resolve the incident: no person has opened it or is assigned to it.
     pub(crate) fn is_resolvable_by_coordinator(&self) -> bool {
         self.is_opened_by_coordinator() && self.assignee.is_none()
     }
 
-    /// Whether it blocks a change, with remedies and emergencies considered.
+    /// Whether the incident blocks a change. It blocks neither its remedies nor emergency changes.
     pub(super) fn blocks(&self, number: SequenceNumber, change: &Change) -> bool {
         let ChangeRequest { kind, scope, .. } = &change.request;
         !change.emergency
@@ -66,7 +65,7 @@
             check_name(person)?;
         }
         let evidence = printable_prefix(evidence, MAX_EVIDENCE_CHARS);
-        // An incident that recurs is the same one: it is open again, or more severe than it was.
+        // A recurring incident keeps its number: it is reopened, and its severity may rise.
         let number = match self.reopen_incident(severity, scope, &evidence, opened_by) {
             Some(number) => number,
             None => self.insert_incident(severity, scope.clone(), evidence, opened_by.clone())?,
@@ -120,8 +119,8 @@
         Ok(number)
     }
 
-    /// Makes the changes in flight that an incident blocks react as they declared. A change that declared to finish keeps
-    /// its permit and its duration.
+    /// Moves the changes in flight that an incident blocks to [`ChangeStatus::Reacting`]. Changes that
+    /// declared [`Reaction::Finish`] stay in flight for their whole duration.
     fn interrupt_blocked_changes(&mut self, incident_number: SequenceNumber) {
         let Some(incident) = self.incidents.get(&incident_number) else { return };
         let mut interrupted = Vec::new();
@@ -202,7 +201,8 @@
         Ok(self.append_audit(incident_number, description))
     }
 
-    /// The first incident that would block such a change now, if it were neither a remedy nor an emergency.
+    /// The first incident that blocks a change of this kind and scope which is neither a remedy nor an
+    /// emergency.
     pub fn blocking_incident(&self, kind: ChangeKind, scope: &Scope) -> Option<SequenceNumber> {
         let blocks =
             |incident: &Incident| blocking_rule(incident.severity, &incident.scope, kind, scope).is_some();
--- a/crates/change-freeze/src/state/mod.rs
+++ b/crates/change-freeze/src/state/mod.rs
@@ -1,7 +1,7 @@
 //! The replicated state of incidents, changes and permits.
 //!
-//! Each command may be applied twice and late. Incidents and changes share one sequence of numbers, which never decreases;
-//! a permit is the number of its change.
+//! A command may be applied late or more than once, so each one is checked against the current state.
+//! Incidents and changes share one sequence of numbers; a permit is identified by the number of its change.
 
 mod audit;
 mod change;
@@ -22,10 +22,12 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Identifies an incident or a change. Numbers are assigned in increasing order, from 1, and are never reused.
+/// Identifies an incident or a change. Numbers are assigned in increasing order, from 1, and are never
+/// reused.
 pub type SequenceNumber = u64;
 
-/// All incidents, changes and audit records. Equal commands in equal order give equal states on all replicas.
+/// All incidents, changes and audit records. Replicas that apply the same commands in the same order have
+/// equal states. The order of the fields is the stored format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FreezeState {
     last_number: SequenceNumber,
@@ -36,7 +38,7 @@
 }
 
 impl FreezeState {
-    /// Applies a committed command, then grants the permits that nothing blocks any more.
+    /// Applies a committed command, then grants the permits of queued changes that nothing blocks any more.
     pub fn apply(&mut self, command: &FreezeCommand) -> Response {
         let response = self.execute(command).unwrap_or_else(Response::Rejected);
         self.grant_unblocked_changes();
@@ -73,23 +75,24 @@
         self.last_number
     }
 
-    /// All incidents that are open or cool down.
+    /// All incidents that are open or cooling down, by number.
     pub fn incidents(&self) -> &BTreeMap<SequenceNumber, Incident> {
         &self.incidents
     }
 
-    /// All changes that are queued or in flight.
+    /// All changes that are queued or in flight, by number.
     pub fn changes(&self) -> &BTreeMap<SequenceNumber, Change> {
         &self.changes
     }
 
-    /// The last [`MAX_AUDIT_RECORDS`] audit records, in order.
+    /// The last [`MAX_AUDIT_RECORDS`] audit records, oldest first.
     pub fn audit_log(&self) -> &VecDeque<AuditRecord> {
         &self.audit_log
     }
 
-    /// Describes a violated invariant, if any: two changes in flight whose scopes overlap, or a change that
-    /// goes on although an incident blocks it. Checked by tests and by the fault-injection scenarios after each command.
+    /// Describes the first violated invariant, or returns `None`: two changes are in flight whose scopes
+    /// overlap, or a change is in flight although an incident blocks it. Tests and fault-injection scenarios
+    /// call this after each command.
     pub fn check_invariants(&self) -> Option<String> {
         self.overlapping_changes().or_else(|| self.blocked_change_in_flight())
     }
@@ -124,7 +127,7 @@
     }
 }
 
-/// The first `max_chars` printable characters of a text.
+/// The first `max_chars` characters of a text, without control characters.
 fn printable_prefix(text: &str, max_chars: usize) -> String {
     text.chars().filter(|c| !c.is_control()).take(max_chars).collect()
 }
--- a/crates/change-freeze/src/state/timer.rs
+++ b/crates/change-freeze/src/state/timer.rs
@@ -1,16 +1,19 @@
-//! What expires by itself. Replicas run the timers and propose the commands.
+//! Timeouts of incidents and changes. Replicas run the timers and propose the commands for those that have
+//! expired.
 
 use super::{Change, ChangeStatus, FreezeCommand, FreezeState, SequenceNumber};
 use crate::Millis;
 
-/// How long a change that an incident blocks in flight has to react before it is overdue, in milliseconds.
+/// How long a change in flight that an incident blocks may take to react before it is overdue, in
+/// milliseconds.
 pub const REACTION_TIMEOUT_MS: Millis = 60_000;
-/// How long a resolved incident still blocks changes, in milliseconds: one that recurs in this time is the same incident.
+/// How long a resolved incident still blocks changes, in milliseconds. If it recurs within this time, it is
+/// reopened.
 pub const INCIDENT_COOLDOWN_MS: Millis = 30_000;
 /// How long an emergency change waits for a second person, in milliseconds.
 pub const SECOND_APPROVAL_TIMEOUT_MS: Millis = 60_000;
 
-/// What a timer waits for.
+/// Identifies a timer by what it waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TimerKey {
     /// The end of an incident's cooldown.
@@ -20,7 +23,8 @@
 }
 
 impl Change {
-    /// How long it may stay in its status, in milliseconds. It may be queued as long as it may be in flight.
+    /// How long the change may stay in its status, in milliseconds. The limit in the queue is the same as in
+    /// flight.
     fn status_timeout(&self) -> Millis {
         match self.status {
             ChangeStatus::AwaitingSecondApproval => SECOND_APPROVAL_TIMEOUT_MS,
@@ -33,7 +37,8 @@
 }
 
 impl FreezeState {
-    /// Everything that expires: the timer's key, the entry's version and the time to live, in milliseconds.
+    /// All timers that must run: each with its key, the version of its incident or change, and the timeout in
+    /// milliseconds.
     pub fn timers(&self) -> impl Iterator<Item = (TimerKey, u64, Millis)> + '_ {
         let cooldowns =
             self.incidents.iter().filter(|(_, incident)| incident.cooling_down).map(|(number, incident)| {
@@ -47,7 +52,7 @@
         cooldowns.chain(changes)
     }
 
-    /// The command to propose when a timer for this version has expired.
+    /// The command to propose when the timer for this version of the incident or change has expired.
     pub fn expiry_command(key: TimerKey, version: u64) -> FreezeCommand {
         match key {
             TimerKey::Incident(incident) => FreezeCommand::CooldownElapsed { incident, version },
--- a/crates/change-freeze/tests/freeze/common.rs
+++ b/crates/change-freeze/tests/freeze/common.rs
@@ -1,4 +1,4 @@
-//! Helpers that the tests of this package share.
+//! Functions that the tests of this package share.
 
 use hillstall_change_freeze::rules::{ChangeKind, Reaction, Severity};
 use hillstall_change_freeze::state::{
@@ -37,7 +37,7 @@
     Requester::Person(name.into())
 }
 
-/// The number of a change that has its permit.
+/// The number of the change that the response grants a permit; panics if it grants none.
 pub fn permitted(response: Response) -> SequenceNumber {
     let Response::Permitted(number) = response else { panic!("no permit: {response:?}") };
     number
@@ -47,13 +47,13 @@
     state.changes()[&change].status
 }
 
-/// Expires a change as a replica does that has waited for its current version.
+/// Expires a change in its current version, as a replica does whose timer has run out.
 pub fn expire_change(state: &mut FreezeState, change: SequenceNumber) -> Response {
     let version = state.changes()[&change].version;
     state.apply(&FreezeCommand::ExpireChange { change, version })
 }
 
-/// Ends an incident's cooldown as a replica does that has waited for its current version.
+/// Ends an incident's cooldown in its current version, as a replica does whose timer has run out.
 pub fn end_cooldown(state: &mut FreezeState, incident: SequenceNumber) -> Response {
     let version = state.incidents()[&incident].version;
     state.apply(&FreezeCommand::CooldownElapsed { incident, version })
--- a/crates/change-freeze/tests/freeze/detection.rs
+++ b/crates/change-freeze/tests/freeze/detection.rs
@@ -18,15 +18,15 @@
 }
 
 #[test]
-fn a_flapping_symptom_is_one_incident_and_a_short_one_is_none() {
+fn a_flapping_symptom_opens_one_incident_and_a_short_one_opens_none() {
     let (mut detector, mut state) = (Detector::new(Thresholds::default()), FreezeState::default());
     for now in (0..60_000).step_by(STEP_MS) {
-        // High for less than `opens_after`, again and again.
+        // Repeatedly high, each time for less than `opens_after`.
         let level = if now % 1_000 < 800 { 0.9 } else { 0.0 };
         assert!(detector.poll(now, &observation(level), &state, TOKEN).is_empty(), "{now}");
     }
     for now in (60_000..120_000).step_by(STEP_MS) {
-        // High for longer than `opens_after`, low for less than `closes_after`.
+        // Repeatedly high for longer than `opens_after` and low for less than `closes_after`.
         let level = if now % 8_000 < 3_000 { 0.9 } else { 0.0 };
         poll_and_apply(&mut detector, &mut state, now, level);
     }
--- a/crates/change-freeze/tests/freeze/main.rs
+++ b/crates/change-freeze/tests/freeze/main.rs
@@ -1,4 +1,4 @@
-//! Incidents, changes and permits: the rules one by one, and the invariants under random commands.
+//! Tests of incidents, changes and permits: single rules, and the invariants under random commands.
 
 mod common;
 mod detection;
--- a/crates/change-freeze/tests/freeze/permits.rs
+++ b/crates/change-freeze/tests/freeze/permits.rs
@@ -23,13 +23,17 @@
     );
     let blocked = state.apply(&request_change(ChangeKind::Settings, "site:west"));
     assert!(matches!(blocked, Response::Blocked { incident: 3, retry_after: 1.., .. }), "{blocked:?}");
-    // An overdue change still keeps overlapping ones waiting.
+    // Changes that overlap an overdue one still wait for it.
     expire_change(&mut state, pausing);
     assert_eq!(status(&state, pausing), ChangeStatus::Overdue);
     state.apply(&resolve_incident(3, person("ann")));
     assert_eq!(status(&state, 4), ChangeStatus::Queued, "a resolved incident blocks until its cooldown ends");
     end_cooldown(&mut state, 3);
-    assert_eq!(status(&state, 4), ChangeStatus::InFlight, "a queued change gets its permit by itself");
+    assert_eq!(
+        status(&state, 4),
+        ChangeStatus::InFlight,
+        "a queued change gets its permit without another request"
+    );
     let queued = state.apply(&request_change(ChangeKind::Window, "site:north"));
     assert_eq!(queued, Response::Queued { change: 5, behind: pausing });
     state.apply(&FreezeCommand::ClearOverdueChange { change: pausing, person: "ann".into() });
@@ -37,7 +41,7 @@
 }
 
 #[test]
-fn an_emergency_needs_two_people_and_a_remedy_its_link() {
+fn an_emergency_change_needs_two_people_and_a_remedy_must_be_linked() {
     let mut state = FreezeState::default();
     state.apply(&open_incident(Severity::Critical, "fleet", person("ann")));
     let emergency = |name: &str| {
@@ -56,10 +60,10 @@
 }
 
 #[test]
-fn a_second_approval_that_comes_too_late_is_a_first_one() {
+fn a_second_approval_after_the_timeout_counts_as_a_first_one() {
     let mut state = FreezeState::default();
     state.apply(&open_incident(Severity::Critical, "fleet", person("ann")));
-    // A remedy that is in flight and overlaps does not matter for an approval.
+    // An overlapping remedy in flight has no effect on the approval of an emergency change.
     state.apply(&request_change(ChangeKind::Upgrade, "class:buy"));
     state.apply(&FreezeCommand::LinkRemedy { incident: 1, change: 2, person: "ann".into() });
     assert_eq!(status(&state, 2), ChangeStatus::InFlight);
--- a/crates/change-freeze/tests/freeze/precedence.rs
+++ b/crates/change-freeze/tests/freeze/precedence.rs
@@ -1,9 +1,9 @@
-//! The operators' page states the rules as the code has them.
+//! The operator documentation lists the same rules as the code.
 
 use hillstall_change_freeze::rules::PRECEDENCE;
 
 #[test]
-fn the_operators_page_lists_the_rules_in_order_of_precedence() {
+fn the_operator_documentation_lists_the_rules_in_order_of_precedence() {
     let page = include_str!("../../../../docs/operate/coordination.md");
     let mut searched = 0;
     for entry in PRECEDENCE {
