--- a/crates/maintenance/src/calendar.rs
+++ b/crates/maintenance/src/calendar.rs
@@ -1,5 +1,5 @@
-//! When windows occur. A start is a local time in a time zone, and stays that local time over changes to and from
-//! daylight saving time.
+//! The calendar of recurring windows. A window's start is a local time in a time zone and keeps that local
+//! time across changes to and from daylight saving time.
 
 use crate::windows::{OverrunPolicy, WindowPlan};
 use crate::Millis;
@@ -9,13 +9,13 @@
 
 /// How far ahead conflicts are looked for: 400 days.
 const CONFLICT_HORIZON_MS: Millis = 400 * 86_400_000;
-/// Maximum number of occurrences of one recurrence.
+/// Maximum number of occurrences of one recurrence; bounds the search for the next one.
 const MAX_OCCURRENCES: i64 = 100_000;
 
-/// A window, or a series of them, as the operator file states it.
+/// A single window or a series of windows, as configured in the operator file.
 #[derive(Clone, Debug)]
 pub struct Recurrence {
-    /// The site.
+    /// The site whose traffic is shifted away.
     pub site: String,
     /// The first start, in local time.
     pub starts: DateTime,
@@ -35,14 +35,15 @@
     pub overrun_policy: OverrunPolicy,
 }
 
-/// How often a local time exists on its day.
+/// Whether a local time exists on its day, given changes to and from daylight saving time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalTimeKind {
-    /// Once.
+    /// The local time exists once.
     Unique,
-    /// Never, as the clock is put forward over it: the window starts later by as much.
+    /// The local time does not exist, as the clock is put forward over it. The window starts later by the
+    /// same amount.
     Skipped,
-    /// Twice, as the clock is put back: the window starts the first time.
+    /// The local time exists twice, as the clock is put back. The window starts at the first of the two.
     Repeated,
 }
 
@@ -51,22 +52,23 @@
 pub struct Occurrence {
     /// The start, in Unix time.
     pub starts_at: Millis,
-    /// How often the start's local time exists.
+    /// Whether the start's local time exists on that day.
     pub local_time: LocalTimeKind,
 }
 
-/// Why a recurrence is invalid, alone or together with others.
+/// Why a recurrence is invalid, by itself or because it conflicts with another one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScheduleConflict {
-    /// The index of the recurrence.
+    /// The index of the recurrence in the list that was checked.
     pub recurrence: usize,
-    /// The key of the operator file that causes it.
+    /// The key in the window's section of the operator file that is to be changed.
     pub key: &'static str,
-    /// The reason, for people.
+    /// What is wrong, for operators.
     pub reason: String,
 }
 
-/// The time that a window may take, from the start of its shift to its latest planned end.
+/// The time that a window may occupy, from the start of its traffic shift to its latest planned end; in Unix
+/// time.
 #[derive(Clone, Copy, Debug)]
 struct OccupiedTime {
     from: Millis,
@@ -99,7 +101,7 @@
 
     /// The first start at or after `from`, in Unix time; `None` if there is none.
     pub fn next(&self, from: Millis) -> Option<Occurrence> {
-        // Starts increase with their index: a binary search finds the first one that is late enough.
+        // Starts increase with their index, so a binary search finds the first one that is not before `from`.
         let is_earlier = |index: i64| self.nth(index).is_some_and(|occurrence| occurrence.starts_at < from);
         let (mut low, mut high) = (0, MAX_OCCURRENCES);
         while low < high {
@@ -132,7 +134,7 @@
         }
     }
 
-    /// The times that its windows take until the horizon.
+    /// The times that the recurrence's windows occupy, from `now` to the conflict horizon.
     fn occupied_times(&self, now: Millis) -> Vec<OccupiedTime> {
         let mut from = now;
         let mut times = Vec::new();
@@ -148,8 +150,8 @@
     }
 }
 
-/// All conflicts of these recurrences from `now` (Unix time) on. `sites` are the fleet's sites; if it is empty, sites are
-/// not checked.
+/// Finds all conflicts of these recurrences within 400 days from `now` (Unix time). `sites` are the fleet's
+/// sites; if it is empty, site names are not checked.
 pub fn find_conflicts(recurrences: &[Recurrence], sites: &[String], now: Millis) -> Vec<ScheduleConflict> {
     let occupied: Vec<Vec<OccupiedTime>> =
         recurrences.iter().map(|recurrence| recurrence.occupied_times(now)).collect();
@@ -160,7 +162,7 @@
             add("site", reason);
         }
         if !recurrence.has_positive_interval() {
-            add("every", "it must be longer than nothing".into());
+            add("every", "it must be a positive span of time".into());
         } else if occupied[index].is_empty() {
             let is_series = recurrence.interval.is_some();
             let reason = if is_series { "it never occurs in the next 400 days" } else { "it is past" };
@@ -183,7 +185,7 @@
     (!is_known).then(|| format!("{:?} is no site of the fleet: {}", recurrence.site, sites.join(", ")))
 }
 
-/// Whether a window of a series starts its shift before the one before it has ended.
+/// Whether a window of a series starts its traffic shift before the previous one has ended.
 fn overlaps_itself(times: &[OccupiedTime]) -> bool {
     times.windows(2).any(|pair| pair[1].from < pair[0].until)
 }
--- a/crates/maintenance/src/shift/admission.rs
+++ b/crates/maintenance/src/shift/admission.rs
@@ -1,18 +1,19 @@
-//! Whether a window may begin to take traffic away from its site.
+//! Decides whether a window may begin to shift traffic away from its site.
 
 use super::{FleetLoad, ShiftPacing};
 use crate::windows::WindowPlan;
 
-/// Why a window is not admitted now. The text may become the reason of a postponed window, which is replicated.
+/// Why a window is not admitted now. The text may become the reason of a postponed window, which is
+/// replicated, so all versions must write the same bytes.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum AdmissionBlocker {
-    /// The reports of too many instances are missing.
+    /// Too few instances have sent recent reports.
     #[error("only {:.0}% of the copies are heard of", 100.0 * reporting_ratio)]
     MissingReports {
-        /// See [`FleetLoad::reporting_ratio`].
+        /// The value of [`FleetLoad::reporting_ratio`].
         reporting_ratio: f64,
     },
-    /// See [`FleetLoad::blocker`].
+    /// The fleet's load has a [`FleetLoad::blocker`]; holds its text.
     #[error("{0}")]
     Fleet(String),
     /// No instance reports the site's load.
@@ -21,7 +22,7 @@
         /// The site of the window.
         site: String,
     },
-    /// No site could take over the traffic.
+    /// There is no other site that could take over the traffic.
     #[error("there is no other site")]
     NoOtherSite,
     /// Another site does not serve its own traffic well enough.
@@ -29,13 +30,13 @@
     OtherSiteFailing {
         /// The other site.
         site: String,
-        /// See [`super::SiteLoad::success_ratio`].
+        /// The other site's [`super::SiteLoad::success_ratio`].
         success_ratio: f64,
     },
     /// The other sites can't take over the traffic.
     #[error("the others can take {headroom:.0} calls a second above their reserve, {site} has {rate:.0}")]
     InsufficientHeadroom {
-        /// What the other sites can take above their reserve, in requests per second.
+        /// How many more requests per second the other sites can take above their reserve.
         headroom: f64,
         /// The site of the window.
         site: String,
@@ -44,7 +45,7 @@
     },
 }
 
-/// Why a window is not admitted now; `None` if it can be.
+/// Returns the first reason for which the window can't be admitted now; `None` if it can.
 pub fn admission_blocker(
     plan: &WindowPlan,
     load: &FleetLoad,
@@ -67,7 +68,8 @@
         let success_ratio = other.success_ratio;
         return Some(AdmissionBlocker::OtherSiteFailing { site: site.clone(), success_ratio });
     }
-    // Without utilization the headroom is unknown; each step is then judged by the effect of the last one.
+    // If the backends report no utilization, the headroom is unknown. Each step then waits for the effect of
+    // the previous one, which shows whether the other sites can take more.
     let headroom = load.other_headroom(plan)?;
     let rate = own.baseline.max(own.sent);
     let site = plan.site.clone();
--- a/crates/maintenance/src/shift/mod.rs
+++ b/crates/maintenance/src/shift/mod.rs
@@ -1,12 +1,12 @@
-//! What the holder of a site's lease proposes next for its window.
+//! Decides which command the holder of a site's lease proposes next for the site's window.
 //!
-//! Each step waits for the effect of the last one. A step down is no larger than what the other sites can take above their
-//! reserve.
+//! Each step of the shift waits for the effect of the previous one. A step that reduces the site's traffic is
+//! no larger than what the other sites can take above their reserve.
 //!
-//! - `load`: what the instances report together;
+//! - `load`: the load of the sites, aggregated from the instances' reports;
 //! - `pacing`: the size and pace of the steps;
-//! - `admission`: whether a window may begin;
-//! - `recovery`: how the traffic comes back, and when the window is over.
+//! - `admission`: whether a window's shift may begin;
+//! - `recovery`: how the traffic is restored, and when the window is over.
 
 mod admission;
 mod load;
@@ -23,13 +23,15 @@
 use hillstall_change_freeze::state::SequenceNumber;
 use recovery::Recovery;
 
+/// The reason of a window that is postponed or aborted as late. It is replicated, so all versions must write
+/// the same bytes.
 const LATE_REASON: &str = "it could not begin in time";
-/// By how much the reported traffic fraction may exceed the commanded one.
+/// By how much a reported traffic fraction may differ from the commanded one and still count as equal.
 const FRACTION_TOLERANCE: f64 = 0.001;
-/// [`Window::baseline_rate`] counts requests per this many seconds.
+/// [`Window::baseline_rate`] is in requests per this many seconds.
 const BASELINE_RATE_SECONDS: f64 = 1_000.0;
 
-/// What was last observed of a window, and since when.
+/// The stage and fraction of a window that were last observed, and since when they have been unchanged.
 #[derive(Clone, Copy, Debug)]
 struct ObservedStep {
     window: SequenceNumber,
@@ -38,14 +40,16 @@
     since: Millis,
 }
 
-/// What a lease holder remembers between two calls. A new holder starts without it.
+/// Chooses the commands of a lease holder. It remembers since when the window's stage and fraction are
+/// unchanged; a new holder starts with a new controller.
 #[derive(Clone, Debug, Default)]
 pub struct ShiftController {
     last_step: Option<ObservedStep>,
 }
 
 impl ShiftController {
-    /// The command to propose now for a window, if any. The first pair is the time as `(Unix time, monotonic clock)`.
+    /// The command to propose now for a window, if any. The first argument is the time by both clocks, the
+    /// second the window with its number.
     pub fn next_command(
         &mut self,
         (unix_now, monotonic_now): (Millis, Millis),
@@ -57,7 +61,7 @@
         Decision { now: unix_now, number, window, load, pacing, unchanged_for }.next_command()
     }
 
-    /// Since when the window has its stage and its fraction.
+    /// Since when the window's stage and fraction have been unchanged, by the monotonic clock.
     fn unchanged_since(&mut self, now: Millis, number: SequenceNumber, window: &Window) -> Millis {
         let is_same = |step: &ObservedStep| {
             (step.window, step.stage, step.fraction) == (number, window.stage, window.fraction)
@@ -79,24 +83,24 @@
     window: &'a Window,
     load: &'a FleetLoad,
     pacing: &'a ShiftPacing,
-    /// How long the window has had its stage and fraction, in milliseconds.
+    /// How long the window's stage and fraction have been unchanged, in milliseconds.
     unchanged_for: Millis,
 }
 
 impl Decision<'_> {
     fn next_command(&self) -> Option<WindowCommand> {
         match self.window.stage {
-            Stage::Planned => self.when_planned(),
-            Stage::Admitted => self.abort().or_else(|| self.when_admitted()),
-            Stage::Shifting => self.abort().or_else(|| self.when_shifting()),
-            Stage::Empty => self.abort().or_else(|| self.when_empty()),
-            Stage::Running => self.when_running(),
-            Stage::Returning => self.when_returning(),
+            Stage::Planned => self.command_when_planned(),
+            Stage::Admitted => self.abort().or_else(|| self.command_when_admitted()),
+            Stage::Shifting => self.abort().or_else(|| self.command_when_shifting()),
+            Stage::Empty => self.abort().or_else(|| self.command_when_empty()),
+            Stage::Running => self.command_when_running(),
+            Stage::Returning => self.command_when_returning(),
             Stage::Done | Stage::Postponed | Stage::Cancelled => None,
         }
     }
 
-    fn when_planned(&self) -> Option<WindowCommand> {
+    fn command_when_planned(&self) -> Option<WindowCommand> {
         let plan = &self.window.plan;
         if self.now + plan.lead_time < plan.starts_at {
             return None;
@@ -111,14 +115,14 @@
         }
     }
 
-    fn when_admitted(&self) -> Option<WindowCommand> {
+    fn command_when_admitted(&self) -> Option<WindowCommand> {
         if self.window.fraction == 0 {
             return None;
         }
         self.reduce_traffic()
     }
 
-    fn when_shifting(&self) -> Option<WindowCommand> {
+    fn command_when_shifting(&self) -> Option<WindowCommand> {
         if !self.has_waited() {
             None
         } else if self.window.fraction > 0 {
@@ -128,12 +132,12 @@
         }
     }
 
-    fn when_empty(&self) -> Option<WindowCommand> {
-        let has_come = self.now >= self.window.plan.starts_at;
-        has_come.then_some(WindowCommand::Begin { window: self.number })
+    fn command_when_empty(&self) -> Option<WindowCommand> {
+        let is_due = self.now >= self.window.plan.starts_at;
+        is_due.then_some(WindowCommand::Begin { window: self.number })
     }
 
-    fn when_running(&self) -> Option<WindowCommand> {
+    fn command_when_running(&self) -> Option<WindowCommand> {
         if let Some(reason) = &self.load.blocker {
             return Some(self.restore_traffic(0, Some(reason.clone())));
         }
@@ -148,7 +152,7 @@
         }
     }
 
-    fn when_returning(&self) -> Option<WindowCommand> {
+    fn command_when_returning(&self) -> Option<WindowCommand> {
         if !self.has_waited() {
             return None;
         }
@@ -162,19 +166,20 @@
         if blocker.is_some() && !recovery.is_overdue() {
             return None;
         }
-        // The reason of an abort stays; a return that goes on without the reports gets one before the window ends.
+        // An overdue return gets its blocker as the reason before the window ends, unless an abort has set a
+        // reason.
         match blocker.filter(|_| window.reason.is_empty()) {
             Some(blocker) => Some(self.restore_traffic(FULL_TRAFFIC, Some(format!("overdue: {blocker}")))),
             None => Some(WindowCommand::Finish { window: self.number }),
         }
     }
 
-    /// Whether the last step is at least [`ShiftPacing::step_interval`] ago.
+    /// Whether at least [`ShiftPacing::step_interval`] has passed since the last step.
     fn has_waited(&self) -> bool {
         self.unchanged_for >= self.pacing.step_interval
     }
 
-    /// Ends a window that has not begun, if it is late or something has come up.
+    /// Postpones or aborts a window that has not begun, if it is late or the fleet's load has a blocker.
     fn abort(&self) -> Option<WindowCommand> {
         let late = || self.is_late().then(|| LATE_REASON.to_owned());
         let reason = self.load.blocker.clone().or_else(late)?;
@@ -194,15 +199,16 @@
         self.window.baseline_rate as f64 / BASELINE_RATE_SECONDS
     }
 
-    /// Whether next to nothing is sent to the site any more.
+    /// Whether at most [`ShiftPacing::empty_ratio`] of the usual traffic is still sent to the site.
     fn is_empty(&self) -> bool {
         let max_rate = self.baseline_rate() * self.pacing.empty_ratio;
         self.load.has_enough_reports(self.pacing) && self.load.sent_to(&self.window.plan.site) <= max_rate
     }
 
-    /// Whether the instances carry out the last step and the other sites serve their traffic.
+    /// Whether the instances apply the commanded fraction and the other sites serve their traffic.
     ///
-    /// The rate of requests to the site says little before the end: it changes with each instance that is lost or returns.
+    /// The site's request rate is not compared here, as it also changes with each instance that is lost or
+    /// returns.
     fn last_step_took_effect(&self) -> bool {
         let site = &self.window.plan.site;
         let commanded = f64::from(self.window.fraction) / f64::from(FULL_TRAFFIC);
@@ -212,7 +218,7 @@
             && self.load.other_sites(site).all(|(_, other)| other.serves_well(self.pacing))
     }
 
-    /// The next step down; `None` if the other sites can't take more.
+    /// The next step that reduces traffic; `None` if the other sites can't take more.
     fn reduce_traffic(&self) -> Option<WindowCommand> {
         let step = self.pacing.max_step.min(self.max_step_by_headroom());
         (step > 0).then(|| WindowCommand::ReduceTraffic {
--- a/crates/maintenance/src/shift/recovery.rs
+++ b/crates/maintenance/src/shift/recovery.rs
@@ -1,63 +1,67 @@
-//! The way back: when the next share of a site's traffic is restored, and what still speaks against the end of its window.
+//! Restores a site's traffic: decides when the next step may be commanded, and what blocks the end of the
+//! window.
 //!
-//! Each instance raises a site's traffic by a ramp of its own, so the commanded fraction says little about the traffic that
-//! comes. The steps follow the fraction that the instances report. Once all of it is commanded, the window waits until they
-//! report all of it and the site's usual traffic is there. Both waits have a bound: a lost instance or a quiet hour must not
-//! hold up the next window for ever.
+//! Each instance raises a site's traffic with its own ramp, so the commanded fraction does not show how much
+//! traffic the site gets. The steps therefore follow the fraction that the instances report. Once full
+//! traffic is commanded, the window waits until the instances report full traffic and the site gets its usual
+//! request rate. Both waits are bounded, so that lost instances or a quiet hour can't delay the next window
+//! for ever.
 
 use super::load::{FleetLoad, SiteLoad};
 use super::{ShiftPacing, FRACTION_TOLERANCE};
 use crate::windows::Window;
 use crate::{Millis, TrafficFraction, FULL_TRAFFIC};
 
-/// Why a site does not count as restored though all of its traffic is commanded. The text may become the reason of a window,
-/// which is replicated.
+/// Why a site does not count as restored although full traffic is commanded. The text may become the reason
+/// of a window, which is replicated, so all versions must write the same bytes.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RecoveryBlocker {
-    /// The reports of too many instances are missing.
+    /// Too few instances have sent recent reports.
     #[error("only {:.0}% of the instances report", 100.0 * reporting_ratio)]
     MissingReports {
-        /// See [`FleetLoad::reporting_ratio`].
+        /// The value of [`FleetLoad::reporting_ratio`].
         reporting_ratio: f64,
     },
-    /// The instances still raise the site's traffic.
+    /// Too many instances don't send the site its full traffic yet.
     #[error("most instances send the site {:.0}% of its usual traffic", 100.0 * reported)]
     InstancesBehind {
-        /// See [`SiteLoad::min_fraction`].
+        /// The value of [`SiteLoad::min_fraction`].
         reported: f64,
     },
-    /// Less than its usual traffic comes to the site.
+    /// The site gets less than [`ShiftPacing::restored_ratio`] of its usual request rate.
     #[error("the site gets {rate:.1} of its usual {baseline_rate:.1} requests a second")]
     LowTraffic {
-        /// Requests per second sent to the site, over a few seconds.
+        /// Requests per second sent to the site, averaged over a few seconds.
         rate: f64,
-        /// The site's traffic before the window, in requests per second.
+        /// The site's request rate before the window, in requests per second.
         baseline_rate: f64,
     },
-    /// The site does not serve what it gets.
+    /// The site fails too many of its requests.
     #[error("the site serves {:.0}% of its requests", 100.0 * success_ratio)]
     SiteFailing {
-        /// See [`SiteLoad::success_ratio`].
+        /// The value of [`SiteLoad::success_ratio`].
         success_ratio: f64,
     },
 }
 
-/// The return of one site's traffic.
+/// The inputs of one decision about restoring a site's traffic.
 pub(super) struct Recovery<'a> {
     pub(super) window: &'a Window,
     pub(super) load: &'a FleetLoad,
     pub(super) pacing: &'a ShiftPacing,
-    /// The site's usual traffic, in requests per second.
+    /// The site's usual request rate, in requests per second.
     pub(super) baseline_rate: f64,
-    /// How long the window has had its stage and fraction, in milliseconds.
+    /// How long the window's stage and fraction have been unchanged, in milliseconds.
     pub(super) unchanged_for: Millis,
 }
 
 impl Recovery<'_> {
-    /// Whether the next step may be commanded. The instances may still carry out the last one then, but none before it, so
-    /// that their ramps don't stand still between two reports.
+    /// Whether the next step may be commanded. The instances must have completed the step before the last
+    /// one; they may still be raising traffic for the last one, so that their ramps don't pause between two
+    /// reports.
     pub(super) fn may_step(&self) -> bool {
-        // Without reports the instances are taken to keep to their ramps: other sites may be lost, and this one is needed.
+        // Without reports, the instances are assumed to follow their ramps: the return must go on, as other
+        // sites may be lost and this one needed.
         let Some(site) = self.site().filter(|_| self.load.has_enough_reports(self.pacing)) else {
             return self.unchanged_for >= self.ramp_time(self.pacing.max_step);
         };
@@ -66,7 +70,7 @@
         site.min_fraction + FRACTION_TOLERANCE >= expected || self.is_overdue()
     }
 
-    /// What speaks against the end of the window, once all of the site's traffic is commanded.
+    /// What blocks the end of the window once full traffic is commanded; `None` if the site is restored.
     pub(super) fn blocker(&self) -> Option<RecoveryBlocker> {
         let reporting_ratio = self.load.reporting_ratio;
         let Some(site) = self.site().filter(|_| self.load.has_enough_reports(self.pacing)) else {
@@ -75,7 +79,7 @@
         if site.min_fraction + FRACTION_TOLERANCE < 1.0 {
             return Some(RecoveryBlocker::InstancesBehind { reported: site.min_fraction });
         }
-        // Over a few seconds: one busy moment does not end a window.
+        // The average over a few seconds, so that a short peak does not end the window.
         let (rate, baseline_rate) = (site.baseline, self.baseline_rate);
         if rate < baseline_rate * self.pacing.restored_ratio {
             return Some(RecoveryBlocker::LowTraffic { rate, baseline_rate });
@@ -84,7 +88,8 @@
         (!site.serves_well(self.pacing)).then_some(RecoveryBlocker::SiteFailing { success_ratio })
     }
 
-    /// Whether the wait since the last step has reached its bound.
+    /// Whether the wait since the last step has reached [`ShiftPacing::ramp_duration`] plus
+    /// [`ShiftPacing::return_grace`].
     pub(super) fn is_overdue(&self) -> bool {
         self.unchanged_for >= self.pacing.ramp_duration.saturating_add(self.pacing.return_grace)
     }
@@ -93,7 +98,7 @@
         self.load.sites.get(&self.window.plan.site)
     }
 
-    /// How long an instance takes to raise a site's traffic by so much, in milliseconds.
+    /// How long an instance takes to raise a site's traffic by `step`, in milliseconds.
     fn ramp_time(&self, step: TrafficFraction) -> Millis {
         self.pacing.ramp_duration.saturating_mul(Millis::from(step)) / Millis::from(FULL_TRAFFIC)
     }
--- a/crates/maintenance/src/windows/command.rs
+++ b/crates/maintenance/src/windows/command.rs
@@ -1,84 +1,88 @@
-//! Commands to the replicated windows, and why they are rejected.
+//! Commands to the replicated windows, and the reasons for which they are rejected.
 
 use super::{Stage, WindowPlan, MAX_WINDOWS};
 use crate::TrafficFraction;
 use hillstall_change_freeze::state::SequenceNumber;
 use serde::{Deserialize, Serialize};
 
-/// A command to the replicated windows. A window is identified by its number.
+/// A command to the replicated windows. A window is identified by its number. The order of variants and
+/// fields is the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum WindowCommand {
-    /// A person or the calendar plans a window. Planning the same one again has no effect.
+    /// A person or the calendar plans a window. A second plan with the same site and start has no effect.
     Plan(WindowPlan),
-    /// A person cancels a window. If it has begun, the site first gets its traffic back.
+    /// A person cancels a window. If traffic has been shifted away, it is restored first.
     Cancel {
-        /// The window.
+        /// The window's number.
         window: SequenceNumber,
     },
     /// A person reports the end of the work.
     End {
-        /// The window.
+        /// The window's number.
         window: SequenceNumber,
     },
-    /// The lease holder: the other sites can take the site's traffic.
+    /// The lease holder admits the window, as the other sites can take over the site's traffic.
     Admit {
-        /// The window.
+        /// The window's number.
         window: SequenceNumber,
         /// See [`super::Window::baseline_rate`].
         baseline_rate: u64,
     },
-    /// The lease holder: the window can't or must not begin in time.
+    /// The lease holder postpones the window, as it can't or must not begin in time.
     Postpone {
-        /// The window.
+        /// The window's number.
         window: SequenceNumber,
-        /// The reason, for people.
+        /// The reason, for people; it is stored.
         reason: String,
     },
-    /// The lease holder: the site is to get this fraction of its traffic, less than before.
+    /// The lease holder reduces the site's traffic to this fraction, which must be lower than the current
+    /// one.
     ReduceTraffic {
-        /// The window.
+        /// The window's number.
         window: SequenceNumber,
-        /// The fraction.
+        /// The new fraction.
         fraction: TrafficFraction,
     },
-    /// The lease holder: the site gets next to no requests any more.
+    /// The lease holder has observed that the site gets almost no requests any more.
     MarkEmpty {
-        /// The window.
+        /// The window's number.
         window: SequenceNumber,
     },
-    /// The lease holder: people may begin to work.
+    /// The lease holder opens the window, so that people may begin to work.
     Begin {
-        /// The window.
+        /// The window's number.
         window: SequenceNumber,
     },
-    /// The lease holder: the time is over, and the site stays without traffic.
+    /// The lease holder marks that the window's time is over while the site stays without traffic.
     MarkOverrun {
-        /// The window.
+        /// The window's number.
         window: SequenceNumber,
     },
-    /// The lease holder: the site is to get this fraction of its traffic, at least as much as before.
+    /// The lease holder restores the site's traffic to this fraction, which must not be lower than the
+    /// current one.
     RestoreTraffic {
-        /// The window.
+        /// The window's number.
         window: SequenceNumber,
-        /// The fraction.
+        /// The new fraction.
         fraction: TrafficFraction,
-        /// Why the window is aborted, for people; `None` if it is not.
+        /// Why the window is aborted or ends as overdue, for people; `None` if it goes by plan. The text is
+        /// stored.
         reason: Option<String>,
     },
-    /// The lease holder: the site has all of its traffic again.
+    /// The lease holder ends the window, as the site has all of its traffic again.
     Finish {
-        /// The window.
+        /// The window's number.
         window: SequenceNumber,
     },
 }
 
 impl WindowCommand {
-    /// Whether only the holder of the site's lease may propose it.
+    /// Whether only the holder of the site's lease may propose the command.
     pub fn requires_lease(&self) -> bool {
         !matches!(self, WindowCommand::Plan(_) | WindowCommand::Cancel { .. } | WindowCommand::End { .. })
     }
 
-    /// The window that it concerns; `None` for a new one.
+    /// The number of the window that the command concerns; `None` for a new window.
     pub(super) fn window(&self) -> Option<SequenceNumber> {
         match self {
             WindowCommand::Plan(_) => None,
@@ -96,19 +100,20 @@
     }
 }
 
-/// Why a command had no effect.
+/// Why a command had no effect. The texts are stored in replicated outcomes, so all versions must write the
+/// same bytes.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WindowError {
-    /// There is no such window.
+    /// There is no window with this number.
     #[error("there is no window of that number")]
     NotFound,
     /// The command does not apply in the window's stage.
     #[error("the window is {0}")]
     Stage(Stage),
-    /// Another site is without its traffic; holds the number of its window.
+    /// Traffic is shifted away from another site; holds the number of that site's window.
     #[error("window {0} has its site away")]
     OtherSiteShifted(SequenceNumber),
-    /// The fraction does not change in the direction of the command.
+    /// The fraction would not change in the direction that the command requires.
     #[error("a site that gets {from} in a thousand can't go to {to} this way")]
     InvalidFraction {
         /// The current fraction.
@@ -119,7 +124,7 @@
     /// The window has no permit, or has to react to an incident; holds the reason.
     #[error("no permit: {0}")]
     NoPermit(String),
-    /// There are [`MAX_WINDOWS`] windows, and none of them is over.
+    /// There are [`MAX_WINDOWS`] windows, and none of them is over and could be dropped.
     #[error("there are {MAX_WINDOWS} windows")]
     CapacityReached,
     /// The plan is invalid; holds the reason.
--- a/crates/maintenance/src/windows/mod.rs
+++ b/crates/maintenance/src/windows/mod.rs
@@ -1,7 +1,7 @@
 //! The replicated state of all windows.
 //!
-//! A window gets its permit in the command that admits it, so that no incident can open in between; and no sequence of
-//! commands leaves two sites without their traffic at once.
+//! The command that admits a window also requests its permit, so that no incident can open in between. No
+//! sequence of commands shifts traffic away from two sites at once.
 
 mod command;
 mod permit;
@@ -16,10 +16,12 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Maximum number of windows, which bounds the size of a snapshot; those that are over are dropped first.
+/// Maximum number of windows; to make room for a new one, the oldest that is over is dropped. It bounds the
+/// size of a snapshot.
 pub const MAX_WINDOWS: usize = 256;
 
-/// All windows. Equal commands in equal order give equal states on all replicas.
+/// All windows. Replicas that apply the same commands in the same order have equal states. The order of the
+/// fields is the stored format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Windows {
     last_number: SequenceNumber,
@@ -27,7 +29,7 @@
 }
 
 impl Windows {
-    /// Applies a committed command. Permits are requested from `freeze` and returned to it.
+    /// Applies a committed command. Windows request their permits from `freeze` and return them to it.
     pub fn apply(&mut self, command: &WindowCommand, freeze: &mut FreezeState) -> Result<(), WindowError> {
         match command {
             WindowCommand::Plan(plan) => self.plan(plan),
@@ -55,7 +57,7 @@
         self.all.get_mut(&number).ok_or(WindowError::NotFound)
     }
 
-    /// Another window whose site is without its usual traffic.
+    /// Another window that takes traffic away from its site.
     fn other_shifted(&self, number: SequenceNumber) -> Option<SequenceNumber> {
         let mut others = self.all.iter().filter(|(other, _)| **other != number);
         others.find(|(_, window)| window.stage.takes_traffic_away()).map(|(other, _)| *other)
@@ -63,7 +65,7 @@
 
     fn plan(&mut self, plan: &WindowPlan) -> Result<(), WindowError> {
         plan.validate()?;
-        // Each replica's calendar plans the same windows, and again after each start.
+        // Each replica plans the calendar's windows, and plans them again after each restart.
         if self.all.values().any(|window| window.plan.is_same_occurrence(plan)) {
             return Ok(());
         }
@@ -82,7 +84,7 @@
         Ok(())
     }
 
-    /// The site that a command concerns; `None` for a new or unknown window.
+    /// The site that a command concerns; `None` if the command plans a window or its window does not exist.
     pub fn site_of(&self, command: &WindowCommand) -> Option<&str> {
         Some(self.all.get(&command.window()?)?.plan.site.as_str())
     }
@@ -92,7 +94,8 @@
         &self.all
     }
 
-    /// Describes a violated invariant, if any: two sites are without their traffic at once.
+    /// Describes the violated invariant if traffic is shifted away from two sites at once, else returns
+    /// `None`.
     pub fn check_invariants(&self) -> Option<String> {
         let mut away = self.all.iter().filter(|(_, window)| window.stage.takes_traffic_away());
         let ((first, _), (second, _)) = (away.next()?, away.next()?);
--- a/crates/maintenance/src/windows/permit.rs
+++ b/crates/maintenance/src/windows/permit.rs
@@ -1,4 +1,5 @@
-//! The permits of windows, from the replicated change freeze.
+//! Requests and returns the permits of windows. The texts in the errors are stored in replicated outcomes, so
+//! all versions must write the same bytes, also where today's names differ.
 
 use super::{WindowError, WindowPlan};
 use hillstall_change_freeze::rules::{ChangeKind, Reaction};
@@ -8,10 +9,12 @@
     MAX_CHANGE_DURATION_MS,
 };
 
+/// The requester in audit records, which are replicated: the name must not change.
 const REQUESTED_BY: &str = "calendar";
 const PRIORITY: u8 = 100;
 
-/// Requests a permit that is granted now or not at all: a window that was queued would keep other changes waiting.
+/// Requests a permit and withdraws the request if it is not granted at once: a queued request would hold back
+/// other changes.
 pub(super) fn request_permit(
     plan: &WindowPlan,
     freeze: &mut FreezeState,
@@ -35,7 +38,7 @@
 }
 
 fn change_request(plan: &WindowPlan) -> ChangeRequest {
-    // The duration counts twice, so that people may overrun it.
+    // The permit covers twice the duration, so that people may overrun it.
     let max_duration = plan.lead_time + plan.max_delay + plan.duration.saturating_mul(2);
     ChangeRequest {
         kind: ChangeKind::Window,
@@ -62,7 +65,7 @@
     }
 }
 
-/// The word for a status in a replicated outcome: every version has to write the same bytes.
+/// The name of a status in a replicated outcome. All versions must write the same bytes.
 fn stored_status(status: ChangeStatus) -> &'static str {
     match status {
         ChangeStatus::Queued => "Waits",
@@ -73,7 +76,7 @@
     }
 }
 
-/// The word for a reason in a replicated outcome: every version has to write the same bytes.
+/// The name of a reject reason in a replicated outcome. All versions must write the same bytes.
 fn stored_reason(reason: RejectReason) -> &'static str {
     match reason {
         RejectReason::NotFound => "Unknown",
--- a/crates/maintenance/src/windows/plan.rs
+++ b/crates/maintenance/src/windows/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a window.
+//! The plan of a window and its limits.
 
 use super::WindowError;
 use crate::Millis;
@@ -6,12 +6,12 @@
 use hillstall_change_freeze::state::MAX_CHANGE_DURATION_MS;
 use serde::{Deserialize, Serialize};
 
-/// A window's permit has to cover its duration twice, so that people may overrun it.
+/// Half of a change's maximum, as a window's permit covers its duration twice so that people may overrun it.
 const MAX_DURATION_MS: Millis = MAX_CHANGE_DURATION_MS / 2;
 const MAX_LEAD_TIME_MS: Millis = MAX_CHANGE_DURATION_MS / 4;
 const MAX_RESERVE_PERCENT: u8 = 90;
 
-/// What happens when a window's time is over and nobody has reported the end of the work.
+/// What happens if a window's time is over and no person has reported the end of the work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum OverrunPolicy {
     /// The site stays without traffic until people end the window.
@@ -20,22 +20,22 @@
     Return,
 }
 
-/// A planned window.
+/// The plan of one window. The order of the fields is the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WindowPlan {
-    /// The site.
+    /// The site whose traffic is shifted away.
     pub site: String,
-    /// When people may begin to work, in Unix time.
+    /// When people may begin to work, in Unix milliseconds.
     pub starts_at: Millis,
     /// How long they may work, in milliseconds.
     pub duration: Millis,
-    /// How long before the start traffic may be shifted away, in milliseconds.
+    /// How long before `starts_at` the traffic shift may begin, in milliseconds.
     pub lead_time: Millis,
     /// How much later than planned the window may begin, in milliseconds.
     pub max_delay: Millis,
     /// The capacity that the other sites must keep free, in percent.
     pub reserve_percent: u8,
-    /// What happens when the time is over.
+    /// What happens if the time is over and no person has reported the end of the work.
     pub overrun_policy: OverrunPolicy,
 }
 
--- a/crates/maintenance/src/windows/window.rs
+++ b/crates/maintenance/src/windows/window.rs
@@ -7,47 +7,48 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Maximum length of the reason that is stored.
 const MAX_REASON_CHARS: usize = 200;
-/// The replicated reason of a cancelled window.
+/// The reason of a cancelled window. It is replicated, so all versions must write the same bytes.
 const CANCELLED_REASON: &str = "called off";
 
 /// The stage of a window. The order of the variants is the order in which a window passes through them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// Its time has not come.
+    /// The traffic shift has not been admitted yet.
     Planned,
-    /// It has its permit; no traffic was shifted yet.
+    /// The window has its permit; no traffic has been shifted yet.
     Admitted,
-    /// Traffic is shifted away from the site.
+    /// Traffic is being shifted away from the site.
     Shifting,
-    /// The site gets next to no requests any more.
+    /// The site gets almost no requests any more.
     Empty,
-    /// People work there.
+    /// People work at the site.
     Running,
-    /// The site gets its traffic back.
+    /// The site's traffic is being restored.
     Returning,
-    /// It is over.
+    /// The window is over, and the site's traffic is restored.
     Done,
-    /// It could not begin in time.
+    /// The window could not begin in time.
     Postponed,
-    /// A person cancelled it before it began.
+    /// A person cancelled the window before traffic was shifted.
     Cancelled,
 }
 
 impl Stage {
-    /// Whether the site gets less than its usual traffic, or may do so at any moment.
+    /// Whether the site gets less than its usual traffic, or may at any moment: from `Admitted` to
+    /// `Returning`.
     pub fn takes_traffic_away(self) -> bool {
         (Stage::Admitted..=Stage::Returning).contains(&self)
     }
 
-    /// Whether the window is over.
+    /// Whether the window is over, postponed or cancelled, so that its stage no longer changes.
     pub fn is_final(self) -> bool {
         self >= Stage::Done
     }
 }
 
 impl fmt::Display for Stage {
+    /// The stage's name in admin answers and in replicated outcomes. All versions must write the same bytes.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Stage::Planned => "planned",
@@ -63,22 +64,22 @@
     }
 }
 
-/// A window and its progress.
+/// A window and its progress. The order of the fields is the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Window {
-    /// Its plan.
+    /// The plan, which does not change.
     pub plan: WindowPlan,
-    /// Its stage.
+    /// The current stage.
     pub stage: Stage,
-    /// The fraction of its usual traffic that the site is to get.
+    /// The commanded fraction of the site's usual traffic.
     pub fraction: TrafficFraction,
     /// The site's usual traffic before the shift, in requests per 1,000 seconds.
     pub baseline_rate: u64,
-    /// Its permit.
+    /// The number of the change that holds the window's permit; `None` before admission and after the end.
     pub change: Option<SequenceNumber>,
-    /// Its time is over, and people still work.
+    /// Whether the planned duration is over while people still work.
     pub overrun: bool,
-    /// Why it was postponed, cancelled or aborted; empty if it was not.
+    /// Why the window was postponed, cancelled or aborted, or ended as overdue; empty otherwise.
     pub reason: String,
 }
 
@@ -113,8 +114,9 @@
         Ok(())
     }
 
-    /// Requests the permit and admits the window in one step, so that no incident can open in between. `other_shifted` is
-    /// another window whose site is without its traffic.
+    /// Requests the permit and admits the window in one step, so that no incident can open in between.
+    /// `other_shifted` is the number of another window that takes traffic away from its site, if there is
+    /// one.
     pub(super) fn admit(
         &mut self,
         baseline_rate: u64,
@@ -183,7 +185,7 @@
         }
         self.stage = Stage::Returning;
         self.fraction = fraction;
-        // The first reason is kept.
+        // The first reason explains what happened; later ones don't replace it.
         if let Some(reason) = reason.filter(|_| self.reason.is_empty()) {
             self.reason = truncated(reason);
         }
--- a/crates/maintenance/tests/windows/calendar.rs
+++ b/crates/maintenance/tests/windows/calendar.rs
@@ -1,4 +1,4 @@
-//! Occurrences over changes of the clock, and conflicts between recurrences.
+//! Occurrences across changes to and from daylight saving time, and conflicts between recurrences.
 
 use hillstall_maintenance::calendar::{find_conflicts, LocalTimeKind, Recurrence};
 use hillstall_maintenance::windows::OverrunPolicy;
@@ -26,18 +26,18 @@
 }
 
 #[test]
-fn a_start_keeps_its_local_time_over_daylight_saving_time() {
+fn a_start_keeps_its_local_time_across_daylight_saving_changes() {
     let weekly = recurrence("north", "2026-03-22T02:30:00", "Europe/Berlin", Some("1w"));
     let next = |from: &str| weekly.next(unix(from)).expect("a next occurrence");
     assert_eq!(next("2026-03-20T00:00:00Z").starts_at, unix("2026-03-22T01:30:00Z"));
-    // On 29 March the clock goes from 2:00 to 3:00: 2:30 does not exist.
+    // On 29 March the clock is put forward from 2:00 to 3:00, so 2:30 does not exist.
     let skipped = next("2026-03-23T00:00:00Z");
     assert_eq!(
         (skipped.starts_at, skipped.local_time),
         (unix("2026-03-29T01:30:00Z"), LocalTimeKind::Skipped)
     );
     assert_eq!(next("2026-03-30T00:00:00Z").starts_at, unix("2026-04-05T00:30:00Z"));
-    // On 25 October 2:30 exists twice.
+    // On 25 October the clock is put back from 3:00 to 2:00, so 2:30 exists twice.
     let repeated = next("2026-10-20T00:00:00Z");
     assert_eq!(
         (repeated.starts_at, repeated.local_time),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_conflict_states_its_recurrence_and_key() {
+fn a_conflict_names_its_recurrence_and_key() {
     let now = unix("2026-03-01T00:00:00Z");
     let sites = ["north".to_owned(), "south".to_owned()];
     let recurrences = [
--- a/crates/maintenance/tests/windows/lifecycle.rs
+++ b/crates/maintenance/tests/windows/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Windows, permits and incidents together.
+//! The lifecycle of windows together with permits and incidents.
 
 use crate::common::plan;
 use hillstall_change_freeze::rules::Severity;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn one_site_at_a_time_and_an_incident_lets_traffic_only_return() {
+fn one_site_is_shifted_at_a_time_and_an_incident_only_allows_restoring_traffic() {
     let (mut windows, mut freeze) = (Windows::default(), FreezeState::default());
     let mut apply = |command, freeze: &mut FreezeState| windows.apply(&command, freeze);
     for site in ["north", "south"] {
@@ -37,5 +37,5 @@
     apply(WindowCommand::Finish { window: 1 }, &mut freeze).expect("finished");
     let blocked = apply(WindowCommand::Admit { window: 2, baseline_rate: 1 }, &mut freeze);
     assert!(matches!(blocked, Err(WindowError::NoPermit(_))), "{blocked:?}");
-    assert!(freeze.changes().is_empty(), "nothing stays in the queue");
+    assert!(freeze.changes().is_empty(), "the blocked request is withdrawn and does not stay in the queue");
 }
--- a/crates/maintenance/tests/windows/main.rs
+++ b/crates/maintenance/tests/windows/main.rs
@@ -1,4 +1,5 @@
-//! The calendar, the lifecycle of a window, the shift of its traffic, and the invariants under random commands.
+//! Tests of the calendar, the lifecycle of a window, its traffic shift, and the invariants under random
+//! commands.
 
 mod calendar;
 mod common;
--- a/crates/maintenance/tests/windows/shift.rs
+++ b/crates/maintenance/tests/windows/shift.rs
@@ -1,12 +1,12 @@
-//! The steps of a shift, and when a window is admitted.
+//! Steps of a traffic shift and admission of windows.
 
-use crate::common::{plan, STARTS_AT};
+use crate::common::{plan, STARTS_AT_MS};
 use hillstall_change_freeze::state::FreezeState;
 use hillstall_maintenance::shift::{admission_blocker, FleetLoad, ShiftController, ShiftPacing, SiteLoad};
 use hillstall_maintenance::windows::Stage::{Admitted, Done, Empty, Planned, Returning, Running, Shifting};
 use hillstall_maintenance::windows::{WindowCommand, Windows};
 
-/// The load of these sites, each with its requests per second and its utilization.
+/// A fleet load of these sites, each given as name, requests per second and utilization.
 fn fleet_load(sites: &[(&str, f64, f64)]) -> FleetLoad {
     let load = |sent, utilization| SiteLoad {
         sent,
@@ -20,7 +20,7 @@
     FleetLoad { sites: sites.collect(), reporting_ratio: 1.0, blocker: None }
 }
 
-/// The load while `north` gets this fraction of its traffic and `south` the rest.
+/// The fleet load while `north` gets this fraction of its traffic and `south` takes the rest.
 fn load_during_shift(north_fraction: f64) -> FleetLoad {
     let south = 200.0 - 100.0 * north_fraction;
     fleet_load(&[("north", 100.0 * north_fraction, 0.5 * north_fraction), ("south", south, south / 270.0)])
@@ -53,7 +53,7 @@
     }
     assert_eq!(stages, [Planned, Admitted, Shifting, Empty, Running, Returning, Done]);
     let empty_at = empty_at.expect("the site was empty");
-    assert!(empty_at < STARTS_AT, "empty before the start: {empty_at}");
+    assert!(empty_at < STARTS_AT_MS, "empty before the start: {empty_at}");
     assert!(freeze.changes().is_empty(), "the permit is returned");
 }
 
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn the_texts_of_admission_blockers_stay_as_they_are_replicated() {
+fn the_texts_of_admission_blockers_are_replicated_and_do_not_change() {
     let pacing = ShiftPacing::default();
     let text = |load: &FleetLoad| admission_blocker(&plan("north"), load, &pacing).map(|b| b.to_string());
     let enough = fleet_load(&[("north", 10.0, 0.1), ("south", 100.0, 0.2)]);
--- a/crates/maintenance/tests/windows/traffic.rs
+++ b/crates/maintenance/tests/windows/traffic.rs
@@ -1,10 +1,10 @@
-//! The fraction of traffic over time.
+//! The traffic ramp: the fraction of traffic over time.
 
 use hillstall_maintenance::traffic::TrafficRamp;
 use hillstall_maintenance::FULL_TRAFFIC;
 
 #[test]
-fn the_fraction_falls_at_once_and_rises_at_its_rate() {
+fn the_fraction_is_lowered_at_once_and_raised_at_the_ramp_rate() {
     let mut ramp = TrafficRamp::full(0, 10_000);
     ramp.set(1_000, 500);
     assert_eq!(ramp.fraction(1_000), 0.5);
