--- a/crates/coordination/src/admin_commands/mod.rs
+++ b/crates/coordination/src/admin_commands/mod.rs
@@ -1,7 +1,7 @@
-//! Admin commands: lines of the second address that belong to coordination.
+//! Admin commands that coordination answers; each is one line from the admin address.
 //!
-//! * `parse` reads a line into an [`AdminCommand`],
-//! * [`render`] writes the answers.
+//! * [`parse`] converts a line into an [`AdminCommand`],
+//! * [`render`] formats the answers.
 
 mod parser;
 pub mod render;
@@ -15,21 +15,21 @@
 
 pub use parser::parse;
 
-/// A parsed line.
+/// A parsed admin command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminCommand {
-    /// Answered by this instance from the state that it has.
+    /// A query, answered from this instance's local copy of the replicated state.
     StateQuery(StateQuery),
-    /// This instance gives a lease up.
+    /// A request to this instance to hand over a lease that it holds.
     HandOver(LeaseName),
-    /// Proposed to the replicas.
+    /// A command to propose to the replicas.
     Propose(Command),
 }
 
-/// What a query lists.
+/// What a query shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateQuery {
-    /// This instance, the leases, and the fraction of each site.
+    /// The role of this instance, the leases, and the traffic fraction of each site.
     Status,
     /// All maintenance windows.
     Windows,
@@ -41,10 +41,11 @@
     AuditRecords,
 }
 
-/// Why a line can't be carried out.
+/// Why a line is not a valid command. The texts are answers at the admin address, which clients read, so they
+/// stay as they are.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ParseCommandError {
-    /// No such command.
+    /// The command or its verb is unknown.
     #[error(
         "there are FLEET [HANDOVER DUTY], WINDOW [PLAN|CANCEL|END], \
          INCIDENT [OPEN|TAKE|RESOLVE|REMEDY], CHANGE [ASK|EMERGENCY|DONE|CLEAR] and RECORD"
@@ -53,53 +54,53 @@
     /// An argument is missing.
     #[error("{argument} is missing")]
     MissingArgument {
-        /// The argument.
+        /// The argument as named in the answer, such as "the scope".
         argument: &'static str,
     },
-    /// An option without which the command has no meaning is missing.
+    /// A required option is missing.
     #[error("{option}= is missing")]
     MissingOption {
         /// The option's name.
         option: &'static str,
     },
-    /// The command has no such option.
+    /// The command does not take this option.
     #[error("{option}= has no meaning here")]
     UnknownOption {
         /// The option's name.
         option: String,
     },
-    /// An argument or option has a value that can't be read.
+    /// The value of an argument or option is invalid.
     #[error("{name}: {source}")]
     InvalidValue {
-        /// The argument or option.
+        /// The argument or option as named in the answer.
         name: &'static str,
-        /// What is wrong with its value.
+        /// Why the value is invalid.
         source: InvalidValue,
     },
-    /// A lease of that name can't exist.
+    /// The argument is not a valid name of a lease.
     #[error(transparent)]
     InvalidLeaseName(#[from] InvalidLeaseName),
-    /// The operator file lists people, and none has this name.
+    /// The operator file lists people, and none of them has this name.
     #[error("{name:?} is nobody of fleet.people")]
     UnknownPerson {
-        /// The name.
+        /// The unknown name.
         name: String,
     },
 }
 
-/// Why a value can't be read.
+/// Why a value is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidValue {
     /// Not a whole number, or out of range.
     #[error(transparent)]
     Number(#[from] ParseIntError),
-    /// Not one of the known words.
+    /// Not one of the expected keywords.
     #[error(transparent)]
-    Word(#[from] ParseKeywordError),
-    /// Not a scope.
+    Keyword(#[from] ParseKeywordError),
+    /// Not a valid scope.
     #[error(transparent)]
     Scope(#[from] ParseScopeError),
-    /// Not a duration with its unit.
+    /// Not a duration with a unit.
     #[error(transparent)]
     Duration(#[from] humantime::DurationError),
     /// Not a point in time.
@@ -110,7 +111,8 @@
     OverrunPolicy(String),
 }
 
-/// Each person's main name by all of their names. If it is empty, any name is a person.
+/// Maps each name of a person to the person's main name. If the map is empty, every name is accepted as a
+/// person.
 pub struct PersonDirectory<'a>(pub &'a BTreeMap<String, String>);
 
 impl PersonDirectory<'_> {
--- a/crates/coordination/src/admin_commands/parser.rs
+++ b/crates/coordination/src/admin_commands/parser.rs
@@ -1,4 +1,4 @@
-//! Parses lines of the form `COMMAND [VERB] ARGUMENT... OPTION=VALUE...`.
+//! Parses admin commands of the form `COMMAND [VERB] ARGUMENT... OPTION=VALUE...`.
 
 use super::{AdminCommand, InvalidValue, ParseCommandError, PersonDirectory, StateQuery};
 use crate::{calendar, millis};
@@ -16,12 +16,12 @@
 const DEFAULT_PRIORITY: u8 = 100;
 const DEFAULT_CHANGE_DURATION: Duration = Duration::from_secs(600);
 
-/// Words before the evidence in `INCIDENT OPEN SEVERITY SCOPE PERSON EVIDENCE...`.
+/// Number of words before the evidence in `INCIDENT OPEN SEVERITY SCOPE PERSON EVIDENCE...`.
 const WORDS_BEFORE_EVIDENCE: usize = 5;
 
 type Parsed<T> = Result<T, ParseCommandError>;
 
-/// Parses a line; `None` if it is no coordination command.
+/// Parses a line; `None` if its first word is not a coordination command.
 pub fn parse(line: &str, people: &PersonDirectory<'_>) -> Option<Parsed<AdminCommand>> {
     let words = Words::split(line);
     let command = *words.arguments.first()?;
@@ -43,7 +43,8 @@
     Some(parsed.and_then(|command| parser.words.reject_unused_options().map(|()| command)))
 }
 
-/// The words of a line: arguments by their place, counted from the command itself, and options by name.
+/// The words of a line: arguments by position, where the command itself is at position 0, and options by
+/// name.
 struct Words<'a> {
     arguments: Vec<&'a str>,
     options: BTreeMap<&'a str, &'a str>,
@@ -101,7 +102,7 @@
         }
     }
 
-    /// An option that the command does not know is a mistake and must not be ignored.
+    /// Rejects options that the command has not taken, so that a misspelt option is not silently ignored.
     fn reject_unused_options(&self) -> Parsed<()> {
         match self.options.keys().next() {
             Some(name) => Err(ParseCommandError::UnknownOption { option: (*name).to_owned() }),
@@ -192,7 +193,7 @@
     }
 
     fn open_incident(&mut self) -> Parsed<AdminCommand> {
-        // The evidence is free text: a word with '=' in it is no option.
+        // The evidence is free text, so a word with '=' in it is not an option.
         let evidence: Vec<&str> = self.line.split_ascii_whitespace().skip(WORDS_BEFORE_EVIDENCE).collect();
         self.words.options.clear();
         Ok(propose(FreezeCommand::OpenIncident {
--- a/crates/coordination/src/admin_commands/render.rs
+++ b/crates/coordination/src/admin_commands/render.rs
@@ -1,4 +1,5 @@
-//! Answers to admin commands as text. Each list ends with a line `EOF`.
+//! Formats the answers to admin commands. Clients read these texts, so they stay as they are. Each list ends
+//! with a line `EOF`.
 
 use crate::calendar;
 use hillstall_change_freeze::state::{ChangeStatus, FreezeState, Requester, Response};
@@ -10,10 +11,9 @@
 const END_OF_LIST: &str = "EOF\n";
 const NO_ANSWER: &str =
     "504 the keepers have not answered; it may still be carried out, and asking again is harmless\n";
-/// Divides a fraction in per mille to get percent.
 const PER_MILLE_PER_PERCENT: f64 = 10.0;
 
-/// The outcome of a proposed command; `None` if the replicas have not answered in time.
+/// The answer to a proposed command; `outcome` is `None` if the replicas have not answered in time.
 pub fn outcome(outcome: Option<&Outcome>) -> String {
     match outcome {
         None => NO_ANSWER.into(),
@@ -40,8 +40,8 @@
     }
 }
 
-/// All maintenance windows, one a line. `reported` holds the fraction, from 0 to 1, that most instances report to send each
-/// site at least; it is empty where no reports arrive.
+/// All maintenance windows, one per line. `reported` maps each site to the fraction of its usual traffic,
+/// from 0 to 1, that most instances report to send at least; it is empty if no reports arrive.
 pub fn windows(windows: &Windows, reported: &BTreeMap<String, f64>) -> String {
     let mut text = String::new();
     for (number, window) in windows.all() {
@@ -63,7 +63,7 @@
     text + END_OF_LIST
 }
 
-/// All incidents, one a line.
+/// All incidents, one per line.
 pub fn incidents(state: &FreezeState) -> String {
     let mut text = String::new();
     for (number, incident) in state.incidents() {
@@ -80,7 +80,7 @@
     text + END_OF_LIST
 }
 
-/// All changes, one a line.
+/// All changes, one per line.
 pub fn changes(state: &FreezeState) -> String {
     let mut text = String::new();
     for (number, change) in state.changes() {
@@ -103,7 +103,7 @@
     }
 }
 
-/// The replicated audit records, one a line in their order.
+/// The replicated audit records, one per line, oldest first.
 pub fn audit_records(state: &FreezeState) -> String {
     let mut text = String::new();
     for record in state.audit_log() {
--- a/crates/coordination/src/connections.rs
+++ b/crates/coordination/src/connections.rs
@@ -1,8 +1,9 @@
-//! Connections between instances.
+//! TCP connections between instances, which carry length-prefixed frames.
 //!
-//! Each instance opens connections to the replicas that it needs; what one replica sends another goes over the connection
-//! that the sender opened. Frames are dropped where a queue is full, so that a slow reader holds nobody up: whatever
-//! matters is requested again.
+//! A replica opens a connection to each other replica, a follower to the replica that it follows. A replica
+//! sends frames to another one over the connection that it opened itself. If the queue of a connection is
+//! full, frames are dropped, so that a slow reader does not block the event loop; the consensus protocol
+//! sends again what is still needed.
 
 use bytes::{Bytes, BytesMut};
 use futures_util::{SinkExt, Stream};
@@ -17,80 +18,81 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Frames that may wait for one connection.
+/// Maximum number of frames that wait to be written to one connection.
 const QUEUE_CAPACITY: usize = 512;
-/// Longest wait for a connection to open, and for the frame that introduces its opener.
+/// Timeout for opening a connection, and for its first frame, [`Frame::Hello`].
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Pause between two attempts to open a connection, or to accept one.
+/// Pause before another attempt to open a connection, or to accept one after an error.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// A connection on which one frame could not be written for so long is closed.
+/// Timeout for writing one frame; after it the connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most connections that others may have open to this replica.
+/// Maximum number of connections that other instances may have open to this replica.
 const MAX_INBOUND_CONNECTIONS: usize = 2_048;
 
 type FramedStream = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// What happens on connections.
+/// An event on a connection, for the event loop.
 pub enum ConnectionEvent {
-    /// A replica sent a frame, over whichever connection.
+    /// A replica sent a frame, over a connection that either side opened.
     ReplicaFrame {
         /// The replica's slot.
         slot: usize,
-        /// What it sent.
+        /// The received frame.
         frame: Frame,
     },
     /// A follower sent a frame over a connection that it opened.
     InstanceFrame {
         /// The follower.
         instance: Instance,
-        /// The connection's number.
+        /// The connection's number, which is unique among the connections accepted by this process.
         connection: u64,
-        /// What it sent.
+        /// The received frame.
         frame: Frame,
     },
     /// A follower has opened a connection.
     Attached {
         /// The follower.
         instance: Instance,
-        /// The connection's number.
+        /// The connection's number, which is unique among the connections accepted by this process.
         connection: u64,
-        /// Takes encoded frames for the follower.
+        /// The queue of encoded frames to send to the follower.
         queue: Sender<Bytes>,
     },
     /// A follower's connection is closed.
     Detached {
         /// The follower.
         instance: Instance,
-        /// The connection's number.
+        /// The connection's number, which is unique among the connections accepted by this process.
         connection: u64,
     },
-    /// The connection that this instance opened to a replica is up, or is closed.
+    /// A connection that this instance opened to a replica has been established or closed.
     ReplicaConnection {
         /// The replica's slot.
         slot: usize,
-        /// Whether it is up.
+        /// Whether the connection is established.
         is_up: bool,
     },
-    /// A connection carried something that can't be read.
+    /// A frame can't be decoded, or reading from a connection failed.
     Unreadable {
-        /// Why it can't.
+        /// The error of the decoder or of the operating system.
         error: String,
     },
-    /// A connection was refused: its source may not connect, or there are too many.
+    /// A connection was closed right after it was accepted: its source is not allowed, or the limit is
+    /// reached.
     Refused {
-        /// Where it came from.
+        /// The address that it came from.
         source: IpAddr,
     },
 }
 
-/// How this instance introduces itself.
+/// What this instance says about itself in [`Frame::Hello`].
 #[derive(Clone)]
 pub struct LocalIdentity {
-    /// The name of its fleet.
+    /// The name of its fleet; other instances reject connections from a fleet of another name.
     pub fleet: String,
-    /// Itself.
+    /// The instance's rank and incarnation.
     pub instance: Instance,
-    /// Its slot, if it is a replica.
+    /// The replica's slot; `None` for a follower.
     pub slot: Option<usize>,
 }
 
@@ -102,12 +104,13 @@
 }
 
 fn framed(stream: TcpStream) -> FramedStream {
-    // Fails only on a closed connection, which the first read shows.
+    // Fails only on a closed connection, which the first read or write reports as well.
     let _ = stream.set_nodelay(true);
     Framed::new(stream, LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec())
 }
 
-/// A connection that is opened here, and opened again whenever it breaks. Dropping it closes it.
+/// A connection that this instance opens to a replica, and opens again whenever it breaks. Dropping it closes
+/// it.
 pub struct OutboundConnection {
     queue: Sender<Bytes>,
     task: JoinHandle<()>,
@@ -147,12 +150,12 @@
 ) {
     loop {
         if let Ok(Ok(stream)) = timeout(HANDSHAKE_TIMEOUT, TcpStream::connect(address)).await {
-            // What was queued for the connection before is outdated.
+            // Frames that were queued before the connection was established are outdated.
             while outgoing.try_recv().is_ok() {}
             let mut stream = framed(stream);
-            let greeting = timeout(HANDSHAKE_TIMEOUT, stream.send(identity.hello())).await;
-            if matches!(greeting, Ok(Ok(()))) {
-                // Sending fails once the event loop has ended, and with it this task.
+            let hello_sent = timeout(HANDSHAKE_TIMEOUT, stream.send(identity.hello())).await;
+            if matches!(hello_sent, Ok(Ok(()))) {
+                // Sending fails only once the event loop has ended; this task ends with it.
                 let _ = events.send(ConnectionEvent::ReplicaConnection { slot, is_up: true });
                 let to_event = |frame| ConnectionEvent::ReplicaFrame { slot, frame };
                 exchange_frames(&mut stream, &mut outgoing, to_event, &events).await;
@@ -163,7 +166,8 @@
     }
 }
 
-/// Sends and receives frames until the connection ends.
+/// Sends queued frames and passes received ones on as events, until the connection ends or the event loop has
+/// ended.
 async fn exchange_frames(
     stream: &mut FramedStream,
     outgoing: &mut Receiver<Bytes>,
@@ -203,19 +207,19 @@
     std::future::poll_fn(|context| Stream::poll_next(Pin::new(&mut *stream), context)).await
 }
 
-/// Accepts connections for ever, from sources that `is_allowed` admits.
+/// Accepts connections from allowed sources, and serves each in its own task. Does not return.
 pub async fn accept(
     listener: TcpListener,
     identity: LocalIdentity,
     is_allowed: impl Fn(IpAddr) -> bool + 'static,
     events: UnboundedSender<ConnectionEvent>,
 ) {
-    let (close_sender, mut closed) = unbounded_channel::<()>();
+    let (closed_sender, mut closed) = unbounded_channel::<()>();
     let mut open_connections = 0;
     let mut connection = 0;
     loop {
         let Ok((stream, source)) = listener.accept().await else {
-            // Out of file descriptors: connections that are open go on.
+            // For example, out of file descriptors. Open connections continue.
             sleep(RETRY_INTERVAL).await;
             continue;
         };
@@ -228,15 +232,15 @@
         }
         open_connections += 1;
         connection += 1;
-        let (identity, events, close_sender) = (identity.clone(), events.clone(), close_sender.clone());
+        let (identity, events, closed_sender) = (identity.clone(), events.clone(), closed_sender.clone());
         spawn_local(async move {
             serve(stream, identity, connection, &events).await;
-            let _ = close_sender.send(());
+            let _ = closed_sender.send(());
         });
     }
 }
 
-/// Serves a connection that another instance has opened.
+/// Serves a connection that another instance opened, once its first frame has named the same fleet.
 async fn serve(
     stream: TcpStream,
     identity: LocalIdentity,
@@ -248,14 +252,14 @@
     let Ok(Some(Ok(bytes))) = first else { return };
     let (instance, replica) = match Frame::decode(&bytes) {
         Ok(Frame::Hello { fleet, instance, replica }) if fleet == identity.fleet => (instance, replica),
-        // Another fleet, or no introduction.
+        // The instance belongs to another fleet, or its first frame is not `Hello`.
         Ok(_) => return,
         Err(error) => {
             let _ = events.send(unreadable(error));
             return;
         }
     };
-    // The sender is kept to the end: a closed queue would end the exchange.
+    // A sender is kept until the end, as `exchange_frames` returns once all senders of the queue are dropped.
     let (queue, mut outgoing) = channel(QUEUE_CAPACITY);
     if let Some(slot) = replica {
         let to_event = |frame| ConnectionEvent::ReplicaFrame { slot, frame };
--- a/crates/coordination/src/redb_storage.rs
+++ b/crates/coordination/src/redb_storage.rs
@@ -1,5 +1,5 @@
-//! A replica's storage: an embedded `redb` database in one file. Each batch is synced before anything that follows from it
-//! is sent.
+//! A replica's storage: an embedded `redb` database in one file. Each batch is synced to disk before the
+//! replica sends any message that depends on it.
 
 use hillstall_consensus::replica::new_id;
 use hillstall_consensus::storage::{PersistentState, ReplicaStorage, ReplicaStorageError, WriteBatch};
@@ -15,19 +15,19 @@
 /// Encoded log entries by index.
 const LOG_TABLE: TableDefinition<'_, u64, Vec<u8>> = TableDefinition::new("log");
 
-/// Keys of [`META_TABLE`].
+/// Keys of [`META_TABLE`]. They are stored, so they stay as they are.
 const HEADER_KEY: &str = "head";
 const HARD_STATE_KEY: &str = "hard";
 const SNAPSHOT_KEY: &str = "snapshot";
 
-/// Version of the stored form.
+/// Version of the stored format.
 const FORMAT_VERSION: u8 = 1;
-/// Extension of a file that could not be read and was set aside.
+/// Extension that a corrupt file is renamed to.
 const CORRUPT_EXTENSION: &str = "torn";
-/// Extension of the file of before a reset.
+/// Extension that the previous file is renamed to when the storage is reset.
 const REPLACED_EXTENSION: &str = "old";
 
-/// Small values that change seldom, stored as one. The order of the fields is the stored form.
+/// Small values that rarely change, stored as one value. The order of the fields is the stored format.
 #[derive(Default, Serialize, Deserialize)]
 struct StoredHeader {
     version: u8,
@@ -38,11 +38,11 @@
     known_boots: BTreeMap<u64, u64>,
 }
 
-/// The storage of one replica, which no second process can open.
+/// The storage of one replica. Only one process can have it open.
 pub struct RedbStorage {
     slot: usize,
     path: PathBuf,
-    /// `None` only while the file is replaced.
+    /// `None` only while [`ReplicaStorage::reset`] replaces the file.
     database: Option<Database>,
     header: StoredHeader,
 }
@@ -50,39 +50,40 @@
 /// Why a replica's storage can't be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
-    /// Another process has it open, as the older one does during an upgrade.
-    #[error("another process has the keeper's disk")]
+    /// Another process has the file open, such as the older process during an upgrade.
+    #[error("replica storage is open in another process")]
     InUse,
-    /// The directory does not exist; it may not be mounted.
-    #[error("the keeper's disk: {}: there is no such folder", path.display())]
+    /// The directory does not exist; perhaps its file system is not mounted.
+    #[error("replica storage directory {} does not exist", path.display())]
     MissingDirectory {
-        /// The directory.
+        /// The configured directory.
         path: PathBuf,
     },
-    /// A corrupt file could not be set aside.
-    #[error("the keeper's disk: {source}")]
+    /// A corrupt file could not be renamed.
+    #[error("corrupt replica storage can't be renamed: {source}")]
     SetAside {
-        /// What the operating system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The database can't be opened.
-    #[error("the keeper's disk: {source}")]
+    /// The database can't be opened for another reason.
+    #[error("replica storage can't be opened: {source}")]
     Open {
-        /// What the database said.
+        /// The database's error.
         source: redb::DatabaseError,
     },
 }
 
-fn failed(error: impl std::fmt::Display) -> ReplicaStorageError {
+fn storage_error(error: impl std::fmt::Display) -> ReplicaStorageError {
     ReplicaStorageError(error.to_string())
 }
 
 impl RedbStorage {
-    /// Opens a replica's file in a directory, or creates it. The directory has to exist: one that is not mounted must not be
-    /// taken for a new one. A corrupt file is set aside for inspection, and the replica begins as a new one.
+    /// Opens or creates the file of the replica in `slot`. The directory must exist: if it were created, a
+    /// replica whose file system is not mounted would start without its data. A corrupt file is renamed for
+    /// inspection, and the replica starts with a new one.
     ///
     /// # Errors
-    /// [`StorageError`]; with [`StorageError::InUse`] a later attempt may succeed.
+    /// [`StorageError`]; after [`StorageError::InUse`] a later attempt may succeed.
     pub fn open(directory: &Path, slot: usize) -> Result<RedbStorage, StorageError> {
         if !directory.is_dir() {
             return Err(StorageError::MissingDirectory { path: directory.to_owned() });
@@ -94,7 +95,10 @@
             }
             Err(redb::DatabaseError::DatabaseAlreadyOpen) => Err(StorageError::InUse),
             Err(redb::DatabaseError::Storage(redb::StorageError::Corrupted(error))) => {
-                tracing::warn!(error, "coordination: replica storage is corrupt; set aside");
+                tracing::warn!(
+                    error,
+                    "coordination: replica storage is corrupt; renaming the file and starting with a new one"
+                );
                 std::fs::rename(&path, path.with_extension(CORRUPT_EXTENSION))
                     .map_err(|source| StorageError::SetAside { source })?;
                 RedbStorage::open(directory, slot)
@@ -104,10 +108,10 @@
     }
 
     fn database(&self) -> Result<&Database, redb::Error> {
-        self.database.as_ref().ok_or_else(|| redb::Error::Io(std::io::Error::other("it is closed")))
+        self.database.as_ref().ok_or_else(|| redb::Error::Io(std::io::Error::other("database is closed")))
     }
 
-    /// Writes a batch and the header in one transaction, and syncs it.
+    /// Writes a batch and the header in one transaction, and syncs it to disk.
     fn write(&self, batch: &WriteBatch, header: &StoredHeader) -> Result<(), redb::Error> {
         let mut transaction = self.database()?.begin_write()?;
         transaction.set_durability(Durability::Immediate)?;
@@ -117,7 +121,7 @@
         Ok(())
     }
 
-    /// Reads what is stored; `None` in a new file.
+    /// Reads the stored state; `None` in a new file.
     fn read(&self) -> Result<Option<PersistentState>, redb::Error> {
         let transaction = self.database()?.begin_read()?;
         let meta = match transaction.open_table(META_TABLE) {
@@ -141,13 +145,14 @@
         }))
     }
 
-    /// Writes the header of a new replica, with an id that no other start draws.
+    /// Writes the header of a new replica, with a random id that distinguishes it from earlier replicas in
+    /// the slot.
     fn initialize(&mut self) -> Result<PersistentState, ReplicaStorageError> {
-        // The system's random hash keys differ at each start.
+        // The standard library seeds its hash keys from the operating system's random source at each start.
         let random = RandomState::new().hash_one(std::process::id());
         let id = new_id(self.slot, random);
         self.header = StoredHeader { version: FORMAT_VERSION, id, ..StoredHeader::default() };
-        self.write(&WriteBatch::default(), &self.header).map_err(failed)?;
+        self.write(&WriteBatch::default(), &self.header).map_err(storage_error)?;
         Ok(PersistentState { id, ..PersistentState::default() })
     }
 }
@@ -192,7 +197,7 @@
 
 impl ReplicaStorage for RedbStorage {
     fn load(&mut self) -> Result<PersistentState, ReplicaStorageError> {
-        let Some(state) = self.read().map_err(failed)? else { return self.initialize() };
+        let Some(state) = self.read().map_err(storage_error)? else { return self.initialize() };
         self.header = StoredHeader {
             version: FORMAT_VERSION,
             id: state.id,
@@ -212,14 +217,14 @@
         if let Some(founders) = &batch.founders {
             header.founders.clone_from(founders);
         }
-        self.write(&batch, &self.header).map_err(failed)
+        self.write(&batch, &self.header).map_err(storage_error)
     }
 
     fn reset(&mut self) -> Result<PersistentState, ReplicaStorageError> {
         self.database = None;
-        // The last replaced file is kept for inspection.
-        std::fs::rename(&self.path, self.path.with_extension(REPLACED_EXTENSION)).map_err(failed)?;
-        self.database = Some(Database::create(&self.path).map_err(failed)?);
+        // The previous file is kept for inspection, until the next reset.
+        std::fs::rename(&self.path, self.path.with_extension(REPLACED_EXTENSION)).map_err(storage_error)?;
+        self.database = Some(Database::create(&self.path).map_err(storage_error)?);
         self.initialize()
     }
 }
--- a/crates/coordination/src/runtime/admin.rs
+++ b/crates/coordination/src/runtime/admin.rs
@@ -1,4 +1,5 @@
-//! Answers to admin commands, among them the `FLEET` status text.
+//! Answers admin commands, including the status text of `FLEET`. Clients read these texts, so they stay as
+//! they are.
 
 use super::event_loop::Runtime;
 use crate::admin_commands::{parse, render, AdminCommand, PersonDirectory, StateQuery};
@@ -9,11 +10,12 @@
 use std::fmt::Display;
 use tokio::sync::oneshot;
 
-/// Stands in an answer for what is not known or not there.
-const NONE: &str = "-";
+/// Stands in an answer for a value that is unknown or absent.
+const ABSENT: &str = "-";
 
 impl Runtime {
-    /// Answers a command now, or once the replicas have agreed on it.
+    /// Answers a command: queries and handovers at once, proposals once the replicas have answered or the
+    /// node gives up.
     pub(super) fn on_admin_command(&mut self, now: Millis, line: &str, response: oneshot::Sender<String>) {
         let answer = match parse(line, &PersonDirectory(&self.settings.people)) {
             None => "400 not a call for the fleet\n".into(),
@@ -25,14 +27,15 @@
         let _ = response.send(answer);
     }
 
-    /// Proposes a command to the replicas; the response waits for the outcome.
+    /// Proposes a command to the replicas. The answer is sent once the node reports the outcome.
     fn propose(&mut self, now: Millis, command: Command, response: oneshot::Sender<String>) {
         self.last_ticket += 1;
         self.node.request(now, self.last_ticket, command);
         self.pending_responses.insert(self.last_ticket, response);
     }
 
-    /// Answers from the state that this instance has.
+    /// Answers a query from this instance's local copy of the replicated state, which may lag behind the
+    /// leader.
     fn answer(&self, now: Millis, query: StateQuery) -> String {
         let state = self.node.state();
         match query {
@@ -52,7 +55,7 @@
         }
     }
 
-    /// The status of this instance: its role, the leases, and the fraction of each site.
+    /// The status text: this instance's role, the leases, and the traffic fraction of each site.
     fn render_status(&self, now: Millis) -> String {
         let instance = self.identity.instance;
         let mut lines = vec![format!(
@@ -68,7 +71,7 @@
         lines.push(format!("index {} gates {fencing}", state.index()));
         for (lease, grant, candidates) in state.leases().leases() {
             let held = grant.map(|grant| format!("{} token {}", grant.holder.rank, grant.token.0));
-            lines.push(format!("duty {lease} held {} standing {}", or_none(held), candidates.len()));
+            lines.push(format!("duty {lease} held {} standing {}", or_absent(held), candidates.len()));
         }
         for (lease, token) in self.node.held_leases(now) {
             lines.push(format!("holds {lease} token {}", token.0));
@@ -83,14 +86,14 @@
     fn follower_status(&self, now: Millis) -> String {
         let (slot, is_connected) = self.node.following().unwrap_or((0, false));
         let connection = if is_connected { "connected" } else { "searching" };
-        format!("follows {slot} {connection} age {}", or_none(self.node.state_age(now)))
+        format!("follows {slot} {connection} age {}", or_absent(self.node.state_age(now)))
     }
 }
 
-/// The replica's role and members, and why it has halted if it has.
+/// The lines on a replica: its role and the members, and the reason if the replica has halted.
 fn replica_status<S: ReplicaStorage>(replica: &Replica<S>) -> impl Iterator<Item = String> {
     let role = if replica.is_leader() { " leads" } else { "" };
-    let leader = or_none(replica.leader());
+    let leader = or_absent(replica.leader());
     let members: Vec<String> = replica.voters().iter().map(|id| format!("{id:x}")).collect();
     let members = members.join(",");
     let change = if replica.changes_members() { " changing" } else { "" };
@@ -99,6 +102,6 @@
     std::iter::once(status).chain(halted)
 }
 
-fn or_none(value: Option<impl Display>) -> String {
-    value.map_or_else(|| NONE.to_owned(), |value| value.to_string())
+fn or_absent(value: Option<impl Display>) -> String {
+    value.map_or_else(|| ABSENT.to_owned(), |value| value.to_string())
 }
--- a/crates/coordination/src/runtime/audit.rs
+++ b/crates/coordination/src/runtime/audit.rs
@@ -1,23 +1,25 @@
-//! Log lines of the runtime: the audit lines by which lease holders are judged afterwards, and warnings at a limited rate.
+//! Log lines of the runtime: audit lines that record which instance held a lease when, and rate-limited
+//! warnings.
 
 use hillstall_consensus::node::AuditEvent;
 use hillstall_lease::Instance;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Log target of the audit lines. Other programs read them: target, messages and field names are fixed.
+/// Log target of the audit lines. Other programs read these lines, so target, messages and field names stay
+/// as they are.
 const AUDIT_TARGET: &str = "hillstall_coordination::runtime";
-/// Shortest time between two log lines of one kind.
+/// Minimum time between two log lines of one kind.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What is logged at a limited rate, each kind by itself.
+/// A kind of log line; the rate limit applies to each kind separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LogKind {
     /// A fenced command was rejected.
     RejectedCommand,
-    /// A replica introduced itself with a slot that does not exist.
+    /// A frame came from a replica slot that is not configured.
     UnknownSlot,
-    /// A connection was refused, or something unreadable came over one.
+    /// A connection was rejected, or a frame could not be decoded.
     Connection,
 }
 
@@ -34,8 +36,8 @@
 }
 
 impl LogLimiter {
-    /// Returns how many lines of a kind have been suppressed since the start if one may be logged now; otherwise counts
-    /// this one as suppressed and returns `None`.
+    /// If a line of this kind may be logged now, returns how many lines of the kind have been suppressed
+    /// since the process started. Otherwise counts this line as suppressed and returns `None`.
     pub fn admit(&mut self, kind: LogKind) -> Option<u64> {
         let now = Instant::now();
         let record = self.records.entry(kind).or_default();
@@ -48,30 +50,34 @@
     }
 }
 
-/// Writes an audit line. `unix_ms` is the time of day.
+/// Logs an audit event of this instance. `unix_ms` is the Unix time in milliseconds.
 pub fn log_audit_event(event: &AuditEvent, instance: Instance, unix_ms: u64, limiter: &mut LogLimiter) {
-    let (copy, life, at) = (instance.rank, instance.incarnation, unix_ms);
+    let (rank, incarnation) = (instance.rank, instance.incarnation);
     match event {
         AuditEvent::LeaseAcquired(lease, token) => {
             tracing::info!(
-                target: AUDIT_TARGET, copy, life, at, duty = %lease, token = token.0, "fleet holds"
+                target: AUDIT_TARGET, copy = rank, life = incarnation, at = unix_ms,
+                duty = %lease, token = token.0, "fleet holds"
             );
         }
         AuditEvent::LeaseLost(lease, token) => {
             tracing::info!(
-                target: AUDIT_TARGET, copy, life, at, duty = %lease, token = token.0, "fleet lost"
+                target: AUDIT_TARGET, copy = rank, life = incarnation, at = unix_ms,
+                duty = %lease, token = token.0, "fleet lost"
             );
         }
         AuditEvent::CommandApplied(command) => {
             tracing::info!(
-                target: AUDIT_TARGET, copy, life, at, duty = %command.lease, token = command.token.0,
+                target: AUDIT_TARGET, copy = rank, life = incarnation, at = unix_ms,
+                duty = %command.lease, token = command.token.0,
                 number = command.sequence, part = command.value, "fleet carried out"
             );
         }
         AuditEvent::CommandRejected(command, reason) => {
             if limiter.admit(LogKind::RejectedCommand).is_some() {
                 tracing::warn!(
-                    target: AUDIT_TARGET, copy, life, at, duty = %command.lease, token = command.token.0,
+                    target: AUDIT_TARGET, copy = rank, life = incarnation, at = unix_ms,
+                    duty = %command.lease, token = command.token.0,
                     "fleet refused: {reason}"
                 );
             }
--- a/crates/coordination/src/runtime/event_loop.rs
+++ b/crates/coordination/src/runtime/event_loop.rs
@@ -1,4 +1,5 @@
-//! The event loop: frames, requests and time go into the consensus node, and its outputs are carried out.
+//! The event loop: passes frames, requests and clock ticks to the consensus node, and processes the node's
+//! outputs.
 
 use super::audit::{log_audit_event, LogKind, LogLimiter};
 use super::handle::{Advisory, InstanceLocation, RuntimeRequest};
@@ -22,14 +23,14 @@
 
 /// Time between two ticks of the consensus node.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Most connection events that are taken before what they lead to is stored and sent.
+/// Maximum number of connection events that are handled before their results are stored and sent.
 const MAX_EVENTS_PER_WRITE: usize = 128;
 /// Time between two checks of the window calendar.
 const CALENDAR_INTERVAL: Duration = Duration::from_secs(1);
 /// How far ahead recurring windows are planned.
 const PLANNING_HORIZON_MS: Millis = 24 * 3_600_000;
 
-/// An instance that follows this replica over a connection that it opened.
+/// A follower that has opened a connection to this replica.
 struct AttachedInstance {
     connection: u64,
     queue: Sender<Bytes>,
@@ -41,17 +42,18 @@
     pub(super) location: InstanceLocation,
     pub(super) identity: LocalIdentity,
     pub(super) node: Node<RedbStorage>,
-    /// Responses to admin commands that wait for the replicas, by ticket.
+    /// Where to send the answers to admin commands that wait for an outcome from the replicas, by ticket.
     pub(super) pending_responses: BTreeMap<u64, oneshot::Sender<String>>,
+    /// The last ticket assigned to an admin command.
     pub(super) last_ticket: u64,
-    /// When this loop started; the node's time counts from here.
+    /// When this loop was created; the node's monotonic time starts here.
     started_at: Instant,
     events: UnboundedSender<ConnectionEvent>,
-    /// Connections opened here, by the replica's slot.
+    /// The connections that this instance opened, by the replica's slot.
     outbound: BTreeMap<usize, OutboundConnection>,
     attached: BTreeMap<Instance, AttachedInstance>,
     advisories: UnboundedSender<Advisory>,
-    /// Notified once all leases are released; set when the process shuts down.
+    /// Notified once all leases are released; set while the process shuts down.
     released: Option<oneshot::Sender<()>>,
     calendar_checked_at: Instant,
     log_limiter: LogLimiter,
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Runs until the process drops its end of the request channel.
+    /// Runs until the proxy drops its [`super::CoordinationHandle`].
     pub(super) async fn run(
         mut self,
         mut requests: UnboundedReceiver<RuntimeRequest>,
@@ -102,7 +104,7 @@
                     if let Some(event) = event {
                         self.on_connection_event(event);
                     }
-                    self.on_waiting_events(&mut events);
+                    self.on_queued_events(&mut events);
                 }
                 request = requests.recv() => match request {
                     Some(request) => self.on_request(request),
@@ -114,12 +116,13 @@
         }
     }
 
-    /// Milliseconds since the start of the loop.
+    /// The node's monotonic time: milliseconds since `started_at`.
     fn now(&self) -> Millis {
         millis(self.started_at.elapsed())
     }
 
-    /// A replica connects to all others; a follower connects where its node says.
+    /// Connects a replica to all others. A follower does nothing here: its node chooses the replica by
+    /// [`Output::Follow`].
     fn connect_to_other_replicas(&mut self) {
         let Some(own_slot) = self.identity.slot else { return };
         for slot in (0..self.settings.replicas.len()).filter(|slot| *slot != own_slot) {
@@ -142,7 +145,8 @@
         }
     }
 
-    /// The leader plans the next window of each recurrence once it comes within the horizon.
+    /// If this replica is the leader, plans the next window of each recurrence that starts within the
+    /// planning horizon.
     fn plan_recurring_windows(&mut self, now: Millis) {
         if !self.node.replica().is_some_and(|replica| replica.is_leader()) {
             return;
@@ -159,8 +163,8 @@
         }
     }
 
-    /// Takes the events that have arrived by now, so that what they lead to is stored in one write.
-    fn on_waiting_events(&mut self, events: &mut UnboundedReceiver<ConnectionEvent>) {
+    /// Handles the events that are already queued, so that their results are stored in one write.
+    fn on_queued_events(&mut self, events: &mut UnboundedReceiver<ConnectionEvent>) {
         for _ in 0..MAX_EVENTS_PER_WRITE {
             let Ok(event) = events.try_recv() else { return };
             self.on_connection_event(event);
@@ -194,7 +198,10 @@
             }
             ConnectionEvent::Refused { source } => {
                 if let Some(suppressed) = self.log_limiter.admit(LogKind::Connection) {
-                    tracing::warn!(suppressed, %source, "coordination: connection refused");
+                    tracing::warn!(
+                        suppressed, %source,
+                        "coordination: connection rejected; source not allowed or too many connections"
+                    );
                 }
             }
         }
@@ -204,11 +211,15 @@
         if slot < self.settings.replicas.len() {
             self.node.on_replica_frame(now, slot, frame);
         } else if let Some(suppressed) = self.log_limiter.admit(LogKind::UnknownSlot) {
-            tracing::warn!(suppressed, slot, "coordination: frame from a replica slot that does not exist");
+            tracing::warn!(
+                suppressed,
+                slot,
+                "coordination: frame from a replica slot that is not configured; dropped"
+            );
         }
     }
 
-    /// Whether this is an instance's newest connection; frames of older ones don't count any more.
+    /// Whether this is the instance's newest connection; events of older ones are ignored.
     fn is_current(&self, instance: Instance, connection: u64) -> bool {
         self.attached.get(&instance).is_some_and(|attached| attached.connection == connection)
     }
@@ -222,7 +233,8 @@
                 self.released = Some(released);
                 self.record_signal(now, "SIGTERM");
                 self.node.release_leases(now);
-                // The tick makes the node report the lost leases, so that they are logged before the process ends.
+                // The tick makes the node report the released leases, so that they are logged before the
+                // process ends.
                 self.on_tick();
             }
             RuntimeRequest::AdminCommand { line, response } => self.on_admin_command(now, &line, response),
@@ -262,7 +274,8 @@
         }
     }
 
-    /// Queues a frame; it is lost if there is no connection or its queue is full.
+    /// Queues a frame for its destination. The frame is dropped if there is no connection or its queue is
+    /// full.
     fn send(&self, destination: Destination, frame: &Frame) {
         match destination {
             Destination::Replica(slot) => {
@@ -302,13 +315,13 @@
     }
 }
 
-/// Whether a window of this site and beginning is in the schedule already, in whatever stage.
+/// Whether the replicated state already has a window with this site and start, in any stage.
 fn is_planned(node: &Node<RedbStorage>, plan: &WindowPlan) -> bool {
     let mut windows = node.state().windows().all().values();
     windows.any(|window| window.plan.site == plan.site && window.plan.starts_at == plan.starts_at)
 }
 
-/// The time of day in Unix milliseconds.
+/// The current Unix time in milliseconds.
 fn unix_millis() -> u64 {
     millis(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default())
 }
--- a/crates/coordination/src/runtime/exclusive.rs
+++ b/crates/coordination/src/runtime/exclusive.rs
@@ -1,5 +1,6 @@
-//! Acquires what only one process can have at a time. During an upgrade the older process keeps the storage and the listen
-//! address until it ends; meanwhile requests are answered here.
+//! Acquires the resources that only one process can hold: a replica's storage and its listen address. During
+//! an upgrade, the older process holds them until it ends; until then, requests of the proxy's event loop are
+//! answered here.
 
 use super::handle::RuntimeRequest;
 use crate::redb_storage::{RedbStorage, StorageError};
@@ -10,10 +11,11 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::sleep;
 
-/// Pause between two attempts.
+/// Pause between two attempts to acquire a resource.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Opens a replica's storage, waiting while another process has it. `None` if it fails, or if this process ends first.
+/// Opens a replica's storage, retrying while another process has it open. `None` if it can't be opened for
+/// another reason, or if this process ends first.
 pub async fn open_storage(
     directory: &Path,
     slot: usize,
@@ -33,7 +35,10 @@
                 is_logged = true;
             }
             Err(error) => {
-                tracing::error!(slot, %error, "coordination: replica storage failed; no replica until restarted");
+                tracing::error!(
+                    slot, %error,
+                    "coordination: replica storage can't be opened; no coordination until restarted"
+                );
                 return None;
             }
         }
@@ -41,7 +46,7 @@
     }
 }
 
-/// Binds a replica's listen address, waiting while it can't be bound. `None` if this process ends first.
+/// Binds a replica's listen address, retrying until it succeeds. `None` if this process ends first.
 pub async fn bind_listener(
     address: SocketAddr,
     requests: &mut UnboundedReceiver<RuntimeRequest>,
@@ -61,7 +66,7 @@
     }
 }
 
-/// Waits for the next attempt and answers requests meanwhile; `None` if the process ends.
+/// Waits until the next attempt and answers requests meanwhile; `None` if the proxy has dropped its handle.
 async fn retry_pause(requests: &mut UnboundedReceiver<RuntimeRequest>) -> Option<()> {
     let pause = sleep(RETRY_INTERVAL);
     tokio::pin!(pause);
@@ -73,7 +78,8 @@
     }
 }
 
-/// Answers a request while this instance does not take part yet.
+/// Answers a request while this instance does not take part in coordination yet; reports and signals are
+/// dropped.
 fn answer_before_start(request: RuntimeRequest) {
     match request {
         RuntimeRequest::AdminCommand { response, .. } => {
--- a/crates/coordination/src/runtime/handle.rs
+++ b/crates/coordination/src/runtime/handle.rs
@@ -6,48 +6,48 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// How long a shutdown waits until other instances have taken over the leases held here.
+/// How long a shutdown waits for other instances to take over the leases of this one.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// First words of the admin commands that belong to coordination.
+/// First words of the admin commands that coordination answers.
 const ADMIN_COMMANDS: [&str; 5] = ["FLEET", "WINDOW", "INCIDENT", "CHANGE", "RECORD"];
 
-/// Where an instance runs, as given by the platform.
+/// Where an instance runs, as configured by the platform.
 #[derive(Clone, Debug)]
 pub struct InstanceLocation {
-    /// Its number among all instances of all tiers.
+    /// The instance's number among all instances of all tiers.
     pub rank: u32,
-    /// Its site.
+    /// The instance's site.
     pub site: String,
-    /// All sites of the fleet.
+    /// The names of all sites of the fleet.
     pub sites: Vec<String>,
 }
 
-/// A message to the proxy's event loop.
+/// A message from the coordination runtime to the proxy's event loop.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Advisory {
-    /// From now on a site is to receive this fraction of its usual load.
+    /// From now on, this instance should send a site this fraction of its usual load.
     SiteFraction {
         /// The site.
         site: String,
-        /// From 0 (no load) to 1 (its usual load).
+        /// The fraction, from 0 (no load) to 1 (the usual load).
         fraction: f64,
     },
 }
 
-/// A message from the proxy's event loop.
+/// A message from the proxy's event loop to the coordination runtime.
 pub(super) enum RuntimeRequest {
     /// The platform has sent the process a signal.
     PlatformSignal(&'static str),
-    /// The load since the report before.
+    /// This instance's load since its previous report.
     LoadReport(LoadReport),
-    /// A line of the second address.
+    /// A line from the admin address.
     AdminCommand { line: String, response: oneshot::Sender<String> },
-    /// The process shuts down.
+    /// The process shuts down. `released` is notified once other instances hold the leases of this one.
     ReleaseLeases { released: oneshot::Sender<()> },
 }
 
-/// The proxy's end of the channel to the coordination runtime. No method blocks; if the runtime has failed, messages are
-/// dropped and the proxy goes on serving.
+/// The proxy's end of the channel to the coordination runtime. No method blocks. If the runtime has failed,
+/// messages are dropped, and the proxy continues to serve requests.
 pub struct CoordinationHandle {
     requests: UnboundedSender<RuntimeRequest>,
 }
@@ -57,13 +57,13 @@
         CoordinationHandle { requests }
     }
 
-    /// Reports the load of this instance since the report before.
+    /// Reports the load of this instance since its previous report.
     pub fn report(&self, report: LoadReport) {
         let _ = self.requests.send(RuntimeRequest::LoadReport(report));
     }
 
-    /// Passes on a line of the second address; `None` if it is no coordination command. The answer arrives within two
-    /// seconds; the receiver fails if the runtime has ended.
+    /// Passes a line from the admin address to coordination; `None` if the line is not a coordination
+    /// command. The answer arrives within two seconds; the receiver fails if the runtime has ended.
     pub fn admin_command(&self, line: &str) -> Option<oneshot::Receiver<String>> {
         let command = line.split_ascii_whitespace().next()?;
         if !ADMIN_COMMANDS.contains(&command) {
@@ -74,12 +74,14 @@
         Some(receiver)
     }
 
-    /// Records that the platform has signalled this instance: a change without a permit, which is never held back.
+    /// Records in the audit log that the platform has sent this process a signal. Such a change needs no
+    /// permit and is never delayed.
     pub fn on_signal(&self, signal: &'static str) {
         let _ = self.requests.send(RuntimeRequest::PlatformSignal(signal));
     }
 
-    /// Gives up all leases before the process ends. Returns once other instances hold them, or after a timeout.
+    /// Releases all leases before the process ends. Returns once other instances hold them, or after a
+    /// timeout.
     pub async fn release_leases(&self) {
         let (released, receiver) = oneshot::channel();
         if self.requests.send(RuntimeRequest::ReleaseLeases { released }).is_ok() {
--- a/crates/coordination/src/runtime/mod.rs
+++ b/crates/coordination/src/runtime/mod.rs
@@ -1,9 +1,9 @@
-//! The coordination runtime: one event loop on one thread.
+//! The coordination runtime: one event loop on its own thread.
 //!
-//! * `handle`: the messages from and to the proxy's event loop,
-//! * `startup`: starts the thread, and a replica's listener and storage,
-//! * `exclusive`: waits for what the older process of an upgrade still has,
-//! * `event_loop`: feeds frames, requests and time to the consensus node and carries out its outputs,
+//! * `handle`: the messages to and from the proxy's event loop,
+//! * `startup`: starts the thread, and opens a replica's storage and listener,
+//! * `exclusive`: waits for resources that the older process of an upgrade still holds,
+//! * `event_loop`: feeds frames, requests and clock ticks to the consensus node and processes its outputs,
 //! * `admin`: answers admin commands,
 //! * `audit`: audit lines and rate-limited warnings.
 
--- a/crates/coordination/src/runtime/startup.rs
+++ b/crates/coordination/src/runtime/startup.rs
@@ -1,4 +1,4 @@
-//! Starts the coordination thread and what its event loop needs.
+//! Starts the coordination thread, and opens a replica's storage and listener before its event loop starts.
 
 use super::event_loop::Runtime;
 use super::exclusive::{bind_listener, open_storage};
@@ -13,30 +13,37 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::task::{spawn_local, LocalSet};
 
-/// Name of the coordination thread.
+/// Name of the coordination thread, as debuggers and the operating system show it.
 const THREAD_NAME: &str = "fleet";
 
 /// Why coordination could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The operating system refused a thread.
-    #[error("fleet: no thread: {source}")]
+    /// The operating system could not start the thread.
+    #[error("fleet: coordination thread can't be started: {source}")]
     Thread {
-        /// What the operating system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// The directory for a replica's storage does not exist.
-    #[error("fleet.disk: {}: there is no such folder; a keeper needs one that outlives it", path.display())]
+    #[error(
+        "fleet.disk: directory {} does not exist; a keeper needs one that outlives the process",
+        path.display()
+    )]
     MissingStorageDirectory {
         /// The configured directory.
         path: PathBuf,
     },
 }
 
-/// Starts coordination on a thread of its own. A failure on that thread ends it alone; the proxy goes on serving.
+/// Starts coordination on its own thread. If that thread fails, the proxy continues to serve requests without
+/// coordination.
+///
+/// Returns the handle to the thread and the receiver of its messages to the proxy.
 ///
 /// # Errors
-/// [`StartError`] if the thread can't be started, or if this instance is a replica whose storage directory is missing.
+/// [`StartError`] if the thread can't be started, or if this instance is a replica whose storage directory is
+/// missing.
 pub fn start(
     settings: Settings,
     location: InstanceLocation,
@@ -54,7 +61,11 @@
             Ok(executor) => {
                 LocalSet::new().block_on(&executor, run(settings, location, requests, advisory_sender))
             }
-            Err(error) => tracing::error!(%error, "coordination: no async runtime"),
+            Err(error) => {
+                tracing::error!(
+                    %error, "coordination: async runtime can't be created; no coordination until restarted"
+                )
+            }
         }
     };
     let spawned = std::thread::Builder::new().name(THREAD_NAME.into()).spawn(run_thread);
@@ -62,14 +73,15 @@
     Ok((CoordinationHandle::new(request_sender), advisories))
 }
 
-/// Everything that runs on the thread, until the process ends.
+/// Runs on the coordination thread until the proxy drops its handle.
 async fn run(
     settings: Settings,
     location: InstanceLocation,
     mut requests: UnboundedReceiver<RuntimeRequest>,
     advisories: UnboundedSender<Advisory>,
 ) {
-    // The system's random hash keys give each start of a process another incarnation.
+    // The standard library seeds its hash keys from the operating system's random source, so each start of a
+    // process gets another incarnation.
     let incarnation = RandomState::new().hash_one(std::process::id());
     let identity = LocalIdentity {
         fleet: settings.name.clone(),
@@ -88,7 +100,8 @@
     runtime.run(requests, events).await;
 }
 
-/// Acquires a replica's storage and listen address, and accepts connections from then on.
+/// Acquires a replica's storage and listen address, and starts to accept connections. `None` if the storage
+/// can't be opened, or if the process ends first.
 async fn start_replica(
     replica: &LocalReplica,
     settings: &Settings,
--- a/crates/coordination/src/settings/mod.rs
+++ b/crates/coordination/src/settings/mod.rs
@@ -1,7 +1,7 @@
 //! The section `[fleet]` of the operator file.
 //!
-//! * `raw`: the section as it stands in the file; the names of its fields are the operator's keys,
-//! * `validation`: checks and converts it into [`Settings`].
+//! * `raw`: the section as parsed from the file; its field names are the keys of the file,
+//! * `validation`: checks the section and converts it into [`Settings`].
 
 mod raw;
 mod validation;
@@ -16,15 +16,15 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A key whose value can't be used, and where it stands in the text.
+/// An invalid key or value, with its position in the text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {reason}")]
 pub struct ConfigError {
-    /// Offset in the text, in bytes.
+    /// Offset in the text of the operator file, in bytes.
     pub offset: usize,
     /// The key with its section, such as `fleet.term`.
     pub key: String,
-    /// What is wrong with the value.
+    /// What is wrong, for operators.
     pub reason: String,
 }
 
@@ -33,43 +33,43 @@
 pub struct Settings {
     /// The name of the fleet; instances of two fleets never exchange messages.
     pub name: String,
-    /// The replicas' addresses as this instance reaches them, by slot.
+    /// The addresses at which this instance reaches the replicas, by slot.
     pub replicas: Vec<SocketAddr>,
-    /// Set if this instance is a replica.
+    /// The settings of the replica that this instance runs; `None` for a follower.
     pub local_replica: Option<LocalReplica>,
-    /// Addresses that may connect besides the replicas' own.
+    /// Addresses that may open connections to this instance, in addition to the replicas' addresses.
     pub allowed_sources: Vec<IpAddr>,
-    /// The site of this instance, if not its zone.
+    /// The site of this instance; `None` if the instance's zone is its site.
     pub site: Option<String>,
-    /// Term and clock drift of leases.
+    /// Term, safety margin and maximum clock drift of leases.
     pub lease_timing: LeaseTiming,
-    /// How long a fenced command is valid that is not repeated.
+    /// How long a fenced command stays valid if the lease holder does not renew it.
     pub command_ttl: Duration,
-    /// Steps of a traffic shift, and the ramp by which each instance restores a site's load.
+    /// Steps of a traffic shift, and the ramp with which each instance restores a site's traffic.
     pub pacing: ShiftPacing,
-    /// Each person's main name by all of their names; empty if any name is a person.
+    /// Maps each name of a person to the person's main name. If empty, every name is accepted as a person.
     pub people: BTreeMap<String, String>,
     /// The recurring maintenance windows.
     pub windows: Vec<Recurrence>,
-    /// Offset of each window in the text, in bytes.
+    /// The offset of each of `windows` in the text of the operator file, in bytes.
     pub window_offsets: Vec<usize>,
 }
 
-/// The part of a replica in its own settings.
+/// The settings of the replica that this instance runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocalReplica {
-    /// Its index in [`Settings::replicas`].
+    /// The replica's index in [`Settings::replicas`].
     pub slot: usize,
-    /// Where it accepts connections.
+    /// The address on which the replica accepts connections.
     pub listen_address: SocketAddr,
-    /// The directory of its storage, which has to outlive the process.
+    /// The directory of the replica's storage, which must outlive the process.
     pub storage_directory: PathBuf,
 }
 
-/// Reads the section out of the text of an operator file; `None` if it has none.
+/// Reads the section `[fleet]` from the text of an operator file; `None` if the text has no such section.
 ///
 /// # Errors
-/// All errors at once, except that an error of syntax or an unknown key comes alone.
+/// All invalid values at once; a syntax error or an unknown key is returned alone.
 pub fn read(text: &str) -> Result<Option<Settings>, Vec<ConfigError>> {
     #[derive(Deserialize)]
     struct OperatorFile {
@@ -82,7 +82,7 @@
     file.fleet.map(validation::validate).transpose()
 }
 
-/// The key on the line at an offset.
+/// The key, with its section, on the line that contains `offset`.
 fn key_at(text: &str, offset: usize) -> String {
     let line_start = text[..offset.min(text.len())].rfind('\n').map_or(0, |newline| newline + 1);
     let line = text[line_start..].lines().next().unwrap_or_default();
@@ -99,8 +99,8 @@
 }
 
 impl Settings {
-    /// Finds conflicts among the windows, and windows of unknown sites. `sites` are all sites of the fleet, or empty if they
-    /// are not known; `now` is the time of day since the Unix epoch.
+    /// Finds conflicts among the windows, and windows of unknown sites. `sites` are all sites of the fleet,
+    /// or empty if they are not known; `now` is the Unix time.
     pub fn schedule_conflicts(&self, sites: &[String], now: Duration) -> Vec<ConfigError> {
         let conflicts = find_conflicts(&self.windows, sites, millis(now));
         let to_error = |conflict: hillstall_maintenance::calendar::ScheduleConflict| ConfigError {
--- a/crates/coordination/src/settings/validation.rs
+++ b/crates/coordination/src/settings/validation.rs
@@ -1,4 +1,5 @@
-//! Checks the section and converts it. Errors are collected, so that an operator sees all of them at once.
+//! Validates the section `[fleet]` and converts it into [`Settings`]. Errors are collected, so that an
+//! operator sees all of them at once.
 
 use super::raw::{DurationWithUnit, FleetSection, WindowSection};
 use super::{ConfigError, LocalReplica, Settings};
@@ -15,15 +16,15 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// Bounds and default of a number.
+/// Valid range and default of a number.
 struct NumberBounds<T> {
     range: Range<T>,
     default: T,
-    /// The bounds in words.
+    /// The range as shown in error messages.
     description: &'static str,
 }
 
-/// Bounds and default of a duration; both bounds are allowed.
+/// Valid range, both ends included, and default of a duration.
 struct DurationBounds {
     min: Duration,
     max: Duration,
@@ -38,21 +39,22 @@
 /// The safety margin at the end of a lease is its term divided by this.
 const SAFETY_MARGIN_DIVISOR: u64 = 20;
 const PPM_PER_PERCENT: f64 = 10_000.0;
-/// Drift that is counted on at the most, in percent, so that the timing can be computed for wrong settings too.
-const MAX_COMPUTED_DRIFT: f64 = 19.0;
+/// Larger drifts are clamped to this, in percent, so that the lease term can be validated although the drift
+/// is invalid.
+const MAX_DRIFT_PERCENT_FOR_TIMING: f64 = 19.0;
 const PER_MILLE_PER_PERCENT: f64 = 10.0;
 const ALLOWED_REPLICA_COUNTS: [usize; 3] = [1, 3, 5];
 
-/// In percent.
+/// Maximum clock drift, in percent.
 const DRIFT: NumberBounds<f64> =
     NumberBounds { range: 0.0..20.0, default: 5.0, description: "from 0 to 20 in a hundred" };
-/// In percent of a site's usual load.
+/// Maximum step of a traffic shift, in percent of a site's usual traffic.
 const STEP: NumberBounds<f64> =
     NumberBounds { range: 1.0..100.001, default: 12.5, description: "from 1 to 100 in a hundred" };
-/// In percent of all instances.
+/// Share of the instances whose load reports must be recent, in percent.
 const REPORTING_RATIO: NumberBounds<f64> =
     NumberBounds { range: 1.0..100.001, default: 75.0, description: "from 1 to 100 in a hundred" };
-/// In percent of the capacity of the other sites.
+/// Capacity that the other sites must keep free, in percent.
 const WINDOW_RESERVE: NumberBounds<u8> =
     NumberBounds { range: 0..91, default: 20, description: "from 0 to 90 in a hundred" };
 
@@ -72,10 +74,10 @@
     default: Duration::from_secs(600),
 };
 
-/// Converts the section.
+/// Validates the section and converts it.
 ///
 /// # Errors
-/// Everything that is wrong with it, in the order of the checks.
+/// All invalid values, in the order of the checks.
 pub fn validate(section: FleetSection) -> Result<Settings, Vec<ConfigError>> {
     let mut validator = Validator { errors: Vec::new() };
     let settings = validator.settings(section);
@@ -86,7 +88,8 @@
     }
 }
 
-/// Collects errors. Each check returns a value to go on with, which is of no use if there are errors.
+/// Collects errors. Each check returns a value so that validation can continue; the values must not be used
+/// if there are errors.
 struct Validator {
     errors: Vec<ConfigError>,
 }
@@ -225,7 +228,7 @@
     fn lease_timing(&mut self, section: &FleetSection) -> LeaseTiming {
         let term = section.term.as_ref().map_or(DEFAULT_LEASE_TERM, |term| term.get_ref().0);
         let drift = self.number(section.drift.as_ref(), "drift", &DRIFT);
-        let drift_ppm = (drift.clamp(0.0, MAX_COMPUTED_DRIFT) * PPM_PER_PERCENT) as u32;
+        let drift_ppm = (drift.clamp(0.0, MAX_DRIFT_PERCENT_FOR_TIMING) * PPM_PER_PERCENT) as u32;
         let timing = LeaseTiming::new(millis(term), drift_ppm, millis(term) / SAFETY_MARGIN_DIVISOR);
         if let (Err(error), Some(term)) = (&timing, &section.term) {
             self.add(term.span(), "term", error.to_string());
@@ -247,7 +250,7 @@
         }
     }
 
-    /// The first of a person's names is the main one.
+    /// Maps each name to the main name of its person, which is the first one listed.
     fn people(&mut self, listed: &[Spanned<Vec<String>>]) -> BTreeMap<String, String> {
         let mut people = BTreeMap::new();
         for names in listed {
