--- a/crates/coordination/tests/admin_commands.rs
+++ b/crates/coordination/tests/admin_commands.rs
@@ -1,4 +1,4 @@
-//! Lines of the second address are parsed, and errors say what is wrong with them.
+//! Parsing of admin commands, and the errors for invalid ones.
 
 use hillstall_change_freeze::state::FreezeCommand;
 use hillstall_consensus::state::Command;
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn lines_are_parsed_and_errors_are_named() {
+fn valid_lines_are_parsed_and_errors_name_the_invalid_part() {
     let people = [("mira", "mira"), ("mk", "mira"), ("tom", "tom")];
     let people = people.map(|(name, main_name)| (name.to_owned(), main_name.to_owned())).into();
-    let parse_line = |line: &str| parse(line, &PersonDirectory(&people)).expect("it is for the fleet");
+    let parse_line = |line: &str| parse(line, &PersonDirectory(&people)).expect("a coordination command");
     assert_eq!(parse_line("FLEET"), Ok(AdminCommand::StateQuery(StateQuery::Status)));
-    let emergency = parse_line("CHANGE EMERGENCY drain site:north mk for=30s").expect("it is read");
+    let emergency = parse_line("CHANGE EMERGENCY drain site:north mk for=30s").expect("a valid command");
     let AdminCommand::Propose(Command::Freeze(FreezeCommand::RequestEmergencyChange(request))) = emergency
     else {
         panic!("{emergency:?}")
@@ -20,7 +20,7 @@
     assert_eq!(
         (request.requested_by.as_str(), request.max_duration),
         ("mira", 30_000),
-        "one person under two names"
+        "the alias mk is resolved to the main name"
     );
     let planned = parse_line("WINDOW PLAN north begin=2026-05-03T02:00[Europe/Berlin] length=1h lead=10m");
     assert!(planned.is_ok(), "{planned:?}");
@@ -44,7 +44,7 @@
 
 proptest! {
     #[test]
-    fn no_line_makes_it_panic(line in "(FLEET|WINDOW|INCIDENT|CHANGE)?[ -~]{0,120}") {
+    fn parsing_never_panics(line in "(FLEET|WINDOW|INCIDENT|CHANGE)?[ -~]{0,120}") {
         let _ = parse(&line, &PersonDirectory(&BTreeMap::new()));
     }
 }
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A follower on a real socket, with the test as its only replica.
+//! Runs a follower on a real socket, with the test in the role of its only replica.
 
 use hillstall_consensus::frame::Frame;
 use hillstall_coordination::{settings, start, CoordinationHandle, InstanceLocation};
@@ -8,63 +8,63 @@
 use std::time::Duration;
 
 const SNAPSHOT: &str = include_str!("../../../consensus/tests/fixtures/snapshot.txt");
-/// The follower's number in the fleet.
+/// The follower's rank.
 pub const RANK: u32 = 7;
-/// The index of the snapshot.
+/// The log index of [`SNAPSHOT`].
 pub const INDEX: u64 = 136;
-/// Longest wait for anything; only a failure takes as long.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Shorter than the silence after which a follower turns to another replica.
-const BEAT_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum wait for a frame, long enough for a busy machine.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
+/// Shorter than the time without frames after which a follower chooses another replica.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The bytes of a text of hexadecimal digits.
-pub fn bytes_of(hex: &str) -> Vec<u8> {
-    assert!(hex.len().is_multiple_of(2), "half a byte: {hex}");
-    let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
+/// Decodes hexadecimal digits.
+pub fn decode_hex(hex: &str) -> Vec<u8> {
+    assert!(hex.len().is_multiple_of(2), "odd number of digits: {hex}");
+    let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two hexadecimal digits");
     (0..hex.len()).step_by(2).map(digits).collect()
 }
 
-/// A connection that the follower has opened.
+/// The replica's end of a connection that the follower has opened.
 pub struct Connection {
     reader: TcpStream,
-    /// The frame that is written now is written whole.
+    /// The mutex keeps the heartbeat thread from writing into the middle of another frame.
     writer: Arc<Mutex<TcpStream>>,
 }
 
-/// Writes a frame behind its length.
+/// Writes a frame: its length in four bytes, big-endian, then the frame.
 fn write_frame(writer: &Mutex<TcpStream>, frame: &Frame) -> std::io::Result<()> {
     let bytes = frame.encode();
-    let length = u32::try_from(bytes.len()).expect("it is short").to_be_bytes();
-    writer.lock().expect("no writer has failed").write_all(&[&length, bytes.as_slice()].concat())
+    let length = u32::try_from(bytes.len()).expect("a length below 4 GiB").to_be_bytes();
+    writer.lock().expect("the mutex is not poisoned").write_all(&[&length, bytes.as_slice()].concat())
 }
 
 impl Connection {
     fn accept(listener: &TcpListener) -> Connection {
-        let (reader, _) = listener.accept().expect("it connects");
-        reader.set_read_timeout(Some(PATIENCE)).expect("it is set");
-        let writer = Arc::new(Mutex::new(reader.try_clone().expect("it is cloned")));
+        let (reader, _) = listener.accept().expect("a connection of the follower");
+        reader.set_read_timeout(Some(READ_TIMEOUT)).expect("the timeout is set");
+        let writer = Arc::new(Mutex::new(reader.try_clone().expect("the socket is cloned")));
         Connection { reader, writer }
     }
 
-    /// The next frame: four bytes of length, highest first, then the frame.
+    /// Reads the next frame.
     fn receive(&mut self) -> Vec<u8> {
         let mut length = [0; 4];
-        self.reader.read_exact(&mut length).expect("a length comes");
+        self.reader.read_exact(&mut length).expect("the length of a frame");
         let mut frame = vec![0; u32::from_be_bytes(length) as usize];
-        self.reader.read_exact(&mut frame).expect("a frame comes");
+        self.reader.read_exact(&mut frame).expect("a whole frame");
         frame
     }
 
-    /// Sends a frame.
     pub fn send(&mut self, frame: &Frame) {
-        write_frame(&self.writer, frame).expect("it is sent");
+        write_frame(&self.writer, frame).expect("the frame is sent");
     }
 
-    /// Waits for a certain frame; each one on the way is written as it was read.
+    /// Reads frames until `wanted` accepts one; returns its bytes and what `wanted` returned. Checks that
+    /// each frame is encoded to the bytes that it was decoded from.
     pub fn receive_until<T>(&mut self, wanted: impl Fn(Frame) -> Option<T>) -> (Vec<u8>, T) {
         loop {
             let bytes = self.receive();
-            let frame = Frame::decode(&bytes).expect("it is a frame");
+            let frame = Frame::decode(&bytes).expect("a valid frame");
             assert_eq!(frame.encode(), bytes, "{frame:?}");
             if let Some(found) = wanted(frame) {
                 return (bytes, found);
@@ -72,29 +72,30 @@
         }
     }
 
-    /// Keeps the follower from turning away, until the connection ends.
-    fn send_beats(&self) {
+    /// Sends heartbeats until the connection ends, so that the follower does not choose another replica.
+    fn send_heartbeats(&self) {
         let writer = Arc::clone(&self.writer);
         std::thread::spawn(move || {
             while write_frame(&writer, &Frame::Heartbeat(INDEX)).is_ok() {
-                std::thread::sleep(BEAT_INTERVAL);
+                std::thread::sleep(HEARTBEAT_INTERVAL);
             }
         });
     }
 }
 
-/// Starts a follower and takes its connection, up to where it has the state.
-pub fn follower() -> (CoordinationHandle, Connection, Vec<u8>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+/// Starts a follower, accepts its connection and sends it [`SNAPSHOT`]. Returns its handle, the connection
+/// and the bytes of its first frame.
+pub fn start_follower() -> (CoordinationHandle, Connection, Vec<u8>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     let text = format!("[fleet]\nname = \"shop\"\nkeepers = [\"{address}\"]\n");
-    let settings = settings::read(&text).expect("it is read").expect("there is one");
+    let settings = settings::read(&text).expect("a valid section").expect("a section [fleet]");
     let sites = ["east", "north", "south", "west"].map(str::to_owned).to_vec();
-    let place = InstanceLocation { rank: RANK, site: "north".into(), sites };
-    let (handle, _hints) = start(settings, place).expect("it starts");
+    let location = InstanceLocation { rank: RANK, site: "north".into(), sites };
+    let (handle, _advisories) = start(settings, location).expect("coordination starts");
     let mut connection = Connection::accept(&listener);
     let hello = connection.receive();
-    connection.send(&Frame::State(bytes_of(SNAPSHOT.trim_end())));
-    connection.send_beats();
+    connection.send(&Frame::State(decode_hex(SNAPSHOT.trim_end())));
+    connection.send_heartbeats();
     (handle, connection, hello)
 }
--- a/crates/coordination/tests/settings.rs
+++ b/crates/coordination/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The section `[fleet]` of the operator file: valid sections are read, and each error names its line and key.
+//! Reading of the section `[fleet]` of the operator file: valid sections, and errors with their line and key.
 
 use hillstall_coordination::settings::read;
 use std::time::Duration;
@@ -6,16 +6,16 @@
 const VALID: &str =
     "[fleet]\nname = \"shop\"\nkeepers = [\"127.0.0.1:1\", \"127.0.0.1:2\", \"127.0.0.1:3\"]\n";
 
-/// The number of the line at an offset, from 1.
+/// The number of the line that contains an offset, counted from 1.
 fn line_at(text: &str, offset: usize) -> usize {
     text[..offset].matches('\n').count() + 1
 }
 
 #[test]
 fn a_valid_section_is_read_and_an_absent_one_is_none() {
-    assert!(read("[log]\nlevel = \"info\"\n").expect("it is read").is_none());
+    assert!(read("[log]\nlevel = \"info\"\n").expect("a valid file").is_none());
     let text = format!("{VALID}people = [[\"mira\", \"mk\"]]\nterm = \"3s\"\n");
-    let settings = read(&text).expect("it is read").expect("there is one");
+    let settings = read(&text).expect("a valid section").expect("a section [fleet]");
     let replica = settings.local_replica;
     assert_eq!((settings.replicas.len(), replica, settings.lease_timing.term()), (3, None, 3_000));
     assert_eq!(settings.people["mk"], "mira");
@@ -23,8 +23,8 @@
 
 #[test]
 fn each_error_names_its_line_and_key() {
-    let window = |more: &str| {
-        format!("[[fleet.window]]\nsite = \"a\"\nstart = \"2040-05-03T02:00\"\nzone = \"UTC\"\nlength = \"1h\"\nlead = \"10m\"\n{more}")
+    let window = |extra_lines: &str| {
+        format!("[[fleet.window]]\nsite = \"a\"\nstart = \"2040-05-03T02:00\"\nzone = \"UTC\"\nlength = \"1h\"\nlead = \"10m\"\n{extra_lines}")
     };
     let cases = [
         ("keeper = 0\n".to_owned(), 4, "fleet.keeper", "fleet.listen"),
@@ -43,24 +43,24 @@
         (window("overrun = \"stay\"\n"), 10, "fleet.window.overrun", "none of"),
         (window("reserve = 99\n"), 10, "fleet.window.reserve", "out of bounds"),
     ];
-    for (more, line, key, reason) in cases {
-        let text = format!("{VALID}{more}");
-        let errors = read(&text).expect_err(&more);
+    for (extra_lines, line, key, reason) in cases {
+        let text = format!("{VALID}{extra_lines}");
+        let errors = read(&text).expect_err(&extra_lines);
         let found = errors.iter().find(|error| error.key == key && error.reason.contains(reason));
-        let found = found.unwrap_or_else(|| panic!("{more}: {errors:?}"));
-        assert_eq!(line_at(&text, found.offset), line, "{more}: {errors:?}");
+        let found = found.unwrap_or_else(|| panic!("{extra_lines}: {errors:?}"));
+        assert_eq!(line_at(&text, found.offset), line, "{extra_lines}: {errors:?}");
     }
-    let two = format!("{VALID}{}{}", window(""), window("").replace("\"a\"", "\"b\""));
-    let settings = read(&two).expect("it is read").expect("there is one");
+    let two_windows = format!("{VALID}{}{}", window(""), window("").replace("\"a\"", "\"b\""));
+    let settings = read(&two_windows).expect("a valid section").expect("a section [fleet]");
     let conflicts = settings.schedule_conflicts(&[], Duration::from_secs(1_800_000_000));
     let is_second_start =
-        |offset: usize, key: &str| key == "fleet.window.start" && line_at(&two, offset) == 10;
+        |offset: usize, key: &str| key == "fleet.window.start" && line_at(&two_windows, offset) == 10;
     assert!(conflicts.iter().any(|error| is_second_start(error.offset, &error.key)), "{conflicts:?}");
 }
 
 proptest::proptest! {
     #[test]
-    fn no_text_makes_it_panic(text in "(\\[fleet\\]\n)?[ -~\n]{0,200}") {
+    fn reading_never_panics(text in "(\\[fleet\\]\n)?[ -~\n]{0,200}") {
         let _ = read(&text);
     }
 }
--- a/crates/coordination/tests/wire.rs
+++ b/crates/coordination/tests/wire.rs
@@ -1,9 +1,9 @@
-//! A follower on a real socket, with this test as its only replica: what it sends is pinned to the byte, and so is what it
-//! answers on the second address from a state that an earlier version wrote.
+//! Wire compatibility of a follower, with this test as its only replica: the bytes of the frames that it
+//! sends, and its answers to admin commands from a state that an earlier version wrote.
 
 mod common;
 
-use common::{bytes_of, follower, Connection, INDEX, RANK};
+use common::{decode_hex, start_follower, Connection, INDEX, RANK};
 use hillstall_change_freeze::state::{FreezeCommand as Freeze, RejectReason, Response};
 use hillstall_consensus::frame::Frame;
 use hillstall_consensus::state::{Command, Outcome, Proposal};
@@ -12,11 +12,11 @@
 use hillstall_lease::{FencingToken, Instance};
 use std::fmt::Write as _;
 
-const ANSWERS: &str = include_str!("fixtures/admin-answers.txt");
-/// The frame that confirms the snapshot.
-const ACK: &str = "01088801";
+const EXPECTED_ANSWERS: &str = include_str!("fixtures/admin-answers.txt");
+/// The bytes of the frame that acknowledges the snapshot.
+const SNAPSHOT_ACK: &str = "01088801";
 
-fn acknowledged(frame: Frame) -> Option<u64> {
+fn acknowledged_index(frame: Frame) -> Option<u64> {
     match frame {
         Frame::Ack(index) => Some(index),
         _ => None,
@@ -24,11 +24,11 @@
 }
 
 fn answer(handle: &CoordinationHandle, line: &str) -> String {
-    handle.admin_command(line).expect("it is for the fleet").blocking_recv().expect("it is answered")
+    handle.admin_command(line).expect("a coordination command").blocking_recv().expect("an answer")
 }
 
-/// A text without what differs from run to run: what was drawn at the start, and how old the state is.
-fn without_run(text: &str) -> String {
+/// Replaces the values that differ from run to run by `*`: the incarnation and the age of the state.
+fn mask_run_values(text: &str) -> String {
     let words = |line: &str| {
         let mut words: Vec<&str> = line.split(' ').collect();
         for name in ["life", "age"] {
@@ -42,34 +42,34 @@
 }
 
 #[test]
-fn a_follower_says_who_it_is_and_confirms_the_state() {
-    let (_handle, mut connection, hello) = follower();
+fn a_follower_sends_hello_and_acknowledges_the_snapshot() {
+    let (_handle, mut connection, hello) = start_follower();
     let Ok(Frame::Hello { fleet, instance, replica }) = Frame::decode(&hello) else { panic!("{hello:?}") };
     assert_eq!((fleet.as_str(), instance.rank, replica), ("shop", RANK, None));
-    let mut expected = bytes_of("01000473686f7007");
-    expected.extend(postcard::to_stdvec(&instance.incarnation).expect("it is written"));
+    let mut expected = decode_hex("01000473686f7007");
+    expected.extend(postcard::to_stdvec(&instance.incarnation).expect("encoded"));
     expected.push(0);
     assert_eq!(hello, expected);
-    let (bytes, index) = connection.receive_until(acknowledged);
+    let (bytes, index) = connection.receive_until(acknowledged_index);
     assert_eq!(index, INDEX);
-    assert_eq!(bytes, bytes_of(ACK));
+    assert_eq!(bytes, decode_hex(SNAPSHOT_ACK));
 }
 
 #[test]
-fn questions_are_answered_from_a_stored_state() {
-    let (handle, mut connection, _) = follower();
-    connection.receive_until(acknowledged);
+fn queries_are_answered_from_a_state_of_an_earlier_version() {
+    let (handle, mut connection, _) = start_follower();
+    connection.receive_until(acknowledged_index);
     let mut text = String::new();
     for line in ["FLEET", "WINDOW", "INCIDENT", "CHANGE", "RECORD"] {
-        let _ = write!(text, "> {line}\n{}", without_run(&answer(&handle, line)));
+        let _ = write!(text, "> {line}\n{}", mask_run_values(&answer(&handle, line)));
     }
-    assert_eq!(text, ANSWERS);
+    assert_eq!(text, EXPECTED_ANSWERS);
 }
 
-/// Each outcome and the answer that a person gets.
+/// Each outcome of a command, with the answer at the admin address.
 fn expected_answers() -> Vec<(Outcome, &'static str)> {
     let grant = Grant { holder: Instance { rank: 1, incarnation: 2 }, token: FencingToken(3), renewals: 4 };
-    let barred = Response::Blocked { change: 10, incident: 11, retry_after: 12 };
+    let blocked = Response::Blocked { change: 10, incident: 11, retry_after: 12 };
     vec![
         (Outcome::Window, "200 agreed\n"),
         (Outcome::Lease(Some(grant)), "200 agreed\n"),
@@ -80,7 +80,7 @@
         (Outcome::Freeze(Response::Permitted(6)), "200 6 permit\n"),
         (Outcome::Freeze(Response::Queued { change: 7, behind: 8 }), "202 7 waits behind change 8\n"),
         (Outcome::Freeze(Response::AwaitingSecondApproval(9)), "202 9 waits for a second person\n"),
-        (Outcome::Freeze(barred), "409 10 barred by incident 11; ask again in 12 ms\n"),
+        (Outcome::Freeze(blocked), "409 10 barred by incident 11; ask again in 12 ms\n"),
         (Outcome::Freeze(Response::Rejected(RejectReason::NotFound)), "400 there is none of that number\n"),
         (Outcome::Freeze(Response::Rejected(RejectReason::Superseded)), "400 it has changed since\n"),
         (
@@ -106,8 +106,9 @@
     ]
 }
 
-/// Names every variant: a new one does not compile before it stands here and in the list above.
-fn name_of(outcome: &Outcome) -> &'static str {
+/// Names an outcome in failure messages. The matches are exhaustive, so that a new variant does not compile
+/// until it is added here; add it to `expected_answers` too.
+fn outcome_name(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Lease(_) => "grant",
         Outcome::GrantEnded { .. } => "superseded",
@@ -133,7 +134,8 @@
     }
 }
 
-/// Has a person propose something, gives it this outcome, and returns the answer.
+/// Sends an admin command that proposes something, responds with this outcome as the replica, and returns the
+/// answer.
 fn answer_to_outcome(
     handle: &CoordinationHandle,
     connection: &mut Connection,
@@ -141,28 +143,30 @@
     outcome: &Outcome,
 ) -> String {
     let line = format!("INCIDENT TAKE {number} mira");
-    let answered = handle.admin_command(&line).expect("it is for the fleet");
-    let wanted = Command::Freeze(Freeze::AssignIncident { incident: number, person: "mira".into() });
-    let proposed = |frame| match frame {
-        Frame::Propose(Proposal { id, command }) if command == wanted => Some(id),
+    let answer = handle.admin_command(&line).expect("a coordination command");
+    let expected_command =
+        Command::Freeze(Freeze::AssignIncident { incident: number, person: "mira".into() });
+    let proposal_id = |frame| match frame {
+        Frame::Propose(Proposal { id, command }) if command == expected_command => Some(id),
         _ => None,
     };
-    let (_, id) = connection.receive_until(proposed);
+    let (_, id) = connection.receive_until(proposal_id);
     connection.send(&Frame::Answer { id, outcome: outcome.clone() });
-    answered.blocking_recv().expect("it is answered")
+    answer.blocking_recv().expect("an answer")
 }
 
 #[test]
-fn a_person_gets_the_outcome_of_a_command() {
-    let (handle, mut connection, _) = follower();
+fn an_admin_command_is_answered_with_its_outcome() {
+    let (handle, mut connection, _) = start_follower();
     let mut numbers = 1..;
     for (outcome, expected) in expected_answers() {
-        // On a machine that is very busy an outcome may come after the time that a person waits for it.
-        let mut tries = numbers
+        // On a very busy machine an outcome may arrive after the command has timed out, so a 504 is retried
+        // up to four times.
+        let mut attempts = numbers
             .by_ref()
             .take(5)
             .map(|number| answer_to_outcome(&handle, &mut connection, number, &outcome));
-        let text = tries.find(|text| !text.starts_with("504"));
-        assert_eq!(text.as_deref(), Some(expected), "{}", name_of(&outcome));
+        let text = attempts.find(|text| !text.starts_with("504"));
+        assert_eq!(text.as_deref(), Some(expected), "{}", outcome_name(&outcome));
     }
 }
