--- a/crates/change-freeze/src/state/change.rs
+++ b/crates/change-freeze/src/state/change.rs
@@ -1,6 +1,6 @@
 //! Changes: the queue, permits, emergencies and expiry.
 
-use super::{check_name, FreezeState, Number, RejectReason, Response};
+use super::{check_name, FreezeState, RejectReason, Response, SequenceNumber};
 use crate::rules::{ChangeKind, Reaction};
 use crate::scope::Scope;
 use crate::Millis;
@@ -11,62 +11,62 @@
 pub const MAX_CHANGES: usize = 256;
 /// Maximum duration of a change, in milliseconds: one day.
 pub const MAX_CHANGE_DURATION_MS: Millis = 86_400_000;
-/// When a client whose change is blocked by an incident is to request again, in milliseconds.
+/// After how many milliseconds a client whose change is blocked by an incident should request again.
 pub const BLOCKED_RETRY_AFTER_MS: Millis = 5_000;
-/// By how much a queued change's priority increases each time that another one overtakes it.
+/// By how much a queued change's priority increases each time that a newer change gets its permit first.
 const PRIORITY_PER_OVERTAKE: u32 = 16;
 
 /// The status of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ChangeStatus {
-    /// It waits for an incident to end or for another change.
+    /// The change waits for an incident to end or for another change.
     Queued,
-    /// An emergency that one person has requested.
+    /// One person has requested the change as an emergency; a second person must request it too.
     AwaitingSecondApproval,
-    /// It has its permit.
+    /// The change has its permit.
     InFlight,
-    /// An incident has opened: it reacts as it declared.
+    /// An incident blocks the change in flight, which has to react as declared in its request.
     Reacting,
-    /// It has not reported in time that it has reacted.
+    /// The change did not report within the reaction timeout that it has reacted.
     Overdue,
 }
 
 impl ChangeStatus {
-    /// Whether the change may be altering the fleet.
+    /// Whether the change may be modifying the fleet.
     pub fn is_in_flight(self) -> bool {
         matches!(self, ChangeStatus::InFlight | ChangeStatus::Reacting | ChangeStatus::Overdue)
     }
 }
 
-/// A request for a permit.
+/// A request for a permit. The order of the fields is the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ChangeRequest {
     /// The kind of change.
     pub kind: ChangeKind,
-    /// The part of the fleet that it concerns.
+    /// The part of the fleet that the change concerns.
     pub scope: Scope,
-    /// The name of the person or component that requests it.
+    /// The name of the person or component that requests the permit.
     pub requested_by: String,
-    /// Its priority in the queue; higher goes first.
+    /// The priority in the queue; a higher one goes first.
     pub priority: u8,
-    /// The maximum time in the queue and, again, in flight; in milliseconds.
+    /// The maximum time in the queue and the maximum time in flight, each in milliseconds.
     pub max_duration: Millis,
-    /// What it does when an incident opens that blocks it.
+    /// What the change does if an incident blocks it in flight.
     pub reaction: Reaction,
 }
 
 /// A change that is queued or in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
-    /// The request for it.
+    /// The request that created the change.
     pub request: ChangeRequest,
-    /// Its status.
+    /// The current status.
     pub status: ChangeStatus,
-    /// Two people have requested it as an emergency.
+    /// Whether two people have requested the change as an emergency.
     pub emergency: bool,
-    /// How often a newer change got its permit first.
+    /// How often a newer change whose scope overlaps got its permit first.
     pub overtaken: u32,
-    /// Increases with each update, so that a timer that started before one has no effect.
+    /// Increases with each update, so that a timer that was started for an older version has no effect.
     pub version: u64,
 }
 
@@ -79,7 +79,7 @@
         u32::from(self.request.priority) + self.overtaken.saturating_mul(PRIORITY_PER_OVERTAKE)
     }
 
-    fn queue_position(&self, number: Number) -> QueuePosition {
+    fn queue_position(&self, number: SequenceNumber) -> QueuePosition {
         QueuePosition {
             emergency: self.emergency,
             priority: self.effective_priority(),
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Whether this is the first request of the same emergency.
+    /// Whether this is an emergency change that waits for a second request like this one.
     fn awaits_approval_of(&self, request: &ChangeRequest) -> bool {
         self.status == ChangeStatus::AwaitingSecondApproval
             && self.request.kind == request.kind
@@ -105,16 +105,16 @@
 struct QueuePosition {
     emergency: bool,
     priority: u32,
-    number: Reverse<Number>,
+    number: Reverse<SequenceNumber>,
 }
 
 /// Why a change has no permit.
 #[derive(Clone, Copy, Debug)]
 enum Obstacle {
-    /// A change that is in flight or goes first.
-    Change(Number),
-    /// An incident that blocks it.
-    Incident(Number),
+    /// Another change is in flight or goes first.
+    Change(SequenceNumber),
+    /// An incident blocks the change.
+    Incident(SequenceNumber),
 }
 
 impl FreezeState {
@@ -153,7 +153,7 @@
         &mut self,
         request: &ChangeRequest,
         status: ChangeStatus,
-    ) -> Result<Number, RejectReason> {
+    ) -> Result<SequenceNumber, RejectReason> {
         check_name(&request.requested_by)?;
         if !(1..=MAX_CHANGE_DURATION_MS).contains(&request.max_duration) {
             return Err(RejectReason::InvalidDuration);
@@ -168,8 +168,8 @@
         Ok(number)
     }
 
-    /// Grants a queued change its permit, or responds why not.
-    fn decide(&mut self, change: Number) -> Response {
+    /// Grants a queued change its permit, or responds why it has to wait.
+    fn decide(&mut self, change: SequenceNumber) -> Response {
         match self.obstacle(change) {
             None => {
                 self.grant_permit(change);
@@ -183,7 +183,7 @@
     }
 
     /// Why a queued change has no permit, by the rules in the order of [`crate::rules::PRECEDENCE`].
-    fn obstacle(&self, number: Number) -> Option<Obstacle> {
+    fn obstacle(&self, number: SequenceNumber) -> Option<Obstacle> {
         let change = self.changes.get(&number)?;
         if let Some(other) = self.overlapping_in_flight(number, change) {
             return Some(Obstacle::Change(other));
@@ -194,23 +194,27 @@
         self.change_ahead(number, change).map(Obstacle::Change)
     }
 
-    /// The change that [`crate::rules::PrecedenceRule::ExclusiveScope`] makes this one wait for.
-    fn overlapping_in_flight(&self, number: Number, change: &Change) -> Option<Number> {
+    /// The change in flight for which this one waits by [`crate::rules::PrecedenceRule::ExclusiveScope`].
+    fn overlapping_in_flight(&self, number: SequenceNumber, change: &Change) -> Option<SequenceNumber> {
         let mut others = self.other_overlapping(number, change);
         others.find(|(_, other)| other.status.is_in_flight()).map(|(other, _)| other)
     }
 
-    /// The first incident that blocks a change, with remedies and emergencies considered.
-    pub(super) fn incident_blocking(&self, number: Number, change: &Change) -> Option<Number> {
+    /// The first incident that blocks a change. Incidents block neither their remedies nor emergency changes.
+    pub(super) fn incident_blocking(
+        &self,
+        number: SequenceNumber,
+        change: &Change,
+    ) -> Option<SequenceNumber> {
         let blocking = self.incidents.iter().find(|(_, incident)| incident.blocks(number, change));
         blocking.map(|(incident_number, _)| *incident_number)
     }
 
-    /// The change that [`crate::rules::PrecedenceRule::QueueOrder`] makes this one wait for.
+    /// The queued change for which this one waits by [`crate::rules::PrecedenceRule::QueueOrder`].
     ///
-    /// A queued change keeps its place before newer ones while it waits for other changes: otherwise one with a wide scope
-    /// would never find all of it free. While it waits for an incident it does not.
-    fn change_ahead(&self, number: Number, change: &Change) -> Option<Number> {
+    /// A change that waits for other changes holds back newer ones that overlap it; otherwise a change with a
+    /// wide scope could be starved by narrow ones. A change that waits for an incident holds back none.
+    fn change_ahead(&self, number: SequenceNumber, change: &Change) -> Option<SequenceNumber> {
         let own_position = change.queue_position(number);
         let mut others = self.other_overlapping(number, change);
         let ahead = others.find(|(other_number, other)| {
@@ -223,14 +227,14 @@
 
     fn other_overlapping<'a>(
         &'a self,
-        number: Number,
+        number: SequenceNumber,
         change: &'a Change,
-    ) -> impl Iterator<Item = (Number, &'a Change)> {
+    ) -> impl Iterator<Item = (SequenceNumber, &'a Change)> {
         let all = self.changes.iter().map(|(other_number, other)| (*other_number, other));
         all.filter(move |(other_number, other)| *other_number != number && other.overlaps(change))
     }
 
-    fn grant_permit(&mut self, number: Number) {
+    fn grant_permit(&mut self, number: SequenceNumber) {
         let Some(change) = self.changes.get_mut(&number) else { return };
         change.set_status(ChangeStatus::InFlight);
         let scope = change.request.scope.clone();
@@ -242,25 +246,26 @@
         self.append_audit(number, "permit given".into());
     }
 
-    /// Grants permits to the queued changes that nothing blocks any more, in the order of their priority.
+    /// Grants permits to the queued changes that nothing blocks any more, highest priority first.
     pub(super) fn grant_unblocked_changes(&mut self) {
         while let Some(number) = self.next_unblocked_change() {
             self.grant_permit(number);
         }
     }
 
-    fn next_unblocked_change(&self) -> Option<Number> {
+    fn next_unblocked_change(&self) -> Option<SequenceNumber> {
         let queued = self.changes.iter().filter(|(_, change)| change.status == ChangeStatus::Queued);
-        let mut queued: Vec<(Number, &Change)> = queued.map(|(number, change)| (*number, change)).collect();
+        let mut queued: Vec<(SequenceNumber, &Change)> =
+            queued.map(|(number, change)| (*number, change)).collect();
         queued.sort_by_key(|(_, change)| Reverse(change.effective_priority()));
         let unblocked = queued.into_iter().find(|(number, _)| self.obstacle(*number).is_none());
         unblocked.map(|(number, _)| number)
     }
 
-    /// Drops a change and its links to incidents, with this audit record.
+    /// Removes a change and its links to incidents, and appends an audit record with this description.
     pub(super) fn remove_change(
         &mut self,
-        number: Number,
+        number: SequenceNumber,
         description: String,
     ) -> Result<Response, RejectReason> {
         self.changes.remove(&number).ok_or(RejectReason::NotFound)?;
@@ -270,13 +275,18 @@
         Ok(self.append_audit(number, description))
     }
 
-    pub(super) fn expire_change(&mut self, number: Number, version: u64) -> Result<Response, RejectReason> {
+    pub(super) fn expire_change(
+        &mut self,
+        number: SequenceNumber,
+        version: u64,
+    ) -> Result<Response, RejectReason> {
         let change = self.changes.get_mut(&number).ok_or(RejectReason::NotFound)?;
         if change.version != version {
             return Err(RejectReason::Superseded);
         }
         match change.status {
-            // It may be half done, and nobody knows: it stays and keeps overlapping changes waiting.
+            // The change may be incomplete. It stays, and overlapping changes wait, until a person has
+            // checked it.
             ChangeStatus::Reacting => {
                 change.set_status(ChangeStatus::Overdue);
                 Ok(self.append_audit(number, "stuck".into()))
--- a/crates/maintenance/src/windows/mod.rs
+++ b/crates/maintenance/src/windows/mod.rs
@@ -1,7 +1,7 @@
 //! The replicated state of all windows.
 //!
-//! A window gets its permit in the command that admits it, so that no incident can open in between; and no sequence of
-//! commands leaves two sites without their traffic at once.
+//! The command that admits a window also requests its permit, so that no incident can open in between. No
+//! sequence of commands shifts traffic away from two sites at once.
 
 mod command;
 mod permit;
@@ -12,30 +12,32 @@
 pub use plan::{OverrunPolicy, WindowPlan};
 pub use window::{Stage, Window};
 
-use hillstall_change_freeze::state::{FreezeState, Number};
+use hillstall_change_freeze::state::{FreezeState, SequenceNumber};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Maximum number of windows, which bounds the size of a snapshot; those that are over are dropped first.
+/// Maximum number of windows; to make room for a new one, the oldest that is over is dropped. It bounds the
+/// size of a snapshot.
 pub const MAX_WINDOWS: usize = 256;
 
-/// All windows. Equal commands in equal order give equal states on all replicas.
+/// All windows. Replicas that apply the same commands in the same order have equal states. The order of the
+/// fields is the stored format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Windows {
-    last_number: Number,
-    all: BTreeMap<Number, Window>,
+    last_number: SequenceNumber,
+    all: BTreeMap<SequenceNumber, Window>,
 }
 
 impl Windows {
-    /// Applies a committed command. Permits are requested from `freeze` and returned to it.
+    /// Applies a committed command. Windows request their permits from `freeze` and return them to it.
     pub fn apply(&mut self, command: &WindowCommand, freeze: &mut FreezeState) -> Result<(), WindowError> {
         match command {
             WindowCommand::Plan(plan) => self.plan(plan),
             WindowCommand::Cancel { window } => self.window_mut(*window)?.cancel(freeze),
             WindowCommand::End { window } => self.window_mut(*window)?.end_work(),
             WindowCommand::Admit { window, baseline_rate } => {
-                let other_away = self.other_away(*window);
-                self.window_mut(*window)?.admit(*baseline_rate, other_away, freeze)
+                let other_shifted = self.other_shifted(*window);
+                self.window_mut(*window)?.admit(*baseline_rate, other_shifted, freeze)
             }
             WindowCommand::Postpone { window, reason } => self.window_mut(*window)?.postpone(reason, freeze),
             WindowCommand::ReduceTraffic { window, fraction } => {
@@ -51,19 +53,19 @@
         }
     }
 
-    fn window_mut(&mut self, number: Number) -> Result<&mut Window, WindowError> {
+    fn window_mut(&mut self, number: SequenceNumber) -> Result<&mut Window, WindowError> {
         self.all.get_mut(&number).ok_or(WindowError::NotFound)
     }
 
-    /// Another window whose site is without its usual traffic.
-    fn other_away(&self, number: Number) -> Option<Number> {
+    /// Another window that takes traffic away from its site.
+    fn other_shifted(&self, number: SequenceNumber) -> Option<SequenceNumber> {
         let mut others = self.all.iter().filter(|(other, _)| **other != number);
         others.find(|(_, window)| window.stage.takes_traffic_away()).map(|(other, _)| *other)
     }
 
     fn plan(&mut self, plan: &WindowPlan) -> Result<(), WindowError> {
         plan.validate()?;
-        // Each replica's calendar plans the same windows, and again after each start.
+        // Each replica plans the calendar's windows, and plans them again after each restart.
         if self.all.values().any(|window| window.plan.is_same_occurrence(plan)) {
             return Ok(());
         }
@@ -82,17 +84,18 @@
         Ok(())
     }
 
-    /// The site that a command concerns; `None` for a new or unknown window.
+    /// The site that a command concerns; `None` if the command plans a window or its window does not exist.
     pub fn site_of(&self, command: &WindowCommand) -> Option<&str> {
         Some(self.all.get(&command.window()?)?.plan.site.as_str())
     }
 
     /// All windows by number.
-    pub fn all(&self) -> &BTreeMap<Number, Window> {
+    pub fn all(&self) -> &BTreeMap<SequenceNumber, Window> {
         &self.all
     }
 
-    /// Describes a violated invariant, if any: two sites are without their traffic at once.
+    /// Describes the violated invariant if traffic is shifted away from two sites at once, else returns
+    /// `None`.
     pub fn check_invariants(&self) -> Option<String> {
         let mut away = self.all.iter().filter(|(_, window)| window.stage.takes_traffic_away());
         let ((first, _), (second, _)) = (away.next()?, away.next()?);
--- a/crates/maintenance/src/windows/permit.rs
+++ b/crates/maintenance/src/windows/permit.rs
@@ -1,18 +1,24 @@
-//! The permits of windows, from the replicated change freeze.
+//! Requests and returns the permits of windows. The texts in the errors are stored in replicated outcomes, so
+//! all versions must write the same bytes, also where today's names differ.
 
 use super::{WindowError, WindowPlan};
 use hillstall_change_freeze::rules::{ChangeKind, Reaction};
 use hillstall_change_freeze::scope::Scope;
 use hillstall_change_freeze::state::{
-    ChangeRequest, ChangeStatus, FreezeCommand, FreezeState, Number, RejectReason, Response,
+    ChangeRequest, ChangeStatus, FreezeCommand, FreezeState, RejectReason, Response, SequenceNumber,
     MAX_CHANGE_DURATION_MS,
 };
 
+/// The requester in audit records, which are replicated: the name must not change.
 const REQUESTED_BY: &str = "calendar";
 const PRIORITY: u8 = 100;
 
-/// Requests a permit that is granted now or not at all: a window that was queued would keep other changes waiting.
-pub(super) fn request_permit(plan: &WindowPlan, freeze: &mut FreezeState) -> Result<Number, WindowError> {
+/// Requests a permit and withdraws the request if it is not granted at once: a queued request would hold back
+/// other changes.
+pub(super) fn request_permit(
+    plan: &WindowPlan,
+    freeze: &mut FreezeState,
+) -> Result<SequenceNumber, WindowError> {
     match freeze.apply(&FreezeCommand::RequestChange(change_request(plan))) {
         Response::Permitted(number) => Ok(number),
         Response::Queued { change, behind } => {
@@ -32,7 +38,7 @@
 }
 
 fn change_request(plan: &WindowPlan) -> ChangeRequest {
-    // The duration counts twice, so that people may overrun it.
+    // The permit covers twice the duration, so that people may overrun it.
     let max_duration = plan.lead_time + plan.max_delay + plan.duration.saturating_mul(2);
     ChangeRequest {
         kind: ChangeKind::Window,
@@ -45,12 +51,12 @@
 }
 
 /// Returns a permit, or withdraws a request for one.
-pub(super) fn return_permit(change: Number, freeze: &mut FreezeState) {
+pub(super) fn return_permit(change: SequenceNumber, freeze: &mut FreezeState) {
     freeze.apply(&FreezeCommand::FinishChange { change });
 }
 
 /// Checks that a window may still take traffic away from its site.
-pub(super) fn check_permit(change: Option<Number>, freeze: &FreezeState) -> Result<(), WindowError> {
+pub(super) fn check_permit(change: Option<SequenceNumber>, freeze: &FreezeState) -> Result<(), WindowError> {
     let change = change.and_then(|number| freeze.changes().get(&number));
     match change.map(|change| change.status) {
         Some(ChangeStatus::InFlight) => Ok(()),
@@ -59,7 +65,7 @@
     }
 }
 
-/// The word for a status in a replicated outcome: every version has to write the same bytes.
+/// The name of a status in a replicated outcome. All versions must write the same bytes.
 fn stored_status(status: ChangeStatus) -> &'static str {
     match status {
         ChangeStatus::Queued => "Waits",
@@ -70,7 +76,7 @@
     }
 }
 
-/// The word for a reason in a replicated outcome: every version has to write the same bytes.
+/// The name of a reject reason in a replicated outcome. All versions must write the same bytes.
 fn stored_reason(reason: RejectReason) -> &'static str {
     match reason {
         RejectReason::NotFound => "Unknown",
