--- a/crates/consensus/tests/fleet.rs
+++ b/crates/consensus/tests/fleet.rs
@@ -1,13 +1,14 @@
-//! A fleet in simulated time: replicas with disks, followers, and the real raft crate. Links are cut in one direction or both,
-//! processes are paused, killed and started again, disks are lost, filled or put back from a backup, clocks run at different
-//! rates and step. A seed determines a run; the invariants are checked after each event.
+//! A fleet in simulated time: replicas with disks, followers, and the real `raft` crate. Links are cut in one
+//! direction or both; processes are paused, killed and restarted; disks are lost, full or restored from a
+//! backup; clocks run at different rates and step. A seed determines a run; the invariants are checked after
+//! each event.
 
 mod sim;
 
 use rayon::prelude::*;
 use sim::{PlantedFault, Sim};
 
-/// The seeds to play: as many as `HILLSTALL_SEEDS` says, or only `HILLSTALL_SEED`.
+/// The seeds to run: 0 up to `HILLSTALL_SEEDS`, or `HILLSTALL_SEED` alone.
 fn seeds() -> std::ops::Range<u64> {
     let number = |name: &str| std::env::var(name).ok().and_then(|value| value.parse::<u64>().ok());
     match number("HILLSTALL_SEED") {
@@ -16,13 +17,16 @@
     }
 }
 
-/// What came of one run.
+/// The result of one run.
 struct Run {
     seed: u64,
     violations: Vec<String>,
     applied_index: u64,
+    /// The number of fenced commands that instances have applied.
     applied_commands: u64,
+    /// The number of maintenance windows that have taken traffic away.
     windows: usize,
+    /// The number of incidents and changes that were acknowledged to people.
     acknowledged: usize,
 }
 
@@ -41,7 +45,7 @@
 }
 
 #[test]
-fn whatever_fails_there_is_one_lease_holder_one_history_and_one_site_shifted() {
+fn no_fault_leads_to_two_lease_holders_two_histories_or_two_shifted_sites() {
     let runs: Vec<Run> = seeds().into_par_iter().map(Run::of).collect();
     let failed = runs.iter().filter(|run| !run.violations.is_empty());
     let failed: Vec<String> =
@@ -51,7 +55,11 @@
     let applied_commands: u64 = runs.iter().map(|run| run.applied_commands).sum();
     let windows: usize = runs.iter().map(|run| run.windows).sum();
     let acknowledged: usize = runs.iter().map(|run| run.acknowledged).sum();
-    assert!(applied_commands > 0 && acknowledged > 0, "nothing happened");
+    assert!(
+        applied_commands > 0 && acknowledged > 0,
+        "no fenced command applied or nothing acknowledged: {applied_commands} commands, \
+         {acknowledged} incidents and changes"
+    );
     println!(
         "{} seeds: {applied_index} entries, {applied_commands} commands, {windows} windows begun, \
          {acknowledged} incidents and changes",
@@ -60,13 +68,14 @@
 }
 
 #[test]
-fn each_planted_fault_is_found_by_the_checks() {
+fn each_planted_fault_violates_an_invariant() {
     for planted in [PlantedFault::NoSync, PlantedFault::ReusedId, PlantedFault::NoFencing] {
         let violation = |seed| Sim::new(seed, planted).run().violations.pop();
         let found = (0..400u64)
             .into_par_iter()
             .find_map_any(|seed| violation(seed).map(|violation| (seed, violation)));
-        let (seed, violation) = found.unwrap_or_else(|| panic!("{planted:?} did no harm in 400 seeds"));
+        let (seed, violation) =
+            found.unwrap_or_else(|| panic!("{planted:?} violated no invariant with 400 seeds"));
         println!("{planted:?} is found with seed {seed}: {violation}");
     }
 }
@@ -82,24 +91,24 @@
 }
 
 #[test]
-#[ignore = "takes minutes; for the page of measurements"]
+#[ignore = "takes minutes; prints the costs of fleets of several sizes, and checks nothing"]
 fn figures_by_size() {
     for instances in [5, 50, 300] {
         let sim = Sim::without_faults(instances, 1).run();
-        let measurement = sim.measurement.expect("it was measured");
+        let measurement = sim.measurement.expect("a run without faults is measured");
         let mean = |values: &[f64]| values.iter().sum::<f64>() / values.len().max(1) as f64;
         // The measurement lasts ten seconds.
         let bytes: Vec<f64> = measurement.received_bytes.iter().map(|bytes| *bytes as f64 / 10.0).collect();
-        let computing: Vec<f64> =
-            measurement.computing.iter().map(|computing| computing.as_secs_f64() * 1e3 / 10.0).collect();
+        let busy_times: Vec<f64> =
+            measurement.busy_times.iter().map(|busy| busy.as_secs_f64() * 1e3 / 10.0).collect();
         let failed_over_at: Vec<u64> = measurement.failed_over_at.values().copied().collect();
         println!(
             "{instances} instances: bytes/s to a replica {:.0}, to a follower {:.0}; ms of processor a second: replica \
              {:.2}, follower {:.3}; {} followers failed over, the last after {:?} ms",
             mean(&bytes[..3]),
             mean(&bytes[3..]),
-            mean(&computing[..3]),
-            mean(&computing[3..]),
+            mean(&busy_times[..3]),
+            mean(&busy_times[3..]),
             failed_over_at.len(),
             failed_over_at.iter().max()
         );
--- a/crates/consensus/tests/frames.rs
+++ b/crates/consensus/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Decoding of frames and states from outside: any bytes are decoded or rejected, and nothing panics.
+//! Decoding of frames and states that were received: any bytes are either decoded or rejected, without a
+//! panic.
 
 use hillstall_consensus::frame::{DecodeError, Frame, FRAME_VERSION};
 use hillstall_consensus::state::State;
@@ -6,7 +7,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn a_frame_is_decoded_as_it_was_encoded_and_other_versions_are_rejected() {
+fn a_frame_survives_encoding_and_other_versions_are_rejected() {
     let frame = Frame::Hello {
         fleet: "shop".into(),
         instance: Instance { rank: 3, incarnation: 9 },
@@ -25,7 +26,7 @@
         let _ = State::from_bytes(&bytes);
         bytes.insert(0, FRAME_VERSION);
         let _ = Frame::decode(&bytes);
-        // A valid frame of which some bytes are changed.
+        // A valid frame with some changed bytes.
         let mut frame = Frame::State(State::default().to_bytes()).encode();
         let last = frame.len() - 1;
         for flip in 0..flips {
--- a/crates/consensus/tests/instant_fleet/mod.rs
+++ b/crates/consensus/tests/instant_fleet/mod.rs
@@ -1,4 +1,5 @@
-//! Replicas with storage in memory, whose frames arrive at once, in time that passes only when a test says so.
+//! A fleet of replicas with storage in memory. Frames are delivered without delay, and time passes only when
+//! a test advances it.
 
 use hillstall_change_freeze::detection::Thresholds;
 use hillstall_consensus::node::{Destination, Node, NodeConfig, Output};
@@ -11,7 +12,7 @@
 use std::rc::Rc;
 
 const TICK_INTERVAL_MS: Millis = 20;
-/// Far more than a fleet needs to elect a leader and to grant all leases.
+/// Far more time than a fleet needs to elect a leader and to grant all leases.
 const SETTLE_MS: Millis = 10_000;
 
 /// A storage that counts its writes.
@@ -34,20 +35,20 @@
     }
 
     fn reset(&mut self) -> Result<PersistentState, ReplicaStorageError> {
-        Err(ReplicaStorageError("nothing here is reset".into()))
+        Err(ReplicaStorageError("the tests do not expect a reset".into()))
     }
 }
 
-/// Replicas whose frames arrive at once.
+/// Replicas whose frames are delivered without delay.
 pub struct Fleet {
     pub nodes: Vec<Node<CountingStorage>>,
-    /// How often each replica has written to its storage.
+    /// The number of writes of each replica to its storage.
     pub writes: Vec<Rc<Cell<usize>>>,
     pub now: Millis,
 }
 
 impl Fleet {
-    /// A fleet of so many replicas that has had its time to elect a leader and to grant all leases.
+    /// A fleet with this number of replicas, which has elected a leader and granted all leases.
     pub fn settled(replicas: usize) -> Fleet {
         let writes: Vec<Rc<Cell<usize>>> = (0..replicas).map(|_| Rc::default()).collect();
         let start = |slot: usize| {
@@ -61,7 +62,7 @@
         fleet
     }
 
-    /// Lets time pass until nothing is left to be done.
+    /// Advances the time by [`SETTLE_MS`], tick by tick.
     pub fn settle(&mut self) {
         let end = self.now + SETTLE_MS;
         while self.now < end {
--- a/crates/consensus/tests/load_reports.rs
+++ b/crates/consensus/tests/load_reports.rs
@@ -1,11 +1,12 @@
-//! What a lease holder concludes from the load reports of the instances.
+//! The load that a lease holder derives from the reports of all instances.
 
 use hillstall_consensus::load_reports::{LoadReport, LoadReports, SiteCounts};
 use hillstall_lease::Instance;
 
 const REPORT_PERIOD_MS: u32 = 500;
 
-/// The reports of instances that send a site these fractions of its usual traffic, in thousandths.
+/// The reports of several instances, each of which sends a site one of these fractions of its usual traffic,
+/// in thousandths.
 fn reports(fractions: &[u16]) -> LoadReports {
     let mut reports = LoadReports::default();
     for (rank, fraction) in fractions.iter().enumerate() {
@@ -21,7 +22,8 @@
     reports
 }
 
-// Guards against a site that counts as restored, or as emptied, by the few instances that are ahead.
+// Guards against a site that is taken for restored, or for empty, when only a few instances have changed its
+// traffic.
 #[test]
 fn three_in_four_instances_send_at_least_the_lower_fraction_and_at_most_the_upper() {
     let cases: [(&[u16], f64, f64); 5] = [
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,6 +1,6 @@
-//! Model checking of the replicated state: every order of commands that two coordinators, a person and a change may propose,
-//! within stated bounds. A permit never stands beside an incident that blocks it, two conflicting changes are never in flight
-//! at once, and a coordinator that has been succeeded has no effect.
+//! Model checking of the replicated state: every order of the commands that two coordinators and a person may
+//! propose, up to a number of steps. No change is in flight that an active incident blocks, two conflicting
+//! changes are never in flight at once, and the command of a coordinator whose grant has ended has no effect.
 
 use hillstall_change_freeze::rules::{ChangeKind, Reaction, Severity};
 use hillstall_change_freeze::scope::Scope;
@@ -10,20 +10,20 @@
 use hillstall_lease::{FencingToken, Instance, LeaseName};
 use stateright::{Checker, Model, Property};
 
-/// A fault planted in the model, which the checker must find.
+/// A fault planted in the model, which the model checker must find.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum PlantedFault {
     None,
-    /// A coordinator's command is accepted whatever its token.
+    /// A coordinator's command carries the current token, even if its grant has ended.
     AnyToken,
-    /// A change is permitted whatever incident is open.
+    /// A change is permitted although an open incident blocks it.
     IgnoredIncidents,
     /// Incidents are lost when the coordinator changes.
     ForgottenIncidents,
 }
 
 const MAX_STEPS: u8 = 6;
-/// The rank of the instance that proposes all commands but those about leases.
+/// The rank of the instance that proposes most commands. The two coordinators have the ranks 0 and 1.
 const PROPOSER_RANK: u8 = 9;
 
 struct PermitModel(PlantedFault);
@@ -32,7 +32,7 @@
 struct ModelState {
     state: State,
     steps: u8,
-    /// Whether a coordinator that has been succeeded had an effect.
+    /// Whether a command of a coordinator without a current grant had an effect.
     stale_coordinator_acted: bool,
     /// Whether an incident was opened.
     opened: bool,
@@ -41,23 +41,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
     /// A coordinator, by rank, opens an incident with the token that it knows.
-    OpenIncident {
-        coordinator: u8,
-    },
+    OpenIncident { coordinator: u8 },
     /// A coordinator, by rank, resolves an incident with the token that it knows.
-    ResolveIncident {
-        coordinator: u8,
-    },
-    /// The coordinator's lease expires, and goes to the other.
+    ResolveIncident { coordinator: u8 },
+    /// The coordinator lease expires, and is granted to the other instance.
     ExpireLease,
     /// A person requests a change at a site.
-    RequestChange {
-        site: u8,
-    },
+    RequestChange { site: u8 },
+    /// The change with this number is finished.
     FinishChange(u64),
-    /// A change's time is over.
+    /// The timer of the change with this number runs out.
     ExpireChange(u64),
-    /// A resolved incident has cooled down.
+    /// The cooldown of the incident with this number ends.
     EndCooldown(u64),
 }
 
@@ -74,9 +69,9 @@
 }
 
 impl ModelState {
-    /// Applies the command with this number within the present step.
+    /// Applies a command; `number_in_step` distinguishes the commands of one step.
     fn apply(&mut self, number_in_step: u64, command: Command) -> Outcome {
-        // Each needs an id of its own, as a command that comes twice acts once.
+        // Each command needs another proposal id: it would be taken for a retry otherwise.
         let number = 100 * u64::from(self.steps) + number_in_step;
         let id = ProposalId { instance: instance(PROPOSER_RANK), number };
         self.state.apply(number, &Proposal { id, command })
@@ -86,7 +81,7 @@
         self.apply(number_in_step, Command::Freeze(command))
     }
 
-    /// The token that a coordinator believes in: that of its grant, or the one before the newest.
+    /// The token that a coordinator believes to be current: that of its grant, or the one before the newest.
     fn token_known_to(&self, coordinator: u8) -> FencingToken {
         let newest = self.state.leases().highest_token(&coordinator_lease());
         match self.state.leases().grant(&coordinator_lease()) {
@@ -97,7 +92,7 @@
 }
 
 impl PermitModel {
-    /// Who a coordinator says that it is.
+    /// The requester in a command of a coordinator, with the token that it believes to be current.
     fn requester(&self, before: &ModelState, coordinator: u8) -> Requester {
         let token = match self.0 {
             PlantedFault::AnyToken => before.state.leases().highest_token(&coordinator_lease()),
@@ -118,7 +113,7 @@
         had_effect
     }
 
-    /// Expires the coordinator's grant; its holder competes for the lease again.
+    /// Expires the grant of the coordinator lease; the previous holder becomes a candidate again.
     fn expire_lease(&self, next: &mut ModelState) -> Option<()> {
         let grant = next.state.leases().grant(&coordinator_lease())?;
         let expire =
@@ -144,7 +139,7 @@
         };
         let is_blocked = next.state.freeze().blocking_incident(ChangeKind::Drain, &request.scope).is_some();
         if self.0 == PlantedFault::IgnoredIncidents && is_blocked {
-            // Two invented people approve it as an emergency, so that it passes as if there were no incident.
+            // Two people request it as an emergency change, so that it passes as if there were no incident.
             next.apply_freeze(1, FreezeCommand::RequestEmergencyChange(request.clone()));
             let second = ChangeRequest { requested_by: "ann".into(), ..request };
             next.apply_freeze(0, FreezeCommand::RequestEmergencyChange(second));
@@ -154,7 +149,7 @@
     }
 }
 
-/// Resolves all incidents as if they had never been.
+/// Ends all incidents, as if they were lost.
 fn forget_incidents(next: &mut ModelState) {
     let incidents: Vec<u64> = next.state.freeze().incidents().keys().copied().collect();
     for incident in incidents {
@@ -265,7 +260,7 @@
 }
 
 #[test]
-fn permits_and_incidents_hold_whatever_two_coordinators_do() {
+fn no_order_of_commands_violates_the_rules_of_permits_and_incidents() {
     let checker = PermitModel(PlantedFault::None).checker().threads(2).spawn_bfs().join();
     checker.assert_properties();
     println!("{} states, {} unique, {MAX_STEPS} steps", checker.state_count(), checker.unique_state_count());
--- a/crates/consensus/tests/samples/freeze.rs
+++ b/crates/consensus/tests/samples/freeze.rs
@@ -1,4 +1,4 @@
-//! Incidents, changes and their permits.
+//! Samples of incidents, changes and change permits.
 
 use super::{each_variant, Sample};
 use hillstall_change_freeze::detection::{Detector, Observation, Symptom, Thresholds};
@@ -9,7 +9,7 @@
     Requester, Response,
 };
 
-/// What a change asks for.
+/// A request for a change of this kind.
 pub fn request(kind: ChangeKind, scope: Scope, who: &str) -> ChangeRequest {
     ChangeRequest {
         kind,
@@ -69,7 +69,7 @@
     })
 }
 
-fn words() -> Vec<Sample> {
+fn enum_values() -> Vec<Sample> {
     let mut samples = each_variant!(Sample::of, ChangeKind {
         "freeze/kind/operator-file": ChangeKind::OperatorFile => ChangeKind::OperatorFile,
         "freeze/kind/upgrade": ChangeKind::Upgrade => ChangeKind::Upgrade,
@@ -124,7 +124,7 @@
     samples
 }
 
-fn stored() -> Vec<Sample> {
+fn stored_values() -> Vec<Sample> {
     let incident = Incident {
         severity: Severity::Critical,
         scope: Scope::Class("batch".into()),
@@ -142,28 +142,33 @@
         overtaken: 426,
         version: 427,
     };
-    let line = AuditRecord { sequence: 428, subject: 429, description: "permit given".into() };
+    let audit_record = AuditRecord { sequence: 428, subject: 429, description: "permit given".into() };
     vec![
         Sample::of("freeze/incident", incident),
         Sample::of("freeze/request", request(ChangeKind::Replica, Scope::Fleet, "ivo")),
         Sample::of("freeze/change", change),
-        Sample::of("freeze/audit-record", line),
+        Sample::of("freeze/audit-record", audit_record),
     ]
 }
 
-/// What the coordinator proposes for a symptom: the words of its evidence are kept with the incident.
-fn opened_for(sign: Symptom, level: f64) -> FreezeCommand {
+/// The command by which the coordinator opens an incident for a symptom. The text of the evidence is stored
+/// in the incident.
+fn open_incident_for(symptom: Symptom, level: f64) -> FreezeCommand {
     let mut detector = Detector::new(Thresholds::default());
-    let register = FreezeState::default();
-    let facts = [Observation { scope: site("east"), symptom: sign, level }];
-    assert!(detector.poll(0, &facts, &register, 430).is_empty(), "it opens only after a time");
-    let mut commands = detector.poll(5_000, &facts, &register, 430);
+    let freeze = FreezeState::default();
+    let observations = [Observation { scope: site("east"), symptom, level }];
+    assert!(
+        detector.poll(0, &observations, &freeze, 430).is_empty(),
+        "an incident is opened only after the symptom has lasted for some time"
+    );
+    let mut commands = detector.poll(5_000, &observations, &freeze, 430);
     assert_eq!(commands.len(), 1);
     commands.remove(0)
 }
 
 fn evidence() -> Vec<Sample> {
-    let sample = |name: &str, (sign, level): (Symptom, f64)| Sample::of(name, opened_for(sign, level));
+    let sample =
+        |name: &str, (symptom, level): (Symptom, f64)| Sample::of(name, open_incident_for(symptom, level));
     each_variant!(sample, (Symptom, f64) {
         "freeze/evidence/lost": (Symptom::Unanswered, _) => (Symptom::Unanswered, 0.61),
         "freeze/evidence/rejected": (Symptom::Rejected, _) => (Symptom::Rejected, 0.62),
@@ -172,7 +177,10 @@
     })
 }
 
-/// See the module's text.
+/// The samples of this module.
 pub fn samples() -> Vec<Sample> {
-    [commands(), scopes(), words(), responses(), stored(), evidence()].into_iter().flatten().collect()
+    [commands(), scopes(), enum_values(), responses(), stored_values(), evidence()]
+        .into_iter()
+        .flatten()
+        .collect()
 }
--- a/crates/consensus/tests/samples/history.rs
+++ b/crates/consensus/tests/samples/history.rs
@@ -1,4 +1,5 @@
-//! A history of proposals that leaves something in every part of the replicated state.
+//! A sequence of proposals whose resulting state has entries in each part of the replicated state. The texts
+//! and numbers in the proposals are part of the encoding in the fixtures.
 
 use super::freeze::{request, site};
 use super::lease::{instance, lease_name};
@@ -12,25 +13,25 @@
 use hillstall_maintenance::windows::{OverrunPolicy, WindowCommand as Window};
 use std::collections::BTreeMap;
 
-/// A proposal, the index of its entry, and its outcome.
+/// A proposal that was applied, with its outcome.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Applied {
-    /// The index of its entry in the log.
+    /// The index of the proposal's log entry.
     pub index: u64,
-    /// The proposal.
     pub proposal: Proposal,
-    /// Its outcome.
     pub outcome: Outcome,
 }
 
-/// A state, and what was applied to it.
+/// A state, and the proposals that were applied to it.
 #[derive(Default)]
 pub struct History {
-    /// The state after all that was applied.
+    /// The state after the last applied proposal.
     pub state: State,
-    /// In order.
+    /// In the order in which they were applied.
     pub applied: Vec<Applied>,
+    /// The index of the last log entry.
     index: u64,
+    /// The number of the last proposal of each instance, by rank.
     numbers: BTreeMap<u32, u64>,
 }
 
@@ -44,7 +45,8 @@
     }
 
     fn apply(&mut self, proposal: Proposal) -> Outcome {
-        // An entry of a new leader carries no proposal, so that indexes have gaps.
+        // The indexes of proposals have gaps, as a new leader begins its term with an entry without a
+        // proposal.
         self.index += 1 + u64::from(self.applied.len().is_multiple_of(10));
         let outcome = self.state.apply(self.index, &proposal);
         self.applied.push(Applied { index: self.index, proposal, outcome: outcome.clone() });
@@ -74,7 +76,7 @@
         })
     }
 
-    /// Gives the number of the incident or change that it is about.
+    /// Returns the number of the incident or change in the outcome; 0 if there is none.
     fn freeze(&mut self, command: Freeze) -> Number {
         match self.propose(9, Command::Freeze(command)) {
             Outcome::Freeze(
@@ -96,11 +98,12 @@
         self.propose(rank, Command::Window { token: token.map(FencingToken), command })
     }
 
-    /// Leases that are held, competed for, renewed, handed over and lost.
+    /// Leases that are acquired, renewed, released and expired, with candidates that wait and that are
+    /// removed.
     fn leases(&mut self) {
         self.acquire("freeze/coordinator", 1, 0);
         self.renew("freeze/coordinator", 1, 1, 0);
-        // It has not learned of its renewal, and sends it once more.
+        // A second renewal by a holder that has not observed the first one: it is rejected.
         self.renew("freeze/coordinator", 1, 1, 0);
         self.acquire("freeze/coordinator", 2, 1);
         self.acquire("shift/north", 2, 1);
@@ -118,17 +121,18 @@
         self.acquire("shift/south", 4, 2);
         self.acquire("shift/south", 2, 1);
         self.lease(Lease::Release { lease: lease_name("shift/south"), instance: instance(4) });
-        // Its grant is over.
+        // The grant has ended, so the renewal is rejected.
         self.renew("shift/south", 4, 4, 0);
         self.acquire("shift/east", 3, 7);
         self.acquire("shift/west", 5, 8);
         self.lease(Lease::Release { lease: lease_name("shift/west"), instance: instance(5) });
     }
 
-    /// Incidents that are taken on, remedied, resolved and over, and those that a rule must not touch.
+    /// Incidents that are assigned, linked to a remedy, resolved and ended, and one that a rule must not
+    /// resolve.
     fn incidents(&mut self) {
         let person = |name: &str| Requester::Person(name.into());
-        // The lease of that coordinator is not the newest one.
+        // The token is not that of the coordinator's current grant, so the command is rejected.
         self.open(Severity::Critical, Scope::Fleet, "nobody holds that lease", Requester::Coordinator(77));
         let major = self.open(Severity::Major, Scope::Class("bulk".into()), "it is slow", person("mira"));
         self.freeze(Freeze::AssignIncident { incident: major, person: "tom".into() });
@@ -149,7 +153,8 @@
         self.freeze(Freeze::CooldownElapsed { incident: over, version: 1 });
     }
 
-    /// Changes that get their permit, wait for one, run out, and take two people.
+    /// Changes that get a permit, wait in the queue, are blocked by an incident or expire, and emergency
+    /// changes.
     fn changes(&mut self) {
         let minor =
             self.open(Severity::Minor, site("east"), "Lost at 0.61, limit 0.50", Requester::Coordinator(1));
@@ -182,18 +187,18 @@
         });
     }
 
-    /// First a change goes before it, then an incident.
+    /// A window that is not admitted, first because of another change, then because of an incident.
     fn window_that_is_blocked(&mut self, change: Number) {
         self.window(None, Window::Plan(plan("east", 1_777_600_000_000, OverrunPolicy::Return)));
         self.window(Some(6), Window::Admit { window: 1, baseline_rate: 1 });
         self.freeze(Freeze::FinishChange { change });
         let next = self.state.freeze().changes().iter().find(|(_, c)| c.request.requested_by == "leo");
-        let next = next.map(|(number, _)| *number).expect("it has moved up");
+        let next = next.map(|(number, _)| *number).expect("the queued change of leo");
         self.freeze(Freeze::ClearOverdueChange { change: next, person: "leo".into() });
         self.window(Some(6), Window::Admit { window: 1, baseline_rate: 1 });
     }
 
-    /// A window whose change has to react and does not, and which comes back.
+    /// A window whose change has to react to an incident and does not, so that the traffic is restored.
     fn window_that_is_aborted(&mut self) {
         self.window(None, Window::Plan(plan("north", 1_777_680_000_123, OverrunPolicy::Return)));
         self.window(None, Window::Plan(plan("south", 1_777_690_000_456, OverrunPolicy::Hold)));
@@ -201,7 +206,7 @@
         self.window(Some(5), Window::Admit { window: 3, baseline_rate: 130_002 });
         self.window(Some(2), Window::ReduceTraffic { window: 2, fraction: 875 });
         self.window(Some(2), Window::ReduceTraffic { window: 2, fraction: 875 });
-        let change = self.state.windows().all()[&2].change.expect("it has a permit");
+        let change = self.state.windows().all()[&2].change.expect("the window has a permit");
         let by = Requester::Person("mira".into());
         let incident = self.open(Severity::Major, site("north"), "it burns", by.clone());
         self.window(Some(2), Window::ReduceTraffic { window: 2, fraction: 750 });
@@ -217,17 +222,17 @@
         self.freeze(Freeze::CooldownElapsed { incident, version: 1 });
     }
 
-    /// A window whose permit runs out before its first step.
+    /// A window whose permit expires before its first step.
     fn window_that_is_postponed(&mut self) {
         self.window(None, Window::Plan(plan("north", 1_777_700_000_789, OverrunPolicy::Return)));
         self.window(Some(2), Window::Admit { window: 4, baseline_rate: 140_003 });
-        let change = self.state.windows().all()[&4].change.expect("it has a permit");
+        let change = self.state.windows().all()[&4].change.expect("the window has a permit");
         self.freeze(Freeze::ExpireChange { change, version: 1 });
         self.window(Some(2), Window::ReduceTraffic { window: 4, fraction: 875 });
         self.window(Some(2), Window::Postpone { window: 4, reason: "no time is left".into() });
     }
 
-    /// Windows that are cancelled, ended by a person, rejected, and one at which people work too long.
+    /// Windows that are cancelled or rejected, and one that overruns.
     fn other_windows(&mut self) {
         self.window(None, Window::Plan(plan("north", 1_777_710_000_111, OverrunPolicy::Return)));
         self.window(None, Window::Cancel { window: 5 });
@@ -242,22 +247,22 @@
         self.window(Some(5), Window::MarkEmpty { window: 3 });
         self.window(Some(5), Window::Begin { window: 3 });
         self.window(Some(5), Window::MarkOverrun { window: 3 });
-        // Only a holder of the site's lease may say that.
+        // Rejected: the first token is of another site's lease, the second command has none.
         self.window(Some(2), Window::Begin { window: 3 });
         self.window(None, Window::Begin { window: 3 });
     }
 
-    /// An incident that is open at the end, with a change that would remedy it.
+    /// An incident that stays open, with a waiting change as its remedy.
     fn open_incident(&mut self) {
         let by = Requester::Person("mira".into());
         let incident = self.open(Severity::Minor, Scope::Replicas, "one of three is slow", by);
         self.freeze(Freeze::AssignIncident { incident, person: "tom".into() });
         let waiting = self.state.freeze().changes().iter().find(|(_, c)| c.request.requested_by == "kai");
-        let change = waiting.map(|(number, _)| *number).expect("it still waits");
+        let change = waiting.map(|(number, _)| *number).expect("the waiting change of kai");
         self.freeze(Freeze::LinkRemedy { incident, change, person: "ida".into() });
     }
 
-    /// The same proposal twice, and one that is too old to be known.
+    /// A proposal that is applied twice, and one that is too late: its outcome was evicted.
     fn repeated_and_late(&mut self) {
         let first = self.applied[0].proposal.clone();
         self.apply(first);
@@ -269,7 +274,7 @@
     }
 }
 
-/// The whole history.
+/// The history in `fixtures/history.txt`, with the state in `fixtures/snapshot.txt`.
 pub fn whole() -> History {
     let mut history = History::default();
     history.leases();
@@ -291,7 +296,7 @@
     history.state
 }
 
-/// The outcome of admitting a window when there are already as many changes as allowed.
+/// The outcome of admitting a window when the number of open changes is at its limit.
 pub fn window_while_full() -> Outcome {
     let mut history = History::default();
     history.acquire("shift/north", 2, 1);
--- a/crates/consensus/tests/samples/lease.rs
+++ b/crates/consensus/tests/samples/lease.rs
@@ -1,21 +1,21 @@
-//! Leases: their table, their commands and the fenced commands that carry their tokens.
+//! Samples of leases, lease commands and fenced commands.
 
 use super::{each_variant, Sample};
 use hillstall_lease::fencing::{FencedCommand, MinimumToken};
 use hillstall_lease::table::{Candidate, Grant, LeaseCommand, LeaseError, LeaseRecord, LeaseTable};
 use hillstall_lease::{FencingToken, Instance, LeaseName};
 
-/// A process of the fleet.
+/// An instance with this rank.
 pub fn instance(rank: u32) -> Instance {
     Instance { rank, incarnation: 0x0123_4567_89ab_cd00 + u64::from(rank) }
 }
 
-/// The name of a lease.
 pub fn lease_name(name: &str) -> LeaseName {
-    LeaseName::new(name).expect("it is a name")
+    LeaseName::new(name).expect("a valid lease name")
 }
 
-/// A lease with a holder and two candidates, all counts above zero and different.
+/// The record of a lease with a holder and two candidates. The token and the numbers of renewals and
+/// heartbeats are above 0 where the commands allow it.
 pub fn record() -> LeaseRecord {
     let lease = lease_name("shift/north");
     let mut table = LeaseTable::default();
@@ -34,9 +34,9 @@
     let commands =
         [other, acquire(5, 1), acquire(6, 4), acquire(7, 3), acquire(6, 4), renew(0), renew(1), renew(2)];
     for command in commands {
-        table.apply(&command).expect("it is applied");
+        table.apply(&command).expect("the command is valid");
     }
-    table.record(&lease).cloned().expect("it is there")
+    table.record(&lease).cloned().expect("the lease is in the table")
 }
 
 /// The samples of this module.
@@ -82,7 +82,7 @@
     samples
 }
 
-/// Each reason for a rejection. Its text is stored in the outcome.
+/// Each reason for which a lease command is rejected. The text is stored in the outcome.
 pub fn reasons() -> Vec<(&'static str, LeaseError)> {
     each_variant!(named, LeaseError {
         "lease/rejected/superseded": LeaseError::GrantEnded { .. } => LeaseError::GrantEnded { newest: FencingToken(319) },
--- a/crates/consensus/tests/samples/maintenance.rs
+++ b/crates/consensus/tests/samples/maintenance.rs
@@ -1,9 +1,9 @@
-//! Maintenance windows.
+//! Samples of maintenance windows and their commands.
 
 use super::{each_variant, Sample};
 use hillstall_maintenance::windows::{OverrunPolicy, Stage, Window, WindowCommand, WindowError, WindowPlan};
 
-/// A window as it was planned.
+/// A plan of a window at this site.
 pub fn plan(site: &str, starts_at: u64, overrun_policy: OverrunPolicy) -> WindowPlan {
     WindowPlan {
         site: site.into(),
@@ -70,7 +70,7 @@
     samples
 }
 
-/// Each reason for a rejection. Its text is stored in the outcome.
+/// Each reason for which a window command is rejected. The text is stored in the outcome.
 pub fn reasons() -> Vec<(&'static str, WindowError)> {
     each_variant!(named, WindowError {
         "maintenance/rejected/unknown": WindowError::NotFound => WindowError::NotFound,
--- a/crates/consensus/tests/samples/mod.rs
+++ b/crates/consensus/tests/samples/mod.rs
@@ -1,5 +1,5 @@
-//! Sample values, each with the name of its line in `fixtures/messages.txt`. Numbers and texts differ within a value, so
-//! that two fields that are swapped are noticed.
+//! Sample values, each with the name of its line in `fixtures/messages.txt`. The numbers and texts within a
+//! value differ, so that a test notices two swapped fields.
 
 pub mod freeze;
 pub mod history;
@@ -11,30 +11,30 @@
 use serde::Serialize;
 use std::fmt::Debug;
 
-/// Whether some bytes are decoded as a certain value.
+/// Checks whether bytes are decoded as a certain value.
 type CheckDecoding = Box<dyn Fn(&[u8]) -> Result<(), String>>;
 
-/// A value as it is encoded today, and how to tell whether some bytes are read as that value.
+/// The encoding of a value by this version, and a check whether other bytes are decoded as that value.
 pub struct Sample {
-    /// The name of its line.
+    /// The name of the sample's line in `fixtures/messages.txt`.
     pub name: String,
-    /// What the value is encoded to.
+    /// The bytes as which this version encodes the value.
     pub encoded: Vec<u8>,
     decodes_from: CheckDecoding,
 }
 
 impl Sample {
-    /// Whether these bytes are read as the value, and nothing is left over.
+    /// Checks that these bytes are decoded as the value, without a rest.
     pub fn check_decoding(&self, bytes: &[u8]) -> Result<(), String> {
         (self.decodes_from)(bytes)
     }
 
-    /// A value that is stored or sent as a part of others.
+    /// The sample of a value that is stored or sent as a part of others.
     pub fn of<T>(name: &str, value: T) -> Sample
     where
         T: Serialize + DeserializeOwned + PartialEq + Debug + 'static,
     {
-        let encoded = postcard::to_stdvec(&value).expect("it is encoded");
+        let encoded = postcard::to_stdvec(&value).expect("the sample can be encoded");
         let decodes_from = move |bytes: &[u8]| {
             let (read, rest) = postcard::take_from_bytes::<T>(bytes).map_err(|error| error.to_string())?;
             check_equal(&read, &value)?;
@@ -43,7 +43,7 @@
         Sample { name: name.to_owned(), encoded, decodes_from: Box::new(decodes_from) }
     }
 
-    /// A whole frame, with its version.
+    /// The sample of a whole frame, which starts with its version.
     pub fn of_frame(name: &str, value: hillstall_consensus::frame::Frame) -> Sample {
         let encoded = value.encode();
         let decodes_from = move |bytes: &[u8]| {
@@ -59,10 +59,10 @@
     if read == expected {
         return Ok(());
     }
-    Err(format!("read as {read:?}, not {expected:?}"))
+    Err(format!("decoded as {read:?}, expected {expected:?}"))
 }
 
-/// One sample of each variant of an enum. A variant that is not listed does not compile.
+/// One sample of each variant of an enum. Does not compile unless all variants are listed.
 macro_rules! each_variant {
     ($make:path, $type:ty { $($name:literal: $pattern:pat => $value:expr),+ $(,)? }) => {{
         fn name_of(value: &$type) -> &'static str {
--- a/crates/consensus/tests/samples/quorum.rs
+++ b/crates/consensus/tests/samples/quorum.rs
@@ -1,4 +1,4 @@
-//! Frames between processes, proposals and their outcomes.
+//! Samples of frames, proposals and outcomes.
 
 use super::lease::{instance, lease_name, record};
 use super::{each_variant, freeze, history, lease, maintenance, Sample};
@@ -80,7 +80,7 @@
     });
     samples.push(Sample::of("outcome/no-grant", Outcome::Lease(None)));
     for (name, reason) in lease::reasons() {
-        // It has an outcome of its own, without a text.
+        // This error becomes [`Outcome::GrantEnded`], which has no text.
         if matches!(reason, table::LeaseError::GrantEnded { .. }) {
             continue;
         }
--- a/crates/consensus/tests/sim/checks.rs
+++ b/crates/consensus/tests/sim/checks.rs
@@ -1,4 +1,4 @@
-//! The invariants that are checked after each event, and what must hold at the end.
+//! The invariants that are checked after each event, and the checks at the end of a run.
 
 use super::storage::MemoryStorage;
 use super::{Sim, REPLICAS};
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The most entries that a replica may lack at the end of what another has applied.
+/// At the end, the replicas' applied indexes may differ by at most this.
 const MAX_FINAL_LAG: u64 = 40;
 
 impl Sim {
@@ -19,7 +19,7 @@
         self.instances.iter().filter_map(|instance| instance.node.as_ref())
     }
 
-    /// Checks what must hold after each event.
+    /// Checks the invariants that hold after each event.
     pub(super) fn check_invariants(&mut self) {
         self.check_single_holders();
         for rank in 0..REPLICAS {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// No lease is held by two instances at once.
+    /// Checks that no lease is held by two instances at once.
     fn check_single_holders(&mut self) {
         let mut holders: BTreeMap<LeaseName, usize> = BTreeMap::new();
         for instance in &self.instances {
@@ -41,13 +41,13 @@
         }
     }
 
-    /// All replicas have the same state at the same index, and the state is consistent.
+    /// Checks that a replica's state is consistent, and equal to those of other replicas at the same index.
     fn check_replica(&mut self, rank: usize) {
         let now = self.now;
         let replica = self.instances[rank].node.as_ref().and_then(|node| node.replica());
         let Some(state) = replica.map(Replica::state) else { return };
         let index = state.index();
-        // To save time, a known index is checked only now and then.
+        // To save time, a state at a known index is checked after one in 16 events only.
         if self.state_hashes.contains_key(&index) && !self.events.is_multiple_of(16) {
             return;
         }
@@ -56,12 +56,12 @@
         state.hash(&mut hasher);
         let hash = hasher.finish();
         if *self.state_hashes.entry(index).or_insert(hash) != hash {
-            self.violations.push(format!("{now}: replica {rank} has another state at index {index}"));
+            self.violations.push(format!("{now}: replica {rank} differs from another at index {index}"));
         }
         self.violations.extend(violation.map(|violation| format!("{now}: {violation}")));
     }
 
-    /// Checks what must hold 20 s after the last fault.
+    /// Checks the invariants that hold at the end of a run, 20 s after the last fault.
     pub(super) fn check_end(&mut self) {
         for rank in 0..self.instances.len() {
             let violations = self.final_violations_of(rank);
@@ -74,15 +74,15 @@
 
     fn final_violations_of(&self, rank: usize) -> Vec<String> {
         let Some(node) = &self.instances[rank].node else {
-            return vec![format!("instance {rank} does not run at the end")];
+            return vec![format!("instance {rank} is not running at the end")];
         };
         let mut violations = Vec::new();
         let lost = self.acknowledged.iter().find(|number| !remembers(node.state(), **number));
         if let Some(lost) = lost {
-            violations.push(format!("instance {rank} has forgotten what was acknowledged as {lost}"));
+            violations.push(format!("instance {rank} lacks the acknowledged incident or change {lost}"));
         }
         if !node.accepts_commands() {
-            violations.push(format!("instance {rank} accepts no commands"));
+            violations.push(format!("instance {rank} accepts no fenced commands at the end"));
         }
         violations
     }
@@ -96,7 +96,8 @@
             coordinators += held.iter().filter(|(lease, _)| *lease == coordinator).count();
         }
         if coordinators != 1 {
-            self.violations.push(format!("{coordinators} coordinators 20 s after the last fault"));
+            self.violations
+                .push(format!("{coordinators} coordinators 20 s after the last fault, expected 1"));
         }
     }
 
@@ -106,15 +107,18 @@
         let lowest = indexes.iter().min().copied().unwrap_or(0);
         let highest = indexes.iter().max().copied().unwrap_or(0);
         if highest - lowest > MAX_FINAL_LAG {
-            self.violations.push(format!("some replicas lag far behind others: {lowest} and {highest}"));
+            self.violations.push(format!(
+                "the replicas' indexes differ by more than {MAX_FINAL_LAG}: {lowest} and {highest}"
+            ));
         }
     }
 
-    /// All instances know the same holders and incidents. Followers receive these, but not each heartbeat.
+    /// Checks that all instances know the same holders and incidents. Their whole states may differ, as
+    /// followers do not receive the numbers of heartbeats.
     fn check_same_leases_and_incidents(&mut self) {
         let known: Vec<_> = self.nodes().map(|node| leases_and_incidents(node.state())).collect();
         if known.windows(2).any(|pair| pair[0] != pair[1]) {
-            self.violations.push(format!("instances differ over holders or incidents: {known:?}"));
+            self.violations.push(format!("instances know different holders or incidents: {known:?}"));
         }
     }
 
@@ -134,7 +138,7 @@
     }
 }
 
-/// Whether a state has an incident or change, or an audit record of it.
+/// Whether a state has the incident with this number, or an audit record of the incident or change.
 fn remembers(state: &State, number: u64) -> bool {
     let freeze = state.freeze();
     freeze.incidents().contains_key(&number)
@@ -143,7 +147,7 @@
 
 type LeasesAndIncidents = (Vec<(LeaseName, Option<FencingToken>)>, BTreeMap<u64, Incident>);
 
-/// The token of each lease's grant, and the incidents.
+/// The token of each lease's current grant, and the incidents.
 fn leases_and_incidents(state: &State) -> LeasesAndIncidents {
     let leases = state.leases().leases();
     let tokens = leases.map(|(lease, grant, _)| (lease.clone(), grant.map(|grant| grant.token)));
--- a/crates/consensus/tests/sim/faults.rs
+++ b/crates/consensus/tests/sim/faults.rs
@@ -1,17 +1,19 @@
-//! What is done to the fleet: links are cut, processes paused and killed, disks lost, put back or filled, clocks stepped.
+//! The injected faults: links are cut; processes are paused and killed; disks are lost, full or restored from
+//! a backup; system clocks are stepped.
 
 use super::{Event, PlantedFault, Sim, FAULTS_END_MS, REPLICAS};
 use hillstall_consensus::storage::PersistentState;
 
-/// How long a process may be paused: shorter than a lease, about as long, and longer.
+/// How long a process may be paused: shorter than a lease term, about as long, and longer.
 const PAUSES_MS: [u64; 3] = [300, 2_500, 9_000];
-/// The least time between two losses of disks.
+/// The minimum time between two losses of disks.
 const DISK_LOSS_INTERVAL_MS: u64 = 5_000;
-/// The number of starts of a disk that comes back under its old id.
+/// The number of starts on a disk that replaces a lost one under its id: higher than any that others have
+/// stored.
 const REUSED_ID_BOOT: u64 = 50;
 
 impl Sim {
-    /// Injects a random fault, and schedules the next; or ends all faults.
+    /// Injects a random fault and schedules the next one, or ends all faults when it is time.
     pub(super) fn inject_fault(&mut self) {
         if self.now >= FAULTS_END_MS {
             return self.end_faults();
@@ -26,7 +28,7 @@
             }
             9 if self.random_below(3) == 0 => self.restart_all_replicas(),
             10 if rank < REPLICAS && self.instances[rank].node.is_some() => self.fill_disk(rank),
-            _ => self.step_clock_and_back_up(rank),
+            _ => self.step_clock_and_back_up_disk(rank),
         }
         let next = self.now + 200 + self.random_below(2_500);
         self.schedule(next, Event::InjectFault);
@@ -43,7 +45,8 @@
         }
     }
 
-    /// Cuts an instance off: what it sends, what it receives, both, or both to and from the replicas alone.
+    /// Cuts the links from an instance, to it, in both directions, or in both directions only to and from
+    /// replicas.
     fn isolate(&mut self, rank: usize, kind: u64) {
         let others = (0..self.instances.len()).filter(|other| *other != rank);
         let links = match kind {
@@ -64,7 +67,7 @@
         instance.paused_until = instance.paused_until.max(self.now + duration);
     }
 
-    /// Kills a process, and starts it again after a random time.
+    /// Kills a process, and starts it again after a random time below `max_downtime`, in milliseconds.
     fn restart(&mut self, rank: usize, max_downtime: u64) {
         self.kill(rank);
         let start_at = self.now + self.random_below(max_downtime);
@@ -79,7 +82,8 @@
         }
     }
 
-    /// A replica loses its disk, or gets it back from a backup. Only one at a time, when all is well again.
+    /// Replaces a replica's disk by an empty one, or restores it from a backup. The caller checks that all
+    /// other replicas have recovered from the previous loss.
     fn lose_disk(&mut self, rank: usize) {
         self.disk_loss_allowed_from = self.now + DISK_LOSS_INTERVAL_MS;
         self.kill(rank);
@@ -89,7 +93,7 @@
         if self.planted == PlantedFault::ReusedId {
             let lost = instance.disk.stored.borrow();
             replacement.id = lost.id;
-            // A disk that never had an id is simply new.
+            // A disk without an id was never used, so that nothing is lost with it.
             if lost.id != 0 {
                 replacement.boot = REUSED_ID_BOOT;
                 replacement.founders = lost.founders.clone();
@@ -99,7 +103,7 @@
         self.schedule(self.now + 200, Event::Start { rank });
     }
 
-    /// A disk is full until it is freed and the process is started again.
+    /// Makes all writes to a disk fail, until the disk is freed and the process is restarted.
     fn fill_disk(&mut self, rank: usize) {
         self.instances[rank].disk.is_full.set(true);
         let duration = 500 + self.random_below(4_000);
@@ -114,7 +118,7 @@
         }
     }
 
-    fn step_clock_and_back_up(&mut self, rank: usize) {
+    fn step_clock_and_back_up_disk(&mut self, rank: usize) {
         let offset = self.random_below(7_200_000) as i64 - 3_600_000;
         let instance = &mut self.instances[rank];
         instance.clock.system_offset = offset;
@@ -122,7 +126,8 @@
         instance.backup = Some(stored).filter(|stored| stored.participates);
     }
 
-    /// Whether all replicas run, are members and know the same, so that one may lose all that it knows.
+    /// Whether all replicas run, are voters and have nearly the same log, so that the fleet survives the loss
+    /// of a disk.
     fn is_healthy(&self) -> bool {
         let replicas: Vec<_> = self.instances[..REPLICAS]
             .iter()
--- a/crates/consensus/tests/sim/instance.rs
+++ b/crates/consensus/tests/sim/instance.rs
@@ -1,7 +1,7 @@
-//! A simulated instance: its process, its clock and its disk.
+//! A simulated instance, with its process, its clocks and its disk.
 
 use super::storage::{Disk, MemoryStorage};
-use super::{RATE_PPM, UNIX_START_MS};
+use super::{MAX_RATE_ERROR_PPM, UNIX_START_MS};
 use hillstall_consensus::node::Node;
 use hillstall_consensus::storage::PersistentState;
 use hillstall_lease::{FencingToken, Instance, LeaseName, Millis};
@@ -9,11 +9,11 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::BTreeMap;
 
-/// A clock that runs at a rate of its own.
+/// The clocks of an instance, whose rate differs from that of other instances.
 pub struct Clock {
     start: Millis,
     rate_ppm: u64,
-    /// The error of the system clock, in milliseconds.
+    /// The error of the system clock, in milliseconds; its steps change it.
     pub system_offset: i64,
 }
 
@@ -32,24 +32,24 @@
 pub struct SimInstance {
     rank: usize,
     pub incarnation: u64,
-    /// The process, unless it was killed.
+    /// The node of the running process; `None` while no process runs.
     pub node: Option<Node<MemoryStorage>>,
     pub clock: Clock,
     pub disk: Disk,
-    /// A backup of the disk.
+    /// An earlier copy of the disk's contents, from which a lost disk may be restored.
     pub backup: Option<PersistentState>,
-    /// Until then the process is paused.
+    /// The process is paused until this time.
     pub paused_until: Millis,
-    /// The highest token of each lease by which a command was applied.
+    /// The highest token of an applied command since the start of the process, by lease.
     pub highest_tokens: BTreeMap<LeaseName, FencingToken>,
-    /// The replica that it is connected to, or connects to.
+    /// The slot of the replica that a follower is connected to, or tries to connect to.
     pub follows: Option<usize>,
 }
 
 impl SimInstance {
     pub fn new(rank: usize, random: &mut Xoshiro256PlusPlus) -> SimInstance {
         let start = random.next_u64() % 1_000_000_000;
-        let rate_ppm = 1_000_000 - RATE_PPM + random.next_u64() % (2 * RATE_PPM);
+        let rate_ppm = 1_000_000 - MAX_RATE_ERROR_PPM + random.next_u64() % (2 * MAX_RATE_ERROR_PPM);
         SimInstance {
             rank,
             incarnation: 0,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The identity of the present process.
+    /// The identity of the current process.
     pub fn id(&self) -> Instance {
         Instance { rank: self.rank as u32, incarnation: self.incarnation }
     }
@@ -72,7 +72,7 @@
         self.paused_until > now
     }
 
-    /// The process, if it runs and isn't paused.
+    /// The node of the process, if it runs and isn't paused.
     pub fn active_node(&mut self, now: Millis) -> Option<&mut Node<MemoryStorage>> {
         let is_paused = self.is_paused(now);
         self.node.as_mut().filter(|_| !is_paused)
--- a/crates/consensus/tests/sim/mod.rs
+++ b/crates/consensus/tests/sim/mod.rs
@@ -1,11 +1,11 @@
-//! A fleet in simulated time. A seed determines the run; after each event the invariants are checked.
+//! A fleet in simulated time. A seed determines the run; the invariants are checked after each event.
 //!
-//! - `instance` and `storage`: the simulated processes, clocks and disks;
-//! - `processes`: what the processes do at each event, and their outputs;
+//! - `instance` and `storage`: the simulated instances, with their clocks and disks;
+//! - `processes`: how the processes handle events, and their outputs;
 //! - `network`: frames that are delayed, duplicated, reordered or lost;
-//! - `faults`: what is done to the fleet;
-//! - `workload`: what people and the load reports bring in;
-//! - `checks`: the invariants, and what must hold at the end.
+//! - `faults`: the faults that are injected;
+//! - `workload`: the commands of people and the load reports;
+//! - `checks`: the invariants, and the checks at the end of a run.
 
 mod checks;
 mod faults;
@@ -31,37 +31,38 @@
 const FAULTS_START_MS: Millis = 3_000;
 const FAULTS_END_MS: Millis = 40_000;
 const END_MS: Millis = 60_000;
-/// The rates of clocks lie within this of the true one, so that two differ by no more than the lease timing allows.
-const RATE_PPM: u64 = 24_000;
+/// Each clock's rate differs from true time by at most this, so that two clocks drift apart by less than the
+/// lease timing allows.
+const MAX_RATE_ERROR_PPM: u64 = 24_000;
 /// When the measurement of a fleet without faults starts.
 const MEASUREMENT_START_MS: Millis = 10_000;
 /// When the measurement ends, and the first replica is killed.
 const MEASUREMENT_END_MS: Millis = 20_000;
-/// How long the failover after a measurement is watched.
+/// How long the followers' failover after a measurement is observed.
 const FAILOVER_DURATION_MS: Millis = 10_000;
-/// The time of day at the start.
+/// The Unix time at the start.
 const UNIX_START_MS: Millis = 1_800_000_000_000;
 
-/// A fault planted in the software, which the checks must find.
+/// A fault planted in the implementation, which the invariant checks must find.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PlantedFault {
     None,
-    /// The last writes are lost in a crash.
+    /// The last writes are lost when a process is killed.
     NoSync,
-    /// A disk that was lost comes back under its old id, and votes as the old one did.
+    /// An empty disk that replaces a lost one has the id of the lost one, so that the replica votes again
+    /// without its log.
     ReusedId,
-    /// Commands are applied whatever their token.
+    /// Rejected commands count as applied, as if there were no fencing check.
     NoFencing,
 }
 
-/// Something that happens at a time.
 enum Event {
     Start { rank: usize },
     Tick { rank: usize, incarnation: u64 },
     Report { rank: usize },
     Frame { to: usize, incarnation: u64, from: usize, frame: Frame },
     Connected { rank: usize, incarnation: u64, replica: usize },
-    PersonActs,
+    PersonCommand,
     InjectFault,
     HealLinks(Vec<(usize, usize)>),
     ResetMeasurement,
@@ -69,13 +70,14 @@
     FreeDisk { rank: usize },
 }
 
-/// What a fleet without faults costs.
+/// The costs of a fleet without faults, by the rank of the instance.
 pub struct Measurement {
-    /// The bytes that each instance received.
+    /// The number of bytes that each instance has received.
     pub received_bytes: Vec<u64>,
-    /// The time that each instance computed.
-    pub computing: Vec<Duration>,
-    /// When each follower of the killed replica had the state from another.
+    /// The real time that each instance has spent in the handling of ticks and frames.
+    pub busy_times: Vec<Duration>,
+    /// The time, from the kill of the replica, after which each of its followers received the state from
+    /// another replica; `Millis::MAX` before that.
     pub failed_over_at: BTreeMap<usize, Millis>,
 }
 
@@ -84,46 +86,48 @@
     pub measurement: Option<Measurement>,
     random: Xoshiro256PlusPlus,
     now: Millis,
-    /// The number of events that were scheduled.
+    /// The number of events scheduled so far.
     pub events: u64,
     queue: BinaryHeap<Reverse<(Millis, u64)>>,
     scheduled: BTreeMap<u64, Event>,
     instances: Vec<SimInstance>,
-    /// How many faults cut each link, by sender and receiver.
+    /// The number of faults that currently cut each link, by sender and receiver.
     cut_links: BTreeMap<(usize, usize), u32>,
-    /// When the last frame of each link arrives.
+    /// When the last frame on each link arrives, by sender and receiver.
     last_arrivals: BTreeMap<(usize, usize), Millis>,
-    /// The hash of the state at each index.
+    /// The hash of the replicated state at each index.
     state_hashes: BTreeMap<u64, u64>,
     last_ticket: u64,
-    /// The incidents and changes that were acknowledged to people.
+    /// The numbers of the incidents and changes that were acknowledged to people.
     pub acknowledged: Vec<u64>,
+    /// The number of fenced commands that instances have applied.
     pub applied_commands: u64,
-    /// The invariants that were violated.
+    /// Descriptions of the invariants that were violated.
     pub violations: Vec<String>,
     /// A hash of all audit events.
     pub digest: u64,
-    /// Until then no other disk is lost.
+    /// No disk is lost before this time.
     disk_loss_allowed_from: Millis,
-    /// `HILLSTALL_TRACE` prints the outputs of each instance on standard error.
+    /// Whether the outputs of the instances are printed on standard error, as requested by `HILLSTALL_TRACE`.
     is_traced: bool,
 }
 
 impl Sim {
-    /// A fleet under faults, with people who act.
+    /// A fleet under faults, with commands of people.
     pub fn new(seed: u64, planted: PlantedFault) -> Sim {
         let mut sim = Sim::with_instances(INSTANCES, seed, planted);
-        sim.schedule(2_000, Event::PersonActs);
+        sim.schedule(2_000, Event::PersonCommand);
         sim.schedule(FAULTS_START_MS, Event::InjectFault);
         sim
     }
 
-    /// A fleet of any size without faults but the loss of one replica, to measure its cost.
+    /// A fleet of any size, to measure its costs. The only fault is the loss of one replica after the
+    /// measurement.
     pub fn without_faults(instances: usize, seed: u64) -> Sim {
         let mut sim = Sim::with_instances(instances, seed, PlantedFault::None);
         sim.measurement = Some(Measurement {
             received_bytes: vec![0; instances],
-            computing: vec![Duration::ZERO; instances],
+            busy_times: vec![Duration::ZERO; instances],
             failed_over_at: BTreeMap::new(),
         });
         sim.schedule(MEASUREMENT_START_MS, Event::ResetMeasurement);
@@ -172,7 +176,7 @@
         self.random.next_u64() % limit
     }
 
-    /// Plays all events, until the end or the first violation.
+    /// Handles all events until the end or the first violation.
     pub fn run(mut self) -> Sim {
         while let Some(Reverse((at, id))) = self.queue.pop() {
             if at > END_MS || !self.violations.is_empty() {
@@ -200,7 +204,7 @@
             Event::Report { rank } => self.report(rank),
             Event::Connected { rank, incarnation, replica } => self.connect(rank, incarnation, replica),
             Event::Frame { to, incarnation, from, frame } => self.receive(to, incarnation, from, frame),
-            Event::PersonActs => self.person_acts(),
+            Event::PersonCommand => self.submit_person_command(),
             Event::InjectFault => self.inject_fault(),
             Event::HealLinks(links) => self.heal_links(links),
             Event::ResetMeasurement => self.reset_measurement(),
@@ -210,7 +214,7 @@
     }
 }
 
-/// The name of the site that an instance is at.
+/// The site of the instance with this rank.
 fn site_name(rank: usize) -> String {
     ["north", "south", "west"][rank % 3].to_owned()
 }
--- a/crates/consensus/tests/sim/network.rs
+++ b/crates/consensus/tests/sim/network.rs
@@ -1,4 +1,4 @@
-//! The links between instances.
+//! The links between instances, in both directions, and the delivery of frames.
 
 use super::{Event, Sim, FAULTS_END_MS, FAULTS_START_MS};
 use hillstall_consensus::frame::Frame;
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Sends a frame. The frames of a stream arrive in order, as over one connection; others may be late, duplicated or
-    /// reordered.
+    /// Sends a frame. The frames of a stream to a follower arrive in order, as over one connection. Others
+    /// may be late, duplicated or reordered.
     pub(super) fn send(&mut self, from: usize, to: usize, frame: Frame) {
         if self.is_cut(from, to) {
             return;
--- a/crates/consensus/tests/sim/processes.rs
+++ b/crates/consensus/tests/sim/processes.rs
@@ -1,4 +1,4 @@
-//! What the simulated processes do: starts, ticks, connections, frames and outputs.
+//! The simulated processes: their starts, ticks, connections, received frames and outputs.
 
 use super::storage::MemoryStorage;
 use super::{
@@ -17,7 +17,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::{Duration, Instant};
 
-/// How long a connection that can't be made is tried again.
+/// The time between two attempts to connect.
 const RECONNECT_INTERVAL_MS: Millis = 200;
 
 impl Sim {
@@ -45,7 +45,7 @@
         instance.follows = None;
         self.schedule(self.now, Event::Tick { rank, incarnation });
         self.schedule(self.now + REPORT_INTERVAL_MS, Event::Report { rank });
-        self.carry_out_outputs(rank);
+        self.execute_outputs(rank);
     }
 
     pub(super) fn kill(&mut self, rank: usize) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The followers of a killed replica notice that their connections are lost.
+    /// Tells the followers of a killed replica that their connections are lost.
     fn break_connections_to(&mut self, replica: usize) {
         for rank in REPLICAS..self.instances.len() {
             let follower = &mut self.instances[rank];
@@ -92,8 +92,8 @@
         if let Some(node) = &mut instance.node {
             node.tick(monotonic, unix);
         }
-        self.measure_computing(rank, started_at.elapsed());
-        self.carry_out_outputs(rank);
+        self.measure_busy_time(rank, started_at.elapsed());
+        self.execute_outputs(rank);
         self.schedule(now + TICK_INTERVAL_MS, Event::Tick { rank, incarnation });
     }
 
@@ -139,12 +139,12 @@
                 node.on_instance_frame(monotonic, sender, frame);
             }
         }
-        self.measure_computing(to, started_at.elapsed());
-        self.carry_out_outputs(to);
+        self.measure_busy_time(to, started_at.elapsed());
+        self.execute_outputs(to);
     }
 
-    /// Carries out the outputs of an instance.
-    pub(super) fn carry_out_outputs(&mut self, rank: usize) {
+    /// Executes the outputs of an instance.
+    pub(super) fn execute_outputs(&mut self, rank: usize) {
         let instance = &mut self.instances[rank];
         let Some(node) = &mut instance.node else { return };
         let outputs = node.take_outputs(instance.clock.monotonic(self.now));
@@ -202,10 +202,10 @@
         *highest = (*highest).max(command.token);
     }
 
-    fn measure_computing(&mut self, rank: usize, elapsed: Duration) {
+    fn measure_busy_time(&mut self, rank: usize, elapsed: Duration) {
         let is_measured = (MEASUREMENT_START_MS..=MEASUREMENT_END_MS).contains(&self.now);
         if let Some(measurement) = self.measurement.as_mut().filter(|_| is_measured) {
-            measurement.computing[rank] += elapsed;
+            measurement.busy_times[rank] += elapsed;
         }
     }
 
@@ -213,7 +213,7 @@
         let now = self.now;
         let Some(measurement) = &mut self.measurement else { return };
         if now <= MEASUREMENT_END_MS {
-            // Four bytes of length go before each frame.
+            // On a connection, each frame is preceded by four bytes with its length.
             measurement.received_bytes[to] += frame.encode().len() as u64 + 4;
         } else if matches!(frame, Frame::State(_)) {
             let elapsed = now - MEASUREMENT_END_MS;
@@ -225,7 +225,7 @@
         let is_start = self.now == MEASUREMENT_START_MS;
         if let Some(measurement) = self.measurement.as_mut().filter(|_| is_start) {
             measurement.received_bytes.fill(0);
-            measurement.computing.fill(Duration::ZERO);
+            measurement.busy_times.fill(Duration::ZERO);
         }
     }
 
--- a/crates/consensus/tests/sim/storage.rs
+++ b/crates/consensus/tests/sim/storage.rs
@@ -1,24 +1,25 @@
-//! A storage in memory that outlives its process, and whose faults the simulation controls.
+//! A storage in memory that outlives its process, and that fails as the simulation says.
 
 use hillstall_consensus::replica::new_replica_id;
 use hillstall_consensus::storage::{PersistentState, ReplicaStorage, ReplicaStorageError, WriteBatch};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// The number of writes after which a storage that is not synced writes by itself.
+/// With [`PlantedFault::NoSync`](super::PlantedFault::NoSync), only each 64th write makes the earlier ones
+/// durable.
 const WRITES_PER_SYNC: u64 = 64;
 
-/// What remains of a storage when its process ends.
+/// The part of a storage that outlives the process.
 #[derive(Clone, Default)]
 pub struct Disk {
     pub stored: Rc<RefCell<PersistentState>>,
-    /// What was stored some writes ago: all that is left after a crash if nothing is synced.
+    /// The contents some writes ago, which remain after a crash with `PlantedFault::NoSync`.
     pub synced: Rc<RefCell<PersistentState>>,
     /// Whether writes fail.
     pub is_full: Rc<Cell<bool>>,
 }
 
-/// A disk as one process uses it.
+/// The storage of one process, over a [`Disk`].
 pub struct MemoryStorage {
     slot: usize,
     disk: Disk,
@@ -43,7 +44,7 @@
 
     fn save(&mut self, change: WriteBatch) -> Result<(), ReplicaStorageError> {
         if self.disk.is_full.get() {
-            return Err(ReplicaStorageError("it is full".into()));
+            return Err(ReplicaStorageError("the disk is full".into()));
         }
         let mut stored = self.disk.stored.borrow_mut();
         self.writes += 1;
--- a/crates/consensus/tests/sim/workload.rs
+++ b/crates/consensus/tests/sim/workload.rs
@@ -1,4 +1,4 @@
-//! What comes into the fleet from outside: load reports, and the commands of people.
+//! The inputs of the fleet from outside: load reports, and the commands of people.
 
 use super::{site_name, Event, Sim, END_MS, REPORT_INTERVAL_MS, UNIX_START_MS};
 use hillstall_change_freeze::rules::{ChangeKind, Reaction, Severity};
@@ -9,11 +9,12 @@
 use hillstall_lease::Millis;
 use hillstall_maintenance::windows::{OverrunPolicy, WindowCommand, WindowPlan};
 
-/// Nobody acts in this long before the end, so that followers can have received all that was acknowledged.
+/// There are no commands of people in this time before the end, so that followers receive all acknowledged
+/// ones.
 const QUIET_END_MS: Millis = 3_000;
 
 impl Sim {
-    /// An instance reports its load: what is shifted away from one site goes to the others.
+    /// An instance reports its load. Traffic that it shifts away from one site goes to the others.
     pub(super) fn report(&mut self, rank: usize) {
         let now = self.now;
         let instance = &mut self.instances[rank];
@@ -22,12 +23,12 @@
             let shifted_away = 1.0 - node.site_fraction("north", monotonic);
             node.on_report(monotonic, load_report(shifted_away));
         }
-        self.carry_out_outputs(rank);
+        self.execute_outputs(rank);
         self.schedule(now + REPORT_INTERVAL_MS, Event::Report { rank });
     }
 
-    /// A person plans a window, opens an incident or requests a change, at any instance.
-    pub(super) fn person_acts(&mut self) {
+    /// A person plans a window, opens an incident or requests a change, at a random instance.
+    pub(super) fn submit_person_command(&mut self) {
         let now = self.now;
         let rank = self.random_below(self.instances.len() as u64) as usize;
         let command = self.random_command();
@@ -38,10 +39,10 @@
         if let Some(node) = instance.active_node(now) {
             node.request(monotonic, ticket, command);
         }
-        self.carry_out_outputs(rank);
+        self.execute_outputs(rank);
         let next = now + 300 + self.random_below(1_500);
         if next < END_MS - QUIET_END_MS {
-            self.schedule(next, Event::PersonActs);
+            self.schedule(next, Event::PersonCommand);
         }
     }
 
@@ -81,7 +82,7 @@
     }
 }
 
-/// The report of an instance that sends this fraction of the first site's traffic to the others.
+/// The report of an instance that sends this fraction of the usual traffic of `north` to the other sites.
 fn load_report(shifted_away: f64) -> LoadReport {
     let counts = |sent: f64| SiteCounts {
         sent: sent as u32,
--- a/crates/consensus/tests/stored_bytes.rs
+++ b/crates/consensus/tests/stored_bytes.rs
@@ -1,5 +1,6 @@
-//! What is stored and what processes send each other is pinned to the byte: an instance of another version reads it, so
-//! names in the code may change, and no byte may. The files in `fixtures` are never written by a test.
+//! The encodings of all stored and sent values, compared byte by byte: instances of other versions decode
+//! them, so names in the code may change, but no byte may. The files in `fixtures` are never written by a
+//! test.
 
 mod samples;
 
@@ -14,8 +15,8 @@
 
 /// The bytes of a text of hexadecimal digits.
 fn bytes_of(hex: &str) -> Vec<u8> {
-    assert!(hex.len().is_multiple_of(2), "half a byte: {hex}");
-    let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
+    assert!(hex.len().is_multiple_of(2), "an odd number of digits: {hex}");
+    let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two hexadecimal digits");
     (0..hex.len()).step_by(2).map(digits).collect()
 }
 
@@ -39,7 +40,7 @@
 fn stored_history() -> Vec<(u64, Vec<u8>, Vec<u8>)> {
     let line = |line: &str| {
         let words: Vec<&str> = line.split(' ').collect();
-        let [index, proposal, outcome] = words.as_slice() else { panic!("no entry: {line}") };
+        let [index, proposal, outcome] = words.as_slice() else { panic!("not three words: {line}") };
         (index.parse().expect("an index"), bytes_of(proposal), bytes_of(outcome))
     };
     HISTORY.lines().map(line).collect()
@@ -54,12 +55,13 @@
     let (lines, samples) = (messages(), samples::all());
     let names: Vec<&str> = lines.iter().map(|(name, _)| *name).collect();
     let sampled: Vec<&str> = samples.iter().map(|sample| sample.name.as_str()).collect();
-    assert_eq!(names, sampled, "each line has its value");
-    assert_eq!(names.iter().collect::<BTreeSet<_>>().len(), names.len(), "a name stands once");
+    assert_eq!(names, sampled, "the lines and the samples have the same names in the same order");
+    assert_eq!(names.iter().collect::<BTreeSet<_>>().len(), names.len(), "no two lines have the same name");
     let mut differences = Vec::new();
     for ((name, bytes), sample) in lines.iter().zip(&samples) {
         if sample.encoded != *bytes {
-            differences.push(format!("{name}: {} is written as {}", hex_of(bytes), hex_of(&sample.encoded)));
+            let (expected, encoded) = (hex_of(bytes), hex_of(&sample.encoded));
+            differences.push(format!("{name}: encoded as {encoded}, expected {expected}"));
         }
         if let Err(error) = sample.check_decoding(bytes) {
             differences.push(format!("{name}: {error}"));
@@ -69,25 +71,25 @@
 }
 
 #[test]
-fn bytes_that_differ_are_rejected() {
+fn the_sample_checks_reject_other_bytes() {
     for sample in samples::all() {
         let longer = [sample.encoded.as_slice(), &[0]].concat();
-        assert!(sample.check_decoding(&longer).is_err(), "{}: one byte more", sample.name);
+        assert!(sample.check_decoding(&longer).is_err(), "{}: accepted an additional byte", sample.name);
         let Some((last, first)) = sample.encoded.split_last() else { panic!("{}: no bytes", sample.name) };
-        assert!(sample.check_decoding(first).is_err(), "{}: one byte less", sample.name);
+        assert!(sample.check_decoding(first).is_err(), "{}: accepted a missing byte", sample.name);
         let other = [first, &[last ^ 1]].concat();
-        assert!(sample.check_decoding(&other).is_err(), "{}: another byte", sample.name);
+        assert!(sample.check_decoding(&other).is_err(), "{}: accepted a changed byte", sample.name);
     }
 }
 
 #[test]
-fn stored_proposals_lead_to_their_outcomes_and_to_the_snapshot() {
+fn stored_proposals_lead_to_the_stored_outcomes_and_snapshot() {
     let mut state = State::default();
     for (index, proposal, outcome) in stored_history() {
-        let (read, rest) = postcard::take_from_bytes::<Proposal>(&proposal).expect("it is read");
+        let (read, rest) = postcard::take_from_bytes::<Proposal>(&proposal).expect("a proposal");
         assert!(rest.is_empty(), "entry {index} has more bytes than a proposal");
         let actual = state.apply(index, &read);
-        let written = postcard::to_stdvec(&actual).expect("it is written");
+        let written = postcard::to_stdvec(&actual).expect("an outcome can be encoded");
         assert_eq!(hex_of(&written), hex_of(&outcome), "entry {index}: {read:?} had the outcome {actual:?}");
         assert_eq!(postcard::from_bytes(&outcome), Ok(actual), "entry {index}");
     }
@@ -104,9 +106,9 @@
         history.applied.iter().zip(&stored)
     {
         assert_eq!(index, at);
-        let written = postcard::to_stdvec(proposal).expect("it is written");
+        let written = postcard::to_stdvec(proposal).expect("a proposal can be encoded");
         assert_eq!(hex_of(&written), hex_of(proposal_bytes), "entry {index}: {proposal:?}");
-        let written = postcard::to_stdvec(outcome).expect("it is written");
+        let written = postcard::to_stdvec(outcome).expect("an outcome can be encoded");
         assert_eq!(hex_of(&written), hex_of(outcome_bytes), "entry {index}: {outcome:?}");
     }
     assert_eq!(hex_of(&history.state.to_bytes()), hex_of(&snapshot()));
@@ -114,11 +116,12 @@
 
 #[test]
 fn a_snapshot_is_decoded_and_encoded_to_the_same_bytes() {
-    let state = State::from_bytes(&snapshot()).expect("it is read");
+    let state = State::from_bytes(&snapshot()).expect("the stored snapshot can be decoded");
     assert_eq!(hex_of(&state.to_bytes()), hex_of(&snapshot()));
     assert_eq!(state, history::whole().state);
+    // Checks that the snapshot covers all parts of the state.
     let (leases, freeze, windows) = (state.leases(), state.freeze(), state.windows());
-    assert!(leases.leases().any(|(_, grant, waiting)| grant.is_some() && waiting.len() > 1));
+    assert!(leases.leases().any(|(_, grant, candidates)| grant.is_some() && candidates.len() > 1));
     assert!(leases.leases().any(|(_, grant, _)| grant.is_none()));
     assert!(freeze.incidents().len() > 1 && freeze.changes().len() > 3);
     assert!(freeze.audit_log().len() > 30 && windows.all().len() > 5);
--- a/crates/consensus/tests/stored_words.rs
+++ b/crates/consensus/tests/stored_names.rs
@@ -1,5 +1,5 @@
-//! The words by which people name things, and which the state keeps in its record and in its reasons. Each match names
-//! every variant, so that a new one does not compile without its word.
+//! The names of enum values in commands of people, and in stored audit records and reasons. They must not
+//! change. Each match lists every variant, so that a new variant does not compile without a name here.
 
 use hillstall_change_freeze::rules::{ChangeKind, Reaction, Severity};
 use hillstall_change_freeze::scope::Scope;
@@ -7,18 +7,19 @@
 use std::fmt::{Debug, Display};
 use std::str::FromStr;
 
-fn assert_word<T>(value: &T, word: &str)
+/// Checks that a value is displayed as this name, and parsed from it.
+fn assert_name<T>(value: &T, name: &str)
 where
     T: Display + FromStr + PartialEq + Debug,
     T::Err: Debug,
 {
-    assert_eq!(value.to_string(), word);
-    assert_eq!(&word.parse::<T>().expect("it is read"), value);
+    assert_eq!(value.to_string(), name);
+    assert_eq!(&name.parse::<T>().expect("the name can be parsed"), value);
 }
 
 #[test]
 fn kinds_of_changes_are_shown_and_read() {
-    let word = |kind: ChangeKind| match kind {
+    let name = |kind: ChangeKind| match kind {
         ChangeKind::OperatorFile => "operator-file",
         ChangeKind::Upgrade => "upgrade",
         ChangeKind::Drain => "drain",
@@ -27,34 +28,34 @@
         ChangeKind::Settings => "settings",
     };
     assert_eq!(ChangeKind::ALL.len(), 6);
-    ChangeKind::ALL.iter().for_each(|kind| assert_word(kind, word(*kind)));
+    ChangeKind::ALL.iter().for_each(|kind| assert_name(kind, name(*kind)));
 }
 
 #[test]
 fn severities_are_shown_and_read() {
-    let word = |severity: Severity| match severity {
+    let name = |severity: Severity| match severity {
         Severity::Minor => "minor",
         Severity::Major => "major",
         Severity::Critical => "critical",
     };
     assert_eq!(Severity::ALL.len(), 3);
-    Severity::ALL.iter().for_each(|severity| assert_word(severity, word(*severity)));
+    Severity::ALL.iter().for_each(|severity| assert_name(severity, name(*severity)));
 }
 
 #[test]
 fn reactions_are_shown_and_read() {
-    let word = |reaction: Reaction| match reaction {
+    let name = |reaction: Reaction| match reaction {
         Reaction::Finish => "finish",
         Reaction::Pause => "pause",
         Reaction::Undo => "undo",
     };
     assert_eq!(Reaction::ALL.len(), 3);
-    Reaction::ALL.iter().for_each(|reaction| assert_word(reaction, word(*reaction)));
+    Reaction::ALL.iter().for_each(|reaction| assert_name(reaction, name(*reaction)));
 }
 
 #[test]
 fn scopes_are_shown_and_read() {
-    let word = |scope: &Scope| match scope {
+    let name = |scope: &Scope| match scope {
         Scope::Fleet => "fleet",
         Scope::Site(_) => "site:south",
         Scope::Tier(_) => "tier:store",
@@ -72,12 +73,12 @@
         Scope::Tenant("acme".into()),
         Scope::Instance { site: "west".into(), rank: 12 },
     ];
-    scopes.iter().for_each(|scope| assert_word(scope, word(scope)));
+    scopes.iter().for_each(|scope| assert_name(scope, name(scope)));
 }
 
 #[test]
 fn stages_of_windows_are_shown() {
-    let word = |stage: Stage| match stage {
+    let name = |stage: Stage| match stage {
         Stage::Planned => "planned",
         Stage::Admitted => "admitted",
         Stage::Shifting => "shifting",
@@ -99,5 +100,5 @@
         Stage::Postponed,
         Stage::Cancelled,
     ];
-    stages.iter().for_each(|stage| assert_eq!(stage.to_string(), word(*stage)));
+    stages.iter().for_each(|stage| assert_eq!(stage.to_string(), name(*stage)));
 }
