--- a/crates/consensus/tests/samples/freeze.rs
+++ b/crates/consensus/tests/samples/freeze.rs
@@ -35,22 +35,22 @@
             evidence: "half of it is lost".into(),
             opened_by: person("mira"),
         },
-        "freeze/command/take-incident": FreezeCommand::AssignIncident { .. } =>
+        "freeze/command/assign-incident": FreezeCommand::AssignIncident { .. } =>
             FreezeCommand::AssignIncident { incident: 401, person: "tom".into() },
         "freeze/command/resolve-incident": FreezeCommand::ResolveIncident { .. } =>
             FreezeCommand::ResolveIncident { incident: 402, resolved_by: Requester::Coordinator(403) },
-        "freeze/command/close-incident": FreezeCommand::CooldownElapsed { .. } =>
+        "freeze/command/cooldown-elapsed": FreezeCommand::CooldownElapsed { .. } =>
             FreezeCommand::CooldownElapsed { incident: 404, version: 405 },
-        "freeze/command/name-remedy": FreezeCommand::LinkRemedy { .. } =>
+        "freeze/command/link-remedy": FreezeCommand::LinkRemedy { .. } =>
             FreezeCommand::LinkRemedy { incident: 406, change: 407, person: "ida".into() },
         "freeze/command/request-change": FreezeCommand::RequestChange(_) =>
             FreezeCommand::RequestChange(request(ChangeKind::Upgrade, Scope::Tier("cache".into()), "ben")),
-        "freeze/command/request-emergency": FreezeCommand::RequestEmergencyChange(_) =>
+        "freeze/command/request-emergency-change": FreezeCommand::RequestEmergencyChange(_) =>
             FreezeCommand::RequestEmergencyChange(request(ChangeKind::Drain, Scope::Replicas, "ana")),
         "freeze/command/finish-change": FreezeCommand::FinishChange { .. } => FreezeCommand::FinishChange { change: 408 },
         "freeze/command/expire-change": FreezeCommand::ExpireChange { .. } =>
             FreezeCommand::ExpireChange { change: 409, version: 410 },
-        "freeze/command/clear-change": FreezeCommand::ClearOverdueChange { .. } =>
+        "freeze/command/clear-overdue-change": FreezeCommand::ClearOverdueChange { .. } =>
             FreezeCommand::ClearOverdueChange { change: 411, person: "kai".into() },
         "freeze/command/record-signal": FreezeCommand::RecordSignal { .. } =>
             FreezeCommand::RecordSignal { description: "terminated at 12".into() },
@@ -90,7 +90,7 @@
     }));
     samples.extend(each_variant!(Sample::of, Requester {
         "freeze/requester/person": Requester::Person(_) => Requester::Person("eva".into()),
-        "freeze/requester/rule": Requester::Coordinator(_) => Requester::Coordinator(413),
+        "freeze/requester/coordinator": Requester::Coordinator(_) => Requester::Coordinator(413),
     }));
     samples.extend(each_variant!(Sample::of, ChangeStatus {
         "freeze/status/queued": ChangeStatus::Queued => ChangeStatus::Queued,
@@ -104,8 +104,8 @@
 
 fn responses() -> Vec<Sample> {
     let mut samples = each_variant!(Sample::of, Response {
-        "freeze/response/done": Response::Accepted(_) => Response::Accepted(414),
-        "freeze/response/permit": Response::Permitted(_) => Response::Permitted(415),
+        "freeze/response/accepted": Response::Accepted(_) => Response::Accepted(414),
+        "freeze/response/permitted": Response::Permitted(_) => Response::Permitted(415),
         "freeze/response/queued": Response::Queued { .. } => Response::Queued { change: 416, behind: 417 },
         "freeze/response/awaiting-second-approval": Response::AwaitingSecondApproval(_) => Response::AwaitingSecondApproval(418),
         "freeze/response/blocked": Response::Blocked { .. } =>
@@ -113,13 +113,13 @@
         "freeze/response/rejected": Response::Rejected(_) => Response::Rejected(RejectReason::SamePerson),
     });
     samples.extend(each_variant!(Sample::of, RejectReason {
-        "freeze/rejected/unknown": RejectReason::NotFound => RejectReason::NotFound,
-        "freeze/rejected/stale": RejectReason::Superseded => RejectReason::Superseded,
-        "freeze/rejected/not-by-rule": RejectReason::RequiresPerson => RejectReason::RequiresPerson,
+        "freeze/rejected/not-found": RejectReason::NotFound => RejectReason::NotFound,
+        "freeze/rejected/superseded": RejectReason::Superseded => RejectReason::Superseded,
+        "freeze/rejected/requires-person": RejectReason::RequiresPerson => RejectReason::RequiresPerson,
         "freeze/rejected/same-person": RejectReason::SamePerson => RejectReason::SamePerson,
-        "freeze/rejected/name": RejectReason::InvalidName => RejectReason::InvalidName,
-        "freeze/rejected/duration": RejectReason::InvalidDuration => RejectReason::InvalidDuration,
-        "freeze/rejected/full": RejectReason::CapacityReached => RejectReason::CapacityReached,
+        "freeze/rejected/invalid-name": RejectReason::InvalidName => RejectReason::InvalidName,
+        "freeze/rejected/invalid-duration": RejectReason::InvalidDuration => RejectReason::InvalidDuration,
+        "freeze/rejected/capacity-reached": RejectReason::CapacityReached => RejectReason::CapacityReached,
     }));
     samples
 }
@@ -170,10 +170,10 @@
     let sample =
         |name: &str, (symptom, level): (Symptom, f64)| Sample::of(name, open_incident_for(symptom, level));
     each_variant!(sample, (Symptom, f64) {
-        "freeze/evidence/lost": (Symptom::Unanswered, _) => (Symptom::Unanswered, 0.61),
+        "freeze/evidence/unanswered": (Symptom::Unanswered, _) => (Symptom::Unanswered, 0.61),
         "freeze/evidence/rejected": (Symptom::Rejected, _) => (Symptom::Rejected, 0.62),
         "freeze/evidence/failed": (Symptom::Failed, _) => (Symptom::Failed, 0.63),
-        "freeze/evidence/margin": (Symptom::QuorumMargin, _) => (Symptom::QuorumMargin, 1.0),
+        "freeze/evidence/quorum-margin": (Symptom::QuorumMargin, _) => (Symptom::QuorumMargin, 1.0),
     })
 }
 
--- a/crates/consensus/tests/samples/lease.rs
+++ b/crates/consensus/tests/samples/lease.rs
@@ -49,9 +49,9 @@
             LeaseCommand::Renew { lease: lease(), instance: instance(4), token: FencingToken(300), known_renewals: 301 },
         "lease/command/release": LeaseCommand::Release { .. } =>
             LeaseCommand::Release { lease: lease(), instance: instance(5) },
-        "lease/command/expire-lease": LeaseCommand::Expire { .. } =>
+        "lease/command/expire": LeaseCommand::Expire { .. } =>
             LeaseCommand::Expire { lease: lease(), token: FencingToken(302), renewals: 303 },
-        "lease/command/expire-candidate": LeaseCommand::RemoveCandidate { .. } =>
+        "lease/command/remove-candidate": LeaseCommand::RemoveCandidate { .. } =>
             LeaseCommand::RemoveCandidate { lease: lease(), instance: instance(6), heartbeats: 304 },
     });
     let grant = Grant { holder: instance(7), token: FencingToken(305), renewals: 306 };
@@ -72,7 +72,7 @@
         Sample::of("lease/candidate", candidate),
         Sample::of("lease/record/empty", LeaseRecord::default()),
         Sample::of("lease/record/held", record()),
-        Sample::of("lease/order", command),
+        Sample::of("lease/fenced-command", command),
         Sample::of("lease/minimum-token/none", MinimumToken { token: FencingToken(316), sequence: None }),
         Sample::of(
             "lease/minimum-token/some",
@@ -85,8 +85,8 @@
 /// Each reason for which a lease command is rejected. The text is stored in the outcome.
 pub fn reasons() -> Vec<(&'static str, LeaseError)> {
     each_variant!(named, LeaseError {
-        "lease/rejected/superseded": LeaseError::GrantEnded { .. } => LeaseError::GrantEnded { newest: FencingToken(319) },
-        "lease/rejected/renewal-not-seen": LeaseError::UnobservedRenewal => LeaseError::UnobservedRenewal,
+        "lease/rejected/grant-ended": LeaseError::GrantEnded { .. } => LeaseError::GrantEnded { newest: FencingToken(319) },
+        "lease/rejected/unobserved-renewal": LeaseError::UnobservedRenewal => LeaseError::UnobservedRenewal,
         "lease/rejected/too-many-leases": LeaseError::TooManyLeases => LeaseError::TooManyLeases,
         "lease/rejected/too-many-candidates": LeaseError::TooManyCandidates => LeaseError::TooManyCandidates,
     })
--- a/crates/consensus/tests/samples/maintenance.rs
+++ b/crates/consensus/tests/samples/maintenance.rs
@@ -28,16 +28,16 @@
             WindowCommand::Admit { window: 503, baseline_rate: 504_000 },
         "maintenance/command/postpone": WindowCommand::Postpone { .. } =>
             WindowCommand::Postpone { window: 505, reason: "too late".into() },
-        "maintenance/command/step": WindowCommand::ReduceTraffic { .. } => WindowCommand::ReduceTraffic { window: 506, fraction: 875 },
-        "maintenance/command/emptied": WindowCommand::MarkEmpty { .. } => WindowCommand::MarkEmpty { window: 507 },
+        "maintenance/command/reduce-traffic": WindowCommand::ReduceTraffic { .. } => WindowCommand::ReduceTraffic { window: 506, fraction: 875 },
+        "maintenance/command/mark-empty": WindowCommand::MarkEmpty { .. } => WindowCommand::MarkEmpty { window: 507 },
         "maintenance/command/begin": WindowCommand::Begin { .. } => WindowCommand::Begin { window: 508 },
-        "maintenance/command/overran": WindowCommand::MarkOverrun { .. } => WindowCommand::MarkOverrun { window: 509 },
-        "maintenance/command/return": WindowCommand::RestoreTraffic { .. } =>
+        "maintenance/command/mark-overrun": WindowCommand::MarkOverrun { .. } => WindowCommand::MarkOverrun { window: 509 },
+        "maintenance/command/restore-traffic": WindowCommand::RestoreTraffic { .. } =>
             WindowCommand::RestoreTraffic { window: 510, fraction: 625, reason: Some("an incident".into()) },
         "maintenance/command/finish": WindowCommand::Finish { .. } => WindowCommand::Finish { window: 511 },
     });
     let returned_in_time = WindowCommand::RestoreTraffic { window: 512, fraction: 750, reason: None };
-    samples.push(Sample::of("maintenance/command/return-in-time", returned_in_time));
+    samples.push(Sample::of("maintenance/command/restore-traffic-in-time", returned_in_time));
     samples.extend(each_variant!(Sample::of, OverrunPolicy {
         "maintenance/overrun/hold": OverrunPolicy::Hold => OverrunPolicy::Hold,
         "maintenance/overrun/return": OverrunPolicy::Return => OverrunPolicy::Return,
@@ -73,13 +73,13 @@
 /// Each reason for which a window command is rejected. The text is stored in the outcome.
 pub fn reasons() -> Vec<(&'static str, WindowError)> {
     each_variant!(named, WindowError {
-        "maintenance/rejected/unknown": WindowError::NotFound => WindowError::NotFound,
+        "maintenance/rejected/not-found": WindowError::NotFound => WindowError::NotFound,
         "maintenance/rejected/stage": WindowError::Stage(_) => WindowError::Stage(Stage::Postponed),
         "maintenance/rejected/other-site-away": WindowError::OtherSiteAway(_) => WindowError::OtherSiteAway(516),
-        "maintenance/rejected/fraction": WindowError::InvalidFraction { .. } => WindowError::InvalidFraction { from: 517, to: 518 },
+        "maintenance/rejected/invalid-fraction": WindowError::InvalidFraction { .. } => WindowError::InvalidFraction { from: 517, to: 518 },
         "maintenance/rejected/no-permit": WindowError::NoPermit(_) => WindowError::NoPermit("it waits".into()),
-        "maintenance/rejected/full": WindowError::CapacityReached => WindowError::CapacityReached,
-        "maintenance/rejected/plan": WindowError::InvalidPlan(_) => WindowError::InvalidPlan("a reserve is too large"),
+        "maintenance/rejected/capacity-reached": WindowError::CapacityReached => WindowError::CapacityReached,
+        "maintenance/rejected/invalid-plan": WindowError::InvalidPlan(_) => WindowError::InvalidPlan("a reserve is too large"),
     })
 }
 
--- a/crates/consensus/tests/samples/quorum.rs
+++ b/crates/consensus/tests/samples/quorum.rs
@@ -70,15 +70,15 @@
 fn outcomes() -> Vec<Sample> {
     let grant = Grant { holder: instance(629), token: FencingToken(630), renewals: 631 };
     let mut samples = each_variant!(Sample::of, Outcome {
-        "outcome/grant": Outcome::Lease(_) => Outcome::Lease(Some(grant)),
-        "outcome/superseded": Outcome::GrantEnded { .. } => Outcome::GrantEnded { newest: FencingToken(632) },
+        "outcome/lease": Outcome::Lease(_) => Outcome::Lease(Some(grant)),
+        "outcome/grant-ended": Outcome::GrantEnded { .. } => Outcome::GrantEnded { newest: FencingToken(632) },
         "outcome/freeze": Outcome::Freeze(_) =>
             Outcome::Freeze(Response::Queued { change: 633, behind: 634 }),
         "outcome/window": Outcome::Window => Outcome::Window,
         "outcome/rejected": Outcome::Rejected(_) => Outcome::Rejected("no such window".into()),
         "outcome/too-late": Outcome::TooLate => Outcome::TooLate,
     });
-    samples.push(Sample::of("outcome/no-grant", Outcome::Lease(None)));
+    samples.push(Sample::of("outcome/lease-without-grant", Outcome::Lease(None)));
     for (name, reason) in lease::reasons() {
         // This error becomes [`Outcome::GrantEnded`], which has no text.
         if matches!(reason, table::LeaseError::GrantEnded { .. }) {
@@ -89,7 +89,10 @@
     for (name, reason) in maintenance::reasons() {
         samples.push(Sample::of(&format!("outcome/{name}"), Outcome::Rejected(reason.to_string())));
     }
-    samples.push(Sample::of("outcome/maintenance/rejected/freeze-full", history::window_while_full()));
+    samples.push(Sample::of(
+        "outcome/maintenance/rejected/freeze-capacity-reached",
+        history::window_while_full(),
+    ));
     samples
 }
 
@@ -97,8 +100,8 @@
     let mut samples = each_variant!(Sample::of, MembershipMessage {
         "membership/announce": MembershipMessage::Announce { .. } =>
             MembershipMessage::Announce { id: 635, boot: 636, incarnation: 637, founders: vec![638, 639, 640] },
-        "membership/welcome": MembershipMessage::Acknowledge { .. } => MembershipMessage::Acknowledge { incarnation: 641 },
-        "membership/stale-storage": MembershipMessage::Outdated { .. } => MembershipMessage::Outdated { incarnation: 642 },
+        "membership/acknowledge": MembershipMessage::Acknowledge { .. } => MembershipMessage::Acknowledge { incarnation: 641 },
+        "membership/outdated": MembershipMessage::Outdated { .. } => MembershipMessage::Outdated { incarnation: 642 },
         "membership/join": MembershipMessage::Join { .. } => MembershipMessage::Join { id: 643 },
     });
     samples.extend(each_variant!(Sample::of, ReplicaMessage {
@@ -126,7 +129,7 @@
             Frame::Hello { fleet: "shop".into(), instance: instance(650), replica: Some(2) },
         "frame/replica-message": Frame::Replica(_) => Frame::Replica(ReplicaMessage::Raft(vec![1, 2, 3])),
         "frame/propose": Frame::Propose(_) => Frame::Propose(proposal()),
-        "frame/outcome": Frame::Answer { .. } =>
+        "frame/answer": Frame::Answer { .. } =>
             Frame::Answer { id: id(), outcome: Outcome::Freeze(Response::Permitted(651)) },
         "frame/read": Frame::Read { .. } => Frame::Read { number: 652 },
         "frame/read-index": Frame::ReadIndex { .. } => Frame::ReadIndex { number: 653, index: 654 },
@@ -135,7 +138,7 @@
             Frame::Applied { previous_index: 655, index: 656, item: StreamItem::Command(proposal()) },
         "frame/ack": Frame::Ack(_) => Frame::Ack(657),
         "frame/heartbeat": Frame::Heartbeat(_) => Frame::Heartbeat(658),
-        "frame/order": Frame::FencedCommand(_) => Frame::FencedCommand(fenced_command()),
+        "frame/fenced-command": Frame::FencedCommand(_) => Frame::FencedCommand(fenced_command()),
         "frame/report": Frame::Report(_) => Frame::Report(report()),
         "frame/reports": Frame::Reports { .. } =>
             Frame::Reports { unix: 1_777_680_000_659, reports: vec![report(), LoadReport::default()] },
--- a/crates/consensus/tests/stored_names.rs
+++ b/crates/consensus/tests/stored_names.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn kinds_of_changes_are_shown_and_read() {
+fn change_kinds_are_displayed_and_parsed_by_fixed_names() {
     let name = |kind: ChangeKind| match kind {
         ChangeKind::OperatorFile => "operator-file",
         ChangeKind::Upgrade => "upgrade",
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn severities_are_shown_and_read() {
+fn severities_are_displayed_and_parsed_by_fixed_names() {
     let name = |severity: Severity| match severity {
         Severity::Minor => "minor",
         Severity::Major => "major",
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn reactions_are_shown_and_read() {
+fn reactions_are_displayed_and_parsed_by_fixed_names() {
     let name = |reaction: Reaction| match reaction {
         Reaction::Finish => "finish",
         Reaction::Pause => "pause",
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn scopes_are_shown_and_read() {
+fn scopes_are_displayed_and_parsed_by_fixed_names() {
     let name = |scope: &Scope| match scope {
         Scope::Fleet => "fleet",
         Scope::Site(_) => "site:south",
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn stages_of_windows_are_shown() {
+fn window_stages_are_displayed_by_fixed_names() {
     let name = |stage: Stage| match stage {
         Stage::Planned => "planned",
         Stage::Admitted => "admitted",
