--- a/crates/consensus/src/node/following.rs
+++ b/crates/consensus/src/node/following.rs
@@ -111,8 +111,8 @@
         self.followed.connected = true;
         let acknowledged_index = match frame {
             Frame::State(bytes) => self.on_state_frame(now, &bytes),
-            Frame::Applied { previous_index: after, index, item } => {
-                Some(self.followed.apply_item(now, after, index, item))
+            Frame::Applied { previous_index, index, item } => {
+                Some(self.followed.apply_item(now, previous_index, index, item))
             }
             Frame::Heartbeat(sent_index) => Some(self.followed.on_heartbeat(now, sent_index)),
             Frame::Answer { id, outcome } if id.instance == self.config.instance => {
--- a/crates/consensus/src/node/lease_holder.rs
+++ b/crates/consensus/src/node/lease_holder.rs
@@ -19,13 +19,13 @@
         }
         let time_of_day = self.consensus_time(now, unix);
         let mut load = self.reports.fleet_load(now);
-        for held in held_leases {
-            if held.site.is_some() {
-                if let Some(command) = self.shift_traffic(now, time_of_day, &held, &mut load) {
+        for held_lease in held_leases {
+            if held_lease.site.is_some() {
+                if let Some(command) = self.shift_traffic(now, time_of_day, &held_lease, &mut load) {
                     self.broadcast_command(now, command);
                 }
-            } else if is_coordinator(&held) {
-                self.propose_incident_changes(now, held.token);
+            } else if is_coordinator(&held_lease) {
+                self.propose_incident_changes(now, held_lease.token);
             }
         }
     }
@@ -53,6 +53,6 @@
     }
 }
 
-fn is_coordinator(held: &HeldLease) -> bool {
-    held.lease.to_string() == COORDINATOR_LEASE
+fn is_coordinator(held_lease: &HeldLease) -> bool {
+    held_lease.lease.to_string() == COORDINATOR_LEASE
 }
--- a/crates/consensus/src/node/traffic_shift.rs
+++ b/crates/consensus/src/node/traffic_shift.rs
@@ -22,22 +22,26 @@
         &mut self,
         now: Millis,
         time_of_day: Millis,
-        held: &HeldLease,
+        held_lease: &HeldLease,
         load: &mut FleetLoad,
     ) -> Option<FencedCommand<TrafficFraction>> {
-        let site = held.site.as_deref()?;
+        let site = held_lease.site.as_deref()?;
         let state = known_state(&self.replica, &self.followed);
         let (number, window) = current_window(state, site)?;
         load.blocker = shift_blocker(state.freeze(), &window, site);
-        let controller = self.shift_controllers.entry(held.lease.clone()).or_default();
+        let controller = self.shift_controllers.entry(held_lease.lease.clone()).or_default();
         let next_command =
             controller.next_command((time_of_day, now), (number, &window), load, &self.config.pacing);
-        let fenced_command = window
-            .stage
-            .takes_traffic_away()
-            .then(|| self.leases.next_fenced_command(&held.lease, held.token, window.fraction, &self.config));
+        let fenced_command = window.stage.takes_traffic_away().then(|| {
+            self.leases.next_fenced_command(
+                &held_lease.lease,
+                held_lease.token,
+                window.fraction,
+                &self.config,
+            )
+        });
         if let Some(command) = next_command {
-            self.propose_shift_step(now, held.token, command);
+            self.propose_shift_step(now, held_lease.token, command);
         }
         fenced_command
     }
