--- a/crates/consensus/tests/samples/maintenance.rs
+++ b/crates/consensus/tests/samples/maintenance.rs
@@ -1,9 +1,9 @@
-//! Maintenance windows.
+//! Samples of maintenance windows and their commands.
 
 use super::{each_variant, Sample};
 use hillstall_maintenance::windows::{OverrunPolicy, Stage, Window, WindowCommand, WindowError, WindowPlan};
 
-/// A window as it was planned.
+/// A plan of a window at this site.
 pub fn plan(site: &str, starts_at: u64, overrun_policy: OverrunPolicy) -> WindowPlan {
     WindowPlan {
         site: site.into(),
@@ -28,16 +28,16 @@
             WindowCommand::Admit { window: 503, baseline_rate: 504_000 },
         "maintenance/command/postpone": WindowCommand::Postpone { .. } =>
             WindowCommand::Postpone { window: 505, reason: "too late".into() },
-        "maintenance/command/step": WindowCommand::ReduceTraffic { .. } => WindowCommand::ReduceTraffic { window: 506, fraction: 875 },
-        "maintenance/command/emptied": WindowCommand::MarkEmpty { .. } => WindowCommand::MarkEmpty { window: 507 },
+        "maintenance/command/reduce-traffic": WindowCommand::ReduceTraffic { .. } => WindowCommand::ReduceTraffic { window: 506, fraction: 875 },
+        "maintenance/command/mark-empty": WindowCommand::MarkEmpty { .. } => WindowCommand::MarkEmpty { window: 507 },
         "maintenance/command/begin": WindowCommand::Begin { .. } => WindowCommand::Begin { window: 508 },
-        "maintenance/command/overran": WindowCommand::MarkOverrun { .. } => WindowCommand::MarkOverrun { window: 509 },
-        "maintenance/command/return": WindowCommand::RestoreTraffic { .. } =>
+        "maintenance/command/mark-overrun": WindowCommand::MarkOverrun { .. } => WindowCommand::MarkOverrun { window: 509 },
+        "maintenance/command/restore-traffic": WindowCommand::RestoreTraffic { .. } =>
             WindowCommand::RestoreTraffic { window: 510, fraction: 625, reason: Some("an incident".into()) },
         "maintenance/command/finish": WindowCommand::Finish { .. } => WindowCommand::Finish { window: 511 },
     });
     let returned_in_time = WindowCommand::RestoreTraffic { window: 512, fraction: 750, reason: None };
-    samples.push(Sample::of("maintenance/command/return-in-time", returned_in_time));
+    samples.push(Sample::of("maintenance/command/restore-traffic-in-time", returned_in_time));
     samples.extend(each_variant!(Sample::of, OverrunPolicy {
         "maintenance/overrun/hold": OverrunPolicy::Hold => OverrunPolicy::Hold,
         "maintenance/overrun/return": OverrunPolicy::Return => OverrunPolicy::Return,
@@ -70,16 +70,16 @@
     samples
 }
 
-/// Each reason for a rejection. Its text is stored in the outcome.
+/// Each reason for which a window command is rejected. The text is stored in the outcome.
 pub fn reasons() -> Vec<(&'static str, WindowError)> {
     each_variant!(named, WindowError {
-        "maintenance/rejected/unknown": WindowError::NotFound => WindowError::NotFound,
+        "maintenance/rejected/not-found": WindowError::NotFound => WindowError::NotFound,
         "maintenance/rejected/stage": WindowError::Stage(_) => WindowError::Stage(Stage::Postponed),
         "maintenance/rejected/other-site-away": WindowError::OtherSiteShifted(_) => WindowError::OtherSiteShifted(516),
-        "maintenance/rejected/fraction": WindowError::InvalidFraction { .. } => WindowError::InvalidFraction { from: 517, to: 518 },
+        "maintenance/rejected/invalid-fraction": WindowError::InvalidFraction { .. } => WindowError::InvalidFraction { from: 517, to: 518 },
         "maintenance/rejected/no-permit": WindowError::NoPermit(_) => WindowError::NoPermit("it waits".into()),
-        "maintenance/rejected/full": WindowError::CapacityReached => WindowError::CapacityReached,
-        "maintenance/rejected/plan": WindowError::InvalidPlan(_) => WindowError::InvalidPlan("a reserve is too large"),
+        "maintenance/rejected/capacity-reached": WindowError::CapacityReached => WindowError::CapacityReached,
+        "maintenance/rejected/invalid-plan": WindowError::InvalidPlan(_) => WindowError::InvalidPlan("a reserve is too large"),
     })
 }
 
