--- a/crates/hillstall/src/admin.rs
+++ b/crates/hillstall/src/admin.rs
@@ -1,4 +1,4 @@
-//! Admin commands on the second address: one line and its answer per connection.
+//! The admin protocol on a listening address of its own: one command line and its answer per connection.
 
 use hillstall_coordination::CoordinationHandle;
 use hillstall_http1::client::HttpClient;
@@ -15,32 +15,33 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, timeout};
 
-/// Longest time for a command and for the reading of its answer.
+/// Longest time for a whole connection: reading the command, executing it, and sending the answer.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause after a failed accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Longest line in bytes, its end included.
-const MAX_LINE: usize = 256;
-/// Bytes that are read of a client after its line, so that the answer is not lost to a connection reset.
+/// Maximum length of a command line in bytes, including the line ending.
+const MAX_LINE_BYTES: usize = 256;
+/// Bytes after the line that are read and dropped: closing a connection with unread input resets it, which
+/// could discard the answer before the client has read it.
 const MAX_TRAILING_BYTES: usize = 64 * 1024;
 
-/// What the commands read and change.
+/// The parts of the proxy that admin commands read and change.
 pub struct Admin {
     /// The state that `LAMEDUCK` and `REJOIN` change.
     pub lifecycle: Rc<Lifecycle>,
     /// The metrics of `INFO`.
     pub metrics: Rc<Metrics>,
-    /// Knows the backends.
+    /// Source of the number of backends in `INFO`.
     pub driver: Rc<Driver<HttpClient>>,
-    /// Knows whether clients can be served.
+    /// Tells `PING` whether clients can be served.
     pub server: Rc<HttpServer>,
-    /// The coordination runtime, where it is on.
+    /// Executes the commands on coordination; absent if coordination is off.
     pub coordination: Option<Rc<CoordinationHandle>>,
 }
 
 impl Admin {
-    /// Serves connections for ever. Only a few are open at once: the oldest is closed for a new one, so that idle
-    /// clients delay nobody.
+    /// Accepts and serves connections; never returns. At [`MAX_ADMIN_CONNECTIONS`] open connections the
+    /// oldest is closed for a new one, so that idle clients can't block others.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut connections: VecDeque<AbortHandle> = VecDeque::new();
         loop {
@@ -76,11 +77,12 @@
         discard_trailing_bytes(&mut stream).await
     }
 
-    /// Executes a command and returns its answer.
+    /// Executes a command and returns its answer. The texts of the answers are read by tools and stay as they
+    /// are.
     async fn execute(&self, line: &[u8]) -> String {
         let text = std::str::from_utf8(line).unwrap_or_default();
         match self.coordination.as_ref().and_then(|coordination| coordination.admin_command(text)) {
-            // If coordination has failed, requests are still served.
+            // The proxy keeps serving requests if the coordination runtime has ended.
             Some(answer) => answer.await.unwrap_or_else(|_| "500 the fleet's part has ended\n".into()),
             None => self.execute_proxy_command(line),
         }
@@ -109,12 +111,13 @@
     }
 }
 
-/// Reads a line without its end; nothing if it is too long. The end of the stream ends a line too.
+/// Reads a line and strips its line ending; returns `None` if it is too long. The end of the stream also ends
+/// a line.
 async fn read_line(stream: &mut TcpStream) -> std::io::Result<Option<Vec<u8>>> {
-    let mut line = Vec::with_capacity(MAX_LINE);
-    let mut buffer = [0; MAX_LINE];
+    let mut line = Vec::with_capacity(MAX_LINE_BYTES);
+    let mut buffer = [0; MAX_LINE_BYTES];
     loop {
-        let remaining = MAX_LINE - line.len();
+        let remaining = MAX_LINE_BYTES - line.len();
         let read = stream.read(&mut buffer[..remaining]).await?;
         line.extend_from_slice(&buffer[..read]);
         let newline = line.iter().position(|byte| *byte == b'\n');
@@ -125,15 +128,15 @@
             }
             return Ok(Some(line));
         }
-        if line.len() == MAX_LINE {
+        if line.len() == MAX_LINE_BYTES {
             return Ok(None);
         }
     }
 }
 
-/// Reads and drops what a client sends after its line, up to a limit.
+/// Reads and drops what a client sends after its line, up to [`MAX_TRAILING_BYTES`].
 async fn discard_trailing_bytes(stream: &mut TcpStream) -> std::io::Result<()> {
-    let mut buffer = [0; MAX_LINE];
+    let mut buffer = [0; MAX_LINE_BYTES];
     let mut discarded = 0;
     while discarded < MAX_TRAILING_BYTES {
         match stream.read(&mut buffer).await? {
--- a/crates/hillstall/src/cli.rs
+++ b/crates/hillstall/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line. The comments on commands and arguments are the texts of `--help`.
+//! The command line. clap prints the doc comments of commands and arguments as the text of `--help`.
 
 use crate::operator::Sources;
 use clap::{Args, Parser, Subcommand};
@@ -6,31 +6,31 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A proxy whose every decision about a call is made by one small module.
+/// A load-balancing HTTP/1.1 proxy that keeps all decisions about requests in one small module.
 #[derive(Parser)]
 #[command(name = "hillstall", version, about, max_term_width = 100)]
 pub struct CommandLine {
-    /// What to do; `run` where nothing is said
+    /// The command; `run` if none is given
     #[command(subcommand)]
     pub command: Option<Command>,
-    /// Where the operator's settings come from.
+    /// The sources of the operator's settings.
     #[command(flatten)]
     pub overrides: SettingOverrides,
 }
 
-/// Where the operator's settings come from, beside the environment.
+/// The sources of the operator's settings that are given on the command line.
 #[derive(Args, Clone)]
 pub struct SettingOverrides {
-    /// The operator file
+    /// Operator file (TOML)
     #[arg(long = "operator", value_name = "FILE", env = "HILLSTALL_OPERATOR_FILE", global = true)]
     operator_file: Option<PathBuf>,
-    /// One key of the operator file, which goes before file and environment
+    /// Set one key of the operator file; takes precedence over the file and the environment
     #[arg(long = "set", value_name = "KEY=VALUE", global = true)]
     assignments: Vec<String>,
 }
 
 impl SettingOverrides {
-    /// The sources that the reader of the operator's settings takes.
+    /// Returns these sources in the form that [`crate::operator::OperatorConfig::read`] takes.
     pub fn sources(&self) -> Sources {
         Sources { file: self.operator_file.clone(), flags: self.assignments.clone() }
     }
@@ -39,49 +39,49 @@
 /// The commands of the program.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Run the proxy that $NODE_CONFIG describes
+    /// Run the proxy with the platform configuration in the file that $NODE_CONFIG names
     Run,
-    /// Check files and tell all that is wrong: operator files (.toml) and platform files (.json)
+    /// Check operator files (.toml) and platform files (.json), and print all problems
     Check {
-        /// The files
+        /// Files to check
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// What is set, and by whom
+    /// Inspect the operator's settings
     Config {
-        /// What to do with it
+        /// The subcommand
         #[command(subcommand)]
         command: ConfigCommand,
     },
-    /// Run the proxy in front of stand-in servers, for a first look
+    /// Run the proxy in front of stand-in servers, to try it out
     Demo {
-        /// Where callers connect
+        /// Address that the proxy listens on
         #[arg(long, default_value = "127.0.0.1:7070")]
         listen: SocketAddr,
-        /// Stand-in servers
+        /// Number of stand-in servers
         #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u16).range(1..=64))]
         servers: u16,
     },
-    /// Rehearse failures in simulated time, and hold policies against each other
+    /// Simulate failures, compare policies, and inject faults into real processes
     #[command(name = "lab")]
     Simulation {
-        /// What to do
+        /// The subcommand
         #[command(subcommand)]
         command: crate::simulation::SimulationCommand,
     },
-    /// Print a script that completes commands in a shell
+    /// Print a shell completion script
     Completions {
         /// The shell
         shell: Shell,
     },
 }
 
-/// What can be done with the configuration.
+/// The subcommands of `hillstall config`.
 #[derive(Subcommand)]
 pub enum ConfigCommand {
-    /// Show every key, its value, and where that came from
+    /// Show every key with its value and the source of the value
     Show {
-        /// As one JSON object
+        /// Print one JSON object instead of a table
         #[arg(long)]
         json: bool,
     },
--- a/crates/hillstall/src/commands.rs
+++ b/crates/hillstall/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands that run a proxy or show and check configurations.
+//! The commands that run a proxy, check configuration files or show settings.
 
 use crate::cli::{CommandLine, SettingOverrides};
 use crate::config::{self, Config};
@@ -7,7 +7,7 @@
 use crate::operator::{ConfigProblem, OperatorConfig, Sources};
 use crate::output::{print, print_message};
 use crate::proxy::RunError;
-use crate::{demo, environment, platform, proxy};
+use crate::{demo, environment_variable, platform, proxy};
 use clap::CommandFactory;
 use clap_complete::Shell;
 use serde_json::{json, Map, Value};
@@ -18,12 +18,12 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
-/// Runs the proxy that the platform's configuration describes, until SIGTERM.
+/// Runs the proxy with the platform's configuration until SIGTERM.
 pub fn run(overrides: SettingOverrides) -> ExitStatus {
-    run_proxy(overrides, || config::load(environment))
+    run_proxy(overrides, || config::load(environment_variable))
 }
 
-/// Runs a proxy in front of stand-in servers.
+/// Runs a proxy in front of stand-in servers until SIGTERM.
 pub fn demo(overrides: SettingOverrides, listen: SocketAddr, servers: u16) -> ExitStatus {
     run_proxy(overrides, || {
         let config = demo::start(listen, servers)?;
@@ -32,12 +32,12 @@
     })
 }
 
-/// Reads the operator's settings, then loads the platform's configuration, and runs a proxy until SIGTERM.
+/// Reads the operator's settings, loads the platform's configuration, and runs a proxy until SIGTERM.
 fn run_proxy<E: Display>(
     overrides: SettingOverrides,
     load: impl FnOnce() -> Result<Config, E>,
 ) -> ExitStatus {
-    let operator = match OperatorConfig::read(&overrides.sources(), environment) {
+    let operator = match OperatorConfig::read(&overrides.sources(), environment_variable) {
         Ok(operator) => operator,
         Err(problems) => return print_problems(&problems),
     };
@@ -57,13 +57,14 @@
     }
 }
 
-/// Runs the proxy on this thread, with the log of the process around it.
+/// Runs the proxy on the current thread and writes its log until it has ended.
 fn block_on_proxy(
     config: Config,
     operator: OperatorConfig,
     overrides: SettingOverrides,
 ) -> Result<(), RunError> {
-    // The log goes last. Lines that were dropped are not reported then: a reader that is stuck would delay the end.
+    // Declared first and so dropped last. Lines dropped by then are not reported: writing to a reader that is
+    // stuck would delay the exit.
     let logs = Logs::start(operator.choice("log.format"), operator.choice("log.level"));
     let runtime = Builder::new_current_thread().enable_all().build().map_err(RunError::Runtime)?;
     let tasks = LocalSet::new();
@@ -71,14 +72,15 @@
     tasks.block_on(&runtime, proxy::run(config, operator, overrides))
 }
 
-/// Prints all problems of a configuration, one a line.
+/// Prints all problems of a configuration, one per line.
 fn print_problems(problems: &[ConfigProblem]) -> ExitStatus {
     problems.iter().for_each(print_message);
     ExitStatus::InvalidConfig
 }
 
-/// The exit status of a command that reads files; prints its error.
-pub fn finish(result: Result<(), impl Display>) -> ExitStatus {
+/// Prints the error of a command, if it failed, and returns its exit status. The commands that use this fail
+/// mostly on files that are invalid or unreadable.
+pub fn exit_status_of(result: Result<(), impl Display>) -> ExitStatus {
     match result {
         Ok(()) => ExitStatus::Success,
         Err(error) => {
@@ -88,11 +90,12 @@
     }
 }
 
-/// Checks files and prints all problems. The extension says which kind of file it is.
+/// Checks files and prints all problems. The extension tells operator files (.toml) from platform files
+/// (.json).
 pub fn check(files: &[PathBuf]) -> ExitStatus {
     let mut status = ExitStatus::Success;
     for file in files {
-        let problems = problems_of(file);
+        let problems = find_problems(file);
         if problems.is_empty() {
             print(&format!("{}: good\n", file.display()));
             continue;
@@ -105,7 +108,7 @@
     status
 }
 
-fn problems_of(file: &Path) -> Vec<String> {
+fn find_problems(file: &Path) -> Vec<String> {
     match file.extension().and_then(|extension| extension.to_str()) {
         Some("toml") => operator_problems(file),
         Some("json") => platform::find_problems(file),
@@ -123,9 +126,9 @@
     }
 }
 
-/// Shows every key with its value, where that came from, and what it does.
-pub fn show(overrides: &SettingOverrides, json: bool) -> ExitStatus {
-    let operator = match OperatorConfig::read(&overrides.sources(), environment) {
+/// Prints every key with its value, the source of the value, and the key's help text.
+pub fn show_settings(overrides: &SettingOverrides, json: bool) -> ExitStatus {
+    let operator = match OperatorConfig::read(&overrides.sources(), environment_variable) {
         Ok(operator) => operator,
         Err(problems) => return print_problems(&problems),
     };
@@ -157,7 +160,7 @@
     table
 }
 
-/// Prints a script that completes commands in a shell.
+/// Prints a completion script for a shell.
 pub fn completions(shell: Shell) -> ExitStatus {
     let mut script = Vec::new();
     clap_complete::generate(shell, &mut CommandLine::command(), "hillstall", &mut script);
--- a/crates/hillstall/src/config.rs
+++ b/crates/hillstall/src/config.rs
@@ -13,22 +13,23 @@
 /// Memory, in MiB, that the process may use where the configuration sets no limit.
 const DEFAULT_MEMORY_MB: usize = 192;
 
-/// What a proxy knows when it starts.
+/// The platform's configuration of a proxy.
 pub struct Config {
-    /// The address that clients connect to.
+    /// The address that the proxy listens on for clients.
     pub listen: SocketAddr,
-    /// The address for admin commands, if any.
+    /// The address to listen on for admin commands; without one there are no admin commands.
     pub admin: Option<SocketAddr>,
     /// The address of the discovery service.
     pub discovery: SocketAddr,
     /// The seed of the decision module's random numbers.
     pub seed: u64,
-    /// File descriptors that the process may use.
+    /// Maximum number of file descriptors that the process may use.
     pub sockets: usize,
     /// Memory that the process may use, in MiB.
     pub memory_mb: usize,
-    /// The endpoint list that this proxy had last.
-    pub known: EndpointList,
+    /// The last endpoint list that this proxy received before it was started; used until discovery sends a
+    /// newer one.
+    pub known_endpoints: EndpointList,
     /// The settings of the decision module.
     pub settings: Settings,
 }
@@ -36,7 +37,7 @@
 /// Why the configuration can't be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// The environment names no file.
+    /// The variable `NODE_CONFIG`, which names the file, is not set.
     #[error("NODE_CONFIG is not set")]
     NoFile,
     /// The file can't be read.
@@ -60,19 +61,19 @@
 /// Why the text of a configuration is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ParseError {
-    /// It is not JSON.
+    /// The text is not JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// A key is missing or has a value of the wrong type.
     #[error(transparent)]
     Key(#[from] serde_path_to_error::Error<serde_json::Error>),
     /// Neither the file nor the environment has a required key.
-    #[error("{key}: it is missing")]
+    #[error("{key}: missing from the file and from the environment")]
     Missing {
         /// The key.
         key: &'static str,
     },
-    /// A key that must be an address is not.
+    /// The value of a key is not an IP address with a port.
     #[error("{key}: {source}")]
     Address {
         /// The key.
@@ -88,23 +89,24 @@
     Settings(#[from] SettingsError),
 }
 
-/// A text that is not an IP address with a port.
+/// The text is not an IP address with a port.
 #[derive(Debug, thiserror::Error)]
-#[error("{text:?} is not an address")]
+#[error("{text:?} is not an IP address with a port")]
 pub struct InvalidAddress {
     text: String,
     source: AddrParseError,
 }
 
-/// A text that is not a hexadecimal number of 64 bits.
+/// The text is not a hexadecimal number of at most 64 bits.
 #[derive(Debug, thiserror::Error)]
-#[error("{text:?} is not a number in hexadecimal")]
+#[error("{text:?} is not a 64-bit hexadecimal number")]
 pub struct InvalidSeed {
     text: String,
     source: ParseIntError,
 }
 
-/// The JSON form of the file. `expecting` keeps the text of the error for a file that is not an object.
+/// The JSON form of the file. `expecting` fixes the text of the error for a file that is not an object,
+/// whatever the name of the type.
 #[derive(Deserialize)]
 #[serde(expecting = "struct Raw")]
 struct RawConfig {
@@ -126,15 +128,18 @@
     memory_mb: Option<usize>,
 }
 
-/// Loads the file that `NODE_CONFIG` names. An address in the environment takes precedence over the file's.
+/// Loads the file that `NODE_CONFIG` names. `NODE_LISTEN`, `NODE_ADMIN_ADDR` and `NODE_DISCOVERY` take
+/// precedence over the file's addresses.
 pub fn load(env: impl Fn(&str) -> Option<String>) -> Result<Config, LoadError> {
     let (path, text) = read_file(&env)?;
     parse(&text, env).map_err(|source| LoadError::Invalid { path, source })
 }
 
-/// Loads the file again and returns its discovery address. Here the file takes precedence over the environment,
-/// which can't have changed.
+/// Loads the file again and returns its discovery address. Unlike at the start, the file takes precedence
+/// over the environment: the environment of a running process can't have been changed by the operator, but
+/// the file can.
 pub fn reload(env: impl Fn(&str) -> Option<String>) -> Result<SocketAddr, LoadError> {
+    // `expecting` fixes the text of the error, as in `RawConfig`.
     #[derive(Deserialize)]
     #[serde(expecting = "struct Changed")]
     struct Reloaded {
@@ -147,7 +152,7 @@
     }
 }
 
-/// The path of the file that `NODE_CONFIG` names, and its content.
+/// Reads the file that `NODE_CONFIG` names; returns its path and content.
 fn read_file(env: impl Fn(&str) -> Option<String>) -> Result<(String, Vec<u8>), LoadError> {
     let path = env("NODE_CONFIG").ok_or(LoadError::NoFile)?;
     match std::fs::read(&path) {
@@ -161,32 +166,32 @@
     text.parse().map_err(|source| InvalidAddress { text: text.to_string(), source })
 }
 
-/// Parses a seed, a hexadecimal number of 64 bits.
+/// Parses a seed, a hexadecimal number of at most 64 bits.
 pub fn parse_seed(text: &str) -> Result<u64, InvalidSeed> {
     u64::from_str_radix(text, 16).map_err(|source| InvalidSeed { text: text.to_string(), source })
 }
 
-/// Parses the text of a configuration file; addresses in the environment take precedence.
+/// Parses the text of a configuration file; addresses in the environment take precedence over the file's.
 pub fn parse(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<Config, ParseError> {
     let raw: RawConfig = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(text))?;
     let admin = env("NODE_ADMIN_ADDR").or(raw.admin_addr);
     Ok(Config {
         listen: required_address("listen", env("NODE_LISTEN").or(raw.listen))?,
-        admin: admin.map(|text| keyed_address("admin_addr", &text)).transpose()?,
+        admin: admin.map(|text| parse_address_of("admin_addr", &text)).transpose()?,
         discovery: required_address("discovery", env("NODE_DISCOVERY").or(raw.discovery))?,
         seed: parse_seed(&raw.seed)?,
         sockets: raw.limits.sockets.unwrap_or(DEFAULT_SOCKETS),
         memory_mb: raw.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB),
-        known: raw.known,
+        known_endpoints: raw.known,
         settings: hillstall_settings::parse_settings(raw.settings.to_string().as_bytes())?,
     })
 }
 
 fn required_address(key: &'static str, text: Option<String>) -> Result<SocketAddr, ParseError> {
     let text = text.ok_or(ParseError::Missing { key })?;
-    keyed_address(key, &text)
+    parse_address_of(key, &text)
 }
 
-fn keyed_address(key: &'static str, text: &str) -> Result<SocketAddr, ParseError> {
+fn parse_address_of(key: &'static str, text: &str) -> Result<SocketAddr, ParseError> {
     parse_address(text).map_err(|source| ParseError::Address { key, source })
 }
--- a/crates/hillstall/src/coordination.rs
+++ b/crates/hillstall/src/coordination.rs
@@ -1,7 +1,7 @@
-//! Connects the proxy's event loop to the coordination runtime: load reports go there, and advisories come back.
+//! Connects the proxy's event loop to the coordination runtime, which gets load reports and sends advisories.
 //!
-//! Without the section `[fleet]`, or where the platform does not allow messages between instances, none of it runs: no
-//! socket, no thread, no timer.
+//! Without the section `[fleet]` in the operator file, or if the platform does not allow messages between
+//! instances, coordination has no socket, thread or timer.
 
 use hillstall_coordination::settings::Settings as CoordinationSettings;
 use hillstall_coordination::{Advisory, CoordinationHandle, InstanceLocation, LoadReport, SiteCounts};
@@ -19,28 +19,30 @@
 
 /// Time between two load reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// How much later than the tier above it each tier lowers a site's fraction, so that requests that are still on their way
-/// down find the site as it was.
+/// How much later than the tier above it each tier lowers a site's traffic fraction, so that requests that the
+/// upper tiers have already sent still find the old fraction in force below.
 const TIER_DELAY: Duration = Duration::from_millis(300);
-/// Time between two repetitions of the fractions to the decision module, which forgets them otherwise.
+/// Time between two refreshes of the fractions in the decision module, where they expire otherwise.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
-/// Ranks of two tiers are this far apart; no tier has more instances.
+/// Upper bound of the instances of a tier; offset between the ranks of consecutive tiers, so that no two
+/// tiers share a rank.
 const MAX_INSTANCES_PER_TIER: u32 = 1_000_000;
-/// Multiples of the golden ratio, modulo 1, spread evenly whatever the number of instances.
+/// Fractional part of the golden ratio. Its multiples modulo 1 are spread evenly for any number of instances.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_75;
-/// The entry-tier instances of a site drain one after the other, the last one at this fraction of the site's load...
+/// The traffic fraction of a site at which its last entry-tier instance drains.
 const MIN_DRAIN_FRACTION: f64 = 0.1;
-/// ...and the first one at so much more.
+/// Entry-tier instances of a site drain one after the other, at fractions from [`MIN_DRAIN_FRACTION`] up to
+/// this much above it.
 const DRAIN_FRACTION_SPREAD: f64 = 0.8;
 
 /// Why coordination could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The site is neither configured nor known from the platform.
-    #[error("fleet.site: the platform names no zone")]
+    /// The operator has not set the site, and the platform names no zone to take it from.
+    #[error("fleet.site: not set, and the platform's configuration names no zone to use instead")]
     UnknownSite,
-    /// A maintenance window is for a site that the platform does not know.
-    #[error("fleet.window.site: {site:?} is no site of the fleet: {known}")]
+    /// A maintenance window is for a site that is not among the platform's zones.
+    #[error("fleet.window.site: {site:?} is not a site of the fleet; its sites are {known}")]
     UnknownWindowSite {
         /// The window's site.
         site: String,
@@ -52,20 +54,24 @@
     Runtime(#[from] hillstall_coordination::StartError),
 }
 
-/// A running runtime, and the advisories that it sends.
-type Started = (CoordinationHandle, UnboundedReceiver<Advisory>);
+/// A handle to the running runtime, and the channel of its advisories.
+type RunningCoordination = (CoordinationHandle, UnboundedReceiver<Advisory>);
 
-/// Starts the coordination runtime, if the operator has configured it and the platform allows it.
+/// Starts the coordination runtime, if the operator has configured it and the platform allows messages
+/// between instances; returns `None` otherwise.
 ///
 /// # Errors
-/// [`StartError`] if a site is not known, or if the runtime can't be started.
+/// [`StartError`] if this instance's site or that of a window is unknown, or if the runtime can't be started.
 pub fn start(
     section: Option<&CoordinationSettings>,
     settings: &Settings,
-) -> Result<Option<Started>, StartError> {
+) -> Result<Option<RunningCoordination>, StartError> {
     let Some(section) = section else { return Ok(None) };
     if !settings.permissions.peer_messages {
-        tracing::warn!("fleet: the platform does not allow copies to talk; this copy goes alone");
+        tracing::warn!(
+            "fleet: the platform does not allow messages between instances (Allowed.Peers); \
+             coordination is off"
+        );
         return Ok(None);
     }
     let zone = settings.zones.get(usize::from(settings.zone)).cloned();
@@ -79,9 +85,9 @@
     Ok(Some(hillstall_coordination::start(section.clone(), location)?))
 }
 
-/// The proxy's parts that coordination reads and steers.
-pub struct TierTraffic {
-    /// Counts the attempts to each zone, and takes the zones' fractions.
+/// The parts of the proxy that load reports are read from and that advisories change.
+pub struct ProxyHandles {
+    /// Counts the attempts to each zone, and applies the zones' traffic fractions.
     pub driver: Rc<Driver<HttpClient>>,
     /// Counts requests and rejections.
     pub metrics: Rc<Metrics>,
@@ -91,8 +97,8 @@
     pub tier: u32,
 }
 
-impl TierTraffic {
-    /// Reports load and follows advisories from now on, in tasks of the current [`tokio::task::LocalSet`].
+impl ProxyHandles {
+    /// Spawns the tasks that report load and apply advisories on the current [`tokio::task::LocalSet`].
     pub fn spawn(
         self,
         runtime: Rc<CoordinationHandle>,
@@ -118,7 +124,7 @@
     }
 }
 
-/// The proxy's counters at one moment.
+/// The proxy's cumulative counters at one moment.
 struct LoadCounters {
     read_at: Instant,
     zones: Vec<ZoneTraffic>,
@@ -127,12 +133,12 @@
 }
 
 impl LoadCounters {
-    fn read(proxy: &TierTraffic) -> LoadCounters {
+    fn read(proxy: &ProxyHandles) -> LoadCounters {
         let (requests, rejected) = proxy.metrics.ended();
         LoadCounters { read_at: Instant::now(), zones: proxy.driver.zone_traffic(), requests, rejected }
     }
 
-    /// What was counted since an earlier moment.
+    /// The difference to the counters of an earlier moment.
     fn report_since(&self, previous: &LoadCounters, zones: &[String]) -> LoadReport {
         let counters = self.zones.iter().zip(&previous.zones);
         let sites: BTreeMap<String, SiteCounts> = zones
@@ -163,37 +169,38 @@
         served: (current.answered - previous.answered) as u32,
         unanswered: (current.unanswered - previous.unanswered) as u32,
         utilization_percent,
-        // Filled in by the runtime, which knows the fraction in force.
+        // The runtime fills in the traffic fraction that it has in force.
         fraction: 0,
     }
 }
 
-/// Passes advisories on to the decision module.
+/// Applies advisories to the decision module, and drains entry-tier instances of a site that is emptied.
 struct AdvisoryFollower {
-    proxy: Rc<TierTraffic>,
+    proxy: Rc<ProxyHandles>,
     zones: Vec<String>,
-    /// How much later than the entry tier this one lowers a fraction.
+    /// Delay between an advisory that lowers a fraction and its application at this tier.
     tier_delay: Duration,
-    /// The newest fraction of each zone; of those that wait for the delay, only this one takes effect.
-    newest: BTreeMap<u16, f64>,
-    /// The fractions in force.
-    in_force: BTreeMap<u16, f64>,
+    /// The latest fraction of each zone by its advisories. Older ones that still wait for the delay are
+    /// dropped.
+    latest: BTreeMap<u16, f64>,
+    /// The fractions that the decision module has.
+    applied: BTreeMap<u16, f64>,
     drain: Option<EntryTierDrain>,
 }
 
 impl AdvisoryFollower {
-    fn new(proxy: Rc<TierTraffic>, settings: &Settings) -> AdvisoryFollower {
+    fn new(proxy: Rc<ProxyHandles>, settings: &Settings) -> AdvisoryFollower {
         AdvisoryFollower {
             zones: settings.zones.clone(),
             tier_delay: TIER_DELAY * proxy.tier,
-            newest: BTreeMap::new(),
-            in_force: BTreeMap::new(),
+            latest: BTreeMap::new(),
+            applied: BTreeMap::new(),
             drain: (settings.stage == 0).then(|| EntryTierDrain::new(settings)),
             proxy,
         }
     }
 
-    /// Runs until the runtime ends; the fractions in the decision module then expire by themselves.
+    /// Runs until the coordination runtime ends; the fractions in the decision module then expire.
     async fn run(mut self, mut advisories: UnboundedReceiver<Advisory>) {
         let (due_sender, mut due) = unbounded_channel();
         let mut refresh = interval(REFRESH_INTERVAL);
@@ -214,14 +221,14 @@
     fn on_site_fraction(&mut self, site: &str, fraction: f64, due: &UnboundedSender<(u16, f64)>) {
         let Some(index) = self.zones.iter().position(|zone| zone == site) else { return };
         let zone = index as u16;
-        let previous = self.newest.insert(zone, fraction);
-        // Fractions fall tier by tier from the entry down, and rise at once.
+        let previous = self.latest.insert(zone, fraction);
+        // A lower fraction is applied tier by tier from the entry down, a higher one at once.
         let falls = previous.is_none_or(|previous| fraction < previous);
         let delay = if falls { self.tier_delay } else { Duration::ZERO };
         let due = due.clone();
         spawn_local(async move {
             sleep(delay).await;
-            // Fails only once the follower has ended.
+            // Fails only after the follower has ended.
             let _ = due.send((zone, fraction));
         });
         if let Some(drain) = self.drain.as_mut().filter(|drain| drain.zone == zone) {
@@ -230,24 +237,26 @@
     }
 
     fn apply(&mut self, zone: u16, fraction: f64) {
-        if self.newest.get(&zone) == Some(&fraction) {
-            self.in_force.insert(zone, fraction);
+        if self.latest.get(&zone) == Some(&fraction) {
+            self.applied.insert(zone, fraction);
             self.proxy.driver.set_zone_fraction(zone, fraction, 0.0);
         }
     }
 
     fn refresh(&self) {
-        for (zone, fraction) in self.in_force.iter().filter(|(_, fraction)| **fraction < 1.0) {
+        for (zone, fraction) in self.applied.iter().filter(|(_, fraction)| **fraction < 1.0) {
             self.proxy.driver.set_zone_fraction(*zone, *fraction, 0.0);
         }
     }
 }
 
-/// Drains an entry-tier instance while its own site is emptied, each instance at a fraction of its own.
+/// Drains an entry-tier instance while its site is emptied. Each instance drains at its own traffic fraction,
+/// so that the instances of a site drain one after the other.
 struct EntryTierDrain {
     zone: u16,
-    /// It drains once its site gets this fraction or less.
+    /// The site's traffic fraction at and below which this instance drains.
     drain_at: f64,
+    /// Whether [`EntryTierDrain::on_fraction`] has drained the instance, as opposed to an operator.
     is_drained: bool,
 }
 
@@ -263,7 +272,7 @@
             self.is_drained = lifecycle.drain();
         } else if self.is_drained && fraction > self.drain_at {
             self.is_drained = false;
-            // It may be serving again by an operator's command, or stopping.
+            // The instance may have been rejoined by an operator, or be stopping.
             if lifecycle.phase() == Phase::Draining {
                 lifecycle.rejoin();
             }
--- a/crates/hillstall/src/exit_status.rs
+++ b/crates/hillstall/src/exit_status.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-/// The status that the process ends with. (clap itself ends with 2 on an invalid command line.)
+/// The exit status of the process. clap itself exits with 2 on an invalid command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
     /// The command succeeded.
--- a/crates/hillstall/src/fault_injection.rs
+++ b/crates/hillstall/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! `hillstall lab drill`: a fault-injection scenario on real processes.
+//! `hillstall lab drill` and `hillstall lab soak`: fault injection on real processes.
 
 use crate::output::{print, write_json_lines, FileError};
 use hillstall_fault_injection::invariant_checker::{overshoot, Verdict};
@@ -13,24 +13,24 @@
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
-/// The name of the soak of shutdowns in errors.
-const SOAK: &str = "soak";
+/// The name of the shutdown soak in errors.
+const SOAK_NAME: &str = "soak";
 
-/// How to run a scenario, and what to write.
+/// What to do besides running the scenario.
 pub struct RunOptions {
-    /// Where the configurations and logs of the processes stay.
+    /// The folder in which the configurations and logs of the processes are kept.
     pub output_folder: Option<PathBuf>,
-    /// Whether the same scenario also runs in simulated time, for comparison.
+    /// Whether the scenario also runs in the simulation, for comparison.
     pub with_simulation: bool,
-    /// Where the accounting of each run is written, as JSON lines.
+    /// The file to which the summary of each valid run is written, as JSON lines.
     pub json: Option<PathBuf>,
 }
 
-/// Why a scenario failed.
+/// Why a fault-injection scenario or shutdown soak failed.
 #[derive(Debug, thiserror::Error)]
 pub enum FaultInjectionError {
-    /// The path of this program, which the processes run, is unknown.
-    #[error("this program: {0}")]
+    /// The path of this program, which the proxies are to run, is unknown.
+    #[error("can't determine the path of this program: {0}")]
     OwnPath(std::io::Error),
     /// A run could not be carried out.
     #[error("{scenario}: {source}")]
@@ -40,12 +40,12 @@
         /// The cause.
         source: Box<dyn Error>,
     },
-    /// Runs broke an invariant, or are void because the test rig ran late.
-    #[error("{scenario}: broken rules or a late rig with seed {seeds}")]
+    /// Some runs violated an invariant, or are void because the test rig was late.
+    #[error("{scenario}: invariants violated, or run void because the test rig was late, with seed {seeds}")]
     Verdict {
         /// The scenario.
         scenario: String,
-        /// The seeds of these runs.
+        /// The seeds of these runs, separated by commas.
         seeds: String,
     },
     /// A file can't be written.
@@ -53,7 +53,8 @@
     File(#[from] FileError),
 }
 
-/// Runs a scenario with each seed. Broken invariants and a late rig are errors, once all seeds have run.
+/// Runs a scenario with each seed and prints the results. Violated invariants and void runs are reported as
+/// an error after all seeds have run.
 pub fn run(
     name: &str,
     scenario: &Scenario,
@@ -63,15 +64,15 @@
     let program = std::env::current_exe().map_err(FaultInjectionError::OwnPath)?;
     let (mut runs, mut failed_seeds) = (Vec::new(), Vec::new());
     for seed in seeds {
-        let drilled = run_seed(&program, name, scenario, *seed, options)?;
-        print(&format!("seed {seed}: {}", drilled.told()));
-        print(&format_figures(&drilled));
-        if !matches!(drilled.verdict, Verdict::Kept) {
+        let run = run_seed(&program, name, scenario, *seed, options)?;
+        print(&format!("seed {seed}: {}", run.told()));
+        print(&format_figures(&run));
+        if !matches!(run.verdict, Verdict::Kept) {
             failed_seeds.push(seed.to_string());
         }
-        // A void run shows nothing, so it is not counted.
-        if !drilled.verdict.is_void() {
-            runs.push(drilled.tally);
+        // A void run says nothing about the proxies, so it is left out of the results.
+        if !run.verdict.is_void() {
+            runs.push(run.tally);
         }
     }
     if let Some(path) = &options.json {
@@ -86,8 +87,8 @@
     }
 }
 
-/// Runs the soak of shutdowns with each seed, and prints how many passed. Broken invariants and a late rig are errors, once
-/// all seeds have run.
+/// Runs the shutdown soak with each seed, and prints how many passed. Violated invariants and void runs are
+/// reported as an error after all seeds have run.
 pub fn soak_shutdowns(
     seeds: &[u64],
     program: Option<PathBuf>,
@@ -98,7 +99,7 @@
     for seed in seeds {
         let keep = output_folder.map(|folder| folder.join(format!("seed-{seed}")));
         let run = soak::run(&program, *seed, keep, None)
-            .map_err(|error| FaultInjectionError::Run { scenario: SOAK.into(), source: error.into() })?;
+            .map_err(|error| FaultInjectionError::Run { scenario: SOAK_NAME.into(), source: error.into() })?;
         match run.verdict {
             Verdict::Kept => passed += 1,
             Verdict::Void(_) => void += 1,
@@ -113,7 +114,9 @@
     print(&format!("{} seeds: {passed} passed, {failed} failed, {void} void\n", seeds.len()));
     match failed_seeds.is_empty() {
         true => Ok(()),
-        false => Err(FaultInjectionError::Verdict { scenario: SOAK.into(), seeds: failed_seeds.join(", ") }),
+        false => {
+            Err(FaultInjectionError::Verdict { scenario: SOAK_NAME.into(), seeds: failed_seeds.join(", ") })
+        }
     }
 }
 
@@ -130,7 +133,8 @@
         .map_err(|error| FaultInjectionError::Run { scenario: name.to_string(), source: error.into() })
 }
 
-/// Prints the table of all runs, if asked for with the same runs in simulated time beside them.
+/// Prints the table of all runs; with [`RunOptions::with_simulation`] also the same runs in the simulation,
+/// and the difference in service.
 fn print_tables(scenario: &Scenario, runs: Vec<RunSummary>, options: &RunOptions) {
     let simulated: Vec<RunSummary> = match options.with_simulation {
         true => runs.iter().map(|run| sim::run(scenario, PolicyName::Hillstall, run.seed)).collect(),
@@ -149,31 +153,36 @@
         let [in_simulation, in_reality] = [simulated, real].map(|run| 100.0 * run.service);
         let _ = writeln!(
             text,
-            "seed {}: service {in_simulation:.2} in simulated time, {in_reality:.2} drilled",
+            "seed {}: service {in_simulation:.2} in the simulation, {in_reality:.2} on real processes",
             simulated.seed
         );
     }
-    let _ = writeln!(text, "drill over lab: {:+.2} ± {:.2} points\n", difference.mean, difference.half);
+    let _ = writeln!(
+        text,
+        "real processes minus simulation: {:+.2} ± {:.2} percentage points\n",
+        difference.mean, difference.half
+    );
     text
 }
 
-/// What a run on real processes shows beside the table.
-fn format_figures(drilled: &ScenarioRun) -> String {
-    let observed = &drilled.seen;
-    let [first, second] = [0, 1].map(|tier| drilled.attempts_a_try(tier));
+/// Counts of a run on real processes that the table does not have.
+fn format_figures(run: &ScenarioRun) -> String {
+    let observed = &run.seen;
+    let [first_tier, second_tier] = [0, 1].map(|tier| run.attempts_a_try(tier));
     let handshakes: u64 = observed.handshakes.iter().sum();
     let mut lateness = observed.lateness.clone();
     lateness.sort_by(f64::total_cmp);
     let p99 = lateness.get((lateness.len() as f64 * 0.99) as usize).copied().unwrap_or(0.0);
     format!(
-        "  {} processes, {} calls, {} tries, {} calls at servers; attempts a try {first:.2} and {second:.2} by tier\n  \
-         {handshakes} connections to servers, {} calls for lists, cold servers sent {:.2} of what they bear; 1% of calls \
-         over {p99:.1} ms late\n",
-        drilled.processes,
-        drilled.tally.offered,
+        "  {} processes, {} requests, {} client attempts, {} attempts at servers; attempts per client attempt: \
+         {first_tier:.2} at tier 0, {second_tier:.2} at tier 1\n  \
+         {handshakes} connections to servers, {} requests to discovery; largest load on a server in slow \
+         start: {:.2} of its capacity; 99th percentile of client lateness: {p99:.1} ms\n",
+        run.processes,
+        run.tally.offered,
         observed.tries.len(),
         observed.hops.len(),
         observed.list_calls,
-        overshoot(&drilled.truth, observed),
+        overshoot(&run.truth, observed),
     )
 }
--- a/crates/hillstall/src/lib.rs
+++ b/crates/hillstall/src/lib.rs
@@ -1,6 +1,6 @@
-//! The parts of the `hillstall` program: command line, configuration files, and the wiring of the proxy.
+//! The `hillstall` program as a library: command line, configuration files, and the wiring of the proxy.
 //!
-//! The program itself is `main.rs`; the parts stand in a library so that tests can reach them.
+//! `main.rs` only parses the command line; everything else is here so that integration tests can use it.
 
 pub mod admin;
 pub mod cli;
@@ -22,20 +22,22 @@
 use cli::{Command, CommandLine, ConfigCommand};
 use exit_status::ExitStatus;
 
-/// Executes a command line and returns the status that the process ends with.
+/// Executes a parsed command line and returns the exit status of the process.
 pub fn execute(command_line: CommandLine) -> ExitStatus {
     let CommandLine { command, overrides } = command_line;
     match command {
         None | Some(Command::Run) => commands::run(overrides),
         Some(Command::Demo { listen, servers }) => commands::demo(overrides, listen, servers),
         Some(Command::Check { files }) => commands::check(&files),
-        Some(Command::Config { command: ConfigCommand::Show { json } }) => commands::show(&overrides, json),
-        Some(Command::Simulation { command }) => commands::finish(simulation::run(command)),
+        Some(Command::Config { command: ConfigCommand::Show { json } }) => {
+            commands::show_settings(&overrides, json)
+        }
+        Some(Command::Simulation { command }) => commands::exit_status_of(simulation::run(command)),
         Some(Command::Completions { shell }) => commands::completions(shell),
     }
 }
 
-/// The value of an environment variable, if it is set and valid Unicode.
-pub fn environment(name: &str) -> Option<String> {
+/// Returns the value of an environment variable, if it is set and valid Unicode.
+pub fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
--- a/crates/hillstall/src/operator/file.rs
+++ b/crates/hillstall/src/operator/file.rs
@@ -1,4 +1,5 @@
-//! The operator file: TOML, read key by key, so that all its problems can be reported at once.
+//! Reads the operator file, which is TOML. Entries are collected one by one so that all problems can be
+//! reported at once.
 
 use super::{keys, line_of, ConfigProblem, InvalidValue, ReadError, ValueOrigin};
 use hillstall_coordination::settings::{self, ConfigError, Settings as CoordinationSection};
@@ -7,28 +8,29 @@
 use toml::de::{DeTable, DeValue, Error as TomlError};
 
 /// The largest file that is read, in bytes. A file with all keys has a few KiB.
-const MAX_FILE_SIZE: u64 = 1 << 20;
-/// The table that coordination reads as a whole.
+const MAX_FILE_BYTES: u64 = 1 << 20;
+/// The table that [`hillstall_coordination::settings`] reads as a whole.
 const COORDINATION_TABLE: &str = "fleet";
 
-/// What a file holds.
+/// The content of an operator file.
 #[derive(Default)]
 pub struct OperatorFile {
-    /// Its entries, in the order of the file's tables.
+    /// The entries outside the section `[fleet]`, table by table.
     pub entries: Vec<FileEntry>,
-    /// Its section `[fleet]`, if it has one.
+    /// The section `[fleet]`, if the file has one and it is valid.
     pub coordination: Option<CoordinationSection>,
-    /// What is wrong with its text; keys and values of `entries` are not checked here.
+    /// Problems of syntax, of TOML types, and of the section `[fleet]`. Keys and values of `entries` are
+    /// checked later.
     pub problems: Vec<ConfigProblem>,
 }
 
 /// One entry of a file.
 pub struct FileEntry {
-    /// The key with its tables, as in `pool.rest`.
+    /// The key with the names of its tables, as in `pool.rest`.
     pub key: String,
-    /// The text of the value, without quotes.
+    /// The value as text; a string without its quotes.
     pub text: String,
-    /// The place.
+    /// The file and line of the key.
     pub origin: ValueOrigin,
 }
 
@@ -44,7 +46,8 @@
     let (table, errors) = DeTable::parse_recoverable(&text);
     let mut parser = FileParser { path, text: &text, file: OperatorFile::default() };
     if !errors.is_empty() {
-        // Whatever a broken line was recovered as must not be reported as a second problem.
+        // The parser recovers something from a broken line, which could cause a second problem for the same
+        // line.
         parser.file.problems = errors.iter().map(|error| parser.syntax_problem(error)).collect();
         return parser.file;
     }
@@ -57,7 +60,7 @@
 }
 
 fn read_text(path: &Path) -> Result<String, ReadError> {
-    if std::fs::metadata(path)?.len() > MAX_FILE_SIZE {
+    if std::fs::metadata(path)?.len() > MAX_FILE_BYTES {
         return Err(ReadError::TooLarge);
     }
     Ok(std::fs::read_to_string(path)?)
@@ -71,7 +74,7 @@
 }
 
 impl FileParser<'_> {
-    /// The place of a byte position.
+    /// The file and line of a byte position.
     fn origin(&self, position: usize) -> ValueOrigin {
         ValueOrigin::File(self.path.to_path_buf(), line_of(self.text, position))
     }
@@ -81,7 +84,8 @@
         ConfigProblem::Syntax { origin: self.origin(position), message: error.message().to_string() }
     }
 
-    /// Collects the entries of a table and of the tables in it. `prefix` is its name with a dot, or empty.
+    /// Collects the entries of a table and of the tables in it. `prefix` is the table's name with a trailing
+    /// dot, or empty for the root.
     fn visit_table(&mut self, prefix: &str, table: &DeTable<'_>) {
         for (name, value) in table {
             if prefix.is_empty() && name.get_ref() == COORDINATION_TABLE {
@@ -112,11 +116,13 @@
         }
     }
 
-    /// The section `[fleet]`, if the file has one.
+    /// Reads the section `[fleet]`, if the file has one, and checks that its maintenance windows do not
+    /// conflict.
     fn coordination_section(&self) -> Result<Option<CoordinationSection>, Vec<ConfigProblem>> {
         let problems = |errors| self.coordination_problems(errors);
         let Some(section) = settings::read(self.text).map_err(problems)? else { return Ok(None) };
-        // The platform names the sites, so they are checked where its configuration is known too.
+        // Whether the sites of windows exist is checked at the start of coordination: only the platform's
+        // configuration names the sites.
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let conflicts = section.schedule_conflicts(&[], now);
         match conflicts.is_empty() {
--- a/crates/hillstall/src/operator/keys.rs
+++ b/crates/hillstall/src/operator/keys.rs
@@ -1,33 +1,33 @@
-//! The table of all keys of the operator file: unit, bounds, default and meaning. The file, the environment, the
-//! flags, `check` and `config show` all use it.
+//! The table of all keys of the operator file outside the section `[fleet]`: kind, bounds, default and help
+//! text. The file, the environment, the flags, `check` and `config show` all use it.
 
 use super::value::ValueKind;
 use super::OperatorConfig;
 use hillstall_proxy_core::tuning::Tuning;
 use std::time::Duration;
 
-/// One key.
+/// A key of the operator file.
 pub struct SettingKey {
-    /// Its table in the file and its name in that, as in `pool.rest`.
+    /// The name of its table and its own name, as in `pool.rest`.
     pub name: &'static str,
-    /// What its value may be.
+    /// The kind and bounds of its value.
     pub kind: ValueKind,
-    /// The value where no source sets one.
+    /// The value, as text, if no source sets one.
     pub default: &'static str,
-    /// What it does.
+    /// A short description, shown by `config show`.
     pub help: &'static str,
-    /// Whether SIGHUP changes it; otherwise it needs a new process.
+    /// Whether a reload (SIGHUP) applies a changed value; otherwise it takes effect after a restart.
     pub reloads: bool,
 }
 
 impl SettingKey {
-    /// The environment variable that takes precedence over the file.
+    /// The environment variable that sets this key, as in `HILLSTALL_POOL_REST` for `pool.rest`.
     pub fn variable(&self) -> String {
         format!("HILLSTALL_{}", self.name.replace('.', "_").to_uppercase())
     }
 }
 
-/// The key of this name.
+/// Finds the key with this name.
 pub fn find(name: &str) -> Option<&'static SettingKey> {
     KEYS.iter().find(|key| key.name == name)
 }
@@ -61,112 +61,112 @@
 const KIB: usize = 1024;
 const MIB: usize = 1024 * KIB;
 
-/// All keys, in the order in which they are shown.
+/// All keys, in the order in which `config show` prints them.
 pub const KEYS: &[SettingKey] = &[
     needs_restart(
         "log.format",
         ValueKind::Choice(&["text", "json"]),
         "text",
-        "text for people, JSON lines for programs",
+        "log format: plain text or JSON lines",
     ),
     needs_restart(
         "log.level",
         ValueKind::Choice(&["error", "warn", "info", "debug"]),
         "info",
-        "the least important records written",
+        "lowest level of the log records written",
     ),
     reloadable(
         "log.calls",
         ValueKind::Boolean,
         "false",
-        "one record a call: class, server, attempts, end, phases",
+        "log one record per request: class, server, attempts, end, phases",
     ),
     reloadable(
         "callers.idle",
         duration(100, 3_600_000),
         "5s",
-        "a caller's connection that carried nothing is closed",
+        "idle time after which a client connection is closed",
     ),
     reloadable(
         "callers.request_time",
         duration(100, 600_000),
         "2500ms",
-        "longest wait for a whole request, or a step",
+        "longest wait for a request, or for one step of its body",
     ),
     reloadable(
         "callers.request_step",
         size(KIB, 64 * MIB),
         "16KiB",
-        "bytes that a longer body has that time for",
+        "step of a long body, see callers.request_time",
     ),
     reloadable(
         "callers.come_back",
         duration(0, 60_000),
         "500ms",
-        "wait that a refusal for want of room states",
+        "Retry-After of a request rejected for lack of room",
     ),
     reloadable(
         "callers.park",
         duration(1, 60_000),
         "50ms",
-        "silence after which a connection's buffers are let go",
+        "idle time after which a connection's buffers are freed",
     ),
     reloadable(
         "messages.held",
         size(KIB, 64 * MIB),
         "64KiB",
-        "largest body held whole, so that it can be sent again",
+        "largest body buffered whole, so that it can be retried",
     ),
-    reloadable("messages.longest", size(KIB, 1024 * MIB), "32MiB", "longest message on either side"),
+    reloadable("messages.longest", size(KIB, 1024 * MIB), "32MiB", "largest request or response"),
     reloadable(
         "messages.read_ahead",
         size(8 * KIB, 4 * MIB),
         "16KiB",
-        "most read ahead, so also the largest head",
+        "read buffer size, which also limits the message head",
     ),
     reloadable(
         "messages.stall",
         duration(100, 600_000),
         "5s",
-        "longest wait for progress of a message that passes",
+        "longest stall of a message that is being forwarded",
     ),
     reloadable(
         "messages.system_buffer",
         size(4 * KIB, 16 * MIB),
         "128KiB",
-        "what the system may hold of a message",
+        "size of a socket's buffers in the operating system",
     ),
     reloadable(
         "servers.answer_time",
         duration(10, 600_000),
         "1s",
-        "longest wait for more of an answer that is held",
+        "longest wait for more bytes of a buffered response",
     ),
     reloadable(
         "servers.answer_hold",
         duration(0, 10_000),
         "100ms",
-        "hold of an answer that does not tell its length",
+        "how long a response of unknown length is buffered",
+    ),
+    reloadable(
+        "pool.rest",
+        duration(0, 1_000),
+        "2ms",
+        "pause of a server connection between response and reuse",
     ),
-    reloadable("pool.rest", duration(0, 1_000), "2ms", "how long a connection rests after an answer"),
     reloadable(
         "pool.kept",
         ValueKind::Integer { min: 1, max: 65_536 },
         "64",
-        "idle connections kept for one server",
+        "maximum number of idle connections per server",
     ),
     reloadable(
         "pool.waits",
         ValueKind::Integer { min: 0, max: 1_000_000 },
         "3",
-        "waits for a rest borne before opening one",
-    ),
-    reloadable(
-        "drain.notice",
-        duration(0, 60_000),
-        "400ms",
-        "how long a drain leaves kept connections alone",
+        "waits for a pausing connection before a new one opens",
     ),
+    reloadable("drain.notice", duration(0, 60_000), "400ms", "how long a drain leaves idle connections open"),
     reloadable(
         "drain.rest",
         duration(0, 60_000),
@@ -175,7 +175,7 @@
     ),
 ];
 
-/// The tuning of the proxy that the values of these keys make.
+/// Builds the tuning of the proxy from the operator's settings.
 pub fn tuning(operator: &OperatorConfig) -> Tuning {
     Tuning {
         client_idle_timeout: operator.duration("callers.idle"),
--- a/crates/hillstall/src/operator/mod.rs
+++ b/crates/hillstall/src/operator/mod.rs
@@ -1,4 +1,5 @@
-//! The operator's settings. A flag takes precedence over the environment, that over the file, that over the default.
+//! The operator's settings. Flags take precedence over the environment, the environment over the file, and
+//! the file over the defaults.
 
 mod file;
 pub mod keys;
@@ -18,13 +19,13 @@
 /// The operator's settings in force.
 #[derive(Clone, Debug)]
 pub struct OperatorConfig {
-    /// The section `[fleet]`, where the file has one.
+    /// The section `[fleet]` of the file; coordination is off without it.
     pub coordination: Option<CoordinationSection>,
-    /// One entry for each key of the table, by name.
+    /// The value of each key of [`KEYS`], by the key's name.
     values: BTreeMap<&'static str, AssignedValue>,
 }
 
-/// A value and where it came from.
+/// A value and its source.
 #[derive(Clone, Debug)]
 struct AssignedValue {
     value: SettingValue,
@@ -32,7 +33,9 @@
 }
 
 impl OperatorConfig {
-    /// Reads all sources. The error has every problem, not only the first.
+    /// Reads all sources and merges them. The error has every problem, not only the first.
+    ///
+    /// `env` returns the value of an environment variable, if it is set.
     pub fn read(
         sources: &Sources,
         env: impl Fn(&str) -> Option<String>,
@@ -40,21 +43,21 @@
         reader::read(sources, env)
     }
 
-    /// All keys with their values and where these came from, in the order of the table.
+    /// All keys with their values and the sources of the values, in the order of [`KEYS`].
     pub fn entries(&self) -> impl Iterator<Item = (&'static SettingKey, SettingValue, &ValueOrigin)> {
         KEYS.iter().filter_map(|key| {
             self.values.get(key.name).map(|assigned| (key, assigned.value, &assigned.origin))
         })
     }
 
-    /// The keys that have other values in `new` and that a running process can't change.
+    /// The keys whose values differ in `new` and take effect only after a restart.
     pub fn changes_needing_restart(&self, new: &OperatorConfig) -> Vec<&'static str> {
         let mut changed: Vec<&'static str> = KEYS
             .iter()
             .filter(|key| !key.reloads && self.value(key.name) != new.value(key.name))
             .map(|key| key.name)
             .collect();
-        // A calendar and its time zones can't be compared, so their debug output is.
+        // Window schedules and time zones can't be compared for equality, so their debug output is compared.
         if format!("{:?}", self.coordination) != format!("{:?}", new.coordination) {
             changed.push("fleet");
         }
@@ -96,7 +99,7 @@
     }
 }
 
-/// The line, from 1, of a byte position in a text.
+/// The line number, from 1, of a byte position in a text.
 pub fn line_of(text: &str, position: usize) -> usize {
     let before = &text.as_bytes()[..position.min(text.len())];
     before.iter().filter(|byte| **byte == b'\n').count() + 1
--- a/crates/hillstall/src/operator/problem.rs
+++ b/crates/hillstall/src/operator/problem.rs
@@ -1,13 +1,13 @@
-//! Problems of the operator's settings, each with the place where it was found.
+//! Problems of the operator's settings, each with the source that it was found in.
 
 use super::value::ValueError;
 use std::fmt;
 use std::path::PathBuf;
 
-/// Where a value came from.
+/// The source of a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ValueOrigin {
-    /// No source sets it.
+    /// The default of the key: no source sets a value.
     Default,
     /// A file, and the line in it, from 1.
     File(PathBuf, usize),
@@ -39,28 +39,28 @@
         /// The cause.
         source: ReadError,
     },
-    /// The text is not TOML.
+    /// The text of the file is not TOML.
     #[error("{origin}: {message}")]
     Syntax {
-        /// The place.
+        /// The source of the key.
         origin: ValueOrigin,
         /// The message of the TOML parser.
         message: String,
     },
-    /// There is no such key.
+    /// The table of keys does not have this key.
     #[error("{origin}: {key}: there is no such key{}", .nearest.map(|n| format!("; did you mean {n}?")).unwrap_or_default())]
     UnknownKey {
-        /// The place.
+        /// The source of the key.
         origin: ValueOrigin,
         /// The unknown key.
         key: String,
-        /// The known key that is most like it, if one is.
+        /// The most similar known key, if one is similar enough to suggest.
         nearest: Option<&'static str>,
     },
     /// The value of a key is invalid.
     #[error("{origin}: {key}: {source}")]
     InvalidValue {
-        /// The place.
+        /// The source of the key.
         origin: ValueOrigin,
         /// The key.
         key: String,
@@ -76,7 +76,7 @@
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// The file is too large to be an operator file.
-    #[error("it is larger than 1 MiB")]
+    #[error("the file is larger than 1 MiB, the limit for operator files")]
     TooLarge,
 }
 
@@ -87,18 +87,18 @@
     #[error(transparent)]
     Parse(#[from] ValueError),
     /// A string where the key takes a number or a boolean.
-    #[error("{0:?} must stand without quotes")]
+    #[error("{0:?} must be written without quotes")]
     Quoted(String),
     /// A TOML type that no key takes.
-    #[error("a value of this kind ({0}) has no meaning here")]
+    #[error("a value of type {0} is not allowed here")]
     UnsupportedType(&'static str),
     /// A flag without `=`.
-    #[error("it is not KEY=VALUE")]
+    #[error("expected KEY=VALUE")]
     NotAnAssignment,
-    /// The value is larger than that of another key, which bounds it.
-    #[error("it must not be above {0}")]
+    /// The value is larger than the value of another key, which is its upper bound.
+    #[error("must not be larger than {0}")]
     AboveOtherKey(&'static str),
-    /// The section `[fleet]` rejects it.
+    /// The reason for which the section `[fleet]` is invalid.
     #[error("{0}")]
     Coordination(String),
 }
--- a/crates/hillstall/src/operator/reader.rs
+++ b/crates/hillstall/src/operator/reader.rs
@@ -1,25 +1,25 @@
-//! Reads the sources of the operator's settings in the order of their precedence.
+//! Reads the sources of the operator's settings in ascending order of precedence.
 
 use super::keys::{SettingKey, KEYS};
 use super::{file, keys, AssignedValue, ConfigProblem, InvalidValue, OperatorConfig, ValueOrigin};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// The least likeness, from 0 to 1, of a known key that is suggested for an unknown one.
-const MIN_SUGGESTION_LIKENESS: f64 = 0.75;
-/// What a likeness to a key's last part counts for, compared with one to the whole key.
+/// The least similarity (Jaro-Winkler, 0 to 1) to an unknown key at which a known key is suggested.
+const MIN_SUGGESTION_SIMILARITY: f64 = 0.75;
+/// Weight of the similarity to a key's last part, compared with 1 for the similarity to the whole key.
 const LAST_PART_FACTOR: f64 = 0.95;
 
-/// Where the operator's settings come from, beside the environment.
+/// The sources of the operator's settings other than the environment.
 #[derive(Clone, Debug, Default)]
 pub struct Sources {
-    /// The operator file.
+    /// The path of the operator file, if there is one.
     pub file: Option<PathBuf>,
-    /// `KEY=VALUE`, as given on the command line.
+    /// The values of `--set`, each `KEY=VALUE`.
     pub flags: Vec<String>,
 }
 
-/// Reads all sources; the error has every problem.
+/// Reads all sources and merges them; the error has every problem.
 pub(super) fn read(
     sources: &Sources,
     env: impl Fn(&str) -> Option<String>,
@@ -37,7 +37,7 @@
     problems.extend(reader.assign_flags(&sources.flags));
     problems.append(&mut reader.problems);
     let operator = OperatorConfig { coordination, values: reader.values };
-    // Relations between keys are checked only once each value is valid by itself.
+    // Relations between keys are meaningful only if each value is valid.
     if problems.is_empty() {
         problems.extend(check_relations(&operator));
     }
@@ -47,7 +47,7 @@
     }
 }
 
-/// The values that were assigned up to now, and the problems of those that could not be.
+/// The values that have been assigned, and the problems of the assignments that failed.
 struct SettingsReader {
     values: BTreeMap<&'static str, AssignedValue>,
     problems: Vec<ConfigProblem>,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Assigns the values of flags; returns a problem for each that is not `KEY=VALUE`.
+    /// Assigns the values of flags; returns a problem for each flag that is not `KEY=VALUE`.
     fn assign_flags(&mut self, flags: &[String]) -> Vec<ConfigProblem> {
         let mut malformed = Vec::new();
         for flag in flags {
@@ -106,29 +106,29 @@
     }
 }
 
-/// The known key most like a name, if one is like it at all.
+/// The known key most similar to a name, if one is similar enough to suggest.
 fn nearest_key(name: &str) -> Option<&'static str> {
-    let likeness = |key: &SettingKey| {
+    let similarity = |key: &SettingKey| {
         let last_part = key.name.rsplit('.').next().unwrap_or(key.name);
         let of_last_part = strsim::jaro_winkler(last_part, name) * LAST_PART_FACTOR;
         strsim::jaro_winkler(key.name, name).max(of_last_part)
     };
     KEYS.iter()
-        .map(|key| (likeness(key), key.name))
+        .map(|key| (similarity(key), key.name))
         .max_by(|a, b| a.0.total_cmp(&b.0))
-        .filter(|(likeness, _)| *likeness >= MIN_SUGGESTION_LIKENESS)
+        .filter(|(similarity, _)| *similarity >= MIN_SUGGESTION_SIMILARITY)
         .map(|(_, name)| name)
 }
 
-/// Checks what no key's value shows alone.
+/// Checks the relations between the values of keys.
 fn check_relations(operator: &OperatorConfig) -> Option<ConfigProblem> {
-    let (bounded, bound) = ("messages.held", "messages.longest");
-    if operator.size(bounded) <= operator.size(bound) {
+    let (bounded, upper_bound) = ("messages.held", "messages.longest");
+    if operator.size(bounded) <= operator.size(upper_bound) {
         return None;
     }
     Some(ConfigProblem::InvalidValue {
         origin: operator.values[bounded].origin.clone(),
         key: bounded.to_string(),
-        source: InvalidValue::AboveOtherKey(bound),
+        source: InvalidValue::AboveOtherKey(upper_bound),
     })
 }
--- a/crates/hillstall/src/operator/value.rs
+++ b/crates/hillstall/src/operator/value.rs
@@ -1,23 +1,23 @@
-//! Kinds of values, their units and bounds.
+//! Kinds of setting values: parsing with units, bounds, and formatting.
 
 use bytesize::ByteSize;
 use std::fmt;
 use std::time::Duration;
 
-/// The units in which sizes are shown, with the binary logarithm of their bytes.
+/// The units in which sizes are printed, with the binary logarithm of their size in bytes.
 const SIZE_UNITS: [(&str, u32); 3] = [("GiB", 30), ("MiB", 20), ("KiB", 10)];
 
-/// What a value may be. Bounds are inclusive.
+/// The kind of a key's value, with its bounds, which are inclusive.
 #[derive(Clone, Copy, Debug)]
 pub enum ValueKind {
-    /// A duration with its unit: "250ms", "5s", "2m".
+    /// A duration with a unit, such as "250ms", "5s" or "2m".
     Duration {
         /// The lower bound.
         min: Duration,
         /// The upper bound.
         max: Duration,
     },
-    /// A size with its unit: "64KiB", "32MiB".
+    /// A size with a unit, such as "64KiB" or "32MiB".
     Size {
         /// The lower bound, in bytes.
         min: usize,
@@ -55,16 +55,16 @@
 /// Why a text is not a valid value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ValueError {
-    /// It is not a duration.
+    /// The text is not a duration with a unit.
     #[error("{0:?} is not a time with its unit, like \"250ms\" or \"5s\"")]
     NotADuration(String),
-    /// It is not a size.
+    /// The text is not a size with a unit.
     #[error("{0:?} is not a size with its unit, like \"64KiB\" or \"32MiB\"")]
     NotASize(String),
-    /// It is not a whole number.
+    /// The text is not a whole number.
     #[error("{0:?} is not a whole number")]
     NotAnInteger(String),
-    /// It is none of the words that the key allows.
+    /// The text is none of the words that the key allows.
     #[error("{text:?} is none of {}", .choices.join(", "))]
     NotAChoice {
         /// The text.
@@ -72,10 +72,10 @@
         /// The words that are allowed.
         choices: &'static [&'static str],
     },
-    /// It is not a boolean.
+    /// The text is not a boolean.
     #[error("{0:?} is not true or false")]
     NotABoolean(String),
-    /// It lies outside the bounds of its key.
+    /// The value is outside the bounds of its key.
     #[error("{value} is out of bounds: from {min} to {max}")]
     OutOfBounds {
         /// The value.
@@ -88,7 +88,7 @@
 }
 
 impl ValueKind {
-    /// Parses a value and checks its bounds. Space around it is ignored.
+    /// Parses a value and checks its bounds. Leading and trailing white space is ignored.
     pub fn parse(self, text: &str) -> Result<SettingValue, ValueError> {
         let text = text.trim();
         let owned = || text.to_string();
@@ -116,13 +116,13 @@
         }
     }
 
-    /// Whether a TOML file must put it into quotes.
+    /// Whether the value is a string in TOML and so needs quotes.
     pub fn is_quoted(self) -> bool {
         matches!(self, ValueKind::Duration { .. } | ValueKind::Size { .. } | ValueKind::Choice(_))
     }
 }
 
-/// Parses a size; a number without a unit is none.
+/// Parses a size with a unit; a number without a unit is not a size.
 fn parse_size(text: &str) -> Option<usize> {
     if !text.ends_with(['B', 'b']) {
         return None;
@@ -143,7 +143,7 @@
     }
 }
 
-/// A size in the largest unit of which it is a whole number.
+/// Formats a size in the largest unit of which it is a whole multiple.
 fn format_size(bytes: usize) -> String {
     SIZE_UNITS
         .iter()
--- a/crates/hillstall/src/output.rs
+++ b/crates/hillstall/src/output.rs
@@ -1,4 +1,4 @@
-//! Output for people and programs: results on standard output, messages on standard error, results in files.
+//! Output: results to standard output or files, messages to standard error.
 
 use serde::Serialize;
 use std::fmt::Display;
@@ -6,7 +6,7 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// A file that can't be read or written.
+/// A file could not be read or written.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", .path.display())]
 pub struct FileError {
@@ -17,28 +17,29 @@
 }
 
 impl FileError {
-    /// Makes an I/O error name its file.
+    /// Returns a function for `map_err` that adds the file's path to an I/O error.
     pub fn at(path: &Path) -> impl FnOnce(std::io::Error) -> FileError + '_ {
         move |source| FileError { path: path.to_path_buf(), source }
     }
 }
 
-/// Writes to standard output. Unlike `print!` it does not panic where the reader has left, as `head` does.
+/// Writes to standard output. Unlike `print!`, it does not panic if the reader has closed the pipe, as `head`
+/// does.
 pub fn print(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
-/// Writes a message to standard error. Unlike `eprintln!` it does not panic where nobody reads.
+/// Writes a message to standard error. Unlike `eprintln!`, it does not panic if standard error is closed.
 pub fn print_message(message: impl Display) {
     let _ = writeln!(std::io::stderr(), "hillstall: {message}");
 }
 
-/// Writes a file.
+/// Writes a file, replacing an existing one.
 pub fn write_file(path: &Path, content: &str) -> Result<(), FileError> {
     std::fs::write(path, content).map_err(FileError::at(path))
 }
 
-/// Writes each record as one line of JSON.
+/// Writes each record as one line of JSON, replacing an existing file.
 pub fn write_json_lines<'a, T: Serialize + 'a>(
     path: &Path,
     records: impl IntoIterator<Item = &'a T>,
--- a/crates/hillstall/src/platform.rs
+++ b/crates/hillstall/src/platform.rs
@@ -1,5 +1,5 @@
-//! `check` of the platform's file: all problems at once, each with its line and key. A proxy that starts stops at the
-//! first problem; an operator wants to see them all.
+//! `hillstall check` of the platform's file: finds all problems, each with its line and key. A proxy that
+//! starts reports only the first problem.
 
 mod json_path;
 
@@ -12,46 +12,46 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
 
-/// Keys of addresses.
+/// Top-level keys whose values are addresses.
 const ADDRESS_KEYS: [&str; 3] = ["listen", "admin_addr", "discovery"];
-/// Keys of limits.
+/// Keys under `limits` whose values are whole numbers.
 const LIMIT_KEYS: [&str; 2] = ["sockets", "memory_mb"];
-/// File descriptors and memory (MiB) of the valid configuration that values are tried in.
-const VALID_RESOURCES: site::ProcessLimits = site::ProcessLimits { sockets: 64, memory_mb: 64 };
+/// Resource limits of the valid configuration into which single settings are put to check them.
+const VALID_LIMITS: site::ProcessLimits = site::ProcessLimits { sockets: 64, memory_mb: 64 };
 
-/// A problem at a place in the file.
+/// A problem, and the path of the value that has it.
 struct Problem {
     path: JsonPath,
     reason: String,
 }
 
-/// All problems of a file: `FILE:LINE: KEY: reason`.
+/// Finds all problems of a file, in the form `FILE:LINE: KEY: reason`, sorted by line.
 pub fn find_problems(file: &Path) -> Vec<String> {
-    let shown = file.display();
+    let file_name = file.display();
     let text = match std::fs::read_to_string(file) {
         Ok(text) => text,
-        Err(e) => return vec![format!("{shown}: {e}")],
+        Err(e) => return vec![format!("{file_name}: {e}")],
     };
     let value: Value = match serde_json::from_str(&text) {
         Ok(value) => value,
-        Err(e) => return vec![format!("{shown}:{}: {e}", e.line())],
+        Err(e) => return vec![format!("{file_name}:{}: {e}", e.line())],
     };
     let mut reports: Vec<(usize, String)> = value_problems(&value)
         .into_iter()
         .map(|Problem { path, reason }| {
             let line = line_of(&text, path.position_in(&text));
-            (line, format!("{shown}:{line}: {path}: {reason}"))
+            (line, format!("{file_name}:{line}: {path}: {reason}"))
         })
         .collect();
     reports.sort();
     let mut reports: Vec<String> = reports.into_iter().map(|(_, report)| report).collect();
     if let Some(reason) = remaining_problem(&text, &reports) {
-        reports.push(format!("{shown}: {reason}"));
+        reports.push(format!("{file_name}: {reason}"));
     }
     reports
 }
 
-/// The problems that values have by themselves.
+/// The problems of single values, independent of other values.
 fn value_problems(value: &Value) -> Vec<Problem> {
     let mut problems = address_problems(value);
     problems.extend(seed_problem(value));
@@ -61,7 +61,7 @@
     problems
 }
 
-/// The problem that a proxy would report at its start, unless it is one of those reported already.
+/// The problem that a proxy would report at its start, unless its key is in `reports` already.
 fn remaining_problem(text: &str, reports: &[String]) -> Option<String> {
     let error = config::parse(text.as_bytes(), |_| None).err()?.to_string();
     let reason = error.strip_prefix("settings: ").unwrap_or(&error);
@@ -73,10 +73,10 @@
 fn address_problems(value: &Value) -> Vec<Problem> {
     let mut problems = Vec::new();
     for key in ADDRESS_KEYS {
-        let Some(given) = value.get(key) else { continue };
-        let is_address = given.as_str().is_some_and(|text| config::parse_address(text).is_ok());
+        let Some(address) = value.get(key) else { continue };
+        let is_address = address.as_str().is_some_and(|text| config::parse_address(text).is_ok());
         if !is_address {
-            let reason = format!("{given} is not an address");
+            let reason = format!("{address} is not an IP address with a port");
             problems.push(Problem { path: JsonPath::new([JsonStep::key(key)]), reason });
         }
     }
@@ -84,27 +84,27 @@
 }
 
 fn seed_problem(value: &Value) -> Option<Problem> {
-    let given = value.get("seed")?;
-    if given.as_str().is_some_and(|text| config::parse_seed(text).is_ok()) {
+    let seed = value.get("seed")?;
+    if seed.as_str().is_some_and(|text| config::parse_seed(text).is_ok()) {
         return None;
     }
-    let reason = format!("{given} is not a number in hexadecimal");
+    let reason = format!("{seed} is not a 64-bit hexadecimal number");
     Some(Problem { path: JsonPath::new([JsonStep::key("seed")]), reason })
 }
 
 fn limit_problems(value: &Value) -> Vec<Problem> {
     let mut problems = Vec::new();
     for key in LIMIT_KEYS {
-        let Some(given) = value.get("limits").and_then(|limits| limits.get(key)) else { continue };
-        if given.as_u64().is_none() && !given.is_null() {
+        let Some(limit) = value.get("limits").and_then(|limits| limits.get(key)) else { continue };
+        if limit.as_u64().is_none() && !limit.is_null() {
             let path = JsonPath::new([JsonStep::key("limits"), JsonStep::key(key)]);
-            problems.push(Problem { path, reason: format!("{given} is not a whole number") });
+            problems.push(Problem { path, reason: format!("{limit} is not a whole number") });
         }
     }
     problems
 }
 
-/// The problems of the known endpoints, each read by itself.
+/// The problems of the known endpoints. Each endpoint is parsed as the only one of a list.
 fn endpoint_problems(value: &Value) -> Vec<Problem> {
     let endpoints = value.get("known").and_then(|known| known.get("endpoints")).and_then(Value::as_array);
     let numbered = endpoints.into_iter().flatten().enumerate();
@@ -122,11 +122,11 @@
     Some(Problem { path: JsonPath::new(steps), reason: error.inner().to_string() })
 }
 
-/// The problems of the settings: each value is put by itself into settings that are known to be valid.
+/// The problems of the settings. Each value is parsed as the only change to settings that are valid.
 fn settings_problems(value: &Value) -> Vec<Problem> {
-    let Some(given) = value.get("settings") else { return Vec::new() };
+    let Some(settings) = value.get("settings") else { return Vec::new() };
     let valid = valid_settings();
-    let leaves = json_path::leaves(given);
+    let leaves = json_path::leaves(settings);
     leaves.into_iter().filter_map(|(path, leaf)| setting_problem(&valid, path, leaf)).collect()
 }
 
@@ -135,14 +135,14 @@
     let path_in_valid = path.with_first_indices();
     path_in_valid.replace_in(&mut settings, leaf.clone());
     let error = hillstall_settings::parse_settings(settings.to_string().as_bytes()).err()?.to_string();
-    // Other errors are about what goes with the value, not about the value.
+    // Errors at other paths are about the combination with the valid settings, not about this value.
     let reason = error.strip_prefix(&format!("settings: {path_in_valid}: "))?;
-    // The line and column are those of the text that was made for this check.
+    // Line and column refer to the text that was generated for this check, so they are cut off.
     let reason = reason.split(" at line ").next().unwrap_or(reason);
     Some(Problem { path: path.inside("settings"), reason: reason.to_string() })
 }
 
 fn valid_settings() -> Value {
-    let unused = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
-    site::config(unused, unused, &[], VALID_RESOURCES)["settings"].clone()
+    let placeholder = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
+    site::config(placeholder, placeholder, &[], VALID_LIMITS)["settings"].clone()
 }
--- a/crates/hillstall/src/platform/json_path.rs
+++ b/crates/hillstall/src/platform/json_path.rs
@@ -1,43 +1,43 @@
-//! Paths into JSON values, and the places that they have in a text.
+//! Paths into JSON values, and the positions of the values in a JSON text.
 
 use serde::de::IgnoredAny;
 use serde_json::{Deserializer, Map, Value};
 use std::fmt;
 
-/// One step from a value into a part of it.
+/// One step from an object or array to one of its values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JsonStep {
-    /// The field of an object.
+    /// To the field of this name of an object.
     Key(String),
-    /// The item of an array, from 0.
+    /// To the item of this index, from 0, of an array.
     Index(usize),
 }
 
 impl JsonStep {
-    /// The step to a field.
+    /// A step to the field `name` of an object.
     pub fn key(name: &str) -> JsonStep {
         JsonStep::Key(name.to_string())
     }
 }
 
-/// The path from the root of a JSON value to a part of it. Shown as in `Classes[1].HardLimit`.
+/// The path from the root of a JSON value to a value inside it, displayed as in `Classes[1].HardLimit`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JsonPath {
     steps: Vec<JsonStep>,
 }
 
 impl JsonPath {
-    /// A path of these steps.
+    /// A path of steps that begin at the root.
     pub fn new(steps: impl IntoIterator<Item = JsonStep>) -> JsonPath {
         JsonPath { steps: steps.into_iter().collect() }
     }
 
-    /// The same path from a value whose field `key` is the root of this one.
+    /// The path of the same value from an object whose field `key` is the present root.
     pub fn inside(self, key: &str) -> JsonPath {
         JsonPath::new(std::iter::once(JsonStep::key(key)).chain(self.steps))
     }
 
-    /// The same path with the first item in each array.
+    /// The same path with all array indices set to 0.
     pub fn with_first_indices(&self) -> JsonPath {
         JsonPath::new(self.steps.iter().map(|step| match step {
             JsonStep::Key(key) => JsonStep::key(key),
@@ -45,18 +45,19 @@
         }))
     }
 
-    /// Puts `leaf` at this place, creating the objects and arrays on the way. An array is reduced to its first item.
+    /// Replaces the value at this path by `leaf`. Objects and arrays that are missing on the path are
+    /// created; arrays on the path are truncated to their first item.
     pub fn replace_in(&self, value: &mut Value, leaf: Value) {
         replace(value, &self.steps, leaf);
     }
 
-    /// The byte position at which the value begins in a valid JSON text; if the last steps are not there, the
-    /// position of the part that holds them.
+    /// The byte position at which the value begins in a valid JSON text. If the text has only the first part
+    /// of the path, the position of the innermost value that it has.
     pub fn position_in(&self, text: &str) -> usize {
         let mut position = skip_space(text, 0);
         for step in &self.steps {
-            match position_inside(text, position, step) {
-                Some(inner) => position = inner,
+            match position_of_child(text, position, step) {
+                Some(child) => position = child,
                 None => break,
             }
         }
@@ -77,7 +78,7 @@
     }
 }
 
-/// All values that hold no others, with their paths. Empty objects and arrays count as such.
+/// All scalar values, empty objects and empty arrays in a value, with their paths.
 pub fn leaves(value: &Value) -> Vec<(JsonPath, &Value)> {
     let mut leaves = Vec::new();
     collect_leaves(value, JsonPath::default(), &mut leaves);
@@ -123,15 +124,15 @@
     rest.find(|c: char| !c.is_ascii_whitespace()).map_or(text.len(), |offset| position + offset)
 }
 
-/// The end of the value that begins at this position.
+/// The byte position just after the value that begins at `position`.
 fn end_of_value(text: &str, position: usize) -> usize {
     let mut values = Deserializer::from_str(&text[position..]).into_iter::<IgnoredAny>();
     let _ = values.next();
     position + values.byte_offset()
 }
 
-/// Where the part that `step` leads to begins, in the object or array that begins at `position`.
-fn position_inside(text: &str, position: usize, step: &JsonStep) -> Option<usize> {
+/// The byte position of the value that `step` leads to from the object or array that begins at `position`.
+fn position_of_child(text: &str, position: usize, step: &JsonStep) -> Option<usize> {
     let bytes = text.as_bytes();
     let mut position = skip_space(text, position + 1);
     let mut index = 0;
--- a/crates/hillstall/src/proxy.rs
+++ b/crates/hillstall/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The running proxy: its parts are built, connected, served until SIGTERM, and shut down.
+//! Builds and connects the parts of the proxy, serves clients until SIGTERM, and shuts down.
 
 use crate::admin::Admin;
 use crate::cli::SettingOverrides;
@@ -27,13 +27,13 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Between two checks whether the server is ready to take over from an older process.
+/// Time between two checks whether the server is ready to take over from an older process.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Why the proxy failed.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The address for clients can't be listened on.
+    /// Listening on the address for clients failed.
     #[error("listen: {address}: {source}")]
     Listen {
         /// The address.
@@ -41,7 +41,7 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// The address for admin commands can't be listened on.
+    /// Listening on the address for admin commands failed.
     #[error("admin_addr: {address}: {source}")]
     AdminListen {
         /// The address.
@@ -65,7 +65,7 @@
     Runtime(std::io::Error),
 }
 
-/// The parts of the proxy that other tasks share.
+/// The parts of the proxy that its tasks share.
 struct Proxy {
     driver: Rc<Driver<HttpClient>>,
     client: Rc<HttpClient>,
@@ -84,7 +84,7 @@
 ) -> Result<(), RunError> {
     let address = config.listen;
     let handover = Handover::connect(&std::env::temp_dir(), address).await;
-    // With an older process at the address, this one listens there only once it can serve.
+    // If an older process serves this address, this one listens there only once it can serve as well.
     let early_listener = if handover.has_older() { None } else { Some(bind_clients(address)?) };
     let admin_listener = bind_admin(config.admin).await?;
     let hangup = install_signal("SIGHUP", SignalKind::hangup())?;
@@ -99,14 +99,14 @@
     if handover.has_older() {
         proxy.server.apply_resource_share(1);
     }
-    proxy.join_coordination(advisories, &settings);
+    proxy.connect_coordination(advisories, &settings);
     handover.start(proxy.server.clone());
     spawn_local(proxy.server.clone().maintain_connections());
     let listener = match early_listener {
         Some(listener) => listener,
         None => {
             tokio::select! {
-                () = until_ready(&proxy.server) => bind_clients(address)?,
+                () = wait_until_ready(&proxy.server) => bind_clients(address)?,
                 // No connection has been accepted yet, so there is nothing to drain.
                 _ = terminate.recv() => return Ok(()),
             }
@@ -137,7 +137,8 @@
 
 type Coordination = (Option<Rc<CoordinationHandle>>, Option<UnboundedReceiver<Advisory>>);
 
-/// Starts the coordination runtime, if the operator's settings ask for it and the platform allows it.
+/// Starts the coordination runtime, if the operator's settings have the section `[fleet]` and the platform
+/// allows messages between instances.
 fn start_coordination(operator: &OperatorConfig, settings: &Settings) -> Result<Coordination, RunError> {
     let started = coordination::start(operator.coordination.as_ref(), settings)
         .map_err(|error| RunError::Coordination(error.to_string()))?;
@@ -146,14 +147,15 @@
 }
 
 /// Waits until the server can serve clients.
-async fn until_ready(server: &HttpServer) {
+async fn wait_until_ready(server: &HttpServer) {
     while !server.is_ready() {
         sleep(READINESS_POLL_INTERVAL).await;
     }
 }
 
 impl Proxy {
-    /// Builds the driver, both sides of HTTP, and what they share.
+    /// Builds the driver, the HTTP client and server, and their shared state. Starts discovery, but does not
+    /// listen.
     fn build(
         config: Config,
         operator: &OperatorConfig,
@@ -169,11 +171,11 @@
             settings.report.clone(),
         ));
         let (lifecycle, metrics) = (Lifecycle::new(), Metrics::new(&settings.classes));
-        let has_known_endpoints = !config.known.endpoints.is_empty();
+        let has_known_endpoints = !config.known_endpoints.endpoints.is_empty();
         let driver_config = DriverConfig {
             settings: config.settings,
             seed: config.seed,
-            known_endpoints: config.known,
+            known_endpoints: config.known_endpoints,
             discovery_address: config.discovery,
             max_open_requests: limits.client_connections.limit(),
         };
@@ -211,19 +213,21 @@
         }
     }
 
-    /// Connects the request path with the coordination runtime, where that is on.
-    fn join_coordination(&self, advisories: Option<UnboundedReceiver<Advisory>>, settings: &Settings) {
+    /// Starts load reports to the coordination runtime and the handling of its advisories, if coordination is
+    /// on.
+    fn connect_coordination(&self, advisories: Option<UnboundedReceiver<Advisory>>, settings: &Settings) {
         let Some((coordination, advisories)) = self.coordination.clone().zip(advisories) else { return };
-        let calls = coordination::TierTraffic {
+        let handles = coordination::ProxyHandles {
             driver: self.driver.clone(),
             metrics: self.metrics.clone(),
             lifecycle: self.lifecycle.clone(),
             tier: settings.stage,
         };
-        calls.spawn(coordination, advisories, settings);
+        handles.spawn(coordination, advisories, settings);
     }
 
-    /// Drains the server. Meanwhile other instances can take over the leases of this one.
+    /// Drains the server, and at the same time releases this instance's leases so that others can acquire
+    /// them.
     async fn shut_down(&self, handover: &Handover) {
         let release_leases = async {
             if let Some(coordination) = &self.coordination {
--- a/crates/hillstall/src/simulation.rs
+++ b/crates/hillstall/src/simulation.rs
@@ -1,4 +1,4 @@
-//! `hillstall lab`: experiments in simulated time.
+//! `hillstall lab`: experiments in the simulation and on real processes.
 
 mod arguments;
 mod error;
@@ -84,7 +84,7 @@
     results::show(&name, runs, options)
 }
 
-/// Compares two policies seed by seed.
+/// Compares two policies by the differences of their runs with the same seed.
 fn compare(
     baseline: PolicyName,
     candidate: PolicyName,
@@ -96,11 +96,11 @@
     let (of_baseline, of_candidate) = runs.split_at(runs.len() / 2);
     let gains = format_gains(of_baseline, of_candidate);
     results::show(&name, runs, options)?;
-    print(&format!("\n{} over {}, seed by seed:\n{gains}\n", candidate.name(), baseline.name()));
+    print(&format!("\n{} minus {}, paired by seed:\n{gains}\n", candidate.name(), baseline.name()));
     Ok(())
 }
 
-/// Runs a grid of parameters.
+/// Runs policies on a grid of scenario parameters.
 fn sweep(
     scenario: &str,
     axes: &[Axis],
@@ -125,11 +125,14 @@
         let (runs, unknown_kinds) = experiment::days(&text, policies, &options.seeds())
             .map_err(SimulationError::invalid(path.display()))?;
         for kind in unknown_kinds {
-            print_message(format!("{}: no model for {kind}", path.display()));
+            print_message(format!(
+                "{}: failures of type {kind} left out, as the simulation has no model for them",
+                path.display()
+            ));
         }
-        all_runs.extend(in_cell(runs, &name));
+        all_runs.extend(label_cell(runs, &name));
     }
-    results::show("days of the bench", all_runs, options)
+    results::show("recorded days", all_runs, options)
 }
 
 /// Runs a scenario on real processes.
@@ -138,7 +141,7 @@
     Ok(fault_injection::run(&name, &scenario, seeds, options)?)
 }
 
-/// Compares one load carried by many instances with the same carried by one.
+/// Measures the service of many instances relative to one instance with the same total load.
 fn fleet_ratio(
     scenario: &str,
     instances: &[u32],
@@ -172,7 +175,7 @@
     let mut table = map.table();
     if let Some(earlier_runs) = earlier_runs {
         let (comparison, worse) = map.beside(&earlier_runs);
-        table += &format!("\n{comparison}\n{worse} cells are worse by more than two points\n");
+        table += &format!("\n{comparison}\n{worse} cells are worse by more than two percentage points\n");
     }
     let runs = map.cells.iter().flat_map(|cell| &cell.runs);
     results::show_with_page(runs, &table, || map.html(&name), options)
@@ -183,7 +186,7 @@
     results::write_report(&path.display().to_string(), page, &groups)
 }
 
-/// The name and text of a scenario that comes with the program or is a file.
+/// Reads a scenario that is embedded in the program or a file; returns its name and text.
 fn read_scenario_text(name: &str) -> Result<(String, String), SimulationError> {
     if let Some(text) = scenarios::text(name) {
         return Ok((name.to_string(), text.to_string()));
@@ -197,15 +200,15 @@
     }
 }
 
-/// A scenario's name, and the scenario.
+/// Reads and parses a scenario; returns its name with it.
 fn read_scenario(name: &str) -> Result<(String, Scenario), SimulationError> {
     let (name, text) = read_scenario_text(name)?;
     let scenario = Scenario::parse(&text).map_err(SimulationError::invalid(&name))?;
     Ok((name, scenario))
 }
 
-/// Puts runs into one cell of a table.
-fn in_cell(mut runs: Vec<RunSummary>, cell: &str) -> Vec<RunSummary> {
+/// Labels runs with the cell of the results table that they belong to.
+fn label_cell(mut runs: Vec<RunSummary>, cell: &str) -> Vec<RunSummary> {
     runs.iter_mut().for_each(|run| run.cell = cell.to_string());
     runs
 }
@@ -221,18 +224,18 @@
     let mut all_runs = Vec::new();
     for (cell, scenario) in cells {
         let runs = experiment::runs(scenario, policies, &seeds, || progress.inc(1));
-        all_runs.append(&mut in_cell(runs, cell));
+        all_runs.append(&mut label_cell(runs, cell));
     }
     progress.finish_and_clear();
     all_runs
 }
 
-/// A progress bar over all seeds of this many cells.
+/// A progress bar over all seeds of `cells` cells.
 fn progress_bar(cells: usize, options: &ExperimentOptions) -> ProgressBar {
     ProgressBar::new(cells as u64 * options.seed_count)
 }
 
-/// A metric that two policies are compared by.
+/// A metric by which two policies are compared. `scale` converts it to the unit in `name`.
 struct ComparedMetric {
     name: &'static str,
     scale: f64,
@@ -240,17 +243,17 @@
 }
 
 const COMPARED_METRICS: [ComparedMetric; 4] = [
-    ComparedMetric { name: "service, points in 100", scale: 100.0, value: |run| run.service },
-    ComparedMetric { name: "worst 10 s, points in 100", scale: 100.0, value: |run| run.worst },
+    ComparedMetric { name: "service, %", scale: 100.0, value: |run| run.service },
+    ComparedMetric { name: "service in the worst 10 s, %", scale: 100.0, value: |run| run.worst },
     ComparedMetric { name: "99th percentile, ms", scale: 1.0, value: |run| run.p99_ms },
-    ComparedMetric { name: "attempts a call", scale: 1.0, value: |run| run.attempts },
+    ComparedMetric { name: "attempts per request", scale: 1.0, value: |run| run.attempts },
 ];
 
-/// One line for each metric: by how much the candidate is above the baseline, with a 95% interval.
+/// One line per metric: the mean difference of the candidate to the baseline, with a 95% confidence interval.
 fn format_gains(baseline: &[RunSummary], candidate: &[RunSummary]) -> String {
     let line = |metric: ComparedMetric| {
         let gain = experiment::gain(baseline, candidate, metric.value);
-        let note = if gain.is_apart() { "" } else { "   (may be chance)" };
+        let note = if gain.is_apart() { "" } else { "   (not significant)" };
         let (mean, half_width) = (metric.scale * gain.mean, metric.scale * gain.half);
         format!("  {}: {mean:+.2} ± {half_width:.2}{note}", metric.name)
     };
--- a/crates/hillstall/src/simulation/error.rs
+++ b/crates/hillstall/src/simulation/error.rs
@@ -1,4 +1,4 @@
-//! Why an experiment can't be run.
+//! The error of `hillstall lab`.
 
 use crate::fault_injection::FaultInjectionError;
 use crate::output::FileError;
@@ -9,17 +9,17 @@
 /// Why a command of `hillstall lab` failed.
 #[derive(Debug, thiserror::Error)]
 pub enum SimulationError {
-    /// No scenario of this name comes with the program.
-    #[error("{0}: no such scenario")]
+    /// No embedded scenario has this name.
+    #[error("{0}: no embedded scenario has this name")]
     UnknownScenario(String),
-    /// A scenario is neither a file nor one that comes with the program.
-    #[error("{name}: {source}; with the program come {available}")]
+    /// A scenario is neither embedded nor a file that can be read.
+    #[error("{name}: {source}; the embedded scenarios are {available}")]
     ScenarioNotFound {
-        /// What was asked for.
+        /// The name or path that was given.
         name: String,
         /// Why it can't be read as a file.
         source: std::io::Error,
-        /// The scenarios that come with the program.
+        /// The names of the embedded scenarios, separated by commas.
         available: String,
     },
     /// A scenario, recorded day or grid is invalid.
@@ -30,12 +30,12 @@
         /// The cause.
         source: Box<dyn Error>,
     },
-    /// A line of kept results is invalid.
+    /// A line of a results file is invalid.
     #[error("{path}: line {line}: {source}")]
     InvalidResult {
         /// The file.
         path: String,
-        /// The line, from 1.
+        /// The line number, from 1.
         line: usize,
         /// The cause.
         source: serde_json::Error,
@@ -55,7 +55,7 @@
 }
 
 impl SimulationError {
-    /// Makes an error name the scenario or file that is invalid.
+    /// Returns a function for `map_err` that adds the name of the invalid scenario or file to an error.
     pub fn invalid<E: Error + 'static>(subject: impl Display) -> impl FnOnce(E) -> SimulationError {
         let subject = subject.to_string();
         move |error| SimulationError::Invalid { subject, source: Box::new(error) }
--- a/crates/hillstall/src/simulation/results.rs
+++ b/crates/hillstall/src/simulation/results.rs
@@ -6,7 +6,7 @@
 use hillstall_simulation::sim::RunSummary;
 use std::path::Path;
 
-/// Reads results that were kept with `--json`.
+/// Reads results that were written with `--json`.
 pub fn read(path: &Path) -> Result<Vec<RunSummary>, SimulationError> {
     let text = std::fs::read_to_string(path).map_err(FileError::at(path))?;
     let lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
@@ -20,7 +20,8 @@
     lines.map(parse).collect()
 }
 
-/// Prints the table of an experiment's runs, and writes the files that the options ask for.
+/// Prints the table of an experiment's runs, and writes the runs and the report page to the files that the
+/// options name.
 pub fn show(title: &str, runs: Vec<RunSummary>, options: &ExperimentOptions) -> Result<(), SimulationError> {
     if let Some(path) = &options.json {
         write_json_lines(path, &runs)?;
@@ -33,7 +34,8 @@
     }
 }
 
-/// Prints `text`, and writes runs and page where the options ask for them.
+/// Prints `text`, and writes the runs and `page` to the files that the options name. `page` is called only if
+/// needed.
 pub fn show_with_page<'a>(
     runs: impl IntoIterator<Item = &'a RunSummary>,
     text: &str,
@@ -50,7 +52,7 @@
     }
 }
 
-/// Writes the page of grouped runs.
+/// Writes an HTML page with table and plots of grouped runs.
 pub fn write_report(
     title: &str,
     path: &Path,
@@ -61,6 +63,6 @@
 
 fn write_page(path: &Path, page: &str) -> Result<(), SimulationError> {
     write_file(path, page)?;
-    print_message(format!("written: {}", path.display()));
+    print_message(format!("wrote {}", path.display()));
     Ok(())
 }
--- a/crates/hillstall/tests/proxy/commands.rs
+++ b/crates/hillstall/tests/proxy/commands.rs
@@ -235,7 +235,7 @@
     let threads = proxy.threads();
     assert!(threads.len() == plain && !threads.contains(&"fleet".to_owned()), "barred: {threads:?}");
     assert!(TcpStream::connect(listen).is_err(), "nobody listens");
-    until("it is told once", || files.log().contains("does not allow copies to talk"));
+    until("it is told once", || files.log().contains("does not allow messages between instances"));
     drop(proxy);
     let proxy = files.start(&allowed);
     until("it listens", || TcpStream::connect(listen).is_ok());
--- a/crates/hillstall/tests/proxy/operator_settings.rs
+++ b/crates/hillstall/tests/proxy/operator_settings.rs
@@ -57,7 +57,7 @@
         (":8: callers.idel: ", "did you mean callers.idle?"),
         (":10: messages.held: ", "with its unit"),
         (":11: messages.stall: ", "with its unit"),
-        (":12: messages.read_ahead: ", "has no meaning here"),
+        (":12: messages.read_ahead: ", "is not allowed here"),
     ];
     for (place, why) in expected {
         assert!(
@@ -71,11 +71,11 @@
 #[test]
 fn text_that_is_no_toml_a_file_that_is_not_there_and_keys_at_odds_are_told() {
     assert!(problems("[pool\nrest = 1\n").iter().any(|t| t.contains(":1: ")));
-    assert!(problems("[messages]\nlongest = \"32KiB\"\n")[0].contains("must not be above"));
+    assert!(problems("[messages]\nlongest = \"32KiB\"\n")[0].contains("must not be larger than"));
     let sources = Sources { file: Some("/nowhere/at-all.toml".into()), flags: vec!["pool.rest".into()] };
     let problems = OperatorConfig::read(&sources, |_| None).expect_err("there is none");
     assert!(problems[0].to_string().starts_with("/nowhere/at-all.toml: "));
-    assert!(problems[1].to_string().contains("not KEY=VALUE"));
+    assert!(problems[1].to_string().contains("expected KEY=VALUE"));
 }
 
 #[test]
