--- a/crates/hillstall/tests/coordination/change_freeze.rs
+++ b/crates/hillstall/tests/coordination/change_freeze.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn an_emergency_takes_two_people_and_not_two_names() {
+fn an_emergency_needs_two_people_not_two_names() {
     run_scenario("drill-duties", 3, PEOPLE, |fleet| async move {
         wait_until_settled(&fleet).await?;
         send_command(&fleet, 3, "INCIDENT OPEN critical fleet ann", "200").await?;
--- a/crates/hillstall/tests/coordination/lease_holders.rs
+++ b/crates/hillstall/tests/coordination/lease_holders.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_killed_holder_is_followed_by_another_with_a_higher_token() {
+fn a_killed_holder_is_replaced_by_another_with_a_higher_token() {
     run_scenario("drill-duties", 3, "", |fleet| async move {
         let first = settled_holder(&fleet).await?;
         fleet.signal(first.0, ProcessSignal::Kill)?;
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_holder_whose_messages_are_lost_is_followed_though_it_receives() {
+fn a_holder_that_can_only_receive_loses_its_lease() {
     run_scenario("drill-duties", 3, "", |fleet| async move {
         let first = settled_holder(&fleet).await?;
         // What it sends is lost; what others send it arrives.
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn what_was_acknowledged_outlives_the_end_of_all_replicas_at_once() {
+fn acknowledged_writes_survive_the_crash_of_all_replicas_at_once() {
     run_scenario("drill-duties", 3, "", |fleet| async move {
         let first = settled_holder(&fleet).await?;
         open_incident(&fleet).await?;
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn replicas_are_replaced_until_none_of_the_first_is_left() {
+fn all_initial_replicas_can_be_replaced_one_after_another() {
     run_scenario("drill-window", 3, "", |fleet| async move {
         wait_until_settled(&fleet).await?;
         open_incident(&fleet).await?;
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_disk_that_was_rolled_back_does_not_vote_again() {
+fn a_replica_with_a_rolled_back_disk_does_not_vote() {
     run_scenario("drill-duties", 3, "", |fleet| async move {
         let first = settled_holder(&fleet).await?;
         let back = (first.0 + 1) % 3;
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn followers_change_over_when_their_replica_is_gone() {
+fn followers_switch_to_another_replica_when_theirs_is_unreachable() {
     run_scenario("drill-duties", 3, "", |fleet| async move {
         wait_until_settled(&fleet).await?;
         let follows = |text: &str| {
--- a/crates/hillstall/tests/coordination/windows.rs
+++ b/crates/hillstall/tests/coordination/windows.rs
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn an_incident_before_it_postpones_a_window_and_two_are_never_away() {
+fn an_incident_postpones_windows_and_two_sites_are_never_away_at_once() {
     run_window_scenario(|fleet| async move {
         wait_until_settled(&fleet).await?;
         plan_window(&fleet, "zone-1", 8, 3).await?;
--- a/crates/hillstall/tests/fault_injection/main.rs
+++ b/crates/hillstall/tests/fault_injection/main.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_not_repeated_when_answers_are_lost() {
+fn non_idempotent_requests_are_not_retried_when_responses_are_lost() {
     let looks = Looks::default();
     let seen = looks.clone();
     let kept = scripted("drill-one-way", 1, move |fleet| {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn boxes_that_come_back_cold_are_not_pushed_over_by_the_sum_of_all_fronts() {
+fn restarted_servers_are_not_overloaded_by_all_proxies_together() {
     let kept = drill("drill-cold", 1);
     kept.keeps_the_rules();
     assert_eq!(kept.0.seen.starts.len(), 3, "three boxes came back cold");
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn nothing_new_reaches_a_draining_box_after_its_grace() {
+fn a_draining_server_gets_no_new_requests_after_the_grace_period() {
     let kept = drill("drill-release", 1);
     kept.keeps_the_rules();
     let drains = kept.0.seen.told.iter().filter(|t| t.status == BackendState::Draining).count();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn seven_in_ten_fronts_that_die_at_once_are_made_up_for() {
+fn service_recovers_after_five_of_seven_entry_proxies_are_killed_at_once() {
     let kept = drill("drill-kill", 1);
     kept.keeps_the_rules();
     let killed = kept.0.seen.lives.iter().filter(|l| l.what == ProcessEvent::Killed).count();
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn fronts_that_are_restarted_in_order_lose_nothing_while_the_tier_is_crowded() {
+fn graceful_restarts_of_an_overloaded_tier_lose_no_request() {
     let kept = drill("drill-roll", 1);
     kept.keeps_the_rules();
     let ended = kept.0.seen.lives.iter().filter(|l| matches!(l.what, ProcessEvent::Ended(Some(0)))).count();
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn fronts_that_stood_still_go_on_by_the_list_as_it_is_now() {
+fn suspended_proxies_resume_with_the_current_endpoint_list() {
     let kept = drill("drill-stop", 1);
     kept.keeps_the_rules();
     let stopped = |what: ProcessEvent| kept.0.seen.lives.iter().filter(|l| l.what == what).count();
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_fleet_without_a_list_keeps_the_rules_while_fronts_and_boxes_die() {
+fn invariants_hold_while_discovery_is_down_and_processes_die() {
     let kept = drill("drill-list", 1);
     kept.keeps_the_rules();
     let told = |from: f64, to: f64| kept.0.seen.told.iter().filter(|t| t.at > from && t.at < to).count();
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn one_tenants_flood_does_not_take_the_others_share() {
+fn a_tenant_over_its_quota_does_not_take_capacity_from_others() {
     let kept = drill("drill-flood", 1);
     kept.keeps_the_rules();
     // Without shares whoever asks most gets most.
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_burst_at_all_fronts_leaves_no_box_slow() {
+fn a_load_burst_does_not_overload_servers() {
     let kept = drill("drill-burst", 1);
     kept.keeps_the_rules();
     let off = lied("drill-burst", 1, without_gates);
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn no_request_has_more_than_six_attempts_while_ledgers_turn_calls_away() {
+fn requests_have_at_most_six_attempts_while_servers_reject_them() {
     let kept = drill("drill-full", 1);
     kept.keeps_the_rules();
     let away = kept.0.seen.hops.iter().filter(|h| h.done == BackendResult::TurnedAway).count();
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn half_of_the_boxes_are_lost_for_eight_seconds_and_the_rest_do_not_tip() {
+fn remaining_servers_are_not_overloaded_while_half_are_lost() {
     let kept = drill("drill-half", 1);
     kept.keeps_the_rules();
     let course = |p: &harness::Played| ServiceCourse::of(&p.0.tally.seconds, 4.0, 8.0);
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn what_a_keeper_started_ends_with_it() {
+fn processes_end_with_their_supervisor() {
     use hillstall_fault_injection::process_supervisor::{ProcessSupervisor, StartProcess, SupervisorEvent};
     let (tell, news) = std::sync::mpsc::channel();
     let program = std::path::Path::new(env!("CARGO_BIN_EXE_hillstall"));
@@ -220,7 +220,7 @@
     let mut keeper = ProcessSupervisor::start(program, &["lab", "keeper"], move |news| {
         let _ = tell.send(news);
     })
-    .expect("it starts");
+    .expect("the process starts");
     let start = |number: usize, program: &str| StartProcess {
         number,
         program: program.into(),
--- a/crates/hillstall/tests/fault_injection/soak.rs
+++ b/crates/hillstall/tests/fault_injection/soak.rs
@@ -25,7 +25,7 @@
 
 // Guards against requests that lose their answer, or are forwarded, at the end of a process.
 #[test]
-fn clients_that_go_on_until_the_kill_lose_no_answer() {
+fn clients_that_send_until_the_process_ends_lose_no_answer() {
     let runs: Vec<_> = SEEDS.map(|seed| thread::spawn(move || failure(seed))).collect();
     let failures: Vec<String> =
         runs.into_iter().filter_map(|run| run.join().expect("it is played")).collect();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn one_seed_draws_one_plan_and_all_plans_can_be_played() {
+fn a_seed_determines_its_plan_and_all_plans_are_valid() {
     for seed in DRAWN_SEEDS {
         let plan = SoakPlan::draw(seed);
         assert_eq!(plan, SoakPlan::draw(seed));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_process_that_ends_before_its_requests_is_seen() {
+fn a_process_that_ends_before_its_requests_is_detected() {
     let played = soak(
         BROKEN_SEED,
         Some(|fleet| {
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn answers_that_are_dropped_at_the_end_are_seen() {
+fn answers_that_are_dropped_at_the_end_are_detected() {
     let played = soak(
         BROKEN_SEED,
         Some(|fleet| {
--- a/crates/hillstall/tests/proxy/harness.rs
+++ b/crates/hillstall/tests/proxy/harness.rs
@@ -1,7 +1,7 @@
-//! What a proxy stands between, in a few lines each: callers, backends and discovery, on loopback sockets
-//! with ports of the system's choice.
+//! Test clients, backends and a discovery service on loopback sockets, with ports that the operating system
+//! chooses.
 
-#![allow(clippy::unwrap_used, reason = "helpers of tests panic, which fails the test")]
+#![allow(clippy::unwrap_used, reason = "a panic in a test helper fails the test")]
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,10 +12,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Far above anything these tests wait for on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Limit of each wait. Far above what any step takes on a busy machine, so that only a hang reaches it.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One message as it was read.
+/// A request or response as it was received.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub head: String,
@@ -23,7 +23,8 @@
 }
 
 impl Message {
-    /// Reads a message; `None` at the end of the connection. Without a length or chunks it has no body.
+    /// Reads a message; `None` at the end of the connection. Without `Content-Length` or chunks it has no
+    /// body.
     pub fn read(from: &mut impl BufRead) -> Option<Message> {
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
@@ -33,7 +34,7 @@
         }
         let mut message = Message { head, body: Vec::new() };
         if message.header("transfer-encoding").is_some() {
-            message.body = Message::chunks(from)?;
+            message.body = Message::read_chunks(from)?;
             return Some(message);
         }
         let length = message.header("content-length").map_or(0, |text| text.parse().expect("a length"));
@@ -42,7 +43,7 @@
         Some(message)
     }
 
-    fn chunks(from: &mut impl BufRead) -> Option<Vec<u8>> {
+    fn read_chunks(from: &mut impl BufRead) -> Option<Vec<u8>> {
         let mut body = Vec::new();
         loop {
             let mut line = String::new();
@@ -71,44 +72,51 @@
     }
 }
 
-pub fn ok(body: &str) -> String {
+pub fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-pub fn listen() -> (TcpListener, SocketAddr) {
+pub fn bind_free_port() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let address = listener.local_addr().expect("a local address");
     (listener, address)
 }
 
-/// A backend that hands each request, with its number from 0, to a script; the connection ends when that
-/// gives false.
+/// A backend that calls a script for each request, with the request's number from 0 and the connection to
+/// answer on. The backend closes the connection if the script returns false.
 pub struct Backend {
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Vec<Message>>>,
+    /// The requests received.
+    pub requests: Arc<Mutex<Vec<Message>>>,
+    /// Number of connections accepted.
     pub connections: Arc<AtomicUsize>,
+    /// Number of connections that the proxy has closed.
     pub closed: Arc<AtomicUsize>,
 }
 
 impl Backend {
     pub fn start(script: impl Fn(usize, &mut TcpStream) -> bool + Send + Sync + 'static) -> Backend {
-        let (listener, address) = listen();
-        let backend =
-            Backend { address, seen: Arc::default(), connections: Arc::default(), closed: Arc::default() };
-        let (seen, script) = (backend.seen.clone(), Arc::new(script));
+        let (listener, address) = bind_free_port();
+        let backend = Backend {
+            address,
+            requests: Arc::default(),
+            connections: Arc::default(),
+            closed: Arc::default(),
+        };
+        let (requests, script) = (backend.requests.clone(), Arc::new(script));
         let (connections, closed) = (backend.connections.clone(), backend.closed.clone());
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let mut stream = stream.expect("a connection");
                 connections.fetch_add(1, Ordering::SeqCst);
-                let (seen, script, closed) = (seen.clone(), script.clone(), closed.clone());
+                let (requests, script, closed) = (requests.clone(), script.clone(), closed.clone());
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
                     while let Some(message) = Message::read(&mut reader) {
                         let number = {
-                            let mut seen = seen.lock().unwrap();
-                            seen.push(message);
-                            seen.len() - 1
+                            let mut requests = requests.lock().unwrap();
+                            requests.push(message);
+                            requests.len() - 1
                         };
                         if !script(number, &mut stream) {
                             return;
@@ -122,57 +130,60 @@
     }
 
     /// Answers every request with the same text.
-    pub fn saying(text: &'static str) -> Backend {
+    pub fn answering(text: &'static str) -> Backend {
         Backend::start(move |_, stream| stream.write_all(text.as_bytes()).is_ok())
     }
 
-    pub fn seen(&self) -> usize {
-        self.seen.lock().unwrap().len()
+    pub fn request_count(&self) -> usize {
+        self.requests.lock().unwrap().len()
     }
 }
 
-/// One entry of a list.
-pub fn entry(name: &str, address: SocketAddr, status: &str) -> String {
+/// One endpoint of an endpoint list, as JSON.
+pub fn endpoint(name: &str, address: SocketAddr, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"z","type":"k","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
-pub fn list(index: u32, snapshot: bool, entries: &[String]) -> String {
+/// An endpoint list, as JSON.
+pub fn endpoint_list(index: u32, snapshot: bool, entries: &[String]) -> String {
     format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(","))
 }
 
-/// Discovery that answers each watch with the present list, if it speaks at all, and then with what is said.
+/// A discovery service. It sends the current list, if there is one, to each new watch, and keeps the watch
+/// open for further lines. Without a list it accepts requests and never answers.
 pub struct Discovery {
     pub address: SocketAddr,
-    pub asked: Arc<Mutex<Vec<String>>>,
+    /// The request lines received.
+    pub requests: Arc<Mutex<Vec<String>>>,
     watches: Arc<Mutex<Vec<TcpStream>>>,
-    present: Arc<Mutex<Option<String>>>,
-    beating: Arc<Mutex<bool>>,
+    current: Arc<Mutex<Option<String>>>,
+    sends_heartbeats: Arc<Mutex<bool>>,
 }
 
 impl Discovery {
-    pub fn start(present: Option<String>) -> Discovery {
-        let (listener, address) = listen();
+    pub fn start(current: Option<String>) -> Discovery {
+        let (listener, address) = bind_free_port();
         let discovery = Discovery {
             address,
-            asked: Arc::default(),
+            requests: Arc::default(),
             watches: Arc::default(),
-            present: Arc::new(Mutex::new(present)),
-            beating: Arc::new(Mutex::new(true)),
+            current: Arc::new(Mutex::new(current)),
+            sends_heartbeats: Arc::new(Mutex::new(true)),
         };
-        let (asked, watches) = (discovery.asked.clone(), discovery.watches.clone());
-        let present = discovery.present.clone();
+        let (requests, watches) = (discovery.requests.clone(), discovery.watches.clone());
+        let current = discovery.current.clone();
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let mut stream = stream.expect("a connection");
                 let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
                 let Some(request) = Message::read(&mut reader) else { continue };
-                asked.lock().unwrap().push(request.head.lines().next().unwrap().to_string());
+                requests.lock().unwrap().push(request.head.lines().next().unwrap().to_string());
                 let mut watches = watches.lock().unwrap();
-                if let Some(list) = present.lock().unwrap().as_ref() {
+                if let Some(list) = current.lock().unwrap().as_ref() {
                     if !request.head.contains("stream=1") {
-                        let _ = stream.write_all(ok(list).as_bytes());
+                        let _ = stream.write_all(ok_response(list).as_bytes());
                         continue;
                     }
                     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -181,36 +192,36 @@
                 watches.push(stream);
             }
         });
-        let (watches, beating) = (discovery.watches.clone(), discovery.beating.clone());
+        let (watches, sends_heartbeats) = (discovery.watches.clone(), discovery.sends_heartbeats.clone());
         thread::spawn(move || loop {
             thread::sleep(Duration::from_millis(500));
-            if *beating.lock().unwrap() {
+            if *sends_heartbeats.lock().unwrap() {
                 watches.lock().unwrap().retain_mut(|w| w.write_all(chunk("").as_bytes()).is_ok());
             }
         });
         discovery
     }
 
-    /// Sets what later watches are told first.
-    pub fn set(&self, list: String) {
-        *self.present.lock().unwrap() = Some(list);
+    /// Sets the list that later requests get.
+    pub fn set_list(&self, list: String) {
+        *self.current.lock().unwrap() = Some(list);
     }
 
-    /// Tells all watches a line, whatever it is.
-    pub fn say(&self, line: &str) {
+    /// Sends a line, which need not be valid, to all open watches.
+    pub fn send_to_watches(&self, line: &str) {
         for watch in self.watches.lock().unwrap().iter_mut() {
             let _ = watch.write_all(chunk(line).as_bytes());
         }
     }
 
-    /// Ends all watches.
-    pub fn hang_up(&self) {
+    /// Closes all open watches.
+    pub fn close_watches(&self) {
         self.watches.lock().unwrap().clear();
     }
 
-    /// Keeps watches open and says nothing more on them.
-    pub fn fall_silent(&self) {
-        *self.beating.lock().unwrap() = false;
+    /// Stops the heartbeats; watches stay open.
+    pub fn stop_heartbeats(&self) {
+        *self.sends_heartbeats.lock().unwrap() = false;
     }
 }
 
@@ -218,8 +229,9 @@
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
 
-/// Classes `read` (repeatable), `keyed` and `once`; tenants `acme` and `zeta`.
-pub fn config(discovery: SocketAddr, known: &str) -> String {
+/// A platform configuration with the classes `read` (idempotent), `keyed` (retried only with an idempotency
+/// key) and `once` (not idempotent), and the tenants `acme` and `zeta`.
+pub fn platform_config(discovery: SocketAddr, known: &str) -> String {
     let class = |name: &str, effect: &str| {
         format!(
             r#"{{"Name":"{name}","Aim":2000,"HardLimit":20000,"Effect":"{effect}","KeyScope":"cell","Window":9000}}"#
@@ -239,7 +251,7 @@
     )
 }
 
-/// A running proxy; killed when dropped.
+/// A proxy process; killed when dropped.
 pub struct Proxy {
     pub address: SocketAddr,
     child: Child,
@@ -247,56 +259,58 @@
 }
 
 impl Proxy {
-    /// Starts one with the given configuration, and waits until it is up.
+    /// Starts a proxy with a platform configuration, and waits until it serves clients.
     pub fn start(config: &str) -> Proxy {
-        Proxy::start_by("exec \"$0\"", config)
+        Proxy::start_with_shell("exec \"$0\"", config)
     }
 
-    /// The same from within a line of shell, where `$0` is the program.
-    pub fn start_by(line: &str, config: &str) -> Proxy {
-        // The port is free a moment before; a test whose port is taken meanwhile tries another.
+    /// Like [`Proxy::start`], with a shell command line that runs the program as `$0`.
+    pub fn start_with_shell(line: &str, config: &str) -> Proxy {
+        // Another process may take the free port before the proxy listens on it; then another port is tried.
         for _ in 0..10 {
-            let (listener, address) = listen();
+            let (listener, address) = bind_free_port();
             drop(listener);
-            let (mut command, config) = spawn(line, config, address);
+            let (mut command, config) = proxy_command(line, config, address);
             let mut proxy = Proxy { address, child: command.spawn().expect("the proxy starts"), config };
-            if proxy.comes_up() {
+            if proxy.wait_until_serving() {
                 return proxy;
             }
         }
-        panic!("the proxy does not come up");
+        panic!("the proxy did not start in ten attempts");
     }
 
-    /// Starts one with a second address, which is given too.
-    pub fn start_operated(config: &str) -> (Proxy, SocketAddr) {
-        let (listener, admin) = listen();
+    /// Starts a proxy with an admin address; returns that address too.
+    pub fn start_with_admin(config: &str) -> (Proxy, SocketAddr) {
+        let (listener, admin) = bind_free_port();
         drop(listener);
-        (Proxy::start_by(&format!("NODE_ADMIN_ADDR={admin} exec \"$0\""), config), admin)
+        (Proxy::start_with_shell(&format!("NODE_ADMIN_ADDR={admin} exec \"$0\""), config), admin)
     }
 
-    /// Starts a newer process beside this one, at the same address; gives it once it says yes.
-    pub fn start_beside(&self, config: &str) -> (Proxy, SocketAddr) {
-        let (listener, admin) = listen();
+    /// Starts a newer process at the same address, as an upgrade does; returns it and its admin address once
+    /// it reports to serve.
+    pub fn start_newer(&self, config: &str) -> (Proxy, SocketAddr) {
+        let (listener, admin) = bind_free_port();
         drop(listener);
         let line = format!("NODE_ADMIN_ADDR={admin} exec \"$0\"");
-        let (mut command, config) = spawn(&line, config, self.address);
-        let newer = Proxy { address: self.address, child: command.spawn().expect("it starts"), config };
-        until("the newer process says yes", || {
+        let (mut command, config) = proxy_command(&line, config, self.address);
+        let newer =
+            Proxy { address: self.address, child: command.spawn().expect("the process starts"), config };
+        wait_until("the newer process serves", || {
             let stream = TcpStream::connect(admin).ok();
             let mut answer = String::new();
             stream.is_some_and(|mut stream| {
-                stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-                let asked = stream.write_all(b"PING\n").and_then(|()| stream.read_to_string(&mut answer));
-                asked.is_ok() && answer.starts_with("200")
+                stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the time-out is set");
+                let sent = stream.write_all(b"PING\n").and_then(|()| stream.read_to_string(&mut answer));
+                sent.is_ok() && answer.starts_with("200")
             })
         });
         (newer, admin)
     }
 
-    fn comes_up(&mut self) -> bool {
-        let end = Instant::now() + PATIENCE;
+    fn wait_until_serving(&mut self) -> bool {
+        let end = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < end && self.child.try_wait().expect("its state").is_none() {
-            if try_call(self.address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n")
+            if try_request(self.address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n")
                 .is_some_and(|m| m.status() == 200)
             {
                 return true;
@@ -306,15 +320,16 @@
         false
     }
 
-    pub fn call(&self, request: &str) -> Message {
-        try_call(self.address, request).expect("an answer")
+    /// Sends a request on a new connection and returns the response.
+    pub fn request(&self, request: &str) -> Message {
+        try_request(self.address, request).expect("a response")
     }
 
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Replaces the file of the configuration and has it read again.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         std::fs::write(&self.config, config).expect("the configuration is written");
         self.signal("-HUP");
@@ -325,7 +340,7 @@
         assert!(Command::new("kill").args([name, &pid]).status().expect("kill").success());
     }
 
-    /// The names of its threads.
+    /// The names of the process's threads, sorted.
     pub fn threads(&self) -> Vec<String> {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("its threads");
         let names = tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("comm")).ok());
@@ -339,7 +354,7 @@
     }
 
     pub fn wait(&mut self) -> ExitStatus {
-        until("the proxy ends", || !self.is_running());
+        wait_until("the proxy ends", || !self.is_running());
         self.child.wait().expect("its status")
     }
 }
@@ -351,8 +366,9 @@
     }
 }
 
-/// A command that runs the proxy on a configuration, which lies in a file of its own.
-pub fn spawn(line: &str, config: &str, listen: SocketAddr) -> (Command, PathBuf) {
+/// A shell command that runs the program as `$0` with a configuration, which is written to a new file.
+/// Returns the file's path too.
+pub fn proxy_command(line: &str, config: &str, listen: SocketAddr) -> (Command, PathBuf) {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let number = NEXT.fetch_add(1, Ordering::SeqCst);
     let path = std::env::temp_dir().join(format!("hillstall-test-{}-{number}.json", std::process::id()));
@@ -363,8 +379,8 @@
     (command, path)
 }
 
-/// A request of a class, on its own connection, with what else is wanted in its head.
-pub fn ask(class: &str, id: &str, timeout_ms: u32, body: &str) -> String {
+/// Builds a valid request of a class, with the method and headers that the class needs.
+pub fn build_request(class: &str, id: &str, timeout_ms: u32, body: &str) -> String {
     let method = if class == "read" { "GET" } else { "POST" };
     let key = if class == "keyed" { "Idempotency-Key: k1\r\n" } else { "" };
     let length = if class == "read" { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
@@ -374,46 +390,47 @@
     )
 }
 
-/// A connection of a caller's with a request written to it.
-pub fn open(address: SocketAddr, request: &str) -> TcpStream {
+/// Opens a client connection and sends a request on it.
+pub fn connect_and_send(address: SocketAddr, request: &str) -> TcpStream {
     let mut stream = TcpStream::connect(address).expect("a connection");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the time-out is set");
     stream.write_all(request.as_bytes()).expect("the request is written");
     stream
 }
 
-pub fn answer(stream: &TcpStream) -> Option<Message> {
+/// Reads a response; `None` if the connection ends before it is complete.
+pub fn read_response(stream: &TcpStream) -> Option<Message> {
     Message::read(&mut BufReader::new(stream.try_clone().expect("a second handle")))
 }
 
-/// The answer to a request on a connection of its own, if there is one.
-pub fn try_call(address: SocketAddr, request: &str) -> Option<Message> {
+/// Sends a request on a new connection and returns the response, if there is one.
+pub fn try_request(address: SocketAddr, request: &str) -> Option<Message> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
     stream.write_all(request.as_bytes()).ok()?;
-    answer(&stream)
+    read_response(&stream)
 }
 
-/// What a second address answers to a line.
-pub fn operate(admin: SocketAddr, line: &str) -> String {
-    let mut stream = open(admin, line);
+/// Sends a line to an admin address and returns the answer.
+pub fn admin_command(admin: SocketAddr, line: &str) -> String {
+    let mut stream = connect_and_send(admin, line);
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer, then the end");
     answer
 }
 
-/// A figure as a second address tells it.
-pub fn figure(admin: SocketAddr, name: &str) -> u64 {
-    let figures = operate(admin, "INFO\n");
+/// The value of a metric in the answer to `INFO`.
+pub fn metric(admin: SocketAddr, name: &str) -> u64 {
+    let figures = admin_command(admin, "INFO\n");
     let value = figures.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     value.unwrap_or_else(|| panic!("{name} in {figures}")).parse().expect("a number")
 }
 
-/// Waits for something to become true.
-pub fn until(what: &str, mut is: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !is() {
-        assert!(Instant::now() < end, "waited in vain: {what}");
+/// Waits until a condition holds; panics with `what` after [`WAIT_TIMEOUT`].
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let end = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/hillstall/tests/proxy/operator_file.rs
+++ b/crates/hillstall/tests/proxy/operator_file.rs
@@ -1,29 +1,31 @@
-//! The operator file as operators see it: every key, what is shown of each, and what is said of a wrong one. The
-//! expected text lies in `fixtures/`, and is compared byte by byte.
+//! The output of `check` and `config show` for operator files, compared byte for byte with the files in
+//! `fixtures/`.
 
 use std::path::PathBuf;
 use std::process::Command;
 
-/// The exit code of a wrong configuration.
-const CONFIGURATION: i32 = 3;
+/// The exit code for an invalid configuration.
+const INVALID_CONFIG: i32 = 3;
 
 fn fixtures() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/proxy/fixtures")
 }
 
 fn fixture(name: &str) -> String {
-    std::fs::read_to_string(fixtures().join(name)).unwrap_or_else(|why| panic!("{name}: {why}"))
+    std::fs::read_to_string(fixtures().join(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
-/// The exit code and the standard output of the program, run in the folder of the fixtures without any environment.
+/// Runs the program in the fixture folder with an empty environment; returns the exit code and standard
+/// output.
 fn run(arguments: &[&str]) -> (Option<i32>, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hillstall"));
-    let output = command.args(arguments).current_dir(fixtures()).env_clear().output().expect("it runs");
+    let output =
+        command.args(arguments).current_dir(fixtures()).env_clear().output().expect("the program runs");
     (output.status.code(), String::from_utf8(output.stdout).expect("text"))
 }
 
 #[test]
-fn a_file_with_every_key_is_good() {
+fn file_with_every_key_is_valid() {
     assert_eq!(run(&["check", "every-key.toml"]), (Some(0), "every-key.toml: good\n".to_owned()));
 }
 
@@ -45,7 +47,7 @@
 }
 
 #[test]
-fn each_key_of_the_file_is_shown_with_the_value_that_stands_there() {
+fn shown_values_match_the_lines_of_the_file() {
     let file: Vec<String> = fixture("every-key.toml").lines().map(str::to_owned).collect();
     let shown: serde_json::Map<String, serde_json::Value> =
         serde_json::from_str(&fixture("every-key.shown.json")).expect("JSON");
@@ -61,7 +63,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_told_with_file_line_and_key() {
+fn problems_are_reported_with_file_line_and_key() {
     for name in [
         "out-of-bounds",
         "no-keeper",
@@ -73,6 +75,6 @@
         "no-toml",
     ] {
         let expected = fixture(&format!("{name}.check.txt"));
-        assert_eq!(run(&["check", &format!("{name}.toml")]), (Some(CONFIGURATION), expected), "{name}");
+        assert_eq!(run(&["check", &format!("{name}.toml")]), (Some(INVALID_CONFIG), expected), "{name}");
     }
 }
--- a/crates/hillstall/tests/proxy/operator_settings.rs
+++ b/crates/hillstall/tests/proxy/operator_settings.rs
@@ -1,19 +1,19 @@
-//! The operator's settings: precedence of the sources, and every problem at once with its place.
+//! The operator's settings: precedence of the sources, and the report of all problems with their places.
 
 use hillstall::operator::keys::{self, KEYS};
 use hillstall::operator::{ConfigProblem, OperatorConfig, Sources, ValueOrigin};
 use hillstall_proxy_core::tuning::Tuning;
 use std::time::Duration;
 
-/// A file of these lines, which goes with the test.
-fn file(text: &str) -> tempfile::NamedTempFile {
+/// A temporary file with this text.
+fn temporary_file(text: &str) -> tempfile::NamedTempFile {
     let file = tempfile::NamedTempFile::new().expect("a file");
-    std::fs::write(file.path(), text).expect("it is written");
+    std::fs::write(file.path(), text).expect("the write succeeds");
     file
 }
 
 fn read(text: &str, env: &[(&str, &str)], flags: &[&str]) -> Result<OperatorConfig, Vec<ConfigProblem>> {
-    let file = file(text);
+    let file = temporary_file(text);
     let sources = Sources {
         file: Some(file.path().to_path_buf()),
         flags: flags.iter().map(ToString::to_string).collect(),
@@ -22,11 +22,11 @@
 }
 
 fn problems(text: &str) -> Vec<String> {
-    read(text, &[], &[]).expect_err("it is wrong").iter().map(ToString::to_string).collect()
+    read(text, &[], &[]).expect_err("invalid settings").iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn the_defaults_are_those_of_the_core() {
+fn defaults_match_those_of_the_proxy_core() {
     let operator = OperatorConfig::read(&Sources::default(), |_| None).expect("the defaults");
     assert_eq!(keys::tuning(&operator), Tuning::default());
     assert!(operator.entries().all(|(_, _, from)| *from == ValueOrigin::Default));
@@ -34,10 +34,10 @@
 }
 
 #[test]
-fn a_flag_goes_before_the_environment_and_that_before_the_file() {
+fn flags_override_the_environment_which_overrides_the_file() {
     let text = "[pool]\nrest = \"3ms\"\nkept = 5\nwaits = 6\n";
     let env = [("HILLSTALL_POOL_KEPT", "7"), ("HILLSTALL_POOL_WAITS", "8")];
-    let operator = read(text, &env, &["pool.waits=9"]).expect("it is right");
+    let operator = read(text, &env, &["pool.waits=9"]).expect("valid settings");
     assert_eq!(operator.duration("pool.rest"), Duration::from_millis(3));
     assert_eq!((operator.integer("pool.kept"), operator.integer("pool.waits")), (7, 9));
     let from: Vec<String> = operator.entries().map(|(_, _, from)| from.to_string()).collect();
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn all_faults_are_told_at_once_with_line_and_key() {
+fn all_problems_are_reported_with_line_and_key() {
     let text = "[pool]\nrest = \"3\"\nkpet = 5\nwaits = \"6\"\n\n[callers]\nidle = \"1ms\"\nidel = \"2s\"\n\
                 [messages]\nheld = \"64\"\nstall = 5\nread_ahead = [1]\n";
     let problems = problems(text);
@@ -69,17 +69,17 @@
 }
 
 #[test]
-fn text_that_is_no_toml_a_file_that_is_not_there_and_keys_at_odds_are_told() {
+fn syntax_errors_missing_files_and_contradicting_keys_are_reported() {
     assert!(problems("[pool\nrest = 1\n").iter().any(|t| t.contains(":1: ")));
     assert!(problems("[messages]\nlongest = \"32KiB\"\n")[0].contains("must not be larger than"));
     let sources = Sources { file: Some("/nowhere/at-all.toml".into()), flags: vec!["pool.rest".into()] };
-    let problems = OperatorConfig::read(&sources, |_| None).expect_err("there is none");
+    let problems = OperatorConfig::read(&sources, |_| None).expect_err("the file does not exist");
     assert!(problems[0].to_string().starts_with("/nowhere/at-all.toml: "));
     assert!(problems[1].to_string().contains("expected KEY=VALUE"));
 }
 
 #[test]
-fn every_shown_value_can_be_read_again() {
+fn printed_defaults_parse_to_the_same_values() {
     let operator = OperatorConfig::read(&Sources::default(), |_| None).expect("the defaults");
     for (key, value, _) in operator.entries() {
         assert_eq!(key.kind.parse(&value.to_string()), Ok(value), "{}", key.name);
@@ -88,7 +88,7 @@
 
 proptest::proptest! {
     #[test]
-    fn no_text_makes_the_reader_panic(text in "(\\[[a-z.\"]{0,9}\\]\n)?([a-z._]{0,12} ?= ?[\"a-zA-Z0-9.\\[\\]{}#-]{0,12}\n){0,6}") {
+    fn arbitrary_text_does_not_panic(text in "(\\[[a-z.\"]{0,9}\\]\n)?([a-z._]{0,12} ?= ?[\"a-zA-Z0-9.\\[\\]{}#-]{0,12}\n){0,6}") {
         let _ = read(&text, &[], &[]);
     }
 }
