--- a/crates/hillstall/src/commands.rs
+++ b/crates/hillstall/src/commands.rs
@@ -78,8 +78,8 @@
     ExitStatus::InvalidConfig
 }
 
-/// Prints the error of a command, if it failed, and returns its exit status. The commands that use this fail
-/// mostly on files that are invalid or unreadable.
+/// Prints the error of a command, if it failed, and returns its exit status. Every error counts as
+/// [`ExitStatus::InvalidConfig`].
 pub fn exit_status_of(result: Result<(), impl Display>) -> ExitStatus {
     match result {
         Ok(()) => ExitStatus::Success,
@@ -90,8 +90,7 @@
     }
 }
 
-/// Checks files and prints all problems. The extension tells operator files (.toml) from platform files
-/// (.json).
+/// Checks files and prints all problems. Files ending in .toml are operator files, in .json platform files.
 pub fn check(files: &[PathBuf]) -> ExitStatus {
     let mut status = ExitStatus::Success;
     for file in files {
--- a/crates/hillstall/src/demo.rs
+++ b/crates/hillstall/src/demo.rs
@@ -29,7 +29,7 @@
     })
 }
 
-/// Starts the stand-in servers on a thread of their own and returns the configuration of the proxy.
+/// Starts the stand-in servers on a separate thread, and returns the configuration of a proxy for them.
 pub fn start(listen: SocketAddr, servers: u16) -> Result<Config, DemoError> {
     let stand_ins = StandInThread::start(servers.into(), response_body)?;
     let config = site::config(listen, stand_ins.discovery, &stand_ins.servers, DEMO_LIMITS);
--- a/crates/hillstall/tests/coordination/admin_commands.rs
+++ b/crates/hillstall/tests/coordination/admin_commands.rs
@@ -1,5 +1,5 @@
-//! Every admin command of coordination with its whole answer. What varies from run to run is masked by [`masked`], and by
-//! nothing else.
+//! Every admin command of coordination with its exact answer. Only [`masked`] replaces what varies from run
+//! to run.
 
 use crate::scenario::{
     ensure, inject_fault, run_scenario, wait_until_settled, COORDINATOR_LEASE, STEP_TIMEOUT,
@@ -21,8 +21,8 @@
 const NAMES_OF_VARYING_WORDS: [&str; 9] =
     ["life", "keeper", "leader", "members", "held", "token", "follows", "age", "index"];
 
-/// Puts `*` in place of the word after each of [`BEFORE_VARYING`], and of the time of `ask again in TIME ms`; leaves the
-/// word ` leads` out, which one of the replicas says.
+/// Replaces the word after each of [`NAMES_OF_VARYING_WORDS`] and the time in `ask again in TIME ms` by `*`.
+/// Removes the word `leads`, which only the replica that is the leader has.
 fn masked(answer: &str) -> String {
     let lines = answer.lines().map(|line| {
         let mut words: Vec<&str> = Vec::new();
@@ -38,8 +38,9 @@
     lines.collect()
 }
 
-/// Sends each command to an instance; all answers have to be as expected. A list is what the instance knows, which may lag
-/// behind the answer to a command that changed it, so a list is requested again until it is as expected.
+/// Sends commands to an instance; fails unless each answer is as expected. A list shows the state of that
+/// instance, which may lag behind the answer to a command that changed it, so a list is requested until it is
+/// as expected.
 async fn assert_answers(fleet: &Fleet, process: usize, commands: &[(&str, &str)]) -> Result<(), String> {
     let mut violations = Vec::new();
     for (line, wanted) in commands {
@@ -50,15 +51,13 @@
         };
         match answer.map(|text| masked(&text)) {
             Ok(answer) if answer == *wanted => {}
-            Ok(other) | Err(other) => {
-                violations.push(format!("{line}: {other:?} where {wanted:?} was wanted"))
-            }
+            Ok(other) | Err(other) => violations.push(format!("{line}: got {other:?}, expected {wanted:?}")),
         }
     }
     ensure(violations.is_empty(), || violations.join("\n"))
 }
 
-/// Commands that can't be carried out, and why.
+/// Invalid commands and their answers.
 const INVALID_COMMANDS: &[(&str, &str)] = &[
     ("FLEET NOW", USAGE),
     ("FLEET HANDOVER", "400 the duty is missing\n"),
@@ -217,7 +216,7 @@
     ),
 ];
 
-/// What every instance answers of the fleet, behind the lines on itself.
+/// The lines on the fleet in the answer to `FLEET`, which follow those on the instance.
 const FLEET_STATUS: &str = "index * gates open\n\
     duty freeze/coordinator held * token * standing 2\nduty shift/zone-0 held * token * standing 2\n\
     duty shift/zone-1 held * token * standing 2\nduty shift/zone-2 held * token * standing 2\n\
@@ -237,12 +236,12 @@
     run_scenario("drill-duties", 3, PEOPLE, |fleet| async move {
         wait_until_settled(&fleet).await?;
         let (owner, _) = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
-        let keeper = (owner + 1) % 3;
-        let of_a_keeper =
-            format!("copy {keeper} life * site zone-{keeper}\nkeeper * leader * members *\n{FLEET_STATUS}");
-        assert_answers(&fleet, keeper, &[("FLEET", &of_a_keeper)]).await?;
-        let of_a_follower = format!("copy 4 life * site zone-1\nfollows * connected age *\n{FLEET_STATUS}");
-        assert_answers(&fleet, FOLLOWER, &[("FLEET", &of_a_follower)]).await?;
+        let replica = (owner + 1) % 3;
+        let of_replica =
+            format!("copy {replica} life * site zone-{replica}\nkeeper * leader * members *\n{FLEET_STATUS}");
+        assert_answers(&fleet, replica, &[("FLEET", &of_replica)]).await?;
+        let of_follower = format!("copy 4 life * site zone-1\nfollows * connected age *\n{FLEET_STATUS}");
+        assert_answers(&fleet, FOLLOWER, &[("FLEET", &of_follower)]).await?;
         let text = fleet.line(owner, "FLEET").await.unwrap_or_default();
         let held: Vec<String> = text.lines().filter(|line| line.starts_with("holds ")).map(masked).collect();
         ensure(held.contains(&"holds freeze/coordinator token *\n".to_owned()), || text.clone())?;
@@ -267,8 +266,8 @@
 fn without_values(line: &str, names: &[&str]) -> String {
     let mut line = line.to_owned();
     for name in names {
-        let mark = format!("\"{name}\":");
-        let Some(start) = line.find(&mark).map(|at| at + mark.len()) else { continue };
+        let prefix = format!("\"{name}\":");
+        let Some(start) = line.find(&prefix).map(|at| at + prefix.len()) else { continue };
         let end = start + line[start..].find([',', '}']).expect("a field ends");
         line.replace_range(start..end, "*");
     }
@@ -276,9 +275,9 @@
 }
 
 /// Waits until an instance has logged an audit line on the coordinator's lease, in exactly this form.
-async fn wait_for_audit_line(fleet: &Fleet, process: usize, what: &str) -> Result<(), String> {
+async fn wait_for_audit_line(fleet: &Fleet, process: usize, event: &str) -> Result<(), String> {
     let expected = format!(
-        "{{\"timestamp\":*,\"level\":\"INFO\",\"message\":\"fleet {what}\",\"copy\":{process},\"life\":*,\
+        "{{\"timestamp\":*,\"level\":\"INFO\",\"message\":\"fleet {event}\",\"copy\":{process},\"life\":*,\
          \"at\":*,\"duty\":\"freeze/coordinator\",\"token\":*,\"target\":\"hillstall_coordination::runtime\"}}"
     );
     let is_written = || {
@@ -297,7 +296,7 @@
     run_scenario("drill-duties", 3, PEOPLE, |fleet| async move {
         wait_until_settled(&fleet).await?;
         let (owner, _) = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
-        // Held leases are polled, so one that was released at once would not be logged.
+        // The runtime polls which leases it holds, so a lease that is released at once would not be logged.
         wait_for_audit_line(&fleet, owner, "holds").await?;
         assert_answers(&fleet, owner, &[("FLEET HANDOVER freeze/coordinator", "200 handed over\n")]).await?;
         wait_for_audit_line(&fleet, owner, "lost").await
--- a/crates/hillstall/tests/coordination/change_freeze.rs
+++ b/crates/hillstall/tests/coordination/change_freeze.rs
@@ -1,4 +1,4 @@
-//! Incidents, change permits and their coordinator, while parts of the fleet fail.
+//! Incidents, change permits and the coordinator, while parts of the fleet fail.
 
 use crate::scenario::{
     ensure, inject_fault, run_scenario, send_command, wait_until_settled, COORDINATOR_LEASE, STEP_TIMEOUT,
@@ -10,10 +10,10 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Two people, one of whom has two names.
+/// Three people, one of whom has two names.
 const PEOPLE: &str = "people = [[\"mira\", \"m.k\"], [\"tom\"], [\"ann\"]]\n";
 
-/// The number in an answer.
+/// The number of the change or incident in an answer such as `200 7 permit`.
 fn number(text: &str) -> String {
     text.split_whitespace().nth(1).unwrap_or("?").to_owned()
 }
@@ -44,7 +44,7 @@
             })
             .await?;
         send_command(&fleet, 2, &format!("INCIDENT RESOLVE {incident} ann"), "200").await?;
-        // It blocks until it has cooled down.
+        // A resolved incident blocks changes until it has cooled down.
         send_command(&fleet, 7, "CHANGE ASK operator-file site:zone-2 tom", "409").await.map(|_| ())
     });
 }
@@ -63,7 +63,7 @@
                 text.contains(&format!("{} emergency seconded by tom", number(&given)))
             })
             .await?;
-        // Emergency or not, what overlaps it waits.
+        // A change that overlaps one in flight waits, even if that one is an emergency.
         send_command(&fleet, 5, "CHANGE ASK upgrade fleet mira", "202").await.map(|_| ())
     });
 }
@@ -84,13 +84,13 @@
         minority?;
         let permit = match majority {
             Ok(text) => text,
-            // The side was still electing.
+            // The majority was still electing a leader.
             Err(_) => send_command(&fleet, 3, "CHANGE ASK drain site:zone-0 mira", "20").await?,
         };
-        ensure(!permit.is_empty(), || "no permit where most keepers are".into())?;
+        ensure(!permit.is_empty(), || "the majority gives no permit".into())?;
         let before = fleet.passed(between);
         sleep(Duration::from_millis(300)).await;
-        ensure(fleet.passed(between) == before, || "something passes the cut".into())?;
+        ensure(fleet.passed(between) == before, || "messages pass between the two sides".into())?;
         fleet.set(Fault::None, between);
         // Both sides converge on one state: one permit for the site, and nothing in flight beside it.
         let same =
@@ -108,7 +108,7 @@
         wait_until_settled(&fleet).await?;
         let (first, _) = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
         send_command(&fleet, 4, "CHANGE ASK upgrade site:zone-1 tom", "200").await?;
-        // All servers of one zone fall silent for all proxies.
+        // All proxies lose their connections to all servers of one zone.
         let servers: Vec<usize> = fleet.servers_of_zone(1);
         let lost =
             |ends: LinkEnds| matches!(ends, LinkEnds::Server { server, .. } if servers.contains(&server));
@@ -116,7 +116,7 @@
         let is_open = |text: &str| text.lines().any(|l| l.contains("site:zone-1 active by=rule/"));
         fleet.until(9, "INCIDENT", STEP_TIMEOUT, is_open).await?;
         fleet.until(9, "CHANGE", STEP_TIMEOUT, |text| text.contains("upgrade site:zone-1 reacts")).await?;
-        // The coordinator that opened it dies; the incident stays.
+        // The coordinator that opened the incident dies; the incident stays.
         fleet.signal(first, ProcessSignal::Kill)?;
         fleet.new_owner(COORDINATOR_LEASE, &[first], STEP_TIMEOUT).await?;
         fleet.until(9, "INCIDENT", STEP_TIMEOUT, is_open).await?;
@@ -146,7 +146,7 @@
     run_scenario("drill-duties", 3, PEOPLE, |fleet| async move {
         wait_until_settled(&fleet).await?;
         let (first, token) = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
-        // It is suspended while it holds the lease; another takes over, and it is resumed.
+        // The holder is suspended; another takes over the lease, and the first one is resumed.
         fleet.signal(first, ProcessSignal::Stop)?;
         let (second, newer) = fleet.new_owner(COORDINATOR_LEASE, &[first], STEP_TIMEOUT).await?;
         ensure(newer > token, || format!("{newer} after {token}"))?;
--- a/crates/hillstall/tests/coordination/figures.rs
+++ b/crates/hillstall/tests/coordination/figures.rs
@@ -1,7 +1,7 @@
-//! Figures for the page of measurements; run on demand, as they take minutes:
+//! Measures takeover times and service during maintenance windows. Takes minutes, so it is run on demand:
 //! `cargo test -p hillstall --test coordination figures -- --ignored --nocapture --test-threads 1`.
 
-use crate::harness::service;
+use crate::harness::service_percent;
 use crate::scenario::{
     elapsed_ms, inject_fault, run_scenario, wait_until_settled, COORDINATOR_LEASE, STEP_TIMEOUT,
 };
@@ -13,17 +13,24 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Scenarios that run at a time, and how often they do.
+/// Number of scenarios that run at a time.
 const PARALLEL_SCENARIOS: usize = 3;
+/// Number of times that [`PARALLEL_SCENARIOS`] scenarios are run.
 const ROUNDS: usize = 3;
 
-fn print_summary(what: &str, mut all: Vec<u64>) {
-    all.sort_unstable();
-    let at = |part: f64| all.get(((all.len() - 1) as f64 * part) as usize).copied().unwrap_or(0);
-    println!("{what}: {} times, median {} ms, worst {} ms: {all:?}", all.len(), at(0.5), at(1.0));
+fn print_summary(name: &str, mut times_ms: Vec<u64>) {
+    times_ms.sort_unstable();
+    let quantile = |q: f64| times_ms.get(((times_ms.len() - 1) as f64 * q) as usize).copied().unwrap_or(0);
+    println!(
+        "{name}: {} times, median {} ms, worst {} ms: {times_ms:?}",
+        times_ms.len(),
+        quantile(0.5),
+        quantile(1.0)
+    );
 }
 
-/// Kills, stops and cuts off the coordinator in turn, as long as requests come; returns each fault and the time to takeover.
+/// Kills, suspends and cuts off the coordinator in turn, as long as the scenario sends requests. Returns each
+/// fault with the time until the takeover, in milliseconds.
 fn measure_takeovers() -> Vec<(&'static str, u64)> {
     let takeovers: Rc<RefCell<Vec<(&str, u64)>>> = Rc::default();
     let shared = takeovers.clone();
@@ -57,7 +64,7 @@
 }
 
 #[test]
-#[ignore = "takes minutes; for the page of measurements"]
+#[ignore = "a measurement that takes minutes"]
 fn figures_of_takeovers() {
     let mut all = Vec::new();
     for _ in 0..ROUNDS {
@@ -70,12 +77,14 @@
     }
 }
 
+/// Runs a scenario, with a maintenance window if `planned`. Returns the service in percent, and the time that
+/// the site took to return, in milliseconds.
 fn measure_window(section: &str, planned: bool) -> (f64, u64) {
-    let back: Rc<RefCell<u64>> = Rc::default();
-    let seen = back.clone();
+    let return_ms: Rc<RefCell<u64>> = Rc::default();
+    let shared = return_ms.clone();
     let section = section.to_owned();
-    let played = run_scenario("drill-window", 3, &section, move |fleet| {
-        let seen = seen.clone();
+    let run = run_scenario("drill-window", 3, &section, move |fleet| {
+        let shared = shared.clone();
         async move {
             wait_until_settled(&fleet).await?;
             if planned {
@@ -83,21 +92,21 @@
                 fleet.until(5, "WINDOW", WINDOW_TIMEOUT, |text| text.contains("zone-1 returning")).await?;
                 let at = Instant::now();
                 fleet.until(5, "WINDOW", WINDOW_TIMEOUT, |text| text.contains("zone-1 done")).await?;
-                seen.replace(elapsed_ms(at));
+                shared.replace(elapsed_ms(at));
             }
             Ok(())
         }
     });
-    let ms = *back.borrow();
-    (service(&played.played), ms)
+    let ms = *return_ms.borrow();
+    (service_percent(&run.valid_run), ms)
 }
 
 #[test]
-#[ignore = "takes minutes; for the page of measurements"]
+#[ignore = "a measurement that takes minutes"]
 fn figures_of_windows() {
-    let naive = "step = 100\nstep_wait = \"200ms\"\nholds = \"4s\"\nway_back = \"1s\"\nheard = 1\n";
-    for (what, section, planned) in
-        [("no window", SECTION, false), ("in steps", SECTION, true), ("at once", naive, true)]
+    let abrupt = "step = 100\nstep_wait = \"200ms\"\nholds = \"4s\"\nway_back = \"1s\"\nheard = 1\n";
+    for (name, section, planned) in
+        [("no window", SECTION, false), ("in steps", SECTION, true), ("at once", abrupt, true)]
     {
         let mut services = Vec::new();
         for _ in 0..2 {
@@ -107,9 +116,9 @@
             services.extend(threads.into_iter().map(|thread| thread.join().expect("a scenario")));
         }
         let mean = services.iter().map(|(s, _)| s).sum::<f64>() / services.len() as f64;
-        let back: Vec<u64> = services.iter().map(|(_, back)| *back).collect();
+        let return_ms: Vec<u64> = services.iter().map(|(_, ms)| *ms).collect();
         println!(
-            "{what}: service {mean:.2} over {} drills {services:.2?}, back within {back:?} ms",
+            "{name}: service {mean:.2}% over {} runs {services:.2?}, returned within {return_ms:?} ms",
             services.len()
         );
     }
--- a/crates/hillstall/tests/coordination/lease_holders.rs
+++ b/crates/hillstall/tests/coordination/lease_holders.rs
@@ -1,4 +1,4 @@
-//! One lease holder at a time, and no harm by a former one.
+//! Leases have one holder at a time, and former holders do no harm.
 
 use crate::scenario::{
     elapsed_ms, ensure, inject_fault, kill_and_wait, run_scenario, send_command, wait_until_settled,
@@ -11,23 +11,25 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Has a person open an incident, which no instance may forget.
+/// Opens an incident, whose later presence shows that the replicated state was not lost.
 async fn open_incident(fleet: &Fleet) -> ScriptResult {
     send_command(fleet, 5, "INCIDENT OPEN minor tenant:acme ann seen by hand", "200 ").await.map(|_| ())
 }
 
-/// Waits until an instance knows that incident.
+/// Waits until an instance has the incident of [`open_incident`].
 async fn wait_for_incident(fleet: &Fleet, process: usize) -> ScriptResult {
     let known = |text: &str| text.contains("minor tenant:acme active");
     fleet.until(process, "INCIDENT", STEP_TIMEOUT, known).await.map(|_| ())
 }
 
+/// Waits for another holder of the coordinator's lease; fails unless its token is higher and it takes less
+/// than 3 s.
 async fn wait_for_takeover(fleet: &Fleet, previous: (usize, u64)) -> Result<(usize, u64), String> {
     let at = Instant::now();
     let now = fleet.new_owner(COORDINATOR_LEASE, &[previous.0], STEP_TIMEOUT).await?;
     println!("taken over from {previous:?} by {now:?} after {} ms", elapsed_ms(at));
     ensure(now.1 > previous.1, || format!("the token went from {} to {}", previous.1, now.1))?;
-    ensure(elapsed_ms(at) < 3_000, || format!("it took {} ms", elapsed_ms(at)))?;
+    ensure(elapsed_ms(at) < 3_000, || format!("the takeover took {} ms", elapsed_ms(at)))?;
     Ok(now)
 }
 
@@ -43,11 +45,11 @@
         fleet.signal(first.0, ProcessSignal::Kill)?;
         let second = wait_for_takeover(&fleet, first).await?;
         fleet.start_process(first.0).await?;
-        // It is back and well, and the lease does not move again.
+        // The former holder is back, and the lease does not move again.
         fleet.until(first.0, "FLEET", STEP_TIMEOUT, |text| text.contains("gates open")).await?;
         sleep(Duration::from_secs(1)).await;
         let still = fleet.owner(COORDINATOR_LEASE).await;
-        ensure(still == Some(second), || format!("it moved from {second:?} to {still:?}"))
+        ensure(still == Some(second), || format!("the lease moved from {second:?} to {still:?}"))
     });
 }
 
@@ -64,7 +66,7 @@
             .await?;
         ensure(!text.contains("holds freeze/coordinator"), || text.clone())?;
         let now = fleet.owner(COORDINATOR_LEASE).await;
-        ensure(now == Some(second), || format!("{second:?} is followed by {now:?}"))
+        ensure(now == Some(second), || format!("the holder changed from {second:?} to {now:?}"))
     });
 }
 
@@ -72,19 +74,19 @@
 fn a_holder_that_can_only_receive_loses_its_lease() {
     run_scenario("drill-duties", 3, "", |fleet| async move {
         let first = settled_holder(&fleet).await?;
-        // What it sends is lost; what others send it arrives.
+        // Messages from the holder are lost; messages to it arrive.
         inject_fault(&fleet, Fault::LoseForth, from_process(first.0))?;
         let second = wait_for_takeover(&fleet, first).await?;
         let before = fleet.passed(from_process(first.0)).forth;
         sleep(Duration::from_millis(500)).await;
         let after = fleet.passed(from_process(first.0)).forth;
-        ensure(before == after, || "its words still pass".into())?;
+        ensure(before == after, || "messages from the holder still pass".into())?;
         fleet.set(Fault::None, from_process(first.0));
         fleet
             .until(first.0, "FLEET", STEP_TIMEOUT, |text| text.contains(&format!("token {}", second.1)))
             .await?;
         ensure(fleet.owner(COORDINATOR_LEASE).await == Some(second), || {
-            "it moved when the link was whole again".into()
+            "the lease moved when the link was restored".into()
         })
     });
 }
@@ -97,7 +99,7 @@
         inject_fault(&fleet, Fault::LoseForth, to_holder)?;
         let second = wait_for_takeover(&fleet, first).await?;
         let text = fleet.line(first.0, "FLEET").await.unwrap_or_default();
-        ensure(!text.contains("holds "), || format!("it believes still that it holds: {text}"))?;
+        ensure(!text.contains("holds "), || format!("the former holder still reports the lease: {text}"))?;
         fleet.set(Fault::None, to_holder);
         fleet
             .until(first.0, "FLEET", STEP_TIMEOUT, |text| text.contains(&format!("token {}", second.1)))
@@ -113,7 +115,7 @@
         fleet.signal(first.0, ProcessSignal::Term)?;
         let second = fleet.new_owner(COORDINATOR_LEASE, &[first.0], STEP_TIMEOUT).await?;
         ensure(second.1 > first.1, || "the token did not rise".into())?;
-        // Logs are written beside the loop, a little later.
+        // Log lines are written asynchronously, a little later.
         let end = Instant::now() + STEP_TIMEOUT;
         let is_logged = |what: &str, token: u64| {
             fleet
@@ -122,10 +124,10 @@
                 .any(|act| act.what == what && act.token == token && act.duty == COORDINATOR_LEASE)
         };
         while !is_logged("holds", second.1) || !is_logged("lost", first.1) {
-            ensure(Instant::now() < end, || "the owners have not written down what they are".into())?;
+            ensure(Instant::now() < end, || "the audit lines of the handover are missing".into())?;
             sleep(Duration::from_millis(20)).await;
         }
-        // The signal is recorded; no rule holds it up.
+        // The shutdown is recorded as a change without a permit; it needs none.
         fleet
             .until(second.0, "RECORD", STEP_TIMEOUT, |text| {
                 text.contains("without a permit: SIGTERM at copy")
@@ -133,13 +135,17 @@
             .await?;
         Ok(())
     });
-    let of = |what: &str| {
-        let found = run.acts.iter().rfind(|act| act.duty == COORDINATOR_LEASE && act.what == what);
-        found.map(|act| act.at).expect("it is written down")
+    let time_of = |what: &str| {
+        let found = run.audit_lines.iter().rfind(|act| act.duty == COORDINATOR_LEASE && act.what == what);
+        found.map(|act| act.at).expect("an audit line")
     };
-    let gap = of("holds") as i64 - of("lost") as i64;
+    let gap = time_of("holds") as i64 - time_of("lost") as i64;
     println!("handed over within {gap} ms");
-    assert!((0..200).contains(&gap), "nobody held it for {gap} ms: {:#?}", run.acts);
+    assert!(
+        (0..200).contains(&gap),
+        "{gap} ms from the end of one grant to the start of the next: {:#?}",
+        run.audit_lines
+    );
 }
 
 #[test]
@@ -151,12 +157,12 @@
             fleet.signal(replica, ProcessSignal::Kill)?;
         }
         let answer = fleet.line(5, "CHANGE ASK drain tenant:acme tom").await.unwrap_or_default();
-        ensure(answer.starts_with("504"), || format!("a permit without keepers: {answer}"))?;
+        ensure(answer.starts_with("504"), || format!("answer without replicas: {answer}"))?;
         for replica in 0..3 {
             fleet.start_process(replica).await?;
         }
         let second = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
-        ensure(second.1 > first.1, || "tokens fell over the loss of all keepers".into())?;
+        ensure(second.1 > first.1, || "the token did not rise after the crash of all replicas".into())?;
         wait_for_incident(&fleet, 5).await
     });
 }
@@ -182,7 +188,7 @@
                 })
         });
         let new = new.await?;
-        ensure(id(&new) != id(&old), || format!("it has its old name {}", id(&old)))?;
+        ensure(id(&new) != id(&old), || format!("the replica has kept its id {}", id(&old)))?;
         let members = fleet.until(first.0, "FLEET", STEP_TIMEOUT, |text| !text.contains(&id(&old))).await?;
         ensure(members.contains(&id(&new)), || members.clone())
     });
@@ -216,22 +222,22 @@
 fn a_replica_with_a_rolled_back_disk_does_not_vote() {
     run_scenario("drill-duties", 3, "", |fleet| async move {
         let first = settled_holder(&fleet).await?;
-        let back = (first.0 + 1) % 3;
-        kill_and_wait(&fleet, back).await?;
-        let old = fleet.read_disk(back)?;
-        fleet.start_process(back).await?;
+        let rolled_back = (first.0 + 1) % 3;
+        kill_and_wait(&fleet, rolled_back).await?;
+        let old = fleet.read_disk(rolled_back)?;
+        fleet.start_process(rolled_back).await?;
         wait_until_settled(&fleet).await?;
         open_incident(&fleet).await?;
-        kill_and_wait(&fleet, back).await?;
-        fleet.put_disk(back, &old)?;
-        fleet.start_process(back).await?;
-        let log = fleet.processes[back].log();
+        kill_and_wait(&fleet, rolled_back).await?;
+        fleet.put_disk(rolled_back, &old)?;
+        fleet.start_process(rolled_back).await?;
+        let log = fleet.processes[rolled_back].log();
         let end = Instant::now() + STEP_TIMEOUT;
         while !std::fs::read_to_string(&log).unwrap_or_default().contains("older than its word") {
-            ensure(Instant::now() < end, || "it does not see that its disk is old".into())?;
+            ensure(Instant::now() < end, || "the replica has not detected the old disk".into())?;
             sleep(Duration::from_millis(50)).await;
         }
-        wait_for_incident(&fleet, back).await
+        wait_for_incident(&fleet, rolled_back).await
     });
 }
 
@@ -243,7 +249,7 @@
             text.lines().find_map(|l| l.strip_prefix("follows ")?.split(' ').next()?.parse().ok())
         };
         let text = fleet.line(6, "FLEET").await.unwrap_or_default();
-        let replica: usize = follows(&text).ok_or("it follows nobody")?;
+        let replica: usize = follows(&text).ok_or("instance 6 follows no replica")?;
         let link =
             move |ends: LinkEnds| matches!(ends, LinkEnds::Keeper { process: 6, slot } if slot == replica);
         inject_fault(&fleet, Fault::Silent, link)?;
--- a/crates/hillstall/tests/coordination/main.rs
+++ b/crates/hillstall/tests/coordination/main.rs
@@ -1,5 +1,6 @@
-//! Coordination in whole fleets of real processes that serve requests, with injected faults. Each scenario is checked by the
-//! answers of the instances and by their audit lines, and the rules on requests hold as in every scenario.
+//! Coordination in fleets of real processes that serve requests, with injected faults. Each test checks the
+//! answers of the instances to admin commands, their audit lines, and the invariants on requests that hold in
+//! every scenario.
 
 mod admin_commands;
 mod change_freeze;
--- a/crates/hillstall/tests/coordination/scenario.rs
+++ b/crates/hillstall/tests/coordination/scenario.rs
@@ -1,6 +1,6 @@
-//! Runs a fault-injection scenario with a script, and checks its audit lines.
+//! Runs a fault-injection scenario with a script of admin commands and faults, and checks its audit lines.
 
-use crate::harness::{drill_with, Played};
+use crate::harness::{run_with_options, ValidRun};
 use hillstall_fault_injection::coordination_fleet::{judge, AuditLine, CoordinationOptions};
 use hillstall_fault_injection::fleet::{Fleet, LinkEnds};
 use hillstall_fault_injection::process_supervisor::ProcessSignal;
@@ -13,29 +13,31 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Far above what any step takes; past it a scenario fails with the last log lines of each instance.
+/// Limit of one step of a script. Far above what any step takes; a scenario that reaches it fails with the
+/// last log lines of each instance.
 pub const STEP_TIMEOUT: Duration = Duration::from_secs(8);
-/// How often a scenario is run that a busy machine disturbed.
+/// Number of runs of a scenario after which its test fails if a busy machine disturbed all of them.
 const MAX_ATTEMPTS: usize = 3;
-/// The error of such a scenario begins with this.
+/// Prefix of the error of a script that a busy machine disturbed.
 pub const BUSY_PREFIX: &str = "busy: ";
-/// Log lines of each instance that a failure shows.
+/// Number of log lines of each instance that a failure shows.
 const SHOWN_LOG_LINES: usize = 12;
 
 /// The lease of the change freeze's coordinator.
 pub const COORDINATOR_LEASE: &str = "freeze/coordinator";
 
-/// The result of a script; an error says what was not as expected.
+/// The result of a script; the error says what differs from the expectation.
 pub type ScriptResult = Result<(), String>;
 
-/// A scenario that has run to its end.
+/// A run of a scenario whose script has succeeded.
 pub struct ScenarioRun {
-    pub played: Played,
-    /// What the instances logged for the audit.
-    pub acts: Vec<AuditLine>,
+    pub valid_run: ValidRun,
+    /// The audit lines of all instances.
+    pub audit_lines: Vec<AuditLine>,
 }
 
-/// Runs a scenario. Panics unless the script succeeds, the audit lines are consistent, and the rules on requests are kept.
+/// Runs a scenario with `replicas` replicas and a script. Panics unless the script succeeds, the audit lines
+/// are consistent, and the invariants on requests hold.
 pub fn run_scenario<F>(
     name: &str,
     replicas: usize,
@@ -49,9 +51,9 @@
     for attempt in 1..=MAX_ATTEMPTS {
         match run_once(name, replicas, section, script.clone()) {
             Ok(run) => {
-                let violations = judge(&run.acts);
+                let violations = judge(&run.audit_lines);
                 assert!(violations.is_empty(), "{}", violations.join("\n"));
-                run.played.keeps_the_rules();
+                run.valid_run.assert_invariants_hold();
                 return run;
             }
             Err(busy) if busy.starts_with(BUSY_PREFIX) => {
@@ -74,7 +76,7 @@
     F: Future<Output = ScriptResult> + 'static,
 {
     let outcome: Rc<RefCell<(Option<ScriptResult>, Vec<AuditLine>)>> = Rc::default();
-    let played = drill_with(name, 1, || {
+    let valid_run = run_with_options(name, 1, || {
         let (script, outcome) = (script.clone(), outcome.clone());
         outcome.replace((None, Vec::new()));
         let whole_script: Script = Box::new(move |fleet| {
@@ -86,11 +88,11 @@
         let talk = Some(CoordinationOptions { keepers: replicas, section: section.to_owned() });
         Options { script: Some(whole_script), talk, ..Options::default() }
     });
-    let (result, acts) = outcome.take();
+    let (result, audit_lines) = outcome.take();
     match result {
-        Some(Ok(())) => Ok(ScenarioRun { played, acts }),
+        Some(Ok(())) => Ok(ScenarioRun { valid_run, audit_lines }),
         Some(Err(error)) => Err(error),
-        None => Err("the script did not come to its end".into()),
+        None => Err("the script did not finish before the scenario ended".into()),
     }
 }
 
@@ -117,7 +119,7 @@
     }
 }
 
-/// Sends an admin command to an instance, whose answer has to begin as expected.
+/// Sends an admin command to an instance; fails unless the answer begins with `expected_start`.
 pub async fn send_command(
     fleet: &Fleet,
     process: usize,
@@ -126,7 +128,7 @@
 ) -> Result<String, String> {
     let answer = fleet.line(process, line).await.unwrap_or_default();
     ensure(answer.starts_with(expected_start), || {
-        format!("{line}: {answer:?} where {expected_start:?} was wanted")
+        format!("{line}: got {answer:?}, expected {expected_start:?}")
     })?;
     Ok(answer)
 }
@@ -140,14 +142,16 @@
     Ok(())
 }
 
-/// Injects a fault into some links, which have to have carried something before.
+/// Injects a fault into the selected links; fails if they have carried nothing before, as the fault would
+/// then have no effect.
 pub fn inject_fault(fleet: &Fleet, fault: Fault, links: impl Fn(LinkEnds) -> bool + Copy) -> ScriptResult {
     let passed = fleet.passed(links);
     fleet.set(fault, links);
-    ensure(passed.forth > 0, || "nothing passed over the links that were to be cut".into())
+    ensure(passed.forth > 0, || "the links for the fault have carried nothing".into())
 }
 
-/// Waits until all instances know the state and accept commands, and the coordinator's lease is held.
+/// Waits until all instances have the replicated state and accept changes, and the coordinator's lease is
+/// held.
 pub async fn wait_until_settled(fleet: &Fleet) -> ScriptResult {
     for process in 0..fleet.processes.len() {
         fleet.until(process, "FLEET", STEP_TIMEOUT, |text| text.contains("gates open")).await?;
--- a/crates/hillstall/tests/coordination/windows.rs
+++ b/crates/hillstall/tests/coordination/windows.rs
@@ -1,6 +1,7 @@
-//! Windows: a site is empty before its maintenance begins, and comes back, whoever dies meanwhile.
+//! Maintenance windows: a site is empty before its maintenance begins and gets its traffic back afterwards,
+//! also when processes fail meanwhile.
 
-use crate::harness::{service, wait};
+use crate::harness::{service_percent, wait_until_s};
 use crate::scenario::{
     ensure, run_scenario, wait_until_settled, ScenarioRun, ScriptResult, BUSY_PREFIX, STEP_TIMEOUT,
 };
@@ -14,13 +15,14 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
+/// Keys of the section `[fleet]` under which a window takes only seconds.
 pub const SECTION: &str = "step = 25\nstep_wait = \"500ms\"\nholds = \"4s\"\nway_back = \"4s\"\n";
-/// Whole windows take a while on a busy machine.
+/// Limit of a wait for a stage of a window, which may take long on a busy machine.
 pub const WINDOW_TIMEOUT: Duration = Duration::from_secs(25);
 const SHIFT_LEASE: &str = "shift/zone-1";
 
-/// Slots for window scenarios that run at a time: a shift waits while other sites serve badly, as they do on an overloaded
-/// machine.
+/// Slots for the window scenarios that run at a time. A traffic shift waits while other sites serve badly,
+/// which they do on an overloaded machine.
 static SCENARIO_SLOTS: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
 static NEXT_SLOT: AtomicUsize = AtomicUsize::new(0);
 
@@ -28,12 +30,13 @@
 fn run_window_scenario<F: Future<Output = ScriptResult> + 'static>(
     script: impl Fn(Rc<Fleet>) -> F + Clone + 'static,
 ) -> ScenarioRun {
-    let place = &SCENARIO_SLOTS[NEXT_SLOT.fetch_add(1, Ordering::Relaxed) % SCENARIO_SLOTS.len()];
-    let _place = place.lock().unwrap_or_else(PoisonError::into_inner);
+    let slot = &SCENARIO_SLOTS[NEXT_SLOT.fetch_add(1, Ordering::Relaxed) % SCENARIO_SLOTS.len()];
+    let _guard = slot.lock().unwrap_or_else(PoisonError::into_inner);
     run_scenario("drill-window", 3, SECTION, script)
 }
 
-/// Waits until a site's window is in a stage. If it could not begin in time, the error says that the machine was busy.
+/// Waits until the list of windows contains `wanted`. A window that could not begin in time is an error with
+/// [`BUSY_PREFIX`].
 async fn wait_for_stage(fleet: &Fleet, wanted: &str) -> Result<String, String> {
     let late = |text: &str| text.contains("could not begin in time");
     let text = fleet.until(5, "WINDOW", WINDOW_TIMEOUT, |text| late(text) || text.contains(wanted)).await?;
@@ -41,14 +44,15 @@
     Ok(text)
 }
 
-/// The time in so many seconds, as an operator writes it.
+/// The time in `seconds` from now, as an operator writes it.
 fn timestamp_in(seconds: u64) -> String {
     (jiff::Timestamp::now() + std::time::Duration::from_secs(seconds)).to_string()
 }
 
+/// Plans a window that begins in `in_s` seconds.
 pub async fn plan_window(fleet: &Fleet, site: &str, in_s: u64, length_s: u64) -> Result<(), String> {
-    // The baseline is measured when a window is admitted, so requests must have come for a while.
-    wait(&fleet.history, 3.0).await;
+    // The baseline load is measured when the window is admitted, so requests must have been sent for a while.
+    wait_until_s(&fleet.history, 3.0).await;
     let line = format!(
         "WINDOW PLAN {site} begin={} length={length_s}s lead={in_s}s latest=8s reserve=10",
         timestamp_in(in_s)
@@ -57,9 +61,10 @@
     ensure(text.starts_with("200"), || format!("{line}: {text}"))
 }
 
-/// Attempts that reached some servers, from one time to another (ms since requests began).
+/// Number of attempts that reached some servers from one time to another, in milliseconds after the first
+/// request.
 fn attempts_at(run: &ScenarioRun, servers: &[usize], from: f64, to: f64) -> usize {
-    let hops = run.played.0.seen.hops.iter();
+    let hops = run.valid_run.0.seen.hops.iter();
     hops.filter(|h| servers.contains(&h.server) && h.at >= from && h.at < to).count()
 }
 
@@ -67,44 +72,41 @@
 fn a_site_is_empty_before_its_window_begins_and_comes_back_after_it() {
     let times: Rc<RefCell<Vec<f64>>> = Rc::default();
     let servers: Rc<RefCell<Vec<usize>>> = Rc::default();
-    let (seen, site_servers) = (times.clone(), servers.clone());
+    let (stage_times, site_servers) = (times.clone(), servers.clone());
     let run = run_window_scenario(move |fleet| {
-        let (seen, site_servers) = (seen.clone(), site_servers.clone());
+        let (stage_times, site_servers) = (stage_times.clone(), site_servers.clone());
         async move {
-            seen.borrow_mut().clear();
+            stage_times.borrow_mut().clear();
             site_servers.replace(fleet.servers_of_zone(1));
             wait_until_settled(&fleet).await?;
             plan_window(&fleet, "zone-1", 9, 4).await?;
             wait_for_stage(&fleet, "zone-1 shifting").await?;
-            seen.borrow_mut().push(fleet.history.now());
+            stage_times.borrow_mut().push(fleet.history.now());
             wait_for_stage(&fleet, "zone-1 running").await?;
-            seen.borrow_mut().push(fleet.history.now());
+            stage_times.borrow_mut().push(fleet.history.now());
             wait_for_stage(&fleet, "zone-1 returning").await?;
-            seen.borrow_mut().push(fleet.history.now());
+            stage_times.borrow_mut().push(fleet.history.now());
             wait_for_stage(&fleet, "zone-1 done").await?;
-            seen.borrow_mut().push(fleet.history.now());
+            stage_times.borrow_mut().push(fleet.history.now());
             Ok(())
         }
     });
     let times = times.borrow();
-    let [shift, running, back, done] = times[..] else { panic!("{times:?}") };
+    let [shifting, running, returning, done] = times[..] else { panic!("{times:?}") };
     let servers = servers.borrow();
     let rate = |from: f64, to: f64| attempts_at(&run, &servers, from, to) as f64 / (to - from) * 1e3;
-    let (baseline, during) = (rate(1_000.0, shift), rate(running, back));
+    let (baseline, during) = (rate(1_000.0, shifting), rate(running, returning));
     println!(
         "baseline {baseline:.0} requests/s, {during:.2} during the window, {:.2} of it after; shift {:.0} ms, back within {:.0} ms; service {:.1}",
         rate(done, done + 2_000.0) / baseline,
-        running - shift,
-        done - back,
-        service(&run.played)
+        running - shifting,
+        done - returning,
+        service_percent(&run.valid_run)
     );
-    assert!(baseline > 5.0, "the site is used: {baseline}");
-    assert!(
-        during <= baseline * 0.005,
-        "{during} requests a second at a site that is away, {baseline} as baseline"
-    );
-    assert!(rate(done, done + 2_000.0) > baseline * 0.5, "it has its load again");
-    assert!(service(&run.played) > 85.0, "service is {:.1}", service(&run.played));
+    assert!(baseline > 5.0, "the site gets too few requests before the window: {baseline}/s");
+    assert!(during <= baseline * 0.005, "{during} requests/s during the window, baseline {baseline}/s");
+    assert!(rate(done, done + 2_000.0) > baseline * 0.5, "the site has not got its load back");
+    assert!(service_percent(&run.valid_run) > 85.0, "service is {:.1}", service_percent(&run.valid_run));
 }
 
 #[test]
@@ -133,17 +135,17 @@
         fleet.signal(first, ProcessSignal::Stop)?;
         fleet.new_owner(SHIFT_LEASE, &[first], STEP_TIMEOUT).await?;
         wait_for_stage(&fleet, "zone-1 running").await?;
-        // Commands that it had queued go out now.
+        // The resumed holder now sends the commands that it had queued.
         fleet.signal(first, ProcessSignal::Go)?;
         wait_for_stage(&fleet, "zone-1 done").await.map(|_| ())
     });
     let tokens: std::collections::BTreeSet<u64> = run
-        .acts
+        .audit_lines
         .iter()
         .filter(|a| a.duty == SHIFT_LEASE && a.what == "carried out")
         .map(|a| a.token)
         .collect();
-    assert!(tokens.len() >= 2, "two owners gave orders: {tokens:?}");
+    assert!(tokens.len() >= 2, "fewer than two holders moved traffic: {tokens:?}");
 }
 
 #[test]
@@ -151,16 +153,16 @@
     run_window_scenario(|fleet| async move {
         wait_until_settled(&fleet).await?;
         plan_window(&fleet, "zone-1", 12, 6).await?;
-        let half =
+        let partly_shifted =
             |text: &str| text.lines().any(|l| l.contains("zone-1 shifting") && !l.contains("part=100%"));
-        fleet.until(5, "WINDOW", WINDOW_TIMEOUT, half).await?;
+        fleet.until(5, "WINDOW", WINDOW_TIMEOUT, partly_shifted).await?;
         let servers = fleet.servers_of_zone(2);
         let lost =
             |ends: LinkEnds| matches!(ends, LinkEnds::Server { server, .. } if servers.contains(&server));
         fleet.set(Fault::Reset, lost);
-        let back =
+        let comes_back =
             |text: &str| text.lines().any(|l| l.contains("zone-1 returning") || l.contains("zone-1 done"));
-        fleet.until(5, "WINDOW", WINDOW_TIMEOUT, back).await?;
+        fleet.until(5, "WINDOW", WINDOW_TIMEOUT, comes_back).await?;
         fleet.set(Fault::None, lost);
         let text = wait_for_stage(&fleet, "zone-1 done").await?;
         ensure(text.contains("why=incident"), || text.clone())
@@ -181,13 +183,13 @@
         let text = fleet.line(3, "INCIDENT OPEN major fleet ann a bad feeling").await.unwrap_or_default();
         ensure(text.starts_with("200"), || text.clone())?;
         // The site that is shifting comes back, and neither window begins.
-        let over = |text: &str| {
+        let both_ended = |text: &str| {
             ["zone-1", "zone-2"].iter().all(|site| {
                 text.lines()
                     .any(|l| l.contains(&format!("{site} done")) || l.contains(&format!("{site} postponed")))
             })
         };
-        let text = fleet.until(5, "WINDOW", WINDOW_TIMEOUT, over).await?;
+        let text = fleet.until(5, "WINDOW", WINDOW_TIMEOUT, both_ended).await?;
         ensure(text.contains("why="), || text.clone())
     });
 }
@@ -202,9 +204,10 @@
         for replica in 0..3 {
             fleet.signal(replica, ProcessSignal::Kill)?;
         }
-        // The command is valid for its time, and then expires at the configured pace.
-        let on_the_way = |text: &str| text.contains("part zone-1 0.") && !text.contains("part zone-1 0.000");
-        fleet.until(8, "FLEET", WINDOW_TIMEOUT, on_the_way).await?;
+        // The traffic fraction stays in force for `holds`, and then rises over `way_back`.
+        let partly_returned =
+            |text: &str| text.contains("part zone-1 0.") && !text.contains("part zone-1 0.000");
+        fleet.until(8, "FLEET", WINDOW_TIMEOUT, partly_returned).await?;
         fleet.until(8, "FLEET", WINDOW_TIMEOUT, |text| text.contains("part zone-1 1.000")).await?;
         for replica in 0..3 {
             fleet.start_process(replica).await?;
--- a/crates/hillstall/tests/fault_injection/harness.rs
+++ b/crates/hillstall/tests/fault_injection/harness.rs
@@ -1,4 +1,5 @@
-//! Plays drills, four at a time at the most, and again, alone, where the rig itself was late.
+//! Runs fault-injection scenarios, a few at a time. A run that is void because the test rig was late is
+//! repeated with no other run beside it.
 
 use hillstall_decision::Settings;
 use hillstall_fault_injection::fleet::{Fleet, LinkEnds, SettingsFault};
@@ -15,138 +16,158 @@
 use std::sync::{Condvar, Mutex, PoisonError};
 use tokio::time::sleep_until;
 
-/// Drills that run side by side: more would make each other late on four cores.
-const SIDE_BY_SIDE: usize = 4;
-/// Far above anything seen, so that a hang fails.
-pub const PATIENCE: std::time::Duration = std::time::Duration::from_secs(30);
-/// How often a drill is played before a late rig is a failure of its own.
-const PLAYS: usize = 5;
-
-/// How many run, and how many wait for the machine to themselves.
-struct Busy {
-    running: usize,
-    wanted: usize,
+/// Runs at a time; more would delay each other on four cores.
+const MAX_CONCURRENT_RUNS: usize = 4;
+/// Limit of a wait for one event. Far above what any event takes, so that only a hang reaches it.
+pub const EVENT_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(30);
+/// Number of void runs of a scenario after which its test fails.
+const MAX_VOID_RUNS: usize = 5;
+
+/// The use of the slots for runs.
+struct SlotUse {
+    /// Slots taken; a run without others takes all of them.
+    taken: usize,
+    /// Runs that wait for all slots, before which no other run starts.
+    waiting_for_all: usize,
 }
 
-static BUSY: (Mutex<Busy>, Condvar) = (Mutex::new(Busy { running: 0, wanted: 0 }), Condvar::new());
+static SLOTS: (Mutex<SlotUse>, Condvar) =
+    (Mutex::new(SlotUse { taken: 0, waiting_for_all: 0 }), Condvar::new());
 
-struct Turn(usize);
+/// The slots that a run has taken, by their number; freed on drop.
+struct SlotGuard(usize);
 
-impl Turn {
-    /// One place of those side by side; or all of them, once the machine had too little time for that.
-    fn take(alone: bool) -> Turn {
-        let mut busy = BUSY.0.lock().unwrap_or_else(PoisonError::into_inner);
-        busy.wanted += usize::from(alone);
-        let waits = |busy: &mut Busy| match alone {
-            true => busy.running > 0,
-            false => busy.running >= SIDE_BY_SIDE || busy.wanted > 0,
+impl SlotGuard {
+    /// Waits for one slot, or with `exclusive` for all of them, and takes them.
+    fn acquire(exclusive: bool) -> SlotGuard {
+        let mut slots = SLOTS.0.lock().unwrap_or_else(PoisonError::into_inner);
+        slots.waiting_for_all += usize::from(exclusive);
+        let must_wait = |slots: &mut SlotUse| match exclusive {
+            true => slots.taken > 0,
+            false => slots.taken >= MAX_CONCURRENT_RUNS || slots.waiting_for_all > 0,
         };
-        let mut free = BUSY.1.wait_while(busy, waits).unwrap_or_else(PoisonError::into_inner);
-        let places = if alone { SIDE_BY_SIDE } else { 1 };
-        free.wanted -= usize::from(alone);
-        free.running += places;
-        Turn(places)
+        let mut slots = SLOTS.1.wait_while(slots, must_wait).unwrap_or_else(PoisonError::into_inner);
+        let count = if exclusive { MAX_CONCURRENT_RUNS } else { 1 };
+        slots.waiting_for_all -= usize::from(exclusive);
+        slots.taken += count;
+        SlotGuard(count)
     }
 }
 
-impl Drop for Turn {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
-        BUSY.0.lock().unwrap_or_else(PoisonError::into_inner).running -= self.0;
-        BUSY.1.notify_all();
+        SLOTS.0.lock().unwrap_or_else(PoisonError::into_inner).taken -= self.0;
+        SLOTS.1.notify_all();
     }
 }
 
-/// What a drill came to.
-pub struct Played(pub ScenarioRun);
+/// A run that is not void.
+pub struct ValidRun(pub ScenarioRun);
 
-impl Played {
-    /// Fails with the whole way of the first requests, if a rule was broken.
-    pub fn keeps_the_rules(&self) {
+impl ValidRun {
+    /// Panics if an invariant was violated, with the histories of the first requests that violate it.
+    pub fn assert_invariants_hold(&self) {
         assert!(matches!(self.0.verdict, Verdict::Kept), "{}", self.0.told());
     }
 
-    /// Fails if the referee did not see a rule broken that was broken on purpose.
-    pub fn breaks(&self, rule: Rule) {
-        assert!(self.0.verdict.breaks(rule), "{} is not seen broken: {}", rule.name(), self.0.told());
+    /// Panics unless the invariant checker has found a violation of `rule`, which the test causes on purpose.
+    pub fn assert_violates(&self, rule: Rule) {
+        assert!(
+            self.0.verdict.breaks(rule),
+            "the violation of {} is not detected: {}",
+            rule.name(),
+            self.0.told()
+        );
     }
 }
 
-/// Plays a scenario that comes with the program. The options are made anew for each play, as a void drill is repeated.
-pub fn drill_with(name: &str, seed: u64, options: impl Fn() -> Options) -> Played {
-    let scenario = scenarios::find(name).expect("embedded");
-    play_until_valid(name, || {
-        hillstall_fault_injection::run(program(), &scenario, seed, options()).expect("it can be played")
+/// Runs an embedded scenario. `options` is called for each run, as void runs are repeated.
+pub fn run_with_options(name: &str, seed: u64, options: impl Fn() -> Options) -> ValidRun {
+    let scenario = scenarios::find(name).expect("an embedded scenario");
+    run_until_valid(name, || {
+        hillstall_fault_injection::run(hillstall_path(), &scenario, seed, options())
+            .expect("the run can be carried out")
     })
 }
 
-/// The soak of a seed, with what is done beside it to break a rule, if anything.
-pub fn soak(seed: u64, sabotage: Option<Sabotage>) -> Played {
-    play_until_valid(&format!("soak of seed {seed}"), || {
-        hillstall_fault_injection::soak::run(program(), seed, None, sabotage).expect("it can be played")
+/// Runs the shutdown soak with a seed. `sabotage`, if any, runs beside it to violate an invariant.
+pub fn run_soak(seed: u64, sabotage: Option<Sabotage>) -> ValidRun {
+    run_until_valid(&format!("soak of seed {seed}"), || {
+        hillstall_fault_injection::soak::run(hillstall_path(), seed, None, sabotage)
+            .expect("the run can be carried out")
     })
 }
 
-fn program() -> &'static Path {
+fn hillstall_path() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_hillstall"))
 }
 
-/// Plays until the rig was in time. Each void play is printed.
-fn play_until_valid(name: &str, play: impl Fn() -> ScenarioRun) -> Played {
-    let mut why = String::new();
-    for number in 0..PLAYS {
-        let _turn = Turn::take(number > 0);
-        let drilled = play();
-        assert!(drilled.processes >= 6, "a fleet is more than {} processes", drilled.processes);
-        match &drilled.verdict {
-            Verdict::Void(late) => why = late.clone(),
-            _ => return Played(drilled),
+/// Runs until a run is not void. Prints the reason of each void run.
+fn run_until_valid(name: &str, run_once: impl Fn() -> ScenarioRun) -> ValidRun {
+    let mut void_reason = String::new();
+    for number in 0..MAX_VOID_RUNS {
+        let _slots = SlotGuard::acquire(number > 0);
+        let run = run_once();
+        assert!(run.processes >= 6, "only {} processes ran, at least 6 are needed", run.processes);
+        match &run.verdict {
+            Verdict::Void(reason) => void_reason = reason.clone(),
+            _ => return ValidRun(run),
         }
-        println!("{name}: play {} of {PLAYS} was void: {why}", number + 1);
+        println!("{name}: run {} of {MAX_VOID_RUNS} is void: {void_reason}", number + 1);
     }
-    panic!("{name}: void {PLAYS} times: {why}");
+    panic!("{name}: {MAX_VOID_RUNS} runs are void, the last one because: {void_reason}");
 }
 
-/// The same with a lie to the proxies.
-pub fn lied(name: &str, seed: u64, lie: impl Fn(&mut Settings) + 'static) -> Played {
-    let lie: SettingsFault = Rc::new(lie);
-    drill_with(name, seed, || Options { lie: Some(lie.clone()), ..Options::default() })
+/// Runs an embedded scenario with wrong settings in the proxies, which `fault` makes from the right ones.
+pub fn run_with_settings_fault(name: &str, seed: u64, fault: impl Fn(&mut Settings) + 'static) -> ValidRun {
+    let fault: SettingsFault = Rc::new(fault);
+    run_with_options(name, seed, || Options { lie: Some(fault.clone()), ..Options::default() })
 }
 
-/// As it is.
-pub fn drill(name: &str, seed: u64) -> Played {
-    drill_with(name, seed, Options::default)
+/// Runs an embedded scenario as it is.
+pub fn run_embedded(name: &str, seed: u64) -> ValidRun {
+    run_with_options(name, seed, Options::default)
 }
 
-/// With something done beside the calls.
-pub fn scripted<F>(name: &str, seed: u64, script: impl Fn(Rc<Fleet>) -> F + Clone + 'static) -> Played
+/// Runs an embedded scenario with a script that runs beside the requests.
+pub fn run_with_script<F>(
+    name: &str,
+    seed: u64,
+    script: impl Fn(Rc<Fleet>) -> F + Clone + 'static,
+) -> ValidRun
 where
     F: std::future::Future<Output = ()> + 'static,
 {
-    drill_with(name, seed, || {
+    run_with_options(name, seed, || {
         let script = script.clone();
         let script: Script = Box::new(move |fleet| Box::pin(script(fleet)));
         Options { script: Some(script), ..Options::default() }
     })
 }
 
-/// What passed over some links at some times (s).
-pub type Looks = Rc<RefCell<Vec<TransferredBytes>>>;
-
-/// Looks at links at some times; what passed by then is written down.
-pub async fn look(fleet: Rc<Fleet>, looks: Looks, times: [f64; 3], which: fn(LinkEnds) -> bool) {
-    looks.borrow_mut().clear();
-    for at in times {
-        wait(&fleet.history, at).await;
-        looks.borrow_mut().push(fleet.passed(which));
+/// Bytes transferred over some links, sampled at several times.
+pub type TransferSamples = Rc<RefCell<Vec<TransferredBytes>>>;
+
+/// Samples the bytes transferred over the selected links at three times, in seconds after the first request.
+pub async fn sample_transfers(
+    fleet: Rc<Fleet>,
+    samples: TransferSamples,
+    times_s: [f64; 3],
+    is_selected: fn(LinkEnds) -> bool,
+) {
+    samples.borrow_mut().clear();
+    for at_s in times_s {
+        wait_until_s(&fleet.history, at_s).await;
+        samples.borrow_mut().push(fleet.passed(is_selected));
     }
 }
 
-/// Waits until so many seconds after the first call.
-pub async fn wait(history: &History, at: f64) {
-    sleep_until(history.instant(at * 1e3)).await;
+/// Waits until `at_s` seconds after the first request.
+pub async fn wait_until_s(history: &History, at_s: f64) {
+    sleep_until(history.instant(at_s * 1e3)).await;
 }
 
-/// Service in points of 100.
-pub fn service(played: &Played) -> f64 {
-    100.0 * played.0.tally.service
+/// The service of a run, in percent.
+pub fn service_percent(run: &ValidRun) -> f64 {
+    100.0 * run.0.tally.service
 }
--- a/crates/hillstall/tests/fault_injection/main.rs
+++ b/crates/hillstall/tests/fault_injection/main.rs
@@ -1,10 +1,14 @@
-//! Whole fleets of real processes with faults between them. Each drill is seen to bite, is judged by the referee, and is
-//! played once more with its mechanism off or a rule broken on purpose: then it must fail.
+//! Fault injection into fleets of real processes. Each test checks that its fault took effect and that all
+//! invariants hold, and then runs the scenario again with the tested mechanism off or an invariant violated
+//! on purpose, which must be noticed.
 
 mod harness;
 mod soak;
 
-use harness::{drill, drill_with, lied, look, scripted, service, wait, Looks};
+use harness::{
+    run_embedded, run_with_options, run_with_script, run_with_settings_fault, sample_transfers,
+    service_percent, wait_until_s, TransferSamples, ValidRun,
+};
 use hillstall_decision::{BackendState, RetrySafety, Settings};
 use hillstall_fault_injection::fleet::{LinkEnds, SettingsFault};
 use hillstall_fault_injection::history::{BackendResult, ClientResult, ProcessEvent, ProcessLifetime};
@@ -13,212 +17,232 @@
 use hillstall_simulation::stability::ServiceCourse;
 use std::rc::Rc;
 
-/// Says what was measured: seen with `--nocapture`, and in a failure.
-fn say(what: &str, kept: f64, off: f64) {
-    println!("{what}: {kept:.2}; {off:.2} with the mechanism off");
+/// Prints a figure of both runs of a test, visible with `--nocapture` and in failures.
+fn print_comparison(figure: &str, with_mechanism: f64, without: f64) {
+    println!("{figure}: {with_mechanism:.2}; {without:.2} with the mechanism off");
 }
 
-/// A class that must never run twice, told as one of another effect.
-fn once_told_as(effect: RetrySafety) -> impl Fn(&mut Settings) {
-    move |told| {
-        for class in told.classes.iter_mut().filter(|c| c.retry_safety == RetrySafety::NonIdempotent) {
-            class.retry_safety = effect;
+/// A settings fault that gives another retry safety to the classes that are not idempotent.
+fn declare_non_idempotent_as(retry_safety: RetrySafety) -> impl Fn(&mut Settings) {
+    move |settings| {
+        for class in settings.classes.iter_mut().filter(|c| c.retry_safety == RetrySafety::NonIdempotent) {
+            class.retry_safety = retry_safety;
         }
     }
 }
 
-/// Told that a minute is in time and that it stands below the top, no front turns a call away for the others' sake.
-fn without_gates(told: &mut Settings) {
-    told.stage = 1;
-    told.classes.iter_mut().for_each(|class| class.latency_objective_ms = 60_000.0);
+/// A settings fault that turns load shedding off: proxies believe that they are not at the entry, and that a
+/// latency of a minute meets the objective.
+fn disable_load_shedding(settings: &mut Settings) {
+    settings.stage = 1;
+    settings.classes.iter_mut().for_each(|class| class.latency_objective_ms = 60_000.0);
 }
 
 #[test]
 fn non_idempotent_requests_are_not_retried_when_responses_are_lost() {
-    let looks = Looks::default();
-    let seen = looks.clone();
-    let kept = scripted("drill-one-way", 1, move |fleet| {
-        look(fleet, seen.clone(), [2.9, 3.1, 4.9], |ends| {
+    let samples = TransferSamples::default();
+    let shared = samples.clone();
+    let kept = run_with_script("drill-one-way", 1, move |fleet| {
+        sample_transfers(fleet, shared.clone(), [2.9, 3.1, 4.9], |ends| {
             matches!(ends, LinkEnds::Server { process: 0 | 1, .. })
         })
     });
-    kept.keeps_the_rules();
-    let looks = looks.borrow();
-    assert!(looks[2].forth > looks[1].forth, "calls still reach the boxes: {looks:?}");
-    assert_eq!(looks[2].back, looks[1].back, "answers don't come back");
-    let broken = lied("drill-one-way", 1, once_told_as(RetrySafety::IdempotencyKey));
-    broken.breaks(Rule::BarredRepeat);
+    kept.assert_invariants_hold();
+    let samples = samples.borrow();
+    assert!(samples[2].forth > samples[1].forth, "requests no longer reach the servers: {samples:?}");
+    assert_eq!(samples[2].back, samples[1].back, "responses still come back");
+    let broken =
+        run_with_settings_fault("drill-one-way", 1, declare_non_idempotent_as(RetrySafety::IdempotencyKey));
+    broken.assert_violates(Rule::BarredRepeat);
 }
 
 #[test]
 fn restarted_servers_are_not_overloaded_by_all_proxies_together() {
-    let kept = drill("drill-cold", 1);
-    kept.keeps_the_rules();
-    assert_eq!(kept.0.seen.starts.len(), 3, "three boxes came back cold");
-    let calls = |from: f64| {
-        let cold = |server: usize| kept.0.seen.starts.iter().any(|s| s.server == server);
-        kept.0.seen.hops.iter().filter(|h| cold(h.server) && h.at > from).count()
+    let kept = run_embedded("drill-cold", 1);
+    kept.assert_invariants_hold();
+    assert_eq!(kept.0.seen.starts.len(), 3, "three servers were restarted");
+    let attempts_after = |from: f64| {
+        let was_restarted = |server: usize| kept.0.seen.starts.iter().any(|s| s.server == server);
+        kept.0.seen.hops.iter().filter(|h| was_restarted(h.server) && h.at > from).count()
     };
-    assert!(calls(4_500.0) > 20, "they are called again");
-    // A list that says that each of them should get thirty times the calls of the others.
-    // Proxies that are told of no cold rule, and keep no gates, believe it.
-    let lie: SettingsFault = Rc::new(|told| {
-        (told.rules.warmup_ms, told.fleet_size, told.rank) = (0.0, 1, 0);
-        without_gates(told);
+    assert!(attempts_after(4_500.0) > 20, "the restarted servers get too few requests");
+    // The endpoint list gives each restarted server thirty times the weight of the others. Proxies without
+    // slow start and load shedding follow it.
+    let settings_fault: SettingsFault = Rc::new(|settings| {
+        (settings.rules.warmup_ms, settings.fleet_size, settings.rank) = (0.0, 1, 0);
+        disable_load_shedding(settings);
     });
-    let broken = drill_with("drill-cold", 1, || Options {
-        lie: Some(lie.clone()),
+    let broken = run_with_options("drill-cold", 1, || Options {
+        lie: Some(settings_fault.clone()),
         script: Some(Box::new(|fleet| Box::pin(async move { fleet.weight_again.set(30.0) }))),
         ..Options::default()
     });
-    let sent = |p: &harness::Played| invariant_checker::overshoot(&p.0.truth, &p.0.seen);
-    say("most that a cold box is sent, of what it bears", sent(&kept), sent(&broken));
-    broken.breaks(Rule::Cold);
+    let overshoot = |run: &ValidRun| invariant_checker::overshoot(&run.0.truth, &run.0.seen);
+    print_comparison(
+        "largest load on a server in slow start, of its capacity",
+        overshoot(&kept),
+        overshoot(&broken),
+    );
+    broken.assert_violates(Rule::Cold);
 }
 
 #[test]
 fn a_draining_server_gets_no_new_requests_after_the_grace_period() {
-    let kept = drill("drill-release", 1);
-    kept.keeps_the_rules();
+    let kept = run_embedded("drill-release", 1);
+    kept.assert_invariants_hold();
     let drains = kept.0.seen.told.iter().filter(|t| t.status == BackendState::Draining).count();
-    assert!(drains >= 2 * 4, "all fronts were told of all drains: {drains}");
-    let broken = lied("drill-release", 1, |told| told.rules.drain_grace_ms = 60_000.0);
-    broken.breaks(Rule::Drain);
+    assert!(drains >= 2 * 4, "not all entry proxies got all draining states: {drains}");
+    let broken =
+        run_with_settings_fault("drill-release", 1, |settings| settings.rules.drain_grace_ms = 60_000.0);
+    broken.assert_violates(Rule::Drain);
 }
 
 #[test]
 fn service_recovers_after_five_of_seven_entry_proxies_are_killed_at_once() {
-    let kept = drill("drill-kill", 1);
-    kept.keeps_the_rules();
+    let kept = run_embedded("drill-kill", 1);
+    kept.assert_invariants_hold();
     let killed = kept.0.seen.lives.iter().filter(|l| l.what == ProcessEvent::Killed).count();
-    assert_eq!(killed, 5, "five of seven fronts die");
-    let broke = kept.0.seen.tries.iter().filter(|t| t.ended == ClientResult::Broken).count();
-    assert!(broke > 0, "clients see their connections break");
-    // The last three seconds: all are back, with nothing learned.
-    let after = |p: &harness::Played| {
-        let last = &p.0.tally.seconds[6..];
+    assert_eq!(killed, 5, "five of seven entry proxies are killed");
+    let broken_attempts = kept.0.seen.tries.iter().filter(|t| t.ended == ClientResult::Broken).count();
+    assert!(broken_attempts > 0, "no client connection broke");
+    // In the last three seconds all proxies run again, without what they had learned before.
+    let final_service = |run: &ValidRun| {
+        let last = &run.0.tally.seconds[6..];
         let sum = |of: fn(&hillstall_simulation::sim::Second) -> f64| last.iter().map(of).sum::<f64>();
         100.0 * sum(|s| s.earned) / sum(|s| s.worth)
     };
-    assert!(after(&kept) > 85.0, "service is {:.1} once they are back", after(&kept));
-    // One that ends and was not told to is a crash.
-    let broken = scripted("drill-kill", 1, |fleet| async move {
-        wait(&fleet.history, 2.0).await;
-        fleet.strike(6).expect("the keeper hears");
+    assert!(final_service(&kept) > 85.0, "service is {:.1} after the restarts", final_service(&kept));
+    // A process that ends without a request to do so counts as crashed.
+    let broken = run_with_script("drill-kill", 1, |fleet| async move {
+        wait_until_s(&fleet.history, 2.0).await;
+        fleet.strike(6).expect("the supervisor accepts the command");
     });
-    broken.breaks(Rule::Crash);
+    broken.assert_violates(Rule::Crash);
 }
 
 #[test]
 fn graceful_restarts_of_an_overloaded_tier_lose_no_request() {
-    let kept = drill("drill-roll", 1);
-    kept.keeps_the_rules();
+    let kept = run_embedded("drill-roll", 1);
+    kept.assert_invariants_hold();
     let ended = kept.0.seen.lives.iter().filter(|l| matches!(l.what, ProcessEvent::Ended(Some(0)))).count();
-    assert_eq!(ended, 5, "all five fronts ended in order");
-    assert!(kept.0.tally.refused > 0.02, "the tier is crowded: {:.3} refused", kept.0.tally.refused);
-    // One that is killed where it should have been asked loses what it had taken.
-    let broken = scripted("drill-roll", 1, |fleet| async move {
-        wait(&fleet.history, 1.5).await;
+    assert_eq!(ended, 5, "all five entry proxies shut down gracefully");
+    assert!(kept.0.tally.refused > 0.02, "the tier is not overloaded: {:.3} rejected", kept.0.tally.refused);
+    // A process that is killed instead of shut down gracefully loses the requests that it had accepted.
+    let broken = run_with_script("drill-roll", 1, |fleet| async move {
+        wait_until_s(&fleet.history, 1.5).await;
         let at = fleet.history.now();
         fleet
             .history
             .note(|seen| seen.lives.push(ProcessLifetime { process: 4, at, what: ProcessEvent::Asked }));
-        fleet.strike(4).expect("the keeper hears");
+        fleet.strike(4).expect("the supervisor accepts the command");
     });
-    broken.breaks(Rule::OneAnswer);
+    broken.assert_violates(Rule::OneAnswer);
 }
 
 #[test]
 fn suspended_proxies_resume_with_the_current_endpoint_list() {
-    let kept = drill("drill-stop", 1);
-    kept.keeps_the_rules();
-    let stopped = |what: ProcessEvent| kept.0.seen.lives.iter().filter(|l| l.what == what).count();
-    assert_eq!((stopped(ProcessEvent::Stopped), stopped(ProcessEvent::Went)), (2, 2));
-    let by_stopped = |from: f64, to: f64| {
+    let kept = run_embedded("drill-stop", 1);
+    kept.assert_invariants_hold();
+    let count = |what: ProcessEvent| kept.0.seen.lives.iter().filter(|l| l.what == what).count();
+    assert_eq!((count(ProcessEvent::Stopped), count(ProcessEvent::Went)), (2, 2));
+    let attempts_by_suspended = |from: f64, to: f64| {
         kept.0.seen.hops.iter().filter(|h| h.process < 2 && h.at > from && h.at < to).count()
     };
-    assert!(by_stopped(0.0, 2_400.0) > 0 && by_stopped(6_000.0, 11_000.0) > 0, "they send before and after");
-    assert_eq!(by_stopped(2_700.0, 5_400.0), 0, "they stand still");
-    let broken = lied("drill-stop", 1, |told| told.rules.drain_grace_ms = 60_000.0);
-    broken.breaks(Rule::Drain);
+    assert!(
+        attempts_by_suspended(0.0, 2_400.0) > 0 && attempts_by_suspended(6_000.0, 11_000.0) > 0,
+        "they send before and after the suspension"
+    );
+    assert_eq!(attempts_by_suspended(2_700.0, 5_400.0), 0, "they send nothing while suspended");
+    let broken =
+        run_with_settings_fault("drill-stop", 1, |settings| settings.rules.drain_grace_ms = 60_000.0);
+    broken.assert_violates(Rule::Drain);
 }
 
 #[test]
 fn invariants_hold_while_discovery_is_down_and_processes_die() {
-    let kept = drill("drill-list", 1);
-    kept.keeps_the_rules();
-    let told = |from: f64, to: f64| kept.0.seen.told.iter().filter(|t| t.at > from && t.at < to).count();
-    assert_eq!(told(1_600.0, 6_400.0), 0, "the list says nothing while it is down");
-    assert!(told(6_400.0, 11_000.0) > 0, "and is heard again");
+    let kept = run_embedded("drill-list", 1);
+    kept.assert_invariants_hold();
+    let notifications =
+        |from: f64, to: f64| kept.0.seen.told.iter().filter(|t| t.at > from && t.at < to).count();
+    assert_eq!(notifications(1_600.0, 6_400.0), 0, "discovery sends nothing while it is down");
+    assert!(notifications(6_400.0, 11_000.0) > 0, "discovery is not used after it is back");
     let lost = kept.0.seen.hops.iter().filter(|h| h.done == BackendResult::Lost).count();
-    assert!(lost > 0, "calls were lost with their boxes");
-    let broken = lied("drill-list", 1, once_told_as(RetrySafety::Idempotent));
-    broken.breaks(Rule::BarredRepeat);
+    assert!(lost > 0, "no attempt was lost with its server");
+    let broken = run_with_settings_fault("drill-list", 1, declare_non_idempotent_as(RetrySafety::Idempotent));
+    broken.assert_violates(Rule::BarredRepeat);
 }
 
 #[test]
 fn a_tenant_over_its_quota_does_not_take_capacity_from_others() {
-    let kept = drill("drill-flood", 1);
-    kept.keeps_the_rules();
-    // Without shares whoever asks most gets most.
-    let off = lied("drill-flood", 1, |told| {
-        told.tenants.iter_mut().for_each(|tenant| tenant.quota_per_s = 1e9);
+    let kept = run_embedded("drill-flood", 1);
+    kept.assert_invariants_hold();
+    // Without quotas the tenant that sends most gets most.
+    let off = run_with_settings_fault("drill-flood", 1, |settings| {
+        settings.tenants.iter_mut().for_each(|tenant| tenant.quota_per_s = 1e9);
     });
-    // The calls of the two that keep within their shares, and how many of them were served.
-    let others = |p: &harness::Played| {
-        let tries = || p.0.seen.tries.iter().filter(|t| t.tenant > 0 && !t.id.contains('.'));
-        let calls: std::collections::BTreeSet<_> = tries().map(|t| t.id.split('-').next()).collect();
-        100.0 * tries().filter(|t| t.ended == ClientResult::Served).count() as f64 / calls.len() as f64
+    // Percentage of requests served of the two tenants that keep within their quotas.
+    let others = |run: &ValidRun| {
+        let tries = || run.0.seen.tries.iter().filter(|t| t.tenant > 0 && !t.id.contains('.'));
+        let requests: std::collections::BTreeSet<_> = tries().map(|t| t.id.split('-').next()).collect();
+        100.0 * tries().filter(|t| t.ended == ClientResult::Served).count() as f64 / requests.len() as f64
     };
-    say("% served of the others' calls", others(&kept), others(&off));
-    assert!(others(&kept) > others(&off) + 5.0, "shares are of no use");
+    print_comparison("% served of the requests of the other tenants", others(&kept), others(&off));
+    assert!(others(&kept) > others(&off) + 5.0, "quotas have no effect");
 }
 
 #[test]
 fn a_load_burst_does_not_overload_servers() {
-    let kept = drill("drill-burst", 1);
-    kept.keeps_the_rules();
-    let off = lied("drill-burst", 1, without_gates);
-    say("service", service(&kept), service(&off));
-    assert_eq!(kept.0.tally.chokes, 0, "a box turned slow");
-    assert!(service(&off) < service(&kept) - 10.0, "gates are of no use");
+    let kept = run_embedded("drill-burst", 1);
+    kept.assert_invariants_hold();
+    let off = run_with_settings_fault("drill-burst", 1, disable_load_shedding);
+    print_comparison("service", service_percent(&kept), service_percent(&off));
+    assert_eq!(kept.0.tally.chokes, 0, "a server was overloaded");
+    assert!(service_percent(&off) < service_percent(&kept) - 10.0, "load shedding has no effect");
 }
 
 #[test]
 fn requests_have_at_most_six_attempts_while_servers_reject_them() {
-    let kept = drill("drill-full", 1);
-    kept.keeps_the_rules();
-    let away = kept.0.seen.hops.iter().filter(|h| h.done == BackendResult::TurnedAway).count();
-    assert!(away > 10, "ledgers turned {away} calls away");
-    let broken = lied("drill-full", 1, |told| told.permissions.max_attempts = 30);
-    broken.breaks(Rule::Attempts);
+    let kept = run_embedded("drill-full", 1);
+    kept.assert_invariants_hold();
+    let rejected = kept.0.seen.hops.iter().filter(|h| h.done == BackendResult::TurnedAway).count();
+    assert!(rejected > 10, "servers rejected only {rejected} attempts");
+    let broken = run_with_settings_fault("drill-full", 1, |settings| settings.permissions.max_attempts = 30);
+    broken.assert_violates(Rule::Attempts);
 }
 
 #[test]
 fn remaining_servers_are_not_overloaded_while_half_are_lost() {
-    let kept = drill("drill-half", 1);
-    kept.keeps_the_rules();
-    let course = |p: &harness::Played| ServiceCourse::of(&p.0.tally.seconds, 4.0, 8.0);
-    // Half is left for a load of 85 in 100.
-    let part = |course: ServiceCourse| course.during / (0.5 / 0.85);
+    let kept = run_embedded("drill-half", 1);
+    kept.assert_invariants_hold();
+    let course = |run: &ValidRun| ServiceCourse::of(&run.0.tally.seconds, 4.0, 8.0);
+    // Of a load of 85% of the capacity, the remaining half of the servers can serve 50 / 85.
+    let served_of_possible = |course: ServiceCourse| course.during / (0.5 / 0.85);
     let killed = kept.0.seen.lives.iter().filter(|l| l.what == ProcessEvent::Killed).count();
-    assert_eq!(killed, 3, "the proxies beside three boxes are gone with them");
-    let off = lied("drill-half", 1, without_gates);
-    say("% served of what is left to serve", 100.0 * part(course(&kept)), 100.0 * part(course(&off)));
-    assert_eq!(kept.0.tally.chokes, 0, "a box that is left turned slow");
-    assert!(part(course(&kept)) >= 0.75, "{:?}", course(&kept));
+    assert_eq!(killed, 3, "the proxies on the machines of three lost servers are killed too");
+    let off = run_with_settings_fault("drill-half", 1, disable_load_shedding);
+    print_comparison(
+        "% served of the remaining capacity",
+        100.0 * served_of_possible(course(&kept)),
+        100.0 * served_of_possible(course(&off)),
+    );
+    assert_eq!(kept.0.tally.chokes, 0, "a remaining server was overloaded");
+    assert!(served_of_possible(course(&kept)) >= 0.75, "{:?}", course(&kept));
     assert!(course(&kept).back_after.is_some_and(|after| after <= 8.0), "{:?}", course(&kept));
-    assert!(part(course(&off)) < part(course(&kept)) - 0.2, "gates are of no use: {:?}", course(&off));
+    assert!(
+        served_of_possible(course(&off)) < served_of_possible(course(&kept)) - 0.2,
+        "load shedding has no effect: {:?}",
+        course(&off)
+    );
 }
 
 #[test]
 fn processes_end_with_their_supervisor() {
     use hillstall_fault_injection::process_supervisor::{ProcessSupervisor, StartProcess, SupervisorEvent};
-    let (tell, news) = std::sync::mpsc::channel();
+    let (sender, events) = std::sync::mpsc::channel();
     let program = std::path::Path::new(env!("CARGO_BIN_EXE_hillstall"));
     let folder = tempfile::tempdir().expect("a folder");
-    let mut keeper = ProcessSupervisor::start(program, &["lab", "keeper"], move |news| {
-        let _ = tell.send(news);
+    let mut supervisor = ProcessSupervisor::start(program, &["lab", "keeper"], move |event| {
+        let _ = sender.send(event);
     })
     .expect("the process starts");
     let start = |number: usize, program: &str| StartProcess {
@@ -228,19 +252,20 @@
         environment: Vec::new(),
         log: folder.path().join("log"),
     };
-    keeper.run(start(0, "/bin/sleep")).expect("it hears");
-    keeper.run(start(1, "/nowhere/at/all")).expect("it hears");
-    let patience = harness::PATIENCE;
-    let Ok(SupervisorEvent::Started { number: 0, pid }) = news.recv_timeout(patience) else {
-        panic!("it runs")
+    supervisor.run(start(0, "/bin/sleep")).expect("the supervisor accepts the command");
+    supervisor.run(start(1, "/nowhere/at/all")).expect("the supervisor accepts the command");
+    let timeout = harness::EVENT_TIMEOUT;
+    let Ok(SupervisorEvent::Started { number: 0, pid }) = events.recv_timeout(timeout) else {
+        panic!("the program is not reported as started")
     };
     assert!(
-        matches!(news.recv_timeout(patience), Ok(SupervisorEvent::Failed { number: 1, .. })),
-        "an error is told"
+        matches!(events.recv_timeout(timeout), Ok(SupervisorEvent::Failed { number: 1, .. })),
+        "a program that can't be started is reported"
     );
-    let runs = || std::path::Path::new(&format!("/proc/{pid}")).exists();
-    assert!(runs());
-    // Its input closes, as it does when whoever started it is killed; it ends once its processes have.
-    drop(keeper);
-    assert!(!runs(), "process {pid} is left behind");
+    let is_running = || std::path::Path::new(&format!("/proc/{pid}")).exists();
+    assert!(is_running());
+    // Dropping closes the supervisor's standard input, as happens when its parent is killed. It ends after
+    // its processes.
+    drop(supervisor);
+    assert!(!is_running(), "process {pid} still runs");
 }
--- a/crates/hillstall/tests/fault_injection/soak.rs
+++ b/crates/hillstall/tests/fault_injection/soak.rs
@@ -1,34 +1,33 @@
-//! The soak of graceful shutdowns, on a few fixed seeds. `hillstall lab soak` plays more of them.
+//! The soak of graceful shutdowns with a few fixed seeds; `hillstall lab soak` runs any others.
 
-use crate::harness::soak;
+use crate::harness::run_soak;
 use hillstall_fault_injection::invariant_checker::{Rule, Verdict};
 use hillstall_fault_injection::soak::{SoakPlan, TERM_AT_MS};
 use std::thread;
 
-/// The seeds that CI plays.
+/// The seeds that are run.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=12;
-/// Seeds whose draws are examined without playing them.
+/// The seeds whose plans are checked without running them.
 const DRAWN_SEEDS: std::ops::RangeInclusive<u64> = 1..=300;
-/// A seed without a crowd, whose proxy has requests open when it is broken on purpose.
+/// A seed whose plan has no crowd of clients, and whose proxy has requests open when a test violates an
+/// invariant.
 const BROKEN_SEED: u64 = 4;
 
-/// What to say of a seed that did not pass.
+/// Runs a seed; returns a description of the failure, if it did not pass.
 fn failure(seed: u64) -> Option<String> {
-    let played = soak(seed, None);
-    match played.0.verdict {
+    let run = run_soak(seed, None);
+    match run.0.verdict {
         Verdict::Kept => None,
-        _ => {
-            Some(format!("hillstall lab soak --seed {seed}\n{:?}\n{}", SoakPlan::draw(seed), played.0.told()))
-        }
+        _ => Some(format!("hillstall lab soak --seed {seed}\n{:?}\n{}", SoakPlan::draw(seed), run.0.told())),
     }
 }
 
-// Guards against requests that lose their answer, or are forwarded, at the end of a process.
+// Guards against requests that get no response, or that are still forwarded, at the end of a process.
 #[test]
 fn clients_that_send_until_the_process_ends_lose_no_answer() {
     let runs: Vec<_> = SEEDS.map(|seed| thread::spawn(move || failure(seed))).collect();
     let failures: Vec<String> =
-        runs.into_iter().filter_map(|run| run.join().expect("it is played")).collect();
+        runs.into_iter().filter_map(|run| run.join().expect("the run is carried out")).collect();
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
@@ -43,21 +42,21 @@
 
 #[test]
 fn a_process_that_ends_before_its_requests_is_detected() {
-    let played = soak(
+    let run = run_soak(
         BROKEN_SEED,
         Some(|fleet| {
             Box::pin(async move {
                 tokio::time::sleep_until(fleet.history.instant(TERM_AT_MS + 60.0)).await;
-                fleet.strike(0).expect("the supervisor hears");
+                fleet.strike(0).expect("the supervisor accepts the command");
             })
         }),
     );
-    played.breaks(Rule::OneAnswer);
+    run.assert_violates(Rule::OneAnswer);
 }
 
 #[test]
 fn answers_that_are_dropped_at_the_end_are_detected() {
-    let played = soak(
+    let run = run_soak(
         BROKEN_SEED,
         Some(|fleet| {
             Box::pin(async move {
@@ -67,5 +66,5 @@
             })
         }),
     );
-    played.breaks(Rule::OneAnswer);
+    run.assert_violates(Rule::OneAnswer);
 }
--- a/crates/hillstall/tests/proxy/operations.rs
+++ b/crates/hillstall/tests/proxy/operations.rs
@@ -148,10 +148,7 @@
                                 Some(reply) => assert_eq!(reply.status(), 200),
                                 // The operating system may complete a handshake just as the listener is
                                 // closed.
-                                None => assert!(
-                                    dropped.fetch_add(1, Ordering::SeqCst) < 2,
-                                    "connections dropped unanswered"
-                                ),
+                                None => assert!(dropped.fetch_add(1, Ordering::SeqCst) < 2, "unanswered"),
                             }
                             n += 1;
                         }
@@ -163,10 +160,8 @@
             assert!(read_response(&kept).is_none(), "an idle connection is closed in order");
             assert!(proxy.wait().success());
             // Only after the end of the older process do all requests go to the newer one.
-            let answered_before = metric(admin, "svc_answered{group=\"read\"}");
-            wait_until("the newer one serves", || {
-                metric(admin, "svc_answered{group=\"read\"}") > answered_before
-            });
+            let before = metric(admin, "svc_answered{group=\"read\"}");
+            wait_until("the newer one serves", || metric(admin, "svc_answered{group=\"read\"}") > before);
             is_over.store(true, Ordering::SeqCst);
             clients.into_iter().for_each(|client| client.join().expect("it was served"));
             (newer, admin)
