--- a/crates/hillstall/tests/coordination/lease_holders.rs
+++ b/crates/hillstall/tests/coordination/lease_holders.rs
@@ -117,11 +117,11 @@
         ensure(second.1 > first.1, || "the token did not rise".into())?;
         // Log lines are written asynchronously, a little later.
         let end = Instant::now() + STEP_TIMEOUT;
-        let is_logged = |what: &str, token: u64| {
+        let is_logged = |event: &str, token: u64| {
             fleet
                 .acts()
                 .iter()
-                .any(|act| act.what == what && act.token == token && act.duty == COORDINATOR_LEASE)
+                .any(|act| act.what == event && act.token == token && act.duty == COORDINATOR_LEASE)
         };
         while !is_logged("holds", second.1) || !is_logged("lost", first.1) {
             ensure(Instant::now() < end, || "the audit lines of the handover are missing".into())?;
@@ -135,8 +135,8 @@
             .await?;
         Ok(())
     });
-    let time_of = |what: &str| {
-        let found = run.audit_lines.iter().rfind(|act| act.duty == COORDINATOR_LEASE && act.what == what);
+    let time_of = |event: &str| {
+        let found = run.audit_lines.iter().rfind(|act| act.duty == COORDINATOR_LEASE && act.what == event);
         found.map(|act| act.at).expect("an audit line")
     };
     let gap = time_of("holds") as i64 - time_of("lost") as i64;
--- a/crates/hillstall/tests/coordination/windows.rs
+++ b/crates/hillstall/tests/coordination/windows.rs
@@ -182,7 +182,7 @@
             .await?;
         let text = fleet.line(3, "INCIDENT OPEN major fleet ann a bad feeling").await.unwrap_or_default();
         ensure(text.starts_with("200"), || text.clone())?;
-        // The site that is shifting comes back, and neither window begins.
+        // The site that is shifting gets its traffic back, and neither window begins.
         let both_ended = |text: &str| {
             ["zone-1", "zone-2"].iter().all(|site| {
                 text.lines()
--- a/crates/hillstall/tests/fault_injection/main.rs
+++ b/crates/hillstall/tests/fault_injection/main.rs
@@ -42,28 +42,28 @@
 fn non_idempotent_requests_are_not_retried_when_responses_are_lost() {
     let samples = TransferSamples::default();
     let shared = samples.clone();
-    let kept = run_with_script("drill-one-way", 1, move |fleet| {
+    let normal = run_with_script("drill-one-way", 1, move |fleet| {
         sample_transfers(fleet, shared.clone(), [2.9, 3.1, 4.9], |ends| {
             matches!(ends, LinkEnds::Server { process: 0 | 1, .. })
         })
     });
-    kept.assert_invariants_hold();
+    normal.assert_invariants_hold();
     let samples = samples.borrow();
     assert!(samples[2].forth > samples[1].forth, "requests no longer reach the servers: {samples:?}");
     assert_eq!(samples[2].back, samples[1].back, "responses still come back");
-    let broken =
+    let violating =
         run_with_settings_fault("drill-one-way", 1, declare_non_idempotent_as(RetrySafety::IdempotencyKey));
-    broken.assert_violates(Rule::BarredRepeat);
+    violating.assert_violates(Rule::BarredRepeat);
 }
 
 #[test]
 fn restarted_servers_are_not_overloaded_by_all_proxies_together() {
-    let kept = run_embedded("drill-cold", 1);
-    kept.assert_invariants_hold();
-    assert_eq!(kept.0.seen.starts.len(), 3, "three servers were restarted");
+    let normal = run_embedded("drill-cold", 1);
+    normal.assert_invariants_hold();
+    assert_eq!(normal.0.seen.starts.len(), 3, "three servers were restarted");
     let attempts_after = |from: f64| {
-        let was_restarted = |server: usize| kept.0.seen.starts.iter().any(|s| s.server == server);
-        kept.0.seen.hops.iter().filter(|h| was_restarted(h.server) && h.at > from).count()
+        let was_restarted = |server: usize| normal.0.seen.starts.iter().any(|s| s.server == server);
+        normal.0.seen.hops.iter().filter(|h| was_restarted(h.server) && h.at > from).count()
     };
     assert!(attempts_after(4_500.0) > 20, "the restarted servers get too few requests");
     // The endpoint list gives each restarted server thirty times the weight of the others. Proxies without
@@ -72,7 +72,7 @@
         (settings.rules.warmup_ms, settings.fleet_size, settings.rank) = (0.0, 1, 0);
         disable_load_shedding(settings);
     });
-    let broken = run_with_options("drill-cold", 1, || Options {
+    let violating = run_with_options("drill-cold", 1, || Options {
         lie: Some(settings_fault.clone()),
         script: Some(Box::new(|fleet| Box::pin(async move { fleet.weight_again.set(30.0) }))),
         ..Options::default()
@@ -80,30 +80,30 @@
     let overshoot = |run: &ValidRun| invariant_checker::overshoot(&run.0.truth, &run.0.seen);
     print_comparison(
         "largest load on a server in slow start, of its capacity",
-        overshoot(&kept),
-        overshoot(&broken),
+        overshoot(&normal),
+        overshoot(&violating),
     );
-    broken.assert_violates(Rule::Cold);
+    violating.assert_violates(Rule::Cold);
 }
 
 #[test]
 fn a_draining_server_gets_no_new_requests_after_the_grace_period() {
-    let kept = run_embedded("drill-release", 1);
-    kept.assert_invariants_hold();
-    let drains = kept.0.seen.told.iter().filter(|t| t.status == BackendState::Draining).count();
+    let normal = run_embedded("drill-release", 1);
+    normal.assert_invariants_hold();
+    let drains = normal.0.seen.told.iter().filter(|t| t.status == BackendState::Draining).count();
     assert!(drains >= 2 * 4, "not all entry proxies got all draining states: {drains}");
-    let broken =
+    let violating =
         run_with_settings_fault("drill-release", 1, |settings| settings.rules.drain_grace_ms = 60_000.0);
-    broken.assert_violates(Rule::Drain);
+    violating.assert_violates(Rule::Drain);
 }
 
 #[test]
 fn service_recovers_after_five_of_seven_entry_proxies_are_killed_at_once() {
-    let kept = run_embedded("drill-kill", 1);
-    kept.assert_invariants_hold();
-    let killed = kept.0.seen.lives.iter().filter(|l| l.what == ProcessEvent::Killed).count();
+    let normal = run_embedded("drill-kill", 1);
+    normal.assert_invariants_hold();
+    let killed = normal.0.seen.lives.iter().filter(|l| l.what == ProcessEvent::Killed).count();
     assert_eq!(killed, 5, "five of seven entry proxies are killed");
-    let broken_attempts = kept.0.seen.tries.iter().filter(|t| t.ended == ClientResult::Broken).count();
+    let broken_attempts = normal.0.seen.tries.iter().filter(|t| t.ended == ClientResult::Broken).count();
     assert!(broken_attempts > 0, "no client connection broke");
     // In the last three seconds all proxies run again, without what they had learned before.
     let final_service = |run: &ValidRun| {
@@ -111,24 +111,28 @@
         let sum = |of: fn(&hillstall_simulation::sim::Second) -> f64| last.iter().map(of).sum::<f64>();
         100.0 * sum(|s| s.earned) / sum(|s| s.worth)
     };
-    assert!(final_service(&kept) > 85.0, "service is {:.1} after the restarts", final_service(&kept));
+    assert!(final_service(&normal) > 85.0, "service is {:.1} after the restarts", final_service(&normal));
     // A process that ends without a request to do so counts as crashed.
-    let broken = run_with_script("drill-kill", 1, |fleet| async move {
+    let violating = run_with_script("drill-kill", 1, |fleet| async move {
         wait_until_s(&fleet.history, 2.0).await;
         fleet.strike(6).expect("the supervisor accepts the command");
     });
-    broken.assert_violates(Rule::Crash);
+    violating.assert_violates(Rule::Crash);
 }
 
 #[test]
 fn graceful_restarts_of_an_overloaded_tier_lose_no_request() {
-    let kept = run_embedded("drill-roll", 1);
-    kept.assert_invariants_hold();
-    let ended = kept.0.seen.lives.iter().filter(|l| matches!(l.what, ProcessEvent::Ended(Some(0)))).count();
+    let normal = run_embedded("drill-roll", 1);
+    normal.assert_invariants_hold();
+    let ended = normal.0.seen.lives.iter().filter(|l| matches!(l.what, ProcessEvent::Ended(Some(0)))).count();
     assert_eq!(ended, 5, "all five entry proxies shut down gracefully");
-    assert!(kept.0.tally.refused > 0.02, "the tier is not overloaded: {:.3} rejected", kept.0.tally.refused);
+    assert!(
+        normal.0.tally.refused > 0.02,
+        "the tier is not overloaded: {:.3} rejected",
+        normal.0.tally.refused
+    );
     // A process that is killed instead of shut down gracefully loses the requests that it had accepted.
-    let broken = run_with_script("drill-roll", 1, |fleet| async move {
+    let violating = run_with_script("drill-roll", 1, |fleet| async move {
         wait_until_s(&fleet.history, 1.5).await;
         let at = fleet.history.now();
         fleet
@@ -136,48 +140,49 @@
             .note(|seen| seen.lives.push(ProcessLifetime { process: 4, at, what: ProcessEvent::Asked }));
         fleet.strike(4).expect("the supervisor accepts the command");
     });
-    broken.assert_violates(Rule::OneAnswer);
+    violating.assert_violates(Rule::OneAnswer);
 }
 
 #[test]
 fn suspended_proxies_resume_with_the_current_endpoint_list() {
-    let kept = run_embedded("drill-stop", 1);
-    kept.assert_invariants_hold();
-    let count = |what: ProcessEvent| kept.0.seen.lives.iter().filter(|l| l.what == what).count();
+    let normal = run_embedded("drill-stop", 1);
+    normal.assert_invariants_hold();
+    let count = |what: ProcessEvent| normal.0.seen.lives.iter().filter(|l| l.what == what).count();
     assert_eq!((count(ProcessEvent::Stopped), count(ProcessEvent::Went)), (2, 2));
     let attempts_by_suspended = |from: f64, to: f64| {
-        kept.0.seen.hops.iter().filter(|h| h.process < 2 && h.at > from && h.at < to).count()
+        normal.0.seen.hops.iter().filter(|h| h.process < 2 && h.at > from && h.at < to).count()
     };
     assert!(
         attempts_by_suspended(0.0, 2_400.0) > 0 && attempts_by_suspended(6_000.0, 11_000.0) > 0,
         "they send before and after the suspension"
     );
     assert_eq!(attempts_by_suspended(2_700.0, 5_400.0), 0, "they send nothing while suspended");
-    let broken =
+    let violating =
         run_with_settings_fault("drill-stop", 1, |settings| settings.rules.drain_grace_ms = 60_000.0);
-    broken.assert_violates(Rule::Drain);
+    violating.assert_violates(Rule::Drain);
 }
 
 #[test]
 fn invariants_hold_while_discovery_is_down_and_processes_die() {
-    let kept = run_embedded("drill-list", 1);
-    kept.assert_invariants_hold();
+    let normal = run_embedded("drill-list", 1);
+    normal.assert_invariants_hold();
     let notifications =
-        |from: f64, to: f64| kept.0.seen.told.iter().filter(|t| t.at > from && t.at < to).count();
+        |from: f64, to: f64| normal.0.seen.told.iter().filter(|t| t.at > from && t.at < to).count();
     assert_eq!(notifications(1_600.0, 6_400.0), 0, "discovery sends nothing while it is down");
     assert!(notifications(6_400.0, 11_000.0) > 0, "discovery is not used after it is back");
-    let lost = kept.0.seen.hops.iter().filter(|h| h.done == BackendResult::Lost).count();
+    let lost = normal.0.seen.hops.iter().filter(|h| h.done == BackendResult::Lost).count();
     assert!(lost > 0, "no attempt was lost with its server");
-    let broken = run_with_settings_fault("drill-list", 1, declare_non_idempotent_as(RetrySafety::Idempotent));
-    broken.assert_violates(Rule::BarredRepeat);
+    let violating =
+        run_with_settings_fault("drill-list", 1, declare_non_idempotent_as(RetrySafety::Idempotent));
+    violating.assert_violates(Rule::BarredRepeat);
 }
 
 #[test]
 fn a_tenant_over_its_quota_does_not_take_capacity_from_others() {
-    let kept = run_embedded("drill-flood", 1);
-    kept.assert_invariants_hold();
+    let normal = run_embedded("drill-flood", 1);
+    normal.assert_invariants_hold();
     // Without quotas the tenant that sends most gets most.
-    let off = run_with_settings_fault("drill-flood", 1, |settings| {
+    let without = run_with_settings_fault("drill-flood", 1, |settings| {
         settings.tenants.iter_mut().for_each(|tenant| tenant.quota_per_s = 1e9);
     });
     // Percentage of requests served of the two tenants that keep within their quotas.
@@ -186,52 +191,53 @@
         let requests: std::collections::BTreeSet<_> = tries().map(|t| t.id.split('-').next()).collect();
         100.0 * tries().filter(|t| t.ended == ClientResult::Served).count() as f64 / requests.len() as f64
     };
-    print_comparison("% served of the requests of the other tenants", others(&kept), others(&off));
-    assert!(others(&kept) > others(&off) + 5.0, "quotas have no effect");
+    print_comparison("% served of the requests of the other tenants", others(&normal), others(&without));
+    assert!(others(&normal) > others(&without) + 5.0, "quotas have no effect");
 }
 
 #[test]
 fn a_load_burst_does_not_overload_servers() {
-    let kept = run_embedded("drill-burst", 1);
-    kept.assert_invariants_hold();
-    let off = run_with_settings_fault("drill-burst", 1, disable_load_shedding);
-    print_comparison("service", service_percent(&kept), service_percent(&off));
-    assert_eq!(kept.0.tally.chokes, 0, "a server was overloaded");
-    assert!(service_percent(&off) < service_percent(&kept) - 10.0, "load shedding has no effect");
+    let normal = run_embedded("drill-burst", 1);
+    normal.assert_invariants_hold();
+    let without = run_with_settings_fault("drill-burst", 1, disable_load_shedding);
+    print_comparison("service", service_percent(&normal), service_percent(&without));
+    assert_eq!(normal.0.tally.chokes, 0, "a server was overloaded");
+    assert!(service_percent(&without) < service_percent(&normal) - 10.0, "load shedding has no effect");
 }
 
 #[test]
 fn requests_have_at_most_six_attempts_while_servers_reject_them() {
-    let kept = run_embedded("drill-full", 1);
-    kept.assert_invariants_hold();
-    let rejected = kept.0.seen.hops.iter().filter(|h| h.done == BackendResult::TurnedAway).count();
+    let normal = run_embedded("drill-full", 1);
+    normal.assert_invariants_hold();
+    let rejected = normal.0.seen.hops.iter().filter(|h| h.done == BackendResult::TurnedAway).count();
     assert!(rejected > 10, "servers rejected only {rejected} attempts");
-    let broken = run_with_settings_fault("drill-full", 1, |settings| settings.permissions.max_attempts = 30);
-    broken.assert_violates(Rule::Attempts);
+    let violating =
+        run_with_settings_fault("drill-full", 1, |settings| settings.permissions.max_attempts = 30);
+    violating.assert_violates(Rule::Attempts);
 }
 
 #[test]
 fn remaining_servers_are_not_overloaded_while_half_are_lost() {
-    let kept = run_embedded("drill-half", 1);
-    kept.assert_invariants_hold();
+    let normal = run_embedded("drill-half", 1);
+    normal.assert_invariants_hold();
     let course = |run: &ValidRun| ServiceCourse::of(&run.0.tally.seconds, 4.0, 8.0);
     // Of a load of 85% of the capacity, the remaining half of the servers can serve 50 / 85.
     let served_of_possible = |course: ServiceCourse| course.during / (0.5 / 0.85);
-    let killed = kept.0.seen.lives.iter().filter(|l| l.what == ProcessEvent::Killed).count();
+    let killed = normal.0.seen.lives.iter().filter(|l| l.what == ProcessEvent::Killed).count();
     assert_eq!(killed, 3, "the proxies on the machines of three lost servers are killed too");
-    let off = run_with_settings_fault("drill-half", 1, disable_load_shedding);
+    let without = run_with_settings_fault("drill-half", 1, disable_load_shedding);
     print_comparison(
         "% served of the remaining capacity",
-        100.0 * served_of_possible(course(&kept)),
-        100.0 * served_of_possible(course(&off)),
+        100.0 * served_of_possible(course(&normal)),
+        100.0 * served_of_possible(course(&without)),
     );
-    assert_eq!(kept.0.tally.chokes, 0, "a remaining server was overloaded");
-    assert!(served_of_possible(course(&kept)) >= 0.75, "{:?}", course(&kept));
-    assert!(course(&kept).back_after.is_some_and(|after| after <= 8.0), "{:?}", course(&kept));
+    assert_eq!(normal.0.tally.chokes, 0, "a remaining server was overloaded");
+    assert!(served_of_possible(course(&normal)) >= 0.75, "{:?}", course(&normal));
+    assert!(course(&normal).back_after.is_some_and(|after| after <= 8.0), "{:?}", course(&normal));
     assert!(
-        served_of_possible(course(&off)) < served_of_possible(course(&kept)) - 0.2,
+        served_of_possible(course(&without)) < served_of_possible(course(&normal)) - 0.2,
         "load shedding has no effect: {:?}",
-        course(&off)
+        course(&without)
     );
 }
 
--- a/crates/hillstall/tests/proxy/main.rs
+++ b/crates/hillstall/tests/proxy/main.rs
@@ -35,15 +35,19 @@
     for (class, body) in [("read", ""), ("keyed", "pay \0 load"), ("once", "x"), ("read", "")] {
         let reply = proxy.request(&build_request(class, "9b1f03aa5c7e2d41", 8_000, body));
         assert_eq!((reply.status(), &reply.body[..]), (200, &b"hello"[..]), "{class}");
-        let seen = backend.requests.lock().unwrap().last().expect("a request").clone();
+        let forwarded = backend.requests.lock().unwrap().last().expect("a request").clone();
         let method = if class == "read" { "GET" } else { "POST" };
-        assert!(seen.head.starts_with(&format!("{method} /api/7f3a?q=1 HTTP/1.1\r\n")), "{}", seen.head);
-        assert_eq!(seen.body, body.as_bytes());
-        assert_eq!(seen.header("request-id"), Some("9b1f03aa5c7e2d41"));
-        assert_eq!(seen.header("idempotency-key"), (class == "keyed").then_some("k1"));
-        let left: u64 =
-            seen.header("request-timeout-ms").expect("a time").parse().expect("whole milliseconds");
-        assert!((1..=8_000).contains(&left), "{left}");
+        assert!(
+            forwarded.head.starts_with(&format!("{method} /api/7f3a?q=1 HTTP/1.1\r\n")),
+            "{}",
+            forwarded.head
+        );
+        assert_eq!(forwarded.body, body.as_bytes());
+        assert_eq!(forwarded.header("request-id"), Some("9b1f03aa5c7e2d41"));
+        assert_eq!(forwarded.header("idempotency-key"), (class == "keyed").then_some("k1"));
+        let remaining_ms: u64 =
+            forwarded.header("request-timeout-ms").expect("a time").parse().expect("whole milliseconds");
+        assert!((1..=8_000).contains(&remaining_ms), "{remaining_ms}");
     }
     assert_eq!(backend.connections.load(Ordering::SeqCst), 1, "the backend connection is reused");
 }
@@ -62,9 +66,9 @@
 fn request_that_was_not_started_is_retried_at_another_backend() {
     let (listener, dead) = bind_free_port();
     drop(listener);
-    let unwilling = Backend::answering("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
-    let good = Backend::answering(OK);
-    let names = [("dead", dead), ("full", unwilling.address), ("good", good.address)];
+    let rejecting = Backend::answering("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
+    let healthy = Backend::answering(OK);
+    let names = [("dead", dead), ("full", rejecting.address), ("good", healthy.address)];
     let discovery =
         Discovery::start(Some(endpoint_list(5, true, &names.map(|(n, a)| endpoint(n, a, "ready")))));
     let proxy = Proxy::start(&platform_config(discovery.address, &endpoint_list(0, true, &[])));
@@ -72,7 +76,7 @@
     for n in 0..5 {
         assert_eq!(proxy.request(&build_request("once", &format!("c{n}"), 8_000, "x")).status(), 200);
     }
-    assert_eq!(good.request_count(), 5, "each request runs once");
+    assert_eq!(healthy.request_count(), 5, "each request runs once");
 }
 
 #[test]
@@ -204,7 +208,7 @@
         call("j2");
         second.request_count() > 0
     });
-    let seen = first.request_count();
+    let first_before = first.request_count();
     discovery.set_list(endpoint_list(9, true, &[endpoint("b1", third.address, "ready")]));
     discovery.send_to_watches("{\"index\":8,\"snapshot\":fal");
     wait_until("the watch is opened again", || discovery.requests.lock().unwrap().len() == 3);
@@ -214,11 +218,11 @@
         call("j3");
         third.request_count() > 0
     });
-    let old = second.request_count();
+    let second_before = second.request_count();
     (0..10).for_each(|_| call("j4"));
     assert_eq!(
         (first.request_count(), second.request_count()),
-        (seen, old),
+        (first_before, second_before),
         "no request goes to a former address"
     );
 }
@@ -250,27 +254,27 @@
     let line = format!("NODE_DISCOVERY={} exec \"$0\"", old.address);
     let mut proxy =
         Proxy::start_with_shell(&line, &platform_config(silent.address, &endpoint_list(0, true, &[])));
-    let call = |proxy: &Proxy| proxy.request(&build_request("read", "s1", 8_000, "")).status();
-    assert_eq!(call(&proxy), 200, "at the start the environment takes precedence");
+    let status = |proxy: &Proxy| proxy.request(&build_request("read", "s1", 8_000, "")).status();
+    assert_eq!(status(&proxy), 200, "at the start the environment takes precedence");
     proxy.reload("{ \"discovery\":");
     thread::sleep(Duration::from_millis(200));
-    assert_eq!((call(&proxy), proxy.is_running()), (200, true), "an invalid file changes nothing");
+    assert_eq!((status(&proxy), proxy.is_running()), (200, true), "an invalid file changes nothing");
     proxy.reload(&platform_config(silent.address, &endpoint_list(0, true, &[])));
     wait_until("the new address is asked for a snapshot", || !silent.requests.lock().unwrap().is_empty());
     assert_eq!(silent.requests.lock().unwrap()[0], "GET /discovery/hosts HTTP/1.1");
-    assert_eq!(call(&proxy), 200, "the old list is kept");
+    assert_eq!(status(&proxy), 200, "the old list is kept");
     assert_eq!(second.request_count(), 0);
     proxy.reload(&platform_config(new.address, &endpoint_list(0, true, &[])));
     wait_until("the new list is in use", || {
-        assert_eq!(call(&proxy), 200);
+        assert_eq!(status(&proxy), 200);
         second.request_count() > 0
     });
     wait_until("the watch begins at the index of the snapshot", || {
         new.requests.lock().unwrap().iter().any(|line| line.contains("stream=1&index=3"))
     });
-    let seen = first.request_count();
-    (0..10).for_each(|_| assert_eq!(call(&proxy), 200));
-    assert_eq!(first.request_count(), seen, "a backend that is not in the new list gets no requests");
+    let first_before = first.request_count();
+    (0..10).for_each(|_| assert_eq!(status(&proxy), 200));
+    assert_eq!(first.request_count(), first_before, "a backend that is not in the new list gets no requests");
 }
 
 #[test]
@@ -380,15 +384,15 @@
 
 #[test]
 fn start_failure_is_reported_in_one_line() {
-    let (taken, address) = bind_free_port();
-    let (free, other) = bind_free_port();
-    drop(free);
-    let good = platform_config(address, &endpoint_list(0, true, &[]));
+    let (taken_listener, address) = bind_free_port();
+    let (free_listener, free_address) = bind_free_port();
+    drop(free_listener);
+    let valid = platform_config(address, &endpoint_list(0, true, &[]));
     let cases = [
-        (good.clone(), address, "address"),
-        (good.replace("\"Aim\":2000", "\"Aim\":0"), other, "Classes[0].Aim"),
-        (good.replace("\"seed\":\"8c", "\"seed\":\"xx"), other, "seed"),
-        (good[..40].to_string(), other, "EOF"),
+        (valid.clone(), address, "address"),
+        (valid.replace("\"Aim\":2000", "\"Aim\":0"), free_address, "Classes[0].Aim"),
+        (valid.replace("\"seed\":\"8c", "\"seed\":\"xx"), free_address, "seed"),
+        (valid[..40].to_string(), free_address, "EOF"),
     ];
     for (config, listen, expected) in cases {
         let output = proxy_command("exec \"$0\"", &config, listen).0.output().expect("the program runs");
@@ -397,11 +401,13 @@
         assert_eq!(log.lines().count(), 1, "{log}");
         assert!(log.to_lowercase().contains(&expected.to_lowercase()), "{log}");
     }
-    let missing =
-        proxy_command("unset NODE_CONFIG; exec \"$0\"", &good, other).0.output().expect("the program runs");
+    let missing = proxy_command("unset NODE_CONFIG; exec \"$0\"", &valid, free_address)
+        .0
+        .output()
+        .expect("the program runs");
     assert!(!missing.status.success());
     assert_eq!(missing.stderr, b"hillstall: NODE_CONFIG is not set\n");
-    drop(taken);
+    drop(taken_listener);
 }
 
 #[test]
--- a/crates/hillstall/tests/proxy/operations.rs
+++ b/crates/hillstall/tests/proxy/operations.rs
@@ -46,12 +46,12 @@
 
 #[test]
 fn unusable_admin_address_is_named_in_the_error() {
-    let (taken, address) = bind_free_port();
-    let good = platform_config(address, &endpoint_list(0, true, &[]));
+    let (taken_listener, address) = bind_free_port();
+    let valid = platform_config(address, &endpoint_list(0, true, &[]));
     for (value, expected) in
         [("\"nowhere\"", "nowhere"), ("7", "string"), (&*format!("\"{address}\""), "use")]
     {
-        let config = good.replacen('{', &format!("{{\"admin_addr\":{value},"), 1);
+        let config = valid.replacen('{', &format!("{{\"admin_addr\":{value},"), 1);
         let output = proxy_command("exec \"$0\"", &config, "127.0.0.1:0".parse().unwrap())
             .0
             .output()
@@ -59,7 +59,7 @@
         let log = String::from_utf8(output.stderr).expect("text");
         assert!(!output.status.success() && log.contains("admin_addr") && log.contains(expected), "{log}");
     }
-    drop(taken);
+    drop(taken_listener);
 }
 
 #[test]
--- a/crates/hillstall/tests/proxy/streams.rs
+++ b/crates/hillstall/tests/proxy/streams.rs
@@ -183,8 +183,8 @@
     assert_eq!(read_response(&client).expect("an interim response").status(), 100);
     client.write_all(b"body").expect("the write succeeds");
     assert_eq!(read_response(&client).expect("a response").status(), 200);
-    let seen = backend.requests.lock().unwrap()[0].clone();
-    assert_eq!((&seen.body[..], seen.header("expect")), (&b"body"[..], None));
+    let forwarded = backend.requests.lock().unwrap()[0].clone();
+    assert_eq!((&forwarded.body[..], forwarded.header("expect")), (&b"body"[..], None));
 }
 
 #[test]
