--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -603,7 +603,7 @@
             let figures = ServerFigures {
                 number: all.len(),
                 zone: place.zone,
-                kind: hillstall_simulation::model::machine::Kind { speed: place.speed, ..of.kind },
+                kind: hillstall_simulation::model::machine::MachineSpec { speed: place.speed, ..of.kind },
                 part: of.part,
                 calls: of.calls,
             };
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -5,7 +5,7 @@
 use crate::http::{Message, OutgoingRequest, Wire};
 use crate::reserved_port::ReservedPort;
 use crate::tcp_proxy::{Callers, TcpProxy};
-use hillstall_simulation::model::machine::{Admission, Job, Kind, Machine};
+use hillstall_simulation::model::machine::{Admission, Job, Machine, MachineSpec};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io::Result;
@@ -55,7 +55,7 @@
     /// Its zone.
     pub zone: usize,
     /// Its machine.
-    pub kind: Kind,
+    pub kind: MachineSpec,
     /// Its tier's part of a request's work.
     pub part: f64,
     /// Requests to the next tier per request, on average.
@@ -220,13 +220,13 @@
     /// Hangs, or continues.
     pub fn hang(&self, hung: bool) {
         let now = self.history.now();
-        self.act(|machine, done| machine.hang(now, hung, done));
+        self.act(|machine, done| machine.set_hung(now, hung, done));
     }
 
     /// Slows down by a factor; 1 ends it.
     pub fn slow(&self, times: f64) {
         let now = self.history.now();
-        self.act(|machine, done| machine.slow(now, times, done));
+        self.act(|machine, done| machine.set_dependency_slowdown(now, times, done));
     }
 
     /// Changes the machine, and passes on the work it completed by that.
@@ -249,7 +249,7 @@
     /// Advances the machine with time.
     async fn work(self: Rc<Server>) {
         loop {
-            let due = self.machine.borrow().due();
+            let due = self.machine.borrow().next_change();
             tokio::select! {
                 () = async {
                     match due {
@@ -367,7 +367,7 @@
         let (tell, mut done) = oneshot::channel();
         self.waiters.borrow_mut().insert(job, tell);
         let now = self.history.now();
-        if self.act(|machine, ended| machine.offer(now, job, work, ended)) == Admission::Full {
+        if self.act(|machine, ended| machine.offer(now, job, work, ended)) == Admission::QueueFull {
             self.waiters.borrow_mut().remove(&job);
             return BackendResult::TurnedAway;
         }
--- a/crates/fault-injection/tests/referee.rs
+++ b/crates/fault-injection/tests/referee.rs
@@ -18,12 +18,12 @@
 fn truth() -> GroundTruth {
     let figures = setup::draw(&scenarios::find("drill-cut").expect("embedded"), 1);
     let cold = SlowStartModel {
-        able: 2.0,
-        from: 0.33,
-        warm_after: 4_000.0,
-        multiple: 3.0,
-        over: 2_000.0,
-        slack: 100.0,
+        warm_capacity: 2.0,
+        start_fraction: 0.33,
+        warmup_ms: 4_000.0,
+        overload_multiple: 3.0,
+        window_ms: 2_000.0,
+        tolerance: 100.0,
     };
     let server = |n: usize| Server { name: format!("s0-{n}"), tier: 0, cold };
     GroundTruth {
--- a/crates/simulation/src/model/machine.rs
+++ b/crates/simulation/src/model/machine.rs
@@ -24,22 +24,22 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choke {
     /// Queued requests per core from which on it counts as saturated.
-    pub at: f64,
+    pub queued_per_core: f64,
     /// How long it must be saturated.
-    pub over: Millis,
+    pub saturated_for: Millis,
     /// The slowdown factor.
-    pub slower: f64,
+    pub slowdown: f64,
     /// The part of its cores in use under which it is mostly idle.
-    pub below: f64,
+    pub idle_below: f64,
     /// How long it must be mostly idle to recover.
-    pub rest: Millis,
+    pub idle_for: Millis,
     /// After this time it recovers in any case.
-    pub most: Millis,
+    pub max_duration: Millis,
 }
 
 /// What a machine can do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Kind {
+pub struct MachineSpec {
     /// Cores.
     pub cores: usize,
     /// Core milliseconds of work that one core does in a millisecond.
@@ -47,15 +47,15 @@
     /// Slots: requests in progress, those waiting for another tier included.
     pub slots: usize,
     /// Queue length; further requests are rejected.
-    pub room: usize,
+    pub queue_capacity: usize,
     /// Requests per core from which on all run slower by `thrash_to`.
-    pub thrash_at: f64,
+    pub thrash_per_core: f64,
     /// The part of its speed that is left then.
-    pub thrash_to: f64,
+    pub thrash_fraction: f64,
     /// The part of its speed right after a start.
-    pub cold_from: f64,
+    pub warmup_start_fraction: f64,
     /// Duration of the slow start.
-    pub cold: Millis,
+    pub warmup: Millis,
     /// The slowdown that outlasts its cause, where there is one.
     pub choke: Option<Choke>,
 }
@@ -64,56 +64,56 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It is in a slot or in the queue.
-    Yes,
+    Accepted,
     /// The queue is full; it never ran.
-    Full,
+    QueueFull,
 }
 
 struct Running {
     job: Job,
-    left: f64,
+    work_left: f64,
 }
 
 /// A model of a machine.
 pub struct Machine {
-    kind: Kind,
+    kind: MachineSpec,
     running: Vec<Running>,
     ready: VecDeque<(Job, f64)>,
     waiting: VecDeque<(Job, f64)>,
-    held: usize,
-    at: Millis,
-    started: Millis,
+    slots_in_use: usize,
+    advanced_to: Millis,
+    started_at: Millis,
     up: bool,
     hung: bool,
-    slow: f64,
-    busy: f64,
-    crowded_since: Option<Millis>,
+    dependency_slowdown: f64,
+    utilization: f64,
+    saturated_since: Option<Millis>,
     choked_since: Option<Millis>,
-    quiet_since: Option<Millis>,
+    idle_since: Option<Millis>,
     chokes: u32,
-    worked: f64,
+    work_done: f64,
 }
 
 impl Machine {
     /// A machine at full speed without work.
-    pub fn new(kind: Kind) -> Machine {
+    pub fn new(kind: MachineSpec) -> Machine {
         Machine {
             kind,
             running: Vec::with_capacity(kind.cores),
             ready: VecDeque::new(),
             waiting: VecDeque::new(),
-            held: 0,
-            at: 0.0,
-            started: f64::MIN,
+            slots_in_use: 0,
+            advanced_to: 0.0,
+            started_at: f64::MIN,
             up: true,
             hung: false,
-            slow: 1.0,
-            busy: 0.0,
-            crowded_since: None,
+            dependency_slowdown: 1.0,
+            utilization: 0.0,
+            saturated_since: None,
             choked_since: None,
-            quiet_since: None,
+            idle_since: None,
             chokes: 0,
-            worked: 0.0,
+            work_done: 0.0,
         }
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Whether its process runs and does not hang.
-    pub fn works(&self) -> bool {
+    pub fn is_responsive(&self) -> bool {
         self.up && !self.hung
     }
 
@@ -138,13 +138,13 @@
     }
 
     /// Core milliseconds of work done, at speed 1.
-    pub fn worked(&self) -> f64 {
-        self.worked
+    pub fn work_done(&self) -> f64 {
+        self.work_done
     }
 
     /// Requests in slots and in the queue.
-    pub fn holds(&self) -> usize {
-        self.held + self.waiting.len()
+    pub fn requests(&self) -> usize {
+        self.slots_in_use + self.waiting.len()
     }
 
     /// Its capacity now, in core milliseconds per millisecond.
@@ -152,24 +152,25 @@
         self.kind.cores as f64 * self.speed(now)
     }
 
-    fn warmth(&self, now: Millis) -> f64 {
-        let passed = now - self.started;
-        if passed >= self.kind.cold {
+    fn warmup_fraction(&self, now: Millis) -> f64 {
+        let passed = now - self.started_at;
+        if passed >= self.kind.warmup {
             return 1.0;
         }
-        self.kind.cold_from + (1.0 - self.kind.cold_from) * (passed / self.kind.cold).max(0.0)
+        self.kind.warmup_start_fraction
+            + (1.0 - self.kind.warmup_start_fraction) * (passed / self.kind.warmup).max(0.0)
     }
 
     fn speed(&self, now: Millis) -> f64 {
         if !self.up || self.hung {
             return 0.0;
         }
-        let mut speed = self.kind.speed * self.warmth(now) / self.slow;
-        if self.holds() as f64 > self.kind.thrash_at * self.kind.cores as f64 {
-            speed *= self.kind.thrash_to;
+        let mut speed = self.kind.speed * self.warmup_fraction(now) / self.dependency_slowdown;
+        if self.requests() as f64 > self.kind.thrash_per_core * self.kind.cores as f64 {
+            speed *= self.kind.thrash_fraction;
         }
         if let (Some(choke), true) = (self.kind.choke, self.is_choked()) {
-            speed /= choke.slower;
+            speed /= choke.slowdown;
         }
         speed
     }
@@ -177,31 +178,31 @@
     /// Accepts a request whose first phase has an amount of work, or rejects it.
     pub fn offer(&mut self, now: Millis, job: Job, work: f64, done: &mut Vec<Job>) -> Admission {
         self.advance(now, done);
-        if self.held >= self.kind.slots && self.waiting.len() >= self.kind.room {
-            return Admission::Full;
+        if self.slots_in_use >= self.kind.slots && self.waiting.len() >= self.kind.queue_capacity {
+            return Admission::QueueFull;
         }
-        if self.held < self.kind.slots {
-            self.held += 1;
+        if self.slots_in_use < self.kind.slots {
+            self.slots_in_use += 1;
             self.ready.push_back((job, work));
         } else {
             self.waiting.push_back((job, work));
         }
-        self.fill(now);
-        Admission::Yes
+        self.assign_free_slots_and_cores(now);
+        Admission::Accepted
     }
 
     /// Gives more work to a request that kept its slot while it waited for another tier.
     pub fn resume(&mut self, now: Millis, job: Job, work: f64, done: &mut Vec<Job>) {
         self.advance(now, done);
         self.ready.push_back((job, work));
-        self.fill(now);
+        self.assign_free_slots_and_cores(now);
     }
 
     /// Ends a request: its slot is free for the next in the queue.
     pub fn release(&mut self, now: Millis, done: &mut Vec<Job>) {
         self.advance(now, done);
-        self.held = self.held.saturating_sub(1);
-        self.fill(now);
+        self.slots_in_use = self.slots_in_use.saturating_sub(1);
+        self.assign_free_slots_and_cores(now);
     }
 
     /// Drops a request that waits for a slot or a core; `false` if it runs, and goes on.
@@ -209,13 +210,13 @@
         self.advance(now, done);
         if let Some(place) = self.waiting.iter().position(|(j, _)| *j == job) {
             self.waiting.remove(place);
-            self.fill(now);
+            self.assign_free_slots_and_cores(now);
             return true;
         }
         if let Some(place) = self.ready.iter().position(|(j, _)| *j == job) {
             self.ready.remove(place);
-            self.held = self.held.saturating_sub(1);
-            self.fill(now);
+            self.slots_in_use = self.slots_in_use.saturating_sub(1);
+            self.assign_free_slots_and_cores(now);
             return true;
         }
         false
@@ -228,41 +229,41 @@
         self.running.clear();
         self.ready.clear();
         self.waiting.clear();
-        self.held = 0;
-        (self.crowded_since, self.choked_since, self.quiet_since) = (None, None, None);
+        self.slots_in_use = 0;
+        (self.saturated_since, self.choked_since, self.idle_since) = (None, None, None);
     }
 
     /// Starts the process, in slow start.
     pub fn start(&mut self, now: Millis) {
-        self.at = now;
-        self.started = now;
+        self.advanced_to = now;
+        self.started_at = now;
         self.up = true;
         self.hung = false;
     }
 
     /// Hangs, or continues from where it was.
-    pub fn hang(&mut self, now: Millis, hung: bool, done: &mut Vec<Job>) {
+    pub fn set_hung(&mut self, now: Millis, hung: bool, done: &mut Vec<Job>) {
         self.advance(now, done);
         self.hung = hung;
     }
 
     /// Slows down by a factor, as a dependency does; 1 ends it.
-    pub fn slow(&mut self, now: Millis, times: f64, done: &mut Vec<Job>) {
+    pub fn set_dependency_slowdown(&mut self, now: Millis, times: f64, done: &mut Vec<Job>) {
         self.advance(now, done);
-        self.slow = times;
+        self.dependency_slowdown = times;
     }
 
     /// Works up to `now`, and appends the requests whose phase ended, in the order of their ends.
     pub fn advance(&mut self, now: Millis, done: &mut Vec<Job>) {
-        while self.at < now {
+        while self.advanced_to < now {
             let step = self.step_end().min(now);
             self.work_until(step, done);
         }
-        self.fill(now);
+        self.assign_free_slots_and_cores(now);
     }
 
     /// When its state changes next without input: work ends, or its speed changes.
-    pub fn due(&self) -> Option<Millis> {
+    pub fn next_change(&self) -> Option<Millis> {
         let end = self.step_end();
         (end < f64::MAX).then_some(end)
     }
@@ -271,16 +272,18 @@
         if !self.up || self.hung {
             return f64::MAX;
         }
-        let speed = self.speed(self.at);
-        let least = self.running.iter().map(|r| r.left).fold(f64::MAX, f64::min);
-        let mut end = if least < f64::MAX { self.at + least / speed } else { f64::MAX };
-        if self.at - self.started < self.kind.cold && !self.running.is_empty() {
-            end = end.min(self.at + WARM_STEP);
+        let speed = self.speed(self.advanced_to);
+        let least = self.running.iter().map(|r| r.work_left).fold(f64::MAX, f64::min);
+        let mut end = if least < f64::MAX { self.advanced_to + least / speed } else { f64::MAX };
+        if self.advanced_to - self.started_at < self.kind.warmup && !self.running.is_empty() {
+            end = end.min(self.advanced_to + WARM_STEP);
         }
         if let Some(choke) = self.kind.choke {
-            end = match (self.is_choked(), self.crowded_since) {
-                (true, _) => end.min(self.at + CHOKE_STEP),
-                (false, Some(since)) => end.min((since + choke.over).max(self.at + NOTHING)),
+            end = match (self.is_choked(), self.saturated_since) {
+                (true, _) => end.min(self.advanced_to + CHOKE_STEP),
+                (false, Some(since)) => {
+                    end.min((since + choke.saturated_for).max(self.advanced_to + NOTHING))
+                }
                 (false, None) => end,
             };
         }
@@ -288,65 +291,65 @@
     }
 
     fn work_until(&mut self, until: Millis, done: &mut Vec<Job>) {
-        let speed = self.speed(self.at);
-        let passed = until - self.at;
+        let speed = self.speed(self.advanced_to);
+        let passed = until - self.advanced_to;
         let share = self.running.len() as f64 / self.kind.cores as f64;
-        self.busy = share + (self.busy - share) * (-passed / BUSY_OVER).exp();
-        self.worked += speed * passed * self.running.len() as f64;
+        self.utilization = share + (self.utilization - share) * (-passed / BUSY_OVER).exp();
+        self.work_done += speed * passed * self.running.len() as f64;
         for running in &mut self.running {
-            running.left -= speed * passed;
+            running.work_left -= speed * passed;
         }
-        self.at = until;
+        self.advanced_to = until;
         // In the order of their start, so that equal ends have an order of their own.
         self.running.retain(|r| {
-            let over = r.left <= NOTHING;
+            let over = r.work_left <= NOTHING;
             if over {
                 done.push(r.job);
             }
             !over
         });
-        self.fill(until);
-        self.judge(until);
+        self.assign_free_slots_and_cores(until);
+        self.update_choke(until);
     }
 
     /// Free slots and cores go to those that wait longest.
-    fn fill(&mut self, now: Millis) {
+    fn assign_free_slots_and_cores(&mut self, now: Millis) {
         if !self.up {
             return;
         }
-        self.at = self.at.max(now);
-        while self.held < self.kind.slots {
+        self.advanced_to = self.advanced_to.max(now);
+        while self.slots_in_use < self.kind.slots {
             let Some(next) = self.waiting.pop_front() else { break };
-            self.held += 1;
+            self.slots_in_use += 1;
             self.ready.push_back(next);
         }
         while self.running.len() < self.kind.cores {
             let Some((job, left)) = self.ready.pop_front() else { break };
-            self.running.push(Running { job, left: left.max(0.0) });
+            self.running.push(Running { job, work_left: left.max(0.0) });
         }
         if let Some(choke) = self.kind.choke {
             let waiting = (self.ready.len() + self.waiting.len()) as f64;
-            let crowded = waiting >= choke.at * self.kind.cores as f64;
-            self.crowded_since = crowded.then(|| self.crowded_since.unwrap_or(now));
+            let crowded = waiting >= choke.queued_per_core * self.kind.cores as f64;
+            self.saturated_since = crowded.then(|| self.saturated_since.unwrap_or(now));
         }
     }
 
-    fn judge(&mut self, now: Millis) {
+    fn update_choke(&mut self, now: Millis) {
         let Some(choke) = self.kind.choke else { return };
         match self.choked_since {
-            None if self.crowded_since.is_some_and(|since| now - since >= choke.over) => {
+            None if self.saturated_since.is_some_and(|since| now - since >= choke.saturated_for) => {
                 self.choked_since = Some(now);
-                self.quiet_since = None;
+                self.idle_since = None;
                 self.chokes += 1;
             }
             None => {}
             Some(since) => {
-                let quiet = self.busy < choke.below;
-                self.quiet_since = quiet.then(|| self.quiet_since.unwrap_or(now));
-                let rested = self.quiet_since.is_some_and(|quiet| now - quiet >= choke.rest);
-                if rested || now - since >= choke.most {
+                let quiet = self.utilization < choke.idle_below;
+                self.idle_since = quiet.then(|| self.idle_since.unwrap_or(now));
+                let rested = self.idle_since.is_some_and(|quiet| now - quiet >= choke.idle_for);
+                if rested || now - since >= choke.max_duration {
                     self.choked_since = None;
-                    self.crowded_since = None;
+                    self.saturated_since = None;
                 }
             }
         }
--- a/crates/simulation/src/model/slow_start.rs
+++ b/crates/simulation/src/model/slow_start.rs
@@ -5,25 +5,28 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartModel {
     /// Capacity after the slow start, in core milliseconds per millisecond.
-    pub able: f64,
+    pub warm_capacity: f64,
     /// The part of that at its start.
-    pub from: f64,
+    pub start_fraction: f64,
     /// Duration of the slow start, in milliseconds.
-    pub warm_after: f64,
+    pub warmup_ms: f64,
     /// The multiple of its capacity that it bears ...
-    pub multiple: f64,
+    pub overload_multiple: f64,
     /// ... over this window, in milliseconds.
-    pub over: f64,
+    pub window_ms: f64,
     /// Tolerance beyond that, in core milliseconds: a request's work is not known when it is sent.
-    pub slack: f64,
+    pub tolerance: f64,
 }
 
 impl SlowStartModel {
     /// Its capacity from its start to a time after it, in core milliseconds.
-    fn done_by(&self, after: f64) -> f64 {
-        let warm = self.warm_after.max(1e-9);
+    fn work_done_by(&self, after: f64) -> f64 {
+        let warm = self.warmup_ms.max(1e-9);
         let t = after.clamp(0.0, warm);
-        self.able * (self.from * t + (1.0 - self.from) * t * t / (2.0 * warm) + (after - warm).max(0.0))
+        self.warm_capacity
+            * (self.start_fraction * t
+                + (1.0 - self.start_fraction) * t * t / (2.0 * warm)
+                + (after - warm).max(0.0))
     }
 
     /// The largest load over what it bears, and when that was; above 1 it falls over. `sent`: the times
@@ -31,17 +34,19 @@
     pub fn overshoot(&self, sent: &[(f64, f64)]) -> (f64, f64) {
         let (mut worst, mut when, mut first, mut sum) = (0.0, 0.0, 0, 0.0);
         for (at, work) in sent {
-            if *at > self.warm_after {
+            if *at > self.warmup_ms {
                 break;
             }
             sum += work;
-            while sent[first].0 < at - self.over {
+            while sent[first].0 < at - self.window_ms {
                 sum -= sent[first].1;
                 first += 1;
             }
             // A whole stretch from the first of them on: a burst right after the start has the rest of it.
-            let begin = (at - self.over).max(0.0);
-            let bears = self.multiple * (self.done_by(begin + self.over) - self.done_by(begin)) + self.slack;
+            let begin = (at - self.window_ms).max(0.0);
+            let bears = self.overload_multiple
+                * (self.work_done_by(begin + self.window_ms) - self.work_done_by(begin))
+                + self.tolerance;
             if sum / bears > worst {
                 (worst, when) = (sum / bears, *at);
             }
@@ -55,12 +60,12 @@
     use super::SlowStartModel;
 
     const START: SlowStartModel = SlowStartModel {
-        able: 2.0,
-        from: 0.5,
-        warm_after: 8_000.0,
-        multiple: 3.0,
-        over: 2_000.0,
-        slack: 0.0,
+        warm_capacity: 2.0,
+        start_fraction: 0.5,
+        warmup_ms: 8_000.0,
+        overload_multiple: 3.0,
+        window_ms: 2_000.0,
+        tolerance: 0.0,
     };
 
     #[test]
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,7 +1,7 @@
 //! A scenario as a TOML file: tiers, load, clients, discovery, and failures with their times. Any time or number may
 //! be a range `[low, high]`, of which each seed draws one value. Errors name the line of an unknown key or bad value.
 
-use crate::model::machine::{Choke, Kind};
+use crate::model::machine::{Choke, MachineSpec};
 use crate::model::work::Shape;
 use crate::random::part;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -169,26 +169,26 @@
 
 impl Tier {
     /// One machine's figures, and how many there are.
-    pub fn draw(&self, rng: &mut Xoshiro256PlusPlus) -> (usize, Kind) {
+    pub fn draw(&self, rng: &mut Xoshiro256PlusPlus) -> (usize, MachineSpec) {
         let servers = self.servers.draw(rng).round().max(1.0) as usize;
         let cores = self.cores.draw(rng).round().max(1.0);
         let choke = self.choke.map(|c| Choke {
-            at: c.at.draw(rng),
-            over: c.over.0.draw(rng),
-            slower: c.slower.draw(rng).max(1.0),
-            below: c.below.draw(rng),
-            rest: c.rest.0.draw(rng),
-            most: c.most.0.draw(rng),
+            queued_per_core: c.at.draw(rng),
+            saturated_for: c.over.0.draw(rng),
+            slowdown: c.slower.draw(rng).max(1.0),
+            idle_below: c.below.draw(rng),
+            idle_for: c.rest.0.draw(rng),
+            max_duration: c.most.0.draw(rng),
         });
-        let kind = Kind {
+        let kind = MachineSpec {
             cores: cores as usize,
             speed: self.speed.draw(rng).max(1e-3),
             slots: (self.slots_per_core.draw(rng) * cores).round().max(1.0) as usize,
-            room: (self.room_per_core.draw(rng) * cores).round() as usize,
-            thrash_at: self.thrash_at.draw(rng),
-            thrash_to: self.thrash_to.draw(rng).clamp(1e-3, 1.0),
-            cold_from: self.cold_from.draw(rng).clamp(1e-3, 1.0),
-            cold: self.cold.0.draw(rng),
+            queue_capacity: (self.room_per_core.draw(rng) * cores).round() as usize,
+            thrash_per_core: self.thrash_at.draw(rng),
+            thrash_fraction: self.thrash_to.draw(rng).clamp(1e-3, 1.0),
+            warmup_start_fraction: self.cold_from.draw(rng).clamp(1e-3, 1.0),
+            warmup: self.cold.0.draw(rng),
             choke,
         };
         (servers, kind)
--- a/crates/simulation/src/sim/attempts.rs
+++ b/crates/simulation/src/sim/attempts.rs
@@ -63,7 +63,7 @@
         let h = &self.hosts[host];
         let able = h.machine.capacity(self.now);
         match able > 0.0 && !h.lost {
-            true => (h.machine.holds() + 1) as f64 / able,
+            true => (h.machine.requests() + 1) as f64 / able,
             false => f64::MAX,
         }
     }
@@ -89,7 +89,7 @@
         }
         let host = &self.hosts[machine];
         let started = host.started_at.map(|at| (at, self.now - at));
-        let failing = host.lost || !host.machine.works();
+        let failing = host.lost || !host.machine.is_responsive();
         self.side_effects.on_sent(
             (proxy, machine),
             failing,
@@ -155,8 +155,8 @@
             return self.queue.put(self.now + way, SimEvent::Back { attempt, outcome });
         }
         match host.machine.offer(self.now, attempt as u64, work, &mut self.done) {
-            Admission::Yes => self.attempts[attempt].on_machine = true,
-            Admission::Full => {
+            Admission::Accepted => self.attempts[attempt].on_machine = true,
+            Admission::QueueFull => {
                 let outcome = Outcome::Rejected;
                 self.queue.put(self.now + way, SimEvent::Back { attempt, outcome });
             }
@@ -174,7 +174,7 @@
         let host = &mut self.hosts[machine];
         host.stamp += 1;
         let stamp = host.stamp;
-        if let Some(due) = host.machine.due() {
+        if let Some(due) = host.machine.next_change() {
             self.queue.put(due.max(self.now), SimEvent::Due { machine, stamp });
         }
     }
--- a/crates/simulation/src/sim/failures.rs
+++ b/crates/simulation/src/sim/failures.rs
@@ -40,13 +40,13 @@
                 // A shared dependency: the whole tier, whatever part is given.
                 for machine in self.meant(index, 1.0) {
                     let times = if begins { times.max(1e-3) } else { 1.0 };
-                    self.hosts[machine].machine.slow(self.now, times, &mut self.done);
+                    self.hosts[machine].machine.set_dependency_slowdown(self.now, times, &mut self.done);
                     self.worked(machine);
                 }
             }
             FailureKind::Hang => {
                 for machine in self.meant(index, part) {
-                    self.hosts[machine].machine.hang(self.now, begins, &mut self.done);
+                    self.hosts[machine].machine.set_hung(self.now, begins, &mut self.done);
                     self.worked(machine);
                 }
             }
--- a/crates/simulation/src/sim/mod.rs
+++ b/crates/simulation/src/sim/mod.rs
@@ -16,7 +16,7 @@
 pub use accounting::{RunSummary, Second};
 pub use recorded_day::DayError;
 
-use crate::model::machine::{Job, Kind, Machine};
+use crate::model::machine::{Job, Machine, MachineSpec};
 use crate::policy::{Policy, PolicyName};
 use crate::scenario::Scenario;
 use arrivals::{Arrival, Arrivals};
@@ -224,7 +224,7 @@
             let first = self.hosts.len();
             for (n, place) in of.places.iter().enumerate() {
                 self.hosts.push(Host {
-                    machine: Machine::new(Kind { speed: place.speed, ..of.kind }),
+                    machine: Machine::new(MachineSpec { speed: place.speed, ..of.kind }),
                     tier,
                     place: n,
                     zone: place.zone,
@@ -358,7 +358,7 @@
             return;
         }
         self.sampled_at = self.now;
-        let failing = self.hosts.iter().filter(|h| h.lost || !h.machine.works()).count();
+        let failing = self.hosts.iter().filter(|h| h.lost || !h.machine.is_responsive()).count();
         self.side_effects.failing(failing as f64 * SAMPLE_INTERVAL_MS);
         let whole = self.figures.tiers[0].able();
         let hosts = || self.tiers[0].iter().map(|h| &self.hosts[*h]).filter(|h| !h.lost);
--- a/crates/simulation/src/sim/recorded_day.rs
+++ b/crates/simulation/src/sim/recorded_day.rs
@@ -4,7 +4,7 @@
 use super::setup::{
     DrawnBackend, DrawnClass, DrawnFailure, DrawnScenario, DrawnTenant, DrawnTier, LinkFault,
 };
-use crate::model::machine::{Choke, Kind};
+use crate::model::machine::{Choke, MachineSpec};
 use crate::model::work::Shape;
 use crate::scenario::{ClassRetrySafety, FailureKind};
 use serde::Deserialize;
@@ -272,23 +272,23 @@
     Ok((figures, unknown))
 }
 
-fn machine(kind: &MachineKind, choke: Option<&Choking>) -> Kind {
-    Kind {
+fn machine(kind: &MachineKind, choke: Option<&Choking>) -> MachineSpec {
+    MachineSpec {
         cores: kind.cores.max(1),
         speed: 1.0,
         slots: kind.slots.max(1),
-        room: kind.queue,
-        thrash_at: kind.knee / kind.cores.max(1) as f64,
-        thrash_to: (1.0 - kind.thrash).clamp(1e-3, 1.0),
-        cold_from: kind.cold_from.clamp(1e-3, 1.0),
-        cold: ms(kind.cold),
+        queue_capacity: kind.queue,
+        thrash_per_core: kind.knee / kind.cores.max(1) as f64,
+        thrash_fraction: (1.0 - kind.thrash).clamp(1e-3, 1.0),
+        warmup_start_fraction: kind.cold_from.clamp(1e-3, 1.0),
+        warmup: ms(kind.cold),
         choke: choke.map(|c| Choke {
-            at: c.at,
-            over: ms(c.over),
-            slower: c.slower,
-            below: c.below,
-            rest: ms(c.rest),
-            most: ms(c.most),
+            queued_per_core: c.at,
+            saturated_for: ms(c.over),
+            slowdown: c.slower,
+            idle_below: c.below,
+            idle_for: ms(c.rest),
+            max_duration: ms(c.most),
         }),
     }
 }
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -1,7 +1,7 @@
 //! Draws the parameters of one run from a scenario and a seed, and makes the settings of each proxy.
 
 use super::accounting::TenantQuotas;
-use crate::model::machine::Kind;
+use crate::model::machine::MachineSpec;
 use crate::model::work::Shape;
 use crate::scenario::{ClassRetrySafety, CutMode, FailureKind, LinkKind, Scenario};
 use hillstall_decision::{
@@ -84,7 +84,7 @@
     /// Its machines.
     pub places: Vec<DrawnBackend>,
     /// What each of them can do.
-    pub kind: Kind,
+    pub kind: MachineSpec,
     /// A part: of the work of a request, or of the machines.
     pub part: f64,
     /// Requests to the next tier per request, on average.
@@ -405,8 +405,8 @@
                 response_grace_ms: 100.0,
                 drain_grace_ms: 2_000.0,
                 poll_interval_ms: 5_000.0,
-                warmup_start_fraction: kind.cold_from,
-                warmup_ms: kind.cold,
+                warmup_start_fraction: kind.warmup_start_fraction,
+                warmup_ms: kind.warmup,
                 overload_multiple: 3.0,
                 overload_window_ms: 2_000.0,
             },
--- a/crates/simulation/src/sim/side_effects.rs
+++ b/crates/simulation/src/sim/side_effects.rs
@@ -156,12 +156,12 @@
     pub fn cold_start(&self, tier: usize, place: usize) -> SlowStartModel {
         let (of, rules) = (&self.tiers[tier], self.settings(tier, 0, 1, 0).rules);
         SlowStartModel {
-            able: of.places[place].speed * of.kind.cores as f64,
-            from: of.kind.cold_from,
-            warm_after: of.kind.cold,
-            multiple: rules.overload_multiple,
-            over: rules.overload_window_ms,
-            slack: SLACK_REQUESTS * self.work_at(tier),
+            warm_capacity: of.places[place].speed * of.kind.cores as f64,
+            start_fraction: of.kind.warmup_start_fraction,
+            warmup_ms: of.kind.warmup,
+            overload_multiple: rules.overload_multiple,
+            window_ms: rules.overload_window_ms,
+            tolerance: SLACK_REQUESTS * self.work_at(tier),
         }
     }
 
--- a/crates/simulation/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -1,20 +1,20 @@
 //! The model against theory where it is exact, and against the failures it is there to cause.
 
 use hillstall_simulation::experiment::{runs, Mean};
-use hillstall_simulation::model::machine::{Admission, Choke, Kind, Machine};
+use hillstall_simulation::model::machine::{Admission, Choke, Machine, MachineSpec};
 use hillstall_simulation::policy::PolicyName;
 use hillstall_simulation::scenario::Scenario;
 
-fn kind() -> Kind {
-    Kind {
+fn machine_spec() -> MachineSpec {
+    MachineSpec {
         cores: 2,
         speed: 1.0,
         slots: 1_000,
-        room: 1_000,
-        thrash_at: 1e9,
-        thrash_to: 1.0,
-        cold_from: 0.25,
-        cold: 0.0,
+        queue_capacity: 1_000,
+        thrash_per_core: 1e9,
+        thrash_fraction: 1.0,
+        warmup_start_fraction: 0.25,
+        warmup: 0.0,
         choke: None,
     }
 }
@@ -76,12 +76,19 @@
 
 #[test]
 fn a_crowd_chokes_a_machine_and_only_idleness_frees_it() {
-    let choke = Choke { at: 4.0, over: 1_500.0, slower: 3.0, below: 0.3, rest: 3_000.0, most: 60_000.0 };
-    let mut machine = Machine::new(Kind { choke: Some(choke), ..kind() });
+    let choke = Choke {
+        queued_per_core: 4.0,
+        saturated_for: 1_500.0,
+        slowdown: 3.0,
+        idle_below: 0.3,
+        idle_for: 3_000.0,
+        max_duration: 60_000.0,
+    };
+    let mut machine = Machine::new(MachineSpec { choke: Some(choke), ..machine_spec() });
     let mut done = Vec::new();
     // Ten jobs of a second each on two cores: eight wait, for as long as it takes to choke.
     for job in 0..11 {
-        assert_eq!(machine.offer(0.0, job, 2_000.0, &mut done), Admission::Yes);
+        assert_eq!(machine.offer(0.0, job, 2_000.0, &mut done), Admission::Accepted);
     }
     machine.advance(1_400.0, &mut done);
     assert!(!machine.is_choked());
@@ -90,7 +97,7 @@
     // What it still does is three times slower.
     assert!((machine.capacity(1_600.0) - 2.0 / 3.0).abs() < 1e-9);
     // A trickle that keeps one core of two busy keeps it slow, long after the crowd has gone.
-    let mut machine = Machine::new(Kind { choke: Some(choke), ..kind() });
+    let mut machine = Machine::new(MachineSpec { choke: Some(choke), ..machine_spec() });
     let mut now = 0.0;
     for job in 0..12 {
         machine.offer(now, job, 1_000.0, &mut done);
@@ -108,34 +115,34 @@
 
 #[test]
 fn a_full_machine_turns_away_and_a_dead_one_loses_all() {
-    let mut machine = Machine::new(Kind { slots: 2, room: 1, ..kind() });
+    let mut machine = Machine::new(MachineSpec { slots: 2, queue_capacity: 1, ..machine_spec() });
     let mut done = Vec::new();
     for job in 0..3 {
-        assert_eq!(machine.offer(0.0, job, 10.0, &mut done), Admission::Yes);
+        assert_eq!(machine.offer(0.0, job, 10.0, &mut done), Admission::Accepted);
     }
-    assert_eq!(machine.offer(0.0, 3, 10.0, &mut done), Admission::Full);
+    assert_eq!(machine.offer(0.0, 3, 10.0, &mut done), Admission::QueueFull);
     machine.kill(5.0, &mut done);
     machine.advance(100.0, &mut done);
     assert!(done.is_empty(), "what a dead machine held never ends: {done:?}");
-    assert_eq!((machine.holds(), machine.due()), (0, None));
+    assert_eq!((machine.requests(), machine.next_change()), (0, None));
 }
 
 #[test]
 fn a_silent_machine_goes_on_where_it_was() {
-    let mut machine = Machine::new(kind());
+    let mut machine = Machine::new(machine_spec());
     let mut done = Vec::new();
     machine.offer(0.0, 1, 10.0, &mut done);
-    machine.hang(5.0, true, &mut done);
+    machine.set_hung(5.0, true, &mut done);
     machine.advance(1_000.0, &mut done);
     assert!(done.is_empty());
-    machine.hang(1_000.0, false, &mut done);
+    machine.set_hung(1_000.0, false, &mut done);
     machine.advance(1_005.0 + 1e-6, &mut done);
     assert_eq!(done, [1]);
 }
 
 #[test]
 fn a_fresh_machine_gets_faster_until_it_is_warm() {
-    let mut machine = Machine::new(Kind { cold: 1_000.0, ..kind() });
+    let mut machine = Machine::new(MachineSpec { warmup: 1_000.0, ..machine_spec() });
     machine.start(0.0);
     assert!((machine.capacity(0.0) - 0.5).abs() < 1e-9);
     assert!((machine.capacity(500.0) - 1.25).abs() < 1e-9);
@@ -144,12 +151,12 @@
     let mut done = Vec::new();
     machine.offer(0.0, 1, 10_000.0, &mut done);
     machine.advance(1_000.0, &mut done);
-    assert!((machine.worked() - 625.0).abs() < 15.0, "{}", machine.worked());
+    assert!((machine.work_done() - 625.0).abs() < 15.0, "{}", machine.work_done());
 }
 
 #[test]
 fn a_cancel_drops_what_waits_and_leaves_what_runs() {
-    let mut machine = Machine::new(Kind { cores: 1, slots: 2, ..kind() });
+    let mut machine = Machine::new(MachineSpec { cores: 1, slots: 2, ..machine_spec() });
     let mut done = Vec::new();
     for job in 0..3 {
         machine.offer(0.0, job, 10.0, &mut done);
