--- a/crates/fault-injection/src/coordination_fleet.rs
+++ b/crates/fault-injection/src/coordination_fleet.rs
@@ -249,7 +249,7 @@
 impl Fleet {
     /// The backends in a zone, over all tiers.
     pub fn servers_of_zone(&self, zone: usize) -> Vec<usize> {
-        let places = self.figures.tiers.iter().flat_map(|tier| tier.places.iter());
+        let places = self.figures.tiers.iter().flat_map(|tier| tier.machines.iter());
         places.enumerate().filter(|(_, place)| place.zone == zone).map(|(number, _)| number).collect()
     }
 }
--- a/crates/fault-injection/src/faults.rs
+++ b/crates/fault-injection/src/faults.rs
@@ -8,8 +8,8 @@
 use crate::process_supervisor::ProcessSignal;
 use crate::tcp_proxy::Fault;
 use hillstall_decision::BackendState;
-use hillstall_simulation::scenario::{CutMode, FailureKind, LinkKind};
-use hillstall_simulation::sim::setup::{count_of, DrawnFailure};
+use hillstall_simulation::scenario::{FailureKind, LinkFaultMode, LinkKind};
+use hillstall_simulation::sim::setup::{count_of_fraction, DrawnFailure};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -44,7 +44,7 @@
                 let history = faults.fleet.history.clone();
                 sleep_until(history.instant(failure.at)).await;
                 faults.begin(&failure).await;
-                sleep_until(history.instant(failure.at + failure.lasts)).await;
+                sleep_until(history.instant(failure.at + failure.duration)).await;
                 faults.end(&failure);
             });
         }
@@ -58,27 +58,27 @@
 
     /// The numbers of a tier's servers.
     fn tier(&self, tier: usize) -> std::ops::Range<usize> {
-        self.fleet.figures.machines_of(tier)
+        self.fleet.figures.machines_of_tier(tier)
     }
 
     /// The backends that a failure affects, as in the simulation: a part of the tier, from the first on.
     fn affected_servers(&self, failure: &DrawnFailure) -> Vec<usize> {
         let all = self.tier(failure.tier);
-        let count = count_of(failure.part, all.len());
+        let count = count_of_fraction(failure.fraction, all.len());
         all.take(count).collect()
     }
 
     fn first_tier_proxies(&self, part: f64) -> Vec<usize> {
-        (0..count_of(part, self.fleet.fronts)).collect()
+        (0..count_of_fraction(part, self.fleet.fronts)).collect()
     }
 
     #[allow(clippy::too_many_lines, reason = "one arm per kind of failure")]
     async fn begin(self: &Rc<Faults>, failure: &DrawnFailure) {
-        match failure.what {
+        match failure.kind {
             FailureKind::Burst => {}
             FailureKind::DiscoveryDown => self.fleet.lists.iter().for_each(|list| list.set_down(true)),
             FailureKind::Slow => {
-                let times = failure.times.max(1e-3);
+                let times = failure.factor.max(1e-3);
                 self.tier(failure.tier).for_each(|server| self.fleet.servers[server].slow(times));
             }
             FailureKind::Hang => {
@@ -106,16 +106,16 @@
                 }
             }
             FailureKind::Release => self.release(failure),
-            FailureKind::KillProxies => self.signal_first_tier(failure.part, ProcessSignal::Kill),
-            FailureKind::StopProxies => self.signal_first_tier(failure.part, ProcessSignal::Stop),
-            FailureKind::ReloadProxies => self.signal_first_tier(failure.part, ProcessSignal::Reload),
+            FailureKind::KillProxies => self.signal_first_tier(failure.fraction, ProcessSignal::Kill),
+            FailureKind::StopProxies => self.signal_first_tier(failure.fraction, ProcessSignal::Stop),
+            FailureKind::ReloadProxies => self.signal_first_tier(failure.fraction, ProcessSignal::Reload),
             FailureKind::RollProxies => self.roll(failure).await,
             FailureKind::Cut => self.cut(failure, true),
         }
     }
 
     fn end(self: &Rc<Faults>, failure: &DrawnFailure) {
-        match failure.what {
+        match failure.kind {
             FailureKind::DiscoveryDown => self.fleet.lists.iter().for_each(|list| list.set_down(false)),
             FailureKind::Slow => {
                 self.tier(failure.tier).for_each(|server| self.fleet.servers[server].slow(1.0))
@@ -143,9 +143,9 @@
                 self.first_tier_proxies_in(zone).into_iter().for_each(|front| self.start(front));
             }
             FailureKind::KillProxies => {
-                self.first_tier_proxies(failure.part).into_iter().for_each(|front| self.start(front))
+                self.first_tier_proxies(failure.fraction).into_iter().for_each(|front| self.start(front))
             }
-            FailureKind::StopProxies => self.signal_first_tier(failure.part, ProcessSignal::Go),
+            FailureKind::StopProxies => self.signal_first_tier(failure.fraction, ProcessSignal::Go),
             FailureKind::Cut => self.cut(failure, false),
             FailureKind::Burst
             | FailureKind::Release
@@ -188,7 +188,7 @@
             self.record_error(self.fleet.signal(process, ProcessSignal::Kill));
         }
         let figures = &self.fleet.figures;
-        let notice = if silently { figures.silent_notice } else { figures.notice };
+        let notice = if silently { figures.silent_notice_delay } else { figures.notice_delay };
         self.announce(server, BackendState::Gone, notice);
     }
 
@@ -205,7 +205,7 @@
             if let Err(why) = of.listen() {
                 faults.errors.borrow_mut().push(format!("server {server} can't listen again: {why}"));
             }
-            faults.announce(server, BackendState::Ready, faults.fleet.figures.add_notice);
+            faults.announce(server, BackendState::Ready, faults.fleet.figures.start_notice_delay);
         });
     }
 
@@ -256,7 +256,7 @@
     /// Replaces backends one after another: each drains, serves on for a while, ends, and restarts.
     fn release(self: &Rc<Faults>, failure: &DrawnFailure) {
         let machines = self.affected_servers(failure);
-        let each = failure.lasts / machines.len() as f64;
+        let each = failure.duration / machines.len() as f64;
         for (i, server) in machines.into_iter().enumerate() {
             let faults = self.clone();
             spawn_local(async move {
@@ -264,11 +264,11 @@
                 let begins = history.now() + i as f64 * each;
                 sleep_until(history.instant(begins)).await;
                 let of = faults.fleet.servers[server].clone();
-                let notice = faults.fleet.figures.notice;
+                let notice = faults.fleet.figures.notice_delay;
                 faults.announce(server, BackendState::Draining, notice);
                 let stops = begins + 0.8 * each;
                 // Not before all proxies were notified: such a stop would be a crash.
-                let refuses = (begins + notice + faults.fleet.figures.serves_on).min(stops);
+                let refuses = (begins + notice + faults.fleet.figures.drain_grace).min(stops);
                 sleep_until(history.instant(refuses)).await;
                 of.drain(true);
                 sleep_until(history.instant(stops)).await;
@@ -281,8 +281,8 @@
 
     /// Restarts first-tier proxies gracefully, one after another.
     async fn roll(self: &Rc<Faults>, failure: &DrawnFailure) {
-        let fronts = self.first_tier_proxies(failure.part);
-        let each = Duration::from_secs_f64(failure.lasts / fronts.len() as f64 / 1e3);
+        let fronts = self.first_tier_proxies(failure.fraction);
+        let each = Duration::from_secs_f64(failure.duration / fronts.len() as f64 / 1e3);
         for front in fronts {
             let faults = self.clone();
             spawn_local(async move { faults.restart(front).await });
@@ -306,23 +306,23 @@
     }
 
     fn cut(&self, failure: &DrawnFailure, begins: bool) {
-        let cut = &failure.cut;
+        let cut = &failure.link_fault;
         let fault = match cut.mode {
             _ if !begins => Fault::None,
-            CutMode::Silent => Fault::Silent,
-            CutMode::LoseForth => Fault::LoseForth,
-            CutMode::LoseBack => Fault::LoseBack,
-            CutMode::Reset => Fault::Reset,
-            CutMode::Refuse => Fault::Refuse,
-            CutMode::Delay => Fault::Delay(Duration::from_secs_f64(cut.delay / 1e3)),
+            LinkFaultMode::Silent => Fault::Silent,
+            LinkFaultMode::LoseForth => Fault::LoseForth,
+            LinkFaultMode::LoseBack => Fault::LoseBack,
+            LinkFaultMode::Reset => Fault::Reset,
+            LinkFaultMode::Refuse => Fault::Refuse,
+            LinkFaultMode::Delay => Fault::Delay(Duration::from_secs_f64(cut.delay / 1e3)),
         };
         let copies = |tier: usize| self.fleet.processes.iter().filter(|p| p.tier == tier).count();
         let meant = |ends: LinkEnds| {
             let of = &self.fleet.processes[ends.process()];
-            let from = cut.is_from(failure.part, (of.rank, copies(of.tier)), of.zone);
+            let from = cut.affects_proxy(failure.fraction, (of.rank, copies(of.tier)), of.zone);
             from && match (cut.link, ends) {
                 (LinkKind::ProxyServer, LinkEnds::Server { server, .. }) => {
-                    of.tier == failure.tier && cut.is_to(self.fleet.servers[server].figures.zone)
+                    of.tier == failure.tier && cut.affects_zone(self.fleet.servers[server].figures.zone)
                 }
                 (LinkKind::ClientFront, LinkEnds::Door { .. }) => true,
                 (LinkKind::ProxyDiscovery, LinkEnds::List { .. }) => of.tier == failure.tier,
@@ -331,7 +331,7 @@
         };
         self.fleet.set(fault, meant);
         if begins && cut.link == LinkKind::ClientFront {
-            let (from, to) = (failure.at, failure.at + failure.lasts);
+            let (from, to) = (failure.at, failure.at + failure.duration);
             let doors = self.fleet.links.iter().map(|(ends, _)| *ends).filter(|ends| meant(*ends));
             for process in doors.map(LinkEnds::process) {
                 self.fleet.history.note(|seen| seen.cuts.push(CutSeen { process, from, to }));
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -11,7 +11,7 @@
 use crate::tcp_proxy::{Callers, Fault, TcpProxy, TransferredBytes};
 use hillstall_decision::{BackendState, Settings};
 use hillstall_simulation::scenario::ClassRetrySafety;
-use hillstall_simulation::sim::setup::{chance, DrawnScenario, Stream};
+use hillstall_simulation::sim::setup::{stream_rng, DrawnScenario, Stream};
 use hillstall_simulation::sim::RunSummary;
 use rand_xoshiro::rand_core::RngCore;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -216,8 +216,8 @@
 
 fn plan_processes(figures: &DrawnScenario) -> IoResult<Vec<ProcessPlan>> {
     let mut all = Vec::new();
-    for (rank, zone) in figures.proxies.iter().enumerate() {
-        let (copies, port) = (figures.proxies.len(), ReservedPort::take()?);
+    for (rank, zone) in figures.proxy_zones.iter().enumerate() {
+        let (copies, port) = (figures.proxy_zones.len(), ReservedPort::take()?);
         let (name, admin_port, talk_port) =
             (format!("front-{rank}"), ReservedPort::take()?, ReservedPort::take()?);
         all.push(ProcessPlan {
@@ -232,8 +232,8 @@
         });
     }
     for (above, tier) in figures.tiers.iter().take(figures.tiers.len() - 1).enumerate() {
-        for (rank, place) in tier.places.iter().enumerate() {
-            let (copies, port) = (tier.places.len(), ReservedPort::take()?);
+        for (rank, place) in tier.machines.iter().enumerate() {
+            let (copies, port) = (tier.machines.len(), ReservedPort::take()?);
             let name = format!("beside-s{above}-{rank}");
             let (admin_port, talk_port) = (ReservedPort::take()?, ReservedPort::take()?);
             let (tier, zone) = (above + 1, place.zone);
@@ -280,7 +280,7 @@
             Ok::<_, FleetError>(link)
         };
         for (process, sketch) in sketches.iter().enumerate() {
-            for server in figures.machines_of(sketch.tier) {
+            for server in figures.machines_of_tier(sketch.tier) {
                 let of = &servers[server];
                 let link = link(LinkEnds::Server { process, server }, of.address())?;
                 places.borrow_mut().insert((process, server), link.address());
@@ -289,10 +289,10 @@
         }
         let (mut lists, mut lists_at) = (Vec::new(), Vec::new());
         for (tier, of) in figures.tiers.iter().enumerate() {
-            let entries = (0..of.places.len()).map(|n| Entry {
-                server: figures.machines_of(tier).start + n,
+            let entries = (0..of.machines.len()).map(|n| Entry {
+                server: figures.machines_of_tier(tier).start + n,
                 name: format!("s{tier}-{n}"),
-                zone: of.places[n].zone,
+                zone: of.machines[n].zone,
                 status: BackendState::Ready,
                 weight: 1.0,
                 since_ms: 0.0,
@@ -320,7 +320,7 @@
                 link(LinkEnds::Keeper { process, slot }, keeper)?;
             }
         }
-        for (process, sketch) in sketches.iter().enumerate().take(figures.proxies.len()) {
+        for (process, sketch) in sketches.iter().enumerate().take(figures.proxy_zones.len()) {
             link(LinkEnds::Door { process }, sketch.port.address())?;
         }
         let processes: Vec<Process> = (sketches.into_iter().enumerate())
@@ -354,9 +354,9 @@
             // Fails only once the run is over.
             let _ = tell.send(news);
         });
-        let tally = RunSummary::new("drill", seed, figures.length, figures.shares());
+        let tally = RunSummary::new("drill", seed, figures.length, figures.tenant_quotas());
         let fleet = Rc::new(Fleet {
-            fronts: figures.proxies.len(),
+            fronts: figures.proxy_zones.len(),
             tally: RefCell::new(tally),
             history,
             processes,
@@ -369,7 +369,7 @@
             lives,
             supervisor: RefCell::new(keeper.map_err(system("the keeper"))?),
             program: program.to_path_buf(),
-            seeds: RefCell::new(chance(seed, Stream::Policies)),
+            seeds: RefCell::new(stream_rng(seed, Stream::Policies)),
             figures,
         });
         spawn_local(forward_supervisor_events(Rc::downgrade(&fleet), news));
@@ -411,15 +411,15 @@
 
     /// The true parameters, for the checker.
     pub fn truth(&self) -> GroundTruth {
-        let delays = self.figures.failures.iter().map(|f| f.cut.delay);
+        let delays = self.figures.failures.iter().map(|f| f.link_fault.delay);
         GroundTruth {
             settings: self.figures.settings(0, 0, self.fronts, 0),
             servers: (self.figures.tiers.iter().enumerate())
-                .flat_map(|(tier, of)| (0..of.places.len()).map(move |n| (tier, n)))
+                .flat_map(|(tier, of)| (0..of.machines.len()).map(move |n| (tier, n)))
                 .map(|(tier, n)| TrueServer {
                     name: format!("s{tier}-{n}"),
                     tier,
-                    cold: self.figures.cold_start(tier, n),
+                    cold: self.figures.slow_start_model(tier, n),
                 })
                 .collect(),
             processes: self.processes.iter().map(|p| p.name.clone()).collect(),
@@ -585,12 +585,18 @@
     (callers, who): (&Callers, &WhoCalls),
 ) -> IoResult<Vec<Rc<Server>>> {
     let classes: Vec<(String, bool, bool)> = (figures.classes.iter())
-        .map(|c| (c.name.clone(), c.repeats == ClassRetrySafety::Safe, c.repeats == ClassRetrySafety::Keyed))
+        .map(|c| {
+            (
+                c.name.clone(),
+                c.retry_safety == ClassRetrySafety::Safe,
+                c.retry_safety == ClassRetrySafety::Keyed,
+            )
+        })
         .collect();
     let tenants: Vec<String> = figures.tenants.iter().map(|t| t.name.clone()).collect();
     let mut all = Vec::new();
     for (tier, of) in figures.tiers.iter().enumerate() {
-        for (n, place) in of.places.iter().enumerate() {
+        for (n, place) in of.machines.iter().enumerate() {
             let own = sketches.iter().position(|s| s.tier == tier + 1 && s.rank == n);
             let below = own.map(|process| {
                 DownstreamTier::new(
@@ -603,9 +609,9 @@
             let figures = ServerFigures {
                 number: all.len(),
                 zone: place.zone,
-                kind: hillstall_simulation::model::machine::MachineSpec { speed: place.speed, ..of.kind },
-                part: of.part,
-                calls: of.calls,
+                kind: hillstall_simulation::model::machine::MachineSpec { speed: place.speed, ..of.spec },
+                part: of.work_fraction,
+                calls: of.requests_below,
             };
             let who = (callers.clone(), who.clone());
             all.push(Server::new(figures, history.clone(), who, below)?);
--- a/crates/fault-injection/src/open_loop_clients.rs
+++ b/crates/fault-injection/src/open_loop_clients.rs
@@ -8,8 +8,8 @@
 use hillstall_decision::RetrySafety;
 use hillstall_simulation::random::part;
 use hillstall_simulation::sim::accounting;
-use hillstall_simulation::sim::arrivals::{drawn, Arrival, Arrivals};
-use hillstall_simulation::sim::setup::{chance, Stream};
+use hillstall_simulation::sim::arrivals::{weighted_index, Arrival, Arrivals};
+use hillstall_simulation::sim::setup::{stream_rng, Stream};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -42,12 +42,12 @@
     /// Clients of a fleet that is up.
     pub fn new(fleet: Rc<Fleet>, seed: u64) -> Rc<OpenLoopClients> {
         let listed = |front: usize| ProxyInRotation {
-            traffic_weight: fleet.figures.heat.get(front).copied().unwrap_or(1.0),
+            traffic_weight: fleet.figures.proxy_traffic.get(front).copied().unwrap_or(1.0),
             listed: Cell::new(true),
             idle: RefCell::default(),
         };
         let fronts = (0..fleet.fronts).map(listed).collect();
-        let chance = RefCell::new(chance(seed, Stream::Network));
+        let chance = RefCell::new(stream_rng(seed, Stream::Network));
         Rc::new(OpenLoopClients { fleet, proxies: fronts, random: chance, open: Cell::new(0) })
     }
 
@@ -66,8 +66,8 @@
             (0..self.proxies.len()).map(|front| spawn_local(self.clone().watch_health(front))).collect();
         let history = self.fleet.history.clone();
         for (number, arrival) in Arrivals::new(&self.fleet.figures, seed).enumerate() {
-            sleep_until(history.instant(arrival.at)).await;
-            let late = history.now() - arrival.at;
+            sleep_until(history.instant(arrival.at_ms)).await;
+            let late = history.now() - arrival.at_ms;
             history.note(|seen| seen.lateness.push(late));
             self.open.set(self.open.get() + 1);
             let clients = self.clone();
@@ -83,7 +83,7 @@
     /// Checks one proxy's health: it is listed from its first 200 on, until it has not answered 200 for the load
     /// balancer's notice time.
     async fn watch_health(self: Rc<OpenLoopClients>, front: usize) {
-        let notice = self.fleet.figures.front_notice;
+        let notice = self.fleet.figures.front_notice_delay;
         let mut well_at = self.fleet.history.now();
         loop {
             sleep(POLL_INTERVAL).await;
@@ -108,7 +108,10 @@
                 .collect::<Vec<usize>>()
         };
         let able = Some(listed(true)).filter(|near| !near.is_empty()).unwrap_or_else(|| listed(false));
-        let place = drawn(self.next_fraction(), able.iter().map(|front| self.proxies[*front].traffic_weight));
+        let place = weighted_index(
+            self.next_fraction(),
+            able.iter().map(|front| self.proxies[*front].traffic_weight),
+        );
         able.get(place).copied()
     }
 
@@ -116,29 +119,30 @@
         let (figures, history) = (&self.fleet.figures, &self.fleet.history);
         let class = &figures.classes[arrival.class];
         let tell = |ended| {
-            let worth = (arrival.tenant, arrival.worth);
-            self.fleet.tally.borrow_mut().ended(arrival.at, worth, ended);
+            let worth = (arrival.tenant, arrival.weight);
+            self.fleet.tally.borrow_mut().ended(arrival.at_ms, worth, ended);
         };
-        self.fleet.tally.borrow_mut().asked(arrival.at, arrival.tenant, arrival.worth);
-        let deadline_at = arrival.at + class.deadline;
-        let (mut no, mut at) = (0, arrival.at);
+        self.fleet.tally.borrow_mut().asked(arrival.at_ms, arrival.tenant, arrival.weight);
+        let deadline_at = arrival.at_ms + class.deadline;
+        let (mut no, mut at) = (0, arrival.at_ms);
         loop {
             self.fleet.tally.borrow_mut().tried(at);
-            let over = (at + figures.try_part * class.deadline).min(deadline_at);
+            let over = (at + figures.attempt_timeout_fraction * class.deadline).min(deadline_at);
             let (ended, come_back) = self.run_attempt(number, no, &arrival, over).await;
             let now = history.now();
             if ended == ClientResult::Served && now <= over {
-                let latency_ms = now - arrival.at;
+                let latency_ms = now - arrival.at_ms;
                 return tell(accounting::RequestOutcome::Answered {
                     latency_ms,
-                    in_aim: latency_ms <= class.aim,
+                    in_aim: latency_ms <= class.latency_objective,
                 });
             }
             let refused = ended == ClientResult::Refused;
-            let follows = come_back.is_some_and(|wait| wait > 0.0) && self.next_fraction() < figures.honour;
+            let follows = come_back.is_some_and(|wait| wait > 0.0)
+                && self.next_fraction() < figures.retry_after_fraction;
             let wait = match follows {
-                true => come_back.unwrap_or(0.0).max(figures.wait),
-                false => figures.wait,
+                true => come_back.unwrap_or(0.0).max(figures.retry_wait),
+                false => figures.retry_wait,
             };
             no += 1;
             if no > figures.retries || now + wait >= deadline_at {
@@ -189,7 +193,7 @@
         ));
         let (clients, noted) = (self.clone(), made.clone());
         let (class, safe) = (of.name.clone(), of.retry_safety == RetrySafety::Idempotent);
-        let target = target(arrival.class, arrival.tenant, arrival.work);
+        let target = target(arrival.class, arrival.tenant, arrival.work_ms);
         let tenant = self.fleet.figures.tenants.get(arrival.tenant).map(|t| t.name.clone());
         let mut asked = Box::pin(async move {
             let call = OutgoingRequest {
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -128,7 +128,7 @@
     let truth = fleet.truth();
     let seen = fleet.history.take();
     let chokes = fleet.servers.iter().map(|server| u64::from(server.chokes())).sum();
-    let empty = RunSummary::new("drill", seed, 1.0, fleet.figures.shares());
+    let empty = RunSummary::new("drill", seed, 1.0, fleet.figures.tenant_quotas());
     let mut tally = fleet.tally.replace(empty);
     for hop in &seen.hops {
         tally.sent(hop.at, truth.servers[hop.server].tier);
@@ -146,8 +146,8 @@
 
 /// Samples the capacity of the first tier.
 async fn watch(fleet: Rc<Fleet>) {
-    let whole = fleet.figures.tiers[0].able();
-    let first = fleet.figures.tiers[0].places.len();
+    let whole = fleet.figures.tiers[0].full_capacity();
+    let first = fleet.figures.tiers[0].machines.len();
     loop {
         sleep(POLL_INTERVAL).await;
         let states: Vec<(f64, bool)> = fleet.servers[..first].iter().map(|s| s.state()).collect();
--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -28,7 +28,7 @@
     seeds: &[u64],
 ) -> Result<(Vec<RunSummary>, Vec<String>), DayError> {
     let day = Day::read(text)?;
-    Ok((each(policies, seeds, |policy, seed| day.run(policy, seed)), day.unknown))
+    Ok((each(policies, seeds, |policy, seed| day.run(policy, seed)), day.unsupported_failures))
 }
 
 fn each(
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -384,7 +384,7 @@
 /// Kind of a link fault.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum CutMode {
+pub enum LinkFaultMode {
     /// Nothing passes, without an error.
     #[default]
     Silent,
@@ -432,7 +432,7 @@
     pub to_zone: Option<usize>,
     /// Of a link fault: its kind.
     #[serde(default)]
-    pub mode: CutMode,
+    pub mode: LinkFaultMode,
     /// Of a link fault that delays: by how much.
     #[serde(default = "warm")]
     pub delay: Span,
--- a/crates/simulation/src/sim/attempts.rs
+++ b/crates/simulation/src/sim/attempts.rs
@@ -12,8 +12,8 @@
 impl World {
     fn way(&self, proxy: usize, host: usize) -> f64 {
         match self.proxies[proxy].zone == self.hosts[host].zone {
-            true => self.figures.same_zone,
-            false => self.figures.cross_zone,
+            true => self.parameters.same_zone_delay,
+            false => self.parameters.cross_zone_delay,
         }
     }
 
@@ -39,7 +39,7 @@
             attempts: 0,
             in_flight: None,
             answered: false,
-            gone: false,
+            abandoned: false,
         });
         if self.proxies[proxy].policy.sees() {
             let truth: Vec<(BackendId, f64)> =
@@ -62,7 +62,7 @@
     fn load(&self, host: usize) -> f64 {
         let h = &self.hosts[host];
         let able = h.machine.capacity(self.now);
-        match able > 0.0 && !h.lost {
+        match able > 0.0 && !h.unreachable {
             true => (h.machine.requests() + 1) as f64 / able,
             false => f64::MAX,
         }
@@ -76,20 +76,21 @@
         if self.hosts[machine].away_notified_at.is_some_and(|notified_at| self.now > notified_at + 2_000.0) {
             self.totals.late_sends += 1;
         }
-        let of = &self.figures.tiers[tier];
-        let whole = of.calls.floor();
-        let calls_below = whole as usize + usize::from(part(&mut self.network) < of.calls - whole);
+        let of = &self.parameters.tiers[tier];
+        let whole = of.requests_below.floor();
+        let calls_below =
+            whole as usize + usize::from(part(&mut self.network_rng) < of.requests_below - whole);
         let phases = calls_below + 1;
         let attempt = self.attempts.len();
-        let noise = self.figures.classes[self.requests[request].class].noise;
-        let off = work::draw(Shape::Lognormal, 1.0, noise, &mut self.network);
-        let (class, part) = (self.requests[request].class, of.part);
+        let noise = self.parameters.classes[self.requests[request].class].attempt_noise_cv;
+        let off = work::draw(Shape::Lognormal, 1.0, noise, &mut self.network_rng);
+        let (class, part) = (self.requests[request].class, of.work_fraction);
         if tier == 0 && self.requests[request].attempts == 0 {
             self.side_effects.on_admitted(self.now, proxy, class);
         }
         let host = &self.hosts[machine];
         let started = host.started_at.map(|at| (at, self.now - at));
-        let failing = host.lost || !host.machine.is_responsive();
+        let failing = host.unreachable || !host.machine.is_responsive();
         self.side_effects.on_sent(
             (proxy, machine),
             failing,
@@ -99,15 +100,15 @@
         let proxy_request = &mut self.requests[request];
         self.attempts.push(Attempt {
             request,
-            no: proxy_request.attempts,
+            number: proxy_request.attempts,
             machine,
             sent_at: self.now,
-            over: false,
+            ended: false,
             on_machine: false,
-            dropped: false,
+            cancelled: false,
             phases_left: phases,
             phase_work: proxy_request.work * off * part / phases as f64,
-            below: None,
+            request_below: None,
         });
         proxy_request.attempts += 1;
         proxy_request.in_flight = Some(attempt);
@@ -137,12 +138,12 @@
 
     pub(super) fn reach(&mut self, attempt: usize) {
         let (machine, work) = (self.attempts[attempt].machine, self.attempts[attempt].phase_work);
-        if self.attempts[attempt].over {
+        if self.attempts[attempt].ended {
             return;
         }
         let way = self.way(self.requests[self.attempts[attempt].request].proxy, machine);
         let host = &mut self.hosts[machine];
-        if host.lost {
+        if host.unreachable {
             let outcome = Outcome::ConnectFailed;
             return self.queue.put(self.now + CONNECT_TIMEOUT, SimEvent::Back { attempt, outcome });
         }
@@ -154,7 +155,7 @@
             let outcome = Outcome::Rejected;
             return self.queue.put(self.now + way, SimEvent::Back { attempt, outcome });
         }
-        match host.machine.offer(self.now, attempt as u64, work, &mut self.done) {
+        match host.machine.offer(self.now, attempt as u64, work, &mut self.completed_jobs) {
             Admission::Accepted => self.attempts[attempt].on_machine = true,
             Admission::QueueFull => {
                 let outcome = Outcome::Rejected;
@@ -166,14 +167,14 @@
 
     /// Continues with the work a machine has completed, and schedules its next completion.
     pub(super) fn worked(&mut self, machine: usize) {
-        while !self.done.is_empty() {
-            for job in std::mem::take(&mut self.done) {
+        while !self.completed_jobs.is_empty() {
+            for job in std::mem::take(&mut self.completed_jobs) {
                 self.phase_done(job as usize);
             }
         }
         let host = &mut self.hosts[machine];
-        host.stamp += 1;
-        let stamp = host.stamp;
+        host.change_stamp += 1;
+        let stamp = host.change_stamp;
         if let Some(due) = host.machine.next_change() {
             self.queue.put(due.max(self.now), SimEvent::Due { machine, stamp });
         }
@@ -182,7 +183,7 @@
     fn phase_done(&mut self, attempt: usize) {
         let a = &mut self.attempts[attempt];
         a.phases_left -= 1;
-        if a.phases_left == 0 || a.dropped {
+        if a.phases_left == 0 || a.cancelled {
             return self.finish(attempt, Outcome::Ok);
         }
         let (machine, request) = (a.machine, a.request);
@@ -194,11 +195,11 @@
         };
         // The work of the tiers below is spread over the requests that are left of this one.
         let tier = self.hosts[machine].tier;
-        let all = self.figures.tiers[tier].calls.max(1.0).max(calls_left);
-        self.attempts[attempt].below = Some(self.requests.len());
-        let work = if self.figures.own_work {
-            let class = &self.figures.classes[whose.0];
-            work::draw(class.shape, class.work, class.cv, &mut self.network)
+        let all = self.parameters.tiers[tier].requests_below.max(1.0).max(calls_left);
+        self.attempts[attempt].request_below = Some(self.requests.len());
+        let work = if self.parameters.independent_tier_work {
+            let class = &self.parameters.classes[whose.0];
+            work::draw(class.work_distribution, class.mean_work_ms, class.work_cv, &mut self.network_rng)
         } else {
             work
         };
@@ -212,10 +213,10 @@
             return;
         }
         let now = self.now;
-        self.hosts[machine].machine.release(now, &mut self.done);
+        self.hosts[machine].machine.release(now, &mut self.completed_jobs);
         let proxy = self.requests[self.attempts[attempt].request].proxy;
         let way = self.way(proxy, machine);
-        if !self.hosts[machine].lost {
+        if !self.hosts[machine].unreachable {
             match self.way_to(proxy, machine) {
                 Way::Open(more) => self.queue.put(now + way + more, SimEvent::Back { attempt, outcome }),
                 // It is retransmitted, and arrives when the link is back.
@@ -233,7 +234,7 @@
     /// The final response of a proxy, to the source of the request.
     pub(super) fn answer(&mut self, request: usize, end: ResponseKind, retry_after: f64) {
         let a = &mut self.requests[request];
-        if a.gone {
+        if a.abandoned {
             return;
         }
         if std::mem::replace(&mut a.answered, true) {
@@ -246,18 +247,18 @@
                     self.totals.refused_by(a.proxy);
                     self.side_effects.on_rejected(self.now, a.proxy, a.class, a.attempts == 0);
                 }
-                let at = self.now + self.figures.client;
+                let at = self.now + self.parameters.client_delay;
                 self.queue.put(at, SimEvent::Final { client_request: call, no, end, retry_after });
             }
             RequestSource::Machine { attempt } => {
                 let of = &mut self.attempts[attempt];
-                of.below = None;
+                of.request_below = None;
                 let (machine, work) = (of.machine, of.phase_work);
                 if end != ResponseKind::Served {
                     self.finish(attempt, Outcome::Error);
                 } else if of.on_machine {
                     let now = self.now;
-                    self.hosts[machine].machine.resume(now, attempt as u64, work, &mut self.done);
+                    self.hosts[machine].machine.resume(now, attempt as u64, work, &mut self.completed_jobs);
                     self.worked(machine);
                 }
             }
@@ -265,7 +266,7 @@
     }
 
     pub(super) fn time_up(&mut self, attempt: usize) {
-        if self.attempts[attempt].over {
+        if self.attempts[attempt].ended {
             return;
         }
         self.drop_at_machine(attempt);
@@ -289,17 +290,17 @@
     /// Queued work is dropped; running work goes on to the end of its phase.
     pub(super) fn cancel_at_machine(&mut self, attempt: usize) {
         let a = &mut self.attempts[attempt];
-        if !a.on_machine || self.hosts[a.machine].lost {
+        if !a.on_machine || self.hosts[a.machine].unreachable {
             return;
         }
-        a.dropped = true;
-        let (machine, below) = (a.machine, a.below.take());
+        a.cancelled = true;
+        let (machine, below) = (a.machine, a.request_below.take());
         if let Some(request_below) = below {
             self.client_leaves(request_below);
             return self.finish(attempt, Outcome::Cancelled);
         }
         let now = self.now;
-        if self.hosts[machine].machine.cancel(now, attempt as u64, &mut self.done) {
+        if self.hosts[machine].machine.cancel(now, attempt as u64, &mut self.completed_jobs) {
             self.attempts[attempt].on_machine = false;
         }
         self.worked(machine);
@@ -308,10 +309,10 @@
     /// An attempt ends for its proxy, once; later outcomes are ignored.
     pub(super) fn end_attempt(&mut self, attempt: usize, outcome: Outcome) {
         let a = &mut self.attempts[attempt];
-        if std::mem::replace(&mut a.over, true) {
+        if std::mem::replace(&mut a.ended, true) {
             return;
         }
-        let (request, no, machine, took) = (a.request, a.no, a.machine, self.now - a.sent_at);
+        let (request, no, machine, took) = (a.request, a.number, a.machine, self.now - a.sent_at);
         self.requests[request].in_flight = None;
         let proxy = self.requests[request].proxy;
         let keeps_connection = matches!(outcome, Outcome::Ok | Outcome::Rejected | Outcome::Error);
@@ -319,7 +320,7 @@
         if !self.proxies[proxy].alive {
             return;
         }
-        let served = outcome == Outcome::Ok && !self.requests[request].gone;
+        let served = outcome == Outcome::Ok && !self.requests[request].abandoned;
         if served {
             self.answer(request, ResponseKind::Served, 0.0);
         }
@@ -331,12 +332,12 @@
             backend: machine as u32,
             outcome,
             took_ms: took,
-            ended: served || self.requests[request].gone,
+            ended: served || self.requests[request].abandoned,
             report: LoadReport::default(),
         };
         self.notify(proxy, event);
         let a = &self.requests[request];
-        if late && !a.answered && !a.gone && a.in_flight.is_none() {
+        if late && !a.answered && !a.abandoned && a.in_flight.is_none() {
             self.answer(request, ResponseKind::Failed, 0.0);
         }
     }
@@ -348,7 +349,7 @@
             if a.machine != machine || !std::mem::take(&mut a.on_machine) {
                 continue;
             }
-            if let Some(below) = a.below.take() {
+            if let Some(below) = a.request_below.take() {
                 self.client_leaves(below);
             }
             if reset {
--- a/crates/simulation/src/sim/clients.rs
+++ b/crates/simulation/src/sim/clients.rs
@@ -1,7 +1,7 @@
 //! Open-loop clients: a request starts when the arrival process says so, whatever became of the others.
 
 use super::accounting::RequestOutcome;
-use super::arrivals::{drawn, Arrival};
+use super::arrivals::{weighted_index, Arrival};
 use super::link_faults::Way;
 use super::queue::{ResponseKind, SimEvent};
 use super::{ClientRequest, RequestSource, World};
@@ -16,22 +16,22 @@
         }
         self.next_arrival = self.arrivals.next();
         if let Some(next) = self.next_arrival {
-            self.queue.put(next.at, SimEvent::Arrival);
+            self.queue.put(next.at_ms, SimEvent::Arrival);
         }
     }
 
     fn start_client_request(&mut self, arrival: Arrival) {
-        let Arrival { class, tenant, zone, work, worth, .. } = arrival;
+        let Arrival { class, tenant, zone, work_ms: work, weight: worth, .. } = arrival;
         self.totals.asked(self.now, tenant, worth);
         self.client_requests.push(ClientRequest {
             class,
             tenant,
             work,
             weight: worth,
-            first_at: self.now,
-            deadline_at: self.now + self.figures.classes[class].deadline,
+            started_at: self.now,
+            deadline_at: self.now + self.parameters.classes[class].deadline,
             zone,
-            no: 0,
+            attempt_number: 0,
             proxy_request: None,
             closed: false,
         });
@@ -41,16 +41,16 @@
     /// A client starts an attempt after a wait. Its timeout counts from that start.
     fn start_client_attempt(&mut self, client_request: usize, wait: f64) {
         let of = &self.client_requests[client_request];
-        let (no, at) = (of.no, self.now + wait);
+        let (no, at) = (of.attempt_number, self.now + wait);
         let timeout_at = (at + self.attempt_timeout(of.class)).min(of.deadline_at);
         self.totals.tried(at);
-        self.queue.put(at + self.figures.client, SimEvent::ClientAttempt { client_request, no });
+        self.queue.put(at + self.parameters.client_delay, SimEvent::ClientAttempt { client_request, no });
         self.queue.put(timeout_at, SimEvent::ClientAttemptTimeout { client_request, no });
     }
 
     /// How long a client of a class waits for one attempt, in milliseconds.
     fn attempt_timeout(&self, class: usize) -> f64 {
-        self.figures.try_part * self.figures.classes[class].deadline
+        self.parameters.attempt_timeout_fraction * self.parameters.classes[class].deadline
     }
 
     /// The proxy that the load balancer in front chooses: one of the client's zone, or of another where that has none.
@@ -58,22 +58,22 @@
         // It avoids a proxy that is gone only once it has noticed.
         let listed = |p: &&usize| {
             let proxy = &self.proxies[**p];
-            !proxy.draining && (proxy.alive || self.now - proxy.gone_at < self.figures.front_notice)
+            !proxy.draining && (proxy.alive || self.now - proxy.gone_at < self.parameters.front_notice_delay)
         };
-        let listed: Vec<usize> = self.before[0].iter().filter(listed).copied().collect();
+        let listed: Vec<usize> = self.proxies_of_tier[0].iter().filter(listed).copied().collect();
         let near: Vec<usize> = listed.iter().filter(|p| self.proxies[**p].zone == zone).copied().collect();
         let candidates = if near.is_empty() { listed } else { near };
         if candidates.is_empty() {
             return None;
         }
         let weights = candidates.iter().map(|p| self.proxies[*p].traffic_weight);
-        Some(candidates[drawn(part(&mut self.network), weights)])
+        Some(candidates[weighted_index(part(&mut self.network_rng), weights)])
     }
 
     /// A client's attempt reaches the load balancer in front of the first tier's proxies.
     pub(super) fn client_attempt_arrives(&mut self, client_request: usize, no: u32) {
         let of = &self.client_requests[client_request];
-        if of.closed || of.no != no {
+        if of.closed || of.attempt_number != no {
             return;
         }
         let (class, tenant, work) = (of.class, of.tenant, of.work);
@@ -95,7 +95,8 @@
         self.side_effects.on_arrival(class);
         let attempt_timeout = self.attempt_timeout(class);
         // The time left when the response must be sent.
-        let ttl = attempt_timeout.min(deadline - self.now + self.figures.client) - 2.0 * self.figures.client;
+        let ttl = attempt_timeout.min(deadline - self.now + self.parameters.client_delay)
+            - 2.0 * self.parameters.client_delay;
         self.client_requests[client_request].proxy_request = Some(self.requests.len());
         self.receive_request(
             proxy,
@@ -108,7 +109,9 @@
 
     /// The client has waited long enough for this attempt.
     pub(super) fn client_attempt_timed_out(&mut self, client_request: usize, no: u32) {
-        if self.client_requests[client_request].closed || self.client_requests[client_request].no != no {
+        if self.client_requests[client_request].closed
+            || self.client_requests[client_request].attempt_number != no
+        {
             return;
         }
         if let Some(request) = self.client_requests[client_request].proxy_request {
@@ -120,10 +123,10 @@
     /// The client of a request has gone: it needs no response.
     pub(super) fn client_leaves(&mut self, request: usize) {
         let of = &mut self.requests[request];
-        if of.answered || of.gone {
+        if of.answered || of.abandoned {
             return;
         }
-        of.gone = true;
+        of.abandoned = true;
         let proxy = of.proxy;
         if self.proxies[proxy].alive {
             self.notify(proxy, Event::ClientGone { request: request as u64 });
@@ -137,16 +140,18 @@
         end: ResponseKind,
         retry_after: f64,
     ) {
-        if self.client_requests[client_request].closed || self.client_requests[client_request].no != no {
+        if self.client_requests[client_request].closed
+            || self.client_requests[client_request].attempt_number != no
+        {
             return;
         }
         match end {
             ResponseKind::Served => {
                 let of = &mut self.client_requests[client_request];
                 of.closed = true;
-                let latency_ms = self.now - of.first_at;
-                let (first_at, tenant, weight) = (of.first_at, of.tenant, of.weight);
-                let in_aim = latency_ms <= self.figures.classes[of.class].aim;
+                let latency_ms = self.now - of.started_at;
+                let (first_at, tenant, weight) = (of.started_at, of.tenant, of.weight);
+                let in_aim = latency_ms <= self.parameters.classes[of.class].latency_objective;
                 self.totals.ended(
                     first_at,
                     (tenant, weight),
@@ -161,14 +166,15 @@
     }
 
     fn retry_or_close(&mut self, client_request: usize, ended: RequestOutcome, retry_after: f64) {
-        let follows = retry_after > 0.0 && part(&mut self.network) < self.figures.honour;
-        let wait = if follows { retry_after.max(self.figures.wait) } else { self.figures.wait };
+        let follows = retry_after > 0.0 && part(&mut self.network_rng) < self.parameters.retry_after_fraction;
+        let wait =
+            if follows { retry_after.max(self.parameters.retry_wait) } else { self.parameters.retry_wait };
         let of = &mut self.client_requests[client_request];
-        of.no += 1;
+        of.attempt_number += 1;
         of.proxy_request = None;
-        if of.no > self.figures.retries || self.now + wait >= of.deadline_at {
+        if of.attempt_number > self.parameters.retries || self.now + wait >= of.deadline_at {
             of.closed = true;
-            let first_at = of.first_at;
+            let first_at = of.started_at;
             return self.totals.ended(first_at, (0, 0.0), ended);
         }
         self.start_client_attempt(client_request, wait);
--- a/crates/simulation/src/sim/failures.rs
+++ b/crates/simulation/src/sim/failures.rs
@@ -1,7 +1,7 @@
 //! Failures, and how the proxies are notified of them.
 
 use super::queue::{SimEvent, Step};
-use super::setup::count_of;
+use super::setup::count_of_fraction;
 use super::World;
 use crate::scenario::FailureKind;
 use hillstall_decision::{BackendInfo, BackendState, Event, ListKind};
@@ -13,18 +13,18 @@
     /// The machines that a failure affects: those it names, or this part of its tier, from the first on, and at least
     /// one.
     fn meant(&self, index: usize, part: f64) -> Vec<usize> {
-        let failure = &self.figures.failures[index];
-        if !failure.on.is_empty() {
-            return failure.on.clone();
+        let failure = &self.parameters.failures[index];
+        if !failure.machines.is_empty() {
+            return failure.machines.clone();
         }
         let all = &self.tiers[failure.tier];
-        all[..count_of(part, all.len())].to_vec()
+        all[..count_of_fraction(part, all.len())].to_vec()
     }
 
     #[allow(clippy::too_many_lines, reason = "one arm per kind of failure")]
     pub(super) fn failure(&mut self, index: usize, begins: bool) {
-        let failure = &self.figures.failures[index];
-        let (what, zone, part, times) = (failure.what, failure.zone, failure.part, failure.times);
+        let failure = &self.parameters.failures[index];
+        let (what, zone, part, times) = (failure.kind, failure.zone, failure.fraction, failure.factor);
         match what {
             // The arrival process handles bursts.
             FailureKind::Burst => {}
@@ -40,13 +40,17 @@
                 // A shared dependency: the whole tier, whatever part is given.
                 for machine in self.meant(index, 1.0) {
                     let times = if begins { times.max(1e-3) } else { 1.0 };
-                    self.hosts[machine].machine.set_dependency_slowdown(self.now, times, &mut self.done);
+                    self.hosts[machine].machine.set_dependency_slowdown(
+                        self.now,
+                        times,
+                        &mut self.completed_jobs,
+                    );
                     self.worked(machine);
                 }
             }
             FailureKind::Hang => {
                 for machine in self.meant(index, part) {
-                    self.hosts[machine].machine.set_hung(self.now, begins, &mut self.done);
+                    self.hosts[machine].machine.set_hung(self.now, begins, &mut self.completed_jobs);
                     self.worked(machine);
                 }
             }
@@ -84,7 +88,7 @@
             }
             FailureKind::Release if begins => {
                 let machines = self.meant(index, part);
-                let interval = self.figures.failures[index].lasts / machines.len() as f64;
+                let interval = self.parameters.failures[index].duration / machines.len() as f64;
                 for (i, machine) in machines.into_iter().enumerate() {
                     let at = self.now + i as f64 * interval;
                     self.queue.put(at, SimEvent::Release { machine, step: Step::Drain });
@@ -103,7 +107,7 @@
             }
             FailureKind::RollProxies if begins => {
                 let proxies = self.first_tier_proxies(part);
-                let interval = self.figures.failures[index].lasts / proxies.len() as f64;
+                let interval = self.parameters.failures[index].duration / proxies.len() as f64;
                 for (i, proxy) in proxies.into_iter().enumerate() {
                     self.queue.put(self.now + i as f64 * interval, SimEvent::Roll { proxy });
                 }
@@ -117,7 +121,7 @@
     /// A proxy is gone: its requests are lost, and their clients time out.
     fn abandon(&mut self, proxy: usize) {
         for request in self.requests.iter_mut().filter(|a| a.proxy == proxy && !a.answered) {
-            request.gone = true;
+            request.abandoned = true;
         }
     }
 
@@ -126,9 +130,9 @@
         self.hosts[machine].machine.kill(self.now, &mut done);
         // Work that completed in this moment is lost with the rest.
         done.clear();
-        self.hosts[machine].stamp += 1;
+        self.hosts[machine].change_stamp += 1;
         self.lose_attempts_on(machine, reset);
-        let notice = if reset { self.figures.notice } else { self.figures.silent_notice };
+        let notice = if reset { self.parameters.notice_delay } else { self.parameters.silent_notice_delay };
         self.changed(machine, BackendState::Gone, notice);
     }
 
@@ -139,19 +143,19 @@
         } else {
             self.revive(machine);
         }
-        self.hosts[machine].lost = begins;
+        self.hosts[machine].unreachable = begins;
     }
 
     fn revive(&mut self, machine: usize) {
         self.hosts[machine].machine.start(self.now);
         self.hosts[machine].started_at = Some(self.now);
-        self.changed(machine, BackendState::Ready, self.figures.add_notice);
+        self.changed(machine, BackendState::Ready, self.parameters.start_notice_delay);
     }
 
     pub(super) fn release_step(&mut self, machine: usize, step: Step) {
         match step {
             Step::Drain if self.hosts[machine].state == BackendState::Ready => {
-                self.changed(machine, BackendState::Draining, self.figures.notice);
+                self.changed(machine, BackendState::Draining, self.parameters.notice_delay);
             }
             Step::Drain => {}
             // A machine that another failure has taken down is not restarted here.
@@ -162,7 +166,7 @@
             }
             Step::Stop => {}
             Step::Start => {
-                if !self.hosts[machine].lost {
+                if !self.hosts[machine].unreachable {
                     self.revive(machine);
                 }
             }
@@ -182,7 +186,7 @@
         let away = self.hosts[machine].state != BackendState::Ready;
         let host = &mut self.hosts[machine];
         host.away_notified_at = if away { Some(host.away_notified_at.unwrap_or(self.now)) } else { None };
-        for proxy in self.before[self.hosts[machine].tier].clone() {
+        for proxy in self.proxies_of_tier[self.hosts[machine].tier].clone() {
             match self.is_cut_off_from_discovery(proxy) {
                 true => self.missed_notices.push((proxy, machine)),
                 false => self.notify_of_machine(proxy, machine),
--- a/crates/simulation/src/sim/link_faults.rs
+++ b/crates/simulation/src/sim/link_faults.rs
@@ -1,7 +1,7 @@
 //! Faults of network links.
 
 use super::World;
-use crate::scenario::{CutMode, LinkKind};
+use crate::scenario::{LinkFaultMode, LinkKind};
 
 /// What becomes of a message on a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -18,9 +18,9 @@
 
 impl World {
     pub(super) fn cut(&mut self, index: usize, begins: bool) {
-        self.cuts.retain(|cut| *cut != index);
+        self.active_link_faults.retain(|cut| *cut != index);
         if begins {
-            return self.cuts.push(index);
+            return self.active_link_faults.push(index);
         }
         for (proxy, machine) in std::mem::take(&mut self.missed_notices) {
             match self.is_cut_off_from_discovery(proxy) {
@@ -33,23 +33,23 @@
     /// The state of a proxy's link of a kind; `to` is the zone of the machine at its other end.
     fn way_of(&self, link: LinkKind, proxy: usize, to: Option<usize>) -> Way {
         let of = &self.proxies[proxy];
-        let place = (of.rank, self.before[of.tier].len());
-        for index in &self.cuts {
-            let failure = &self.figures.failures[*index];
-            let cut = &failure.cut;
+        let place = (of.rank, self.proxies_of_tier[of.tier].len());
+        for index in &self.active_link_faults {
+            let failure = &self.parameters.failures[*index];
+            let cut = &failure.link_fault;
             let meant = cut.link == link
                 && (link == LinkKind::ClientFront || failure.tier == of.tier)
-                && cut.is_from(failure.part, place, of.zone)
-                && to.is_none_or(|zone| cut.is_to(zone));
+                && cut.affects_proxy(failure.fraction, place, of.zone)
+                && to.is_none_or(|zone| cut.affects_zone(zone));
             if !meant {
                 continue;
             }
             return match cut.mode {
-                CutMode::Delay => Way::Open(cut.delay),
-                CutMode::Refuse => Way::Refused,
-                CutMode::Reset => Way::Broken,
-                CutMode::Silent | CutMode::LoseForth | CutMode::LoseBack => {
-                    Way::Blocked(failure.at + failure.lasts)
+                LinkFaultMode::Delay => Way::Open(cut.delay),
+                LinkFaultMode::Refuse => Way::Refused,
+                LinkFaultMode::Reset => Way::Broken,
+                LinkFaultMode::Silent | LinkFaultMode::LoseForth | LinkFaultMode::LoseBack => {
+                    Way::Blocked(failure.at + failure.duration)
                 }
             };
         }
--- a/crates/simulation/src/sim/mod.rs
+++ b/crates/simulation/src/sim/mod.rs
@@ -33,16 +33,16 @@
     machine: Machine,
     tier: usize,
     /// Its place in the tier.
-    place: usize,
+    index_in_tier: usize,
     zone: usize,
     /// Its true state; the endpoint list follows later.
     state: BackendState,
     started_at: Option<f64>,
     /// Cut off from the network.
-    lost: bool,
+    unreachable: bool,
     /// Rejects new attempts, as if its queue were full.
     rejects_new: bool,
-    stamp: u64,
+    change_stamp: u64,
     /// Its own proxy to the next tier.
     proxy: Option<usize>,
     /// When the proxies were notified that it drains or is gone.
@@ -81,23 +81,23 @@
     attempts: u32,
     in_flight: Option<usize>,
     answered: bool,
-    gone: bool,
+    abandoned: bool,
 }
 
 struct Attempt {
     request: usize,
-    no: u32,
+    number: u32,
     machine: usize,
     sent_at: f64,
     /// Its outcome was passed to the policy.
-    over: bool,
+    ended: bool,
     /// It occupies a slot of its machine; false once the machine's process has died.
     on_machine: bool,
     /// It was cancelled.
-    dropped: bool,
+    cancelled: bool,
     phases_left: usize,
     phase_work: f64,
-    below: Option<usize>,
+    request_below: Option<usize>,
 }
 
 struct ClientRequest {
@@ -105,10 +105,10 @@
     tenant: usize,
     work: f64,
     weight: f64,
-    first_at: f64,
+    started_at: f64,
     deadline_at: f64,
     zone: usize,
-    no: u32,
+    attempt_number: u32,
     /// The request at a proxy that the current client attempt became.
     proxy_request: Option<usize>,
     closed: bool,
@@ -116,32 +116,32 @@
 
 /// One run.
 struct World {
-    figures: DrawnScenario,
+    parameters: DrawnScenario,
     now: f64,
     queue: Queue,
     hosts: Vec<Host>,
     tiers: Vec<Vec<usize>>,
     proxies: Vec<Proxy>,
-    before: Vec<Vec<usize>>,
+    proxies_of_tier: Vec<Vec<usize>>,
     requests: Vec<ProxyRequest>,
     attempts: Vec<Attempt>,
     client_requests: Vec<ClientRequest>,
     arrivals: Arrivals,
     /// The next client request to start.
     next_arrival: Option<Arrival>,
-    network: Xoshiro256PlusPlus,
+    network_rng: Xoshiro256PlusPlus,
     discovery_down: bool,
     unsent_notices: Vec<usize>,
     /// Endpoint updates that proxies cut off from discovery have missed: proxy and machine.
     missed_notices: Vec<(usize, usize)>,
     /// Link faults in force, by their place among the failures.
-    cuts: Vec<usize>,
-    named: PolicyName,
-    seeds: Xoshiro256PlusPlus,
-    done: Vec<Job>,
+    active_link_faults: Vec<usize>,
+    policy_name: PolicyName,
+    policy_seeds: Xoshiro256PlusPlus,
+    completed_jobs: Vec<Job>,
     totals: RunSummary,
     side_effects: side_effects::SideEffectCounts,
-    sampled_at: f64,
+    last_sample_at: f64,
 }
 
 /// Runs a scenario under a policy in simulated time.
@@ -151,67 +151,67 @@
 
 /// A recorded day of the platform's simulator.
 pub struct Day {
-    figures: DrawnScenario,
+    parameters: DrawnScenario,
     /// Failures in it that the simulation has no model for.
-    pub unknown: Vec<String>,
+    pub unsupported_failures: Vec<String>,
 }
 
 impl Day {
     /// Reads a day file.
     pub fn read(text: &str) -> Result<Day, DayError> {
-        let (figures, unknown) = recorded_day::figures(text)?;
-        Ok(Day { figures, unknown })
+        let (parameters, unknown) = recorded_day::parameters(text)?;
+        Ok(Day { parameters: parameters, unsupported_failures: unknown })
     }
 
     /// Runs it under a policy in simulated time.
     pub fn run(&self, policy: PolicyName, seed: u64) -> RunSummary {
-        play(self.figures.clone(), policy, seed)
+        play(self.parameters.clone(), policy, seed)
     }
 }
 
-fn play(figures: DrawnScenario, policy: PolicyName, seed: u64) -> RunSummary {
-    let mut world = World::new(figures, policy, seed);
+fn play(parameters: DrawnScenario, policy: PolicyName, seed: u64) -> RunSummary {
+    let mut world = World::new(parameters, policy, seed);
     while let Some((at, what)) = world.queue.next() {
         world.now = at;
         world.handle_event(what);
         world.sample_capacity();
     }
-    let open = world.requests.iter().filter(|a| !a.answered && !a.gone).count() as u64;
+    let open = world.requests.iter().filter(|a| !a.answered && !a.abandoned).count() as u64;
     world.totals.wrong_answers += open;
     let account = std::mem::take(&mut world.side_effects);
-    let place = |host: usize| world.hosts[host].place;
-    let start = |host: usize| world.figures.cold_start(world.hosts[host].tier, place(host));
-    world.totals.harm = account.close(&world.figures, world.totals.by_proxy(), start);
+    let place = |host: usize| world.hosts[host].index_in_tier;
+    let start = |host: usize| world.parameters.slow_start_model(world.hosts[host].tier, place(host));
+    world.totals.harm = account.close(&world.parameters, world.totals.by_proxy(), start);
     let chokes = world.hosts.iter().map(|h| u64::from(h.machine.chokes())).sum();
     world.totals.close(chokes)
 }
 
 impl World {
-    fn new(figures: DrawnScenario, policy: PolicyName, seed: u64) -> World {
+    fn new(parameters: DrawnScenario, policy: PolicyName, seed: u64) -> World {
         let mut world = World {
             now: 0.0,
             queue: Queue::default(),
             hosts: Vec::new(),
             tiers: Vec::new(),
             proxies: Vec::new(),
-            before: vec![Vec::new(); figures.tiers.len()],
+            proxies_of_tier: vec![Vec::new(); parameters.tiers.len()],
             requests: Vec::new(),
             attempts: Vec::new(),
             client_requests: Vec::new(),
-            arrivals: Arrivals::new(&figures, seed),
+            arrivals: Arrivals::new(&parameters, seed),
             next_arrival: None,
-            network: setup::chance(seed, Stream::Network),
+            network_rng: setup::stream_rng(seed, Stream::Network),
             discovery_down: false,
             unsent_notices: Vec::new(),
             missed_notices: Vec::new(),
-            cuts: Vec::new(),
-            named: policy,
-            seeds: setup::chance(seed, Stream::Policies),
-            done: Vec::new(),
-            side_effects: side_effects::SideEffectCounts::new(&figures),
-            totals: RunSummary::new(policy.name(), seed, figures.length, figures.shares()),
-            sampled_at: f64::MIN,
-            figures,
+            active_link_faults: Vec::new(),
+            policy_name: policy,
+            policy_seeds: setup::stream_rng(seed, Stream::Policies),
+            completed_jobs: Vec::new(),
+            side_effects: side_effects::SideEffectCounts::new(&parameters),
+            totals: RunSummary::new(policy.name(), seed, parameters.length, parameters.tenant_quotas()),
+            last_sample_at: f64::MIN,
+            parameters: parameters,
         };
         world.build(policy);
         world
@@ -219,20 +219,20 @@
 
     #[allow(clippy::too_many_lines, reason = "builds machines, proxies and first events in order")]
     fn build(&mut self, policy: PolicyName) {
-        let mut seeds = self.seeds.clone();
-        for (tier, of) in self.figures.tiers.iter().enumerate() {
+        let mut seeds = self.policy_seeds.clone();
+        for (tier, of) in self.parameters.tiers.iter().enumerate() {
             let first = self.hosts.len();
-            for (n, place) in of.places.iter().enumerate() {
+            for (n, place) in of.machines.iter().enumerate() {
                 self.hosts.push(Host {
-                    machine: Machine::new(MachineSpec { speed: place.speed, ..of.kind }),
+                    machine: Machine::new(MachineSpec { speed: place.speed, ..of.spec }),
                     tier,
-                    place: n,
+                    index_in_tier: n,
                     zone: place.zone,
                     state: BackendState::Ready,
                     started_at: None,
-                    lost: false,
+                    unreachable: false,
                     rejects_new: false,
-                    stamp: 0,
+                    change_stamp: 0,
                     proxy: None,
                     away_notified_at: None,
                 });
@@ -242,35 +242,36 @@
         for tier in 0..self.tiers.len() {
             // The first tier's proxies stand alone; each machine has one of its own to the next tier.
             let hosts_of_proxies: Vec<Option<usize>> = match tier {
-                0 => vec![None; self.figures.proxies.len()],
+                0 => vec![None; self.parameters.proxy_zones.len()],
                 _ => self.tiers[tier - 1].iter().copied().map(Some).collect(),
             };
             for (rank, host) in hosts_of_proxies.iter().enumerate() {
-                let zone = host.map_or_else(|| self.figures.proxies[rank], |host| self.hosts[host].zone);
-                let settings = self.figures.settings(tier, rank, hosts_of_proxies.len(), zone);
+                let zone =
+                    host.map_or_else(|| self.parameters.proxy_zones[rank], |host| self.hosts[host].zone);
+                let settings = self.parameters.settings(tier, rank, hosts_of_proxies.len(), zone);
                 let number = self.proxies.len();
                 self.proxies.push(Proxy {
                     policy: policy.start(settings, seeds.next_u64()),
                     tier,
                     rank,
                     zone,
-                    traffic_weight: self.figures.heat.get(number).copied().unwrap_or(1.0),
+                    traffic_weight: self.parameters.proxy_traffic.get(number).copied().unwrap_or(1.0),
                     alive: true,
                     draining: false,
                     silent: false,
                     gone_at: f64::MIN,
                 });
-                self.before[tier].push(number);
+                self.proxies_of_tier[tier].push(number);
                 if let Some(host) = *host {
                     self.hosts[host].proxy = Some(number);
                 }
                 self.send_endpoint_list(number);
             }
         }
-        self.seeds = seeds;
-        for (index, failure) in self.figures.failures.iter().enumerate() {
+        self.policy_seeds = seeds;
+        for (index, failure) in self.parameters.failures.iter().enumerate() {
             self.queue.put(failure.at, SimEvent::Failure { index, begins: true });
-            self.queue.put(failure.at + failure.lasts, SimEvent::Failure { index, begins: false });
+            self.queue.put(failure.at + failure.duration, SimEvent::Failure { index, begins: false });
         }
         self.queue.put(0.0, SimEvent::Arrival);
     }
@@ -335,9 +336,9 @@
             }
             SimEvent::Reach { attempt } => self.reach(attempt),
             SimEvent::Due { machine, stamp } => {
-                if self.hosts[machine].stamp == stamp {
+                if self.hosts[machine].change_stamp == stamp {
                     let now = self.now;
-                    self.hosts[machine].machine.advance(now, &mut self.done);
+                    self.hosts[machine].machine.advance(now, &mut self.completed_jobs);
                     self.worked(machine);
                 }
             }
@@ -354,14 +355,14 @@
 
     /// Samples the capacity of the first tier, once per [`SAMPLE_INTERVAL_MS`].
     fn sample_capacity(&mut self) {
-        if self.now - self.sampled_at < SAMPLE_INTERVAL_MS || self.now > self.figures.length {
+        if self.now - self.last_sample_at < SAMPLE_INTERVAL_MS || self.now > self.parameters.length {
             return;
         }
-        self.sampled_at = self.now;
-        let failing = self.hosts.iter().filter(|h| h.lost || !h.machine.is_responsive()).count();
+        self.last_sample_at = self.now;
+        let failing = self.hosts.iter().filter(|h| h.unreachable || !h.machine.is_responsive()).count();
         self.side_effects.failing(failing as f64 * SAMPLE_INTERVAL_MS);
-        let whole = self.figures.tiers[0].able();
-        let hosts = || self.tiers[0].iter().map(|h| &self.hosts[*h]).filter(|h| !h.lost);
+        let whole = self.parameters.tiers[0].full_capacity();
+        let hosts = || self.tiers[0].iter().map(|h| &self.hosts[*h]).filter(|h| !h.unreachable);
         let able: f64 = hosts().map(|h| h.machine.capacity(self.now)).sum();
         let choked = hosts().filter(|h| h.machine.is_choked()).count() as u64;
         self.totals.looked(self.now, able / whole, choked);
--- a/crates/simulation/src/sim/proxy_restarts.rs
+++ b/crates/simulation/src/sim/proxy_restarts.rs
@@ -1,7 +1,7 @@
 //! Restarts of the first tier's proxies.
 
 use super::queue::{ResponseKind, SimEvent};
-use super::setup::count_of;
+use super::setup::count_of_fraction;
 use super::{Proxy, RequestSource, World};
 use rand_xoshiro::rand_core::RngCore;
 
@@ -11,8 +11,8 @@
 impl World {
     /// This part of the first tier's proxies, from the first on, and at least one.
     pub(super) fn first_tier_proxies(&self, part: f64) -> Vec<usize> {
-        let all = &self.before[0];
-        all[..count_of(part, all.len())].to_vec()
+        let all = &self.proxies_of_tier[0];
+        all[..count_of_fraction(part, all.len())].to_vec()
     }
 
     /// The process is killed: its connections are reset, and new ones refused.
@@ -21,11 +21,13 @@
         self.proxies[proxy].gone_at = self.now;
         let open: Vec<usize> = (0..self.requests.len())
             .filter(|a| {
-                self.requests[*a].proxy == proxy && !self.requests[*a].answered && !self.requests[*a].gone
+                self.requests[*a].proxy == proxy
+                    && !self.requests[*a].answered
+                    && !self.requests[*a].abandoned
             })
             .collect();
         for request in open {
-            self.requests[request].gone = true;
+            self.requests[request].abandoned = true;
             if let Some(attempt) = self.requests[request].in_flight {
                 self.queue.put(self.now, SimEvent::Cancel { attempt });
             }
@@ -37,7 +39,7 @@
 
     /// A client's attempt fails at once, as its connection broke or was refused.
     pub(super) fn broken(&mut self, client_request: usize, no: u32) {
-        let at = self.now + self.figures.client;
+        let at = self.now + self.parameters.client_delay;
         self.queue
             .put(at, SimEvent::Final { client_request, no, end: ResponseKind::Failed, retry_after: 0.0 });
     }
@@ -46,8 +48,8 @@
     fn fresh(&mut self, of: usize) -> Proxy {
         let old = &self.proxies[of];
         let (tier, rank, zone, traffic_weight) = (old.tier, old.rank, old.zone, old.traffic_weight);
-        let settings = self.figures.settings(tier, rank, self.before[tier].len(), zone);
-        let policy = self.named.start(settings, self.seeds.next_u64());
+        let settings = self.parameters.settings(tier, rank, self.proxies_of_tier[tier].len(), zone);
+        let policy = self.policy_name.start(settings, self.policy_seeds.next_u64());
         let gone_at = f64::MIN;
         Proxy {
             policy,
@@ -74,7 +76,7 @@
             let new = self.fresh(proxy);
             let number = self.proxies.len();
             self.proxies.push(new);
-            if let Some(place) = self.before[0].iter_mut().find(|p| **p == proxy) {
+            if let Some(place) = self.proxies_of_tier[0].iter_mut().find(|p| **p == proxy) {
                 *place = number;
             }
             return self.send_endpoint_list(number);
--- a/crates/simulation/src/sim/recorded_day.rs
+++ b/crates/simulation/src/sim/recorded_day.rs
@@ -164,7 +164,7 @@
 
 /// The parameters of a day; the second part names failures that have no model.
 #[allow(clippy::too_many_lines, reason = "one field of the recorded day after another")]
-pub(super) fn figures(text: &str) -> Result<(DrawnScenario, Vec<String>), DayError> {
+pub(super) fn parameters(text: &str) -> Result<(DrawnScenario, Vec<String>), DayError> {
     let day: Day = serde_json::from_str(text)?;
     let wrong = |why: &str| Err(DayError::Sense(why.to_string()));
     if day.tiers.is_empty() || day.classes.is_empty() || day.zones.is_empty() {
@@ -198,11 +198,11 @@
                 tier.kinds.first().ok_or_else(|| DayError::Sense(format!("{}: no kinds", tier.name)))?;
             Ok(DrawnTier {
                 name: tier.name.clone(),
-                kind: machine(kind, tier.choke.as_ref()),
-                places: std::mem::take(&mut places[i]),
-                part: tier.work * calls,
+                spec: machine(kind, tier.choke.as_ref()),
+                machines: std::mem::take(&mut places[i]),
+                work_fraction: tier.work * calls,
                 // The file states how many requests the tier above sends to a tier.
-                calls: day.tiers.get(i + 1).map_or(0.0, |below| below.calls),
+                requests_below: day.tiers.get(i + 1).map_or(0.0, |below| below.calls),
             })
         })
         .collect::<Result<_, DayError>>()?;
@@ -224,52 +224,52 @@
         let on =
             trouble.on.iter().filter_map(|s| within.get(*s)).map(|(tier, n)| starts[*tier] + n).collect();
         failures.push(DrawnFailure {
-            what,
+            kind: what,
             at: ms(trouble.at),
-            lasts: ms(trouble.len),
+            duration: ms(trouble.len),
             zone: trouble.which % day.zones.len(),
             tier: trouble.tier.min(day.tiers.len() - 1),
-            part: 1.0,
-            times: trouble.size,
-            on,
-            cut: LinkFault::default(),
+            fraction: 1.0,
+            factor: trouble.size,
+            machines: on,
+            link_fault: LinkFault::default(),
         });
     }
-    let mut figures = DrawnScenario {
+    let mut parameters = DrawnScenario {
         length: ms(day.length),
         zones: day.zones.len(),
-        zone_share: day.traffic.zone_share,
-        proxies,
+        zone_traffic: day.traffic.zone_share,
+        proxy_zones: proxies,
         tiers,
         classes,
-        heat: Vec::new(),
+        proxy_traffic: Vec::new(),
         tenants: Vec::new(),
-        over_share_worth: day.traffic.over_share_worth,
-        own_work: true,
-        rate: 0.0,
-        swing: 0.0,
-        period: 1.0,
-        shape: day.traffic.shape.iter().map(|(from_s, times)| (from_s * 1e3, *times)).collect(),
+        over_quota_weight: day.traffic.over_share_worth,
+        independent_tier_work: true,
+        rate_per_s: 0.0,
+        rate_amplitude: 0.0,
+        rate_period: 1.0,
+        rate_profile: day.traffic.shape.iter().map(|(from_s, times)| (from_s * 1e3, *times)).collect(),
         retries: day.clients.retries,
-        wait: if day.clients.backoff == "none" { 0.0 } else { ms(day.clients.backoff_us) },
-        try_part: day.clients.try_share,
-        honour: day.clients.honour,
-        same_zone: ms(day.net.same),
-        cross_zone: ms(day.net.cross),
-        client: ms(day.net.client),
-        notice: ms(day.discovery.notice),
-        silent_notice: ms(day.discovery.silent_notice),
-        add_notice: ms(day.discovery.add),
-        serves_on: 1_200.0,
-        front_notice: ms(day.front_notice),
+        retry_wait: if day.clients.backoff == "none" { 0.0 } else { ms(day.clients.backoff_us) },
+        attempt_timeout_fraction: day.clients.try_share,
+        retry_after_fraction: day.clients.honour,
+        same_zone_delay: ms(day.net.same),
+        cross_zone_delay: ms(day.net.cross),
+        client_delay: ms(day.net.client),
+        notice_delay: ms(day.discovery.notice),
+        silent_notice_delay: ms(day.discovery.silent_notice),
+        start_notice_delay: ms(day.discovery.add),
+        drain_grace: 1_200.0,
+        front_notice_delay: ms(day.front_notice),
         failures,
     };
-    let capacity = figures.capacity();
-    figures.rate = day.traffic.load * capacity;
-    figures.tenants = (day.tenants.into_iter())
-        .map(|t| DrawnTenant { name: t.name, traffic: t.traffic, quota: t.quota * capacity })
+    let capacity = parameters.capacity_per_s();
+    parameters.rate_per_s = day.traffic.load * capacity;
+    parameters.tenants = (day.tenants.into_iter())
+        .map(|t| DrawnTenant { name: t.name, traffic_share: t.traffic, quota: t.quota * capacity })
         .collect();
-    Ok((figures, unknown))
+    Ok((parameters, unknown))
 }
 
 fn machine(kind: &MachineKind, choke: Option<&Choking>) -> MachineSpec {
@@ -297,18 +297,18 @@
     DrawnClass {
         name: class.name.clone(),
         share: class.share,
-        work: ms(class.work),
-        shape: match class.dist.as_str() {
+        mean_work_ms: ms(class.work),
+        work_distribution: match class.dist.as_str() {
             "fixed" => Shape::Fixed,
             "lognormal" => Shape::Lognormal,
             _ => Shape::Exp,
         },
-        cv: class.cv,
-        noise: class.attempt_noise,
-        aim: ms(class.aim),
+        work_cv: class.cv,
+        attempt_noise_cv: class.attempt_noise,
+        latency_objective: ms(class.aim),
         deadline: ms(class.deadline),
-        worth: class.worth,
-        repeats: match class.effect.as_str() {
+        weight: class.worth,
+        retry_safety: match class.effect.as_str() {
             "safe" => ClassRetrySafety::Safe,
             "keyed" => ClassRetrySafety::Keyed,
             _ => ClassRetrySafety::Once,
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -3,7 +3,7 @@
 use super::accounting::TenantQuotas;
 use crate::model::machine::MachineSpec;
 use crate::model::work::Shape;
-use crate::scenario::{ClassRetrySafety, CutMode, FailureKind, LinkKind, Scenario};
+use crate::scenario::{ClassRetrySafety, FailureKind, LinkFaultMode, LinkKind, Scenario};
 use hillstall_decision::{
     Class, DedupScope, ObjectiveWeights, Permissions, Prices, RatingSource, ReportVia, RetrySafety, Rules,
     Settings, Tenant,
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy)]
 pub enum Stream {
     /// The parameters of the run.
-    Figures,
+    Parameters,
     /// The arrivals.
     Arrivals,
     /// The network, and the clients' choices.
@@ -26,7 +26,7 @@
 }
 
 /// The random numbers of a stream.
-pub fn chance(seed: u64, stream: Stream) -> Xoshiro256PlusPlus {
+pub fn stream_rng(seed: u64, stream: Stream) -> Xoshiro256PlusPlus {
     let number = stream as u64 + 1;
     Xoshiro256PlusPlus::seed_from_u64(seed ^ number.wrapping_mul(0x9E37_79B9_7F4A_7C15))
 }
@@ -39,21 +39,21 @@
     /// Its part of the requests.
     pub share: f64,
     /// Mean work of a request over all tiers, in core milliseconds.
-    pub work: f64,
+    pub mean_work_ms: f64,
     /// Distribution of the work.
-    pub shape: Shape,
+    pub work_distribution: Shape,
     /// Coefficient of variation of the work.
-    pub cv: f64,
+    pub work_cv: f64,
     /// Coefficient of variation of an attempt's work around its request's.
-    pub noise: f64,
+    pub attempt_noise_cv: f64,
     /// The latency objective, in milliseconds: later responses earn nothing.
-    pub aim: f64,
+    pub latency_objective: f64,
     /// The deadline, from the first attempt, in milliseconds.
     pub deadline: f64,
     /// Weight of a request.
-    pub worth: f64,
+    pub weight: f64,
     /// Whether it may be retried.
-    pub repeats: ClassRetrySafety,
+    pub retry_safety: ClassRetrySafety,
 }
 
 /// Zone and speed of a machine.
@@ -71,7 +71,7 @@
     /// For people.
     pub name: String,
     /// Its part of the requests, relative to the others.
-    pub traffic: f64,
+    pub traffic_share: f64,
     /// Its quota, in requests per second.
     pub quota: f64,
 }
@@ -82,36 +82,36 @@
     /// For people.
     pub name: String,
     /// Its machines.
-    pub places: Vec<DrawnBackend>,
+    pub machines: Vec<DrawnBackend>,
     /// What each of them can do.
-    pub kind: MachineSpec,
+    pub spec: MachineSpec,
     /// A part: of the work of a request, or of the machines.
-    pub part: f64,
+    pub work_fraction: f64,
     /// Requests to the next tier per request, on average.
-    pub calls: f64,
+    pub requests_below: f64,
 }
 
 /// A failure.
 #[derive(Clone)]
 pub struct DrawnFailure {
     /// The failures.
-    pub what: FailureKind,
+    pub kind: FailureKind,
     /// When (ms).
     pub at: f64,
     /// For how long (ms).
-    pub lasts: f64,
+    pub duration: f64,
     /// Its zone.
     pub zone: usize,
     /// Which tier.
     pub tier: usize,
     /// A part: of the work of a request, or of the machines.
-    pub part: f64,
+    pub fraction: f64,
     /// How many times slower, or how many times the load.
-    pub times: f64,
+    pub factor: f64,
     /// The machines it affects, where they are named.
-    pub on: Vec<usize>,
+    pub machines: Vec<usize>,
     /// Of a link fault.
-    pub cut: LinkFault,
+    pub link_fault: LinkFault,
 }
 
 /// The links of a link fault, and its kind.
@@ -124,24 +124,24 @@
     /// Machines of this zone alone.
     pub to_zone: Option<usize>,
     /// What it does.
-    pub mode: CutMode,
+    pub mode: LinkFaultMode,
     /// Its delay, in milliseconds.
     pub delay: f64,
 }
 
 /// A part of a number, rounded, and at least one.
-pub fn count_of(part: f64, all: usize) -> usize {
+pub fn count_of_fraction(part: f64, all: usize) -> usize {
     ((part * all as f64).round() as usize).clamp(1, all)
 }
 
 impl LinkFault {
     /// Whether it affects links from a proxy with a rank among a number of instances.
-    pub fn is_from(&self, part: f64, (rank, copies): (usize, usize), zone: usize) -> bool {
-        rank < count_of(part, copies) && self.from_zone.is_none_or(|from| from == zone)
+    pub fn affects_proxy(&self, part: f64, (rank, copies): (usize, usize), zone: usize) -> bool {
+        rank < count_of_fraction(part, copies) && self.from_zone.is_none_or(|from| from == zone)
     }
 
     /// Whether it affects links to a machine of a zone.
-    pub fn is_to(&self, zone: usize) -> bool {
+    pub fn affects_zone(&self, zone: usize) -> bool {
         self.to_zone.is_none_or(|to| to == zone)
     }
 }
@@ -154,11 +154,11 @@
     /// Zones.
     pub zones: usize,
     /// The zones' parts of the clients.
-    pub zone_share: Vec<f64>,
+    pub zone_traffic: Vec<f64>,
     /// The zone of each proxy before the first tier.
-    pub proxies: Vec<usize>,
+    pub proxy_zones: Vec<usize>,
     /// Traffic of each, as a multiple of an ordinary one's.
-    pub heat: Vec<f64>,
+    pub proxy_traffic: Vec<f64>,
     /// The tiers, from the top.
     pub tiers: Vec<DrawnTier>,
     /// The classes.
@@ -166,41 +166,41 @@
     /// The tenants.
     pub tenants: Vec<DrawnTenant>,
     /// The part of the weight beyond a quota that counts.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Whether a request's work at a lower tier is drawn anew, or follows from the request above it.
-    pub own_work: bool,
+    pub independent_tier_work: bool,
     /// Client requests per second.
-    pub rate: f64,
+    pub rate_per_s: f64,
     /// Amplitude of the rate's sine wave, as a part of its mean.
-    pub swing: f64,
+    pub rate_amplitude: f64,
     /// Period of the sine wave, in milliseconds.
-    pub period: f64,
+    pub rate_period: f64,
     /// Times, in milliseconds, from which on the rate is multiplied by a factor.
-    pub shape: Vec<(f64, f64)>,
+    pub rate_profile: Vec<(f64, f64)>,
     /// Client retries.
     pub retries: u32,
     /// Wait before each (ms).
-    pub wait: f64,
+    pub retry_wait: f64,
     /// The timeout of a client's attempt, as a part of the deadline.
-    pub try_part: f64,
+    pub attempt_timeout_fraction: f64,
     /// The part of clients that follow Retry-After.
-    pub honour: f64,
+    pub retry_after_fraction: f64,
     /// One way within a zone (ms).
-    pub same_zone: f64,
+    pub same_zone_delay: f64,
     /// One way between zones (ms).
-    pub cross_zone: f64,
+    pub cross_zone_delay: f64,
     /// One way between a client and a proxy (ms).
-    pub client: f64,
+    pub client_delay: f64,
     /// Until proxies are notified of a drain or a death, in milliseconds.
-    pub notice: f64,
+    pub notice_delay: f64,
     /// Until proxies are notified that a machine is silent, in milliseconds.
-    pub silent_notice: f64,
+    pub silent_notice_delay: f64,
     /// Until proxies are notified of a start, in milliseconds.
-    pub add_notice: f64,
+    pub start_notice_delay: f64,
     /// How long a draining machine still accepts requests after the notification, in milliseconds.
-    pub serves_on: f64,
+    pub drain_grace: f64,
     /// Until the load balancer avoids proxies that are gone, in milliseconds.
-    pub front_notice: f64,
+    pub front_notice_delay: f64,
     /// The failures.
     pub failures: Vec<DrawnFailure>,
 }
@@ -208,7 +208,7 @@
 /// Draws the parameters of a run.
 #[allow(clippy::too_many_lines, reason = "one parameter after another, in the order of the random stream")]
 pub fn draw(scenario: &Scenario, seed: u64) -> DrawnScenario {
-    let rng = &mut chance(seed, Stream::Figures);
+    let rng = &mut stream_rng(seed, Stream::Parameters);
     let tiers: Vec<DrawnTier> = (scenario.tiers.iter().enumerate())
         .map(|(i, tier)| {
             let (servers, kind) = tier.draw(rng);
@@ -216,34 +216,40 @@
             let calls = if last { 0.0 } else { tier.calls.draw(rng) };
             let places =
                 (0..servers).map(|n| DrawnBackend { zone: n % scenario.zones, speed: kind.speed }).collect();
-            DrawnTier { name: tier.name.clone(), places, kind, part: tier.work_part.draw(rng), calls }
+            DrawnTier {
+                name: tier.name.clone(),
+                machines: places,
+                spec: kind,
+                work_fraction: tier.work_part.draw(rng),
+                requests_below: calls,
+            }
         })
         .collect();
     let classes: Vec<DrawnClass> = (scenario.classes.iter())
         .map(|class| DrawnClass {
             name: class.name.clone(),
             share: class.share.draw(rng),
-            work: class.work.0.draw(rng),
-            shape: class.shape,
-            cv: class.cv.draw(rng),
-            noise: 0.0,
-            aim: class.aim.0.draw(rng),
+            mean_work_ms: class.work.0.draw(rng),
+            work_distribution: class.shape,
+            work_cv: class.cv.draw(rng),
+            attempt_noise_cv: 0.0,
+            latency_objective: class.aim.0.draw(rng),
             deadline: class.deadline.0.draw(rng),
-            worth: class.worth.draw(rng),
-            repeats: class.repeats,
+            weight: class.worth.draw(rng),
+            retry_safety: class.repeats,
         })
         .collect();
     let failures = (scenario.failures.iter())
         .map(|f| DrawnFailure {
-            what: f.what,
+            kind: f.what,
             at: f.at.0.draw(rng),
-            lasts: f.lasts.0.draw(rng),
+            duration: f.lasts.0.draw(rng),
             zone: f.zone,
             tier: f.tier,
-            part: f.part.draw(rng).min(1.0),
-            times: f.times.draw(rng),
-            on: Vec::new(),
-            cut: LinkFault {
+            fraction: f.part.draw(rng).min(1.0),
+            factor: f.times.draw(rng),
+            machines: Vec::new(),
+            link_fault: LinkFault {
                 link: f.link,
                 from_zone: f.from_zone,
                 to_zone: f.to_zone,
@@ -255,121 +261,121 @@
         .collect();
     let notice = scenario.discovery.notice.0.draw(rng);
     let proxies = scenario.proxies.draw(rng).round().max(1.0) as usize;
-    let mut figures = DrawnScenario {
+    let mut parameters = DrawnScenario {
         length: scenario.length.0.draw(rng),
         zones: scenario.zones,
-        zone_share: vec![1.0; scenario.zones],
-        proxies: (0..proxies).map(|rank| rank % scenario.zones).collect(),
-        heat: vec![1.0; proxies],
+        zone_traffic: vec![1.0; scenario.zones],
+        proxy_zones: (0..proxies).map(|rank| rank % scenario.zones).collect(),
+        proxy_traffic: vec![1.0; proxies],
         tiers,
         classes,
         tenants: Vec::new(),
-        over_share_worth: scenario.over_share_worth.draw(rng).min(1.0),
-        own_work: false,
-        rate: 0.0,
-        swing: scenario.load.swing.draw(rng).min(1.0),
-        period: scenario.load.period.0.draw(rng).max(1.0),
-        shape: Vec::new(),
+        over_quota_weight: scenario.over_share_worth.draw(rng).min(1.0),
+        independent_tier_work: false,
+        rate_per_s: 0.0,
+        rate_amplitude: scenario.load.swing.draw(rng).min(1.0),
+        rate_period: scenario.load.period.0.draw(rng).max(1.0),
+        rate_profile: Vec::new(),
         retries: scenario.clients.retries.draw(rng) as u32,
-        wait: scenario.clients.wait.0.draw(rng),
-        try_part: scenario.clients.try_part.draw(rng).clamp(0.01, 1.0),
-        honour: scenario.clients.honour.draw(rng).min(1.0),
-        same_zone: scenario.net.same_zone.0.draw(rng),
-        cross_zone: scenario.net.cross_zone.0.draw(rng),
-        client: scenario.net.client.0.draw(rng),
-        notice,
-        silent_notice: notice,
-        add_notice: notice,
-        serves_on: 0.0,
-        front_notice: 0.0,
+        retry_wait: scenario.clients.wait.0.draw(rng),
+        attempt_timeout_fraction: scenario.clients.try_part.draw(rng).clamp(0.01, 1.0),
+        retry_after_fraction: scenario.clients.honour.draw(rng).min(1.0),
+        same_zone_delay: scenario.net.same_zone.0.draw(rng),
+        cross_zone_delay: scenario.net.cross_zone.0.draw(rng),
+        client_delay: scenario.net.client.0.draw(rng),
+        notice_delay: notice,
+        silent_notice_delay: notice,
+        start_notice_delay: notice,
+        drain_grace: 0.0,
+        front_notice_delay: 0.0,
         failures,
     };
-    figures.rate = match (scenario.load.rate, scenario.load.of_capacity) {
+    parameters.rate_per_s = match (scenario.load.rate, scenario.load.of_capacity) {
         (Some(rate), _) => rate.draw(rng),
-        (None, part) => part.map_or(0.0, |part| part.draw(rng)) * figures.capacity(),
+        (None, part) => part.map_or(0.0, |part| part.draw(rng)) * parameters.capacity_per_s(),
     };
     if let Some(hot) = scenario.hot {
         // The first ones: zones are assigned in turn, so these are spread over them.
         let many = hot.proxies.draw(rng).round() as usize;
-        figures.heat.iter_mut().take(many).for_each(|heat| *heat = hot.times.draw(rng));
+        parameters.proxy_traffic.iter_mut().take(many).for_each(|heat| *heat = hot.times.draw(rng));
     }
-    let able = figures.capacity();
+    let able = parameters.capacity_per_s();
     let tenants = scenario.tenants.iter().map(|t| DrawnTenant {
         name: t.name.clone(),
-        traffic: t.traffic.draw(rng),
+        traffic_share: t.traffic.draw(rng),
         quota: t.share.draw(rng) * able,
     });
-    figures.tenants = tenants.collect();
-    figures.serves_on = scenario.discovery.serves_on.0.draw(rng);
-    figures.front_notice = scenario.front.notice.0.draw(rng);
-    figures
+    parameters.tenants = tenants.collect();
+    parameters.drain_grace = scenario.discovery.serves_on.0.draw(rng);
+    parameters.front_notice_delay = scenario.front.notice.0.draw(rng);
+    parameters
 }
 
 impl DrawnTier {
     /// Full capacity of its machines, in core milliseconds per millisecond.
-    pub fn able(&self) -> f64 {
-        self.places.iter().map(|p| p.speed).sum::<f64>() * self.kind.cores as f64
+    pub fn full_capacity(&self) -> f64 {
+        self.machines.iter().map(|p| p.speed).sum::<f64>() * self.spec.cores as f64
     }
 }
 
 impl DrawnScenario {
     /// The mean of a value over the requests, weighted by the classes' traffic.
-    fn mean(&self, figure: fn(&DrawnClass) -> f64) -> f64 {
+    fn class_mean(&self, figure: fn(&DrawnClass) -> f64) -> f64 {
         let shares: f64 = self.classes.iter().map(|c| c.share).sum();
         self.classes.iter().map(|c| c.share / shares.max(1e-9) * figure(c)).sum()
     }
 
     /// An upper bound of the request rate, per millisecond.
-    pub fn most_rate(&self) -> f64 {
-        let burst = self.failures.iter().map(|f| f.times).fold(1.0, f64::max);
-        let shape = self.shape.iter().map(|(_, times)| *times).fold(1.0, f64::max);
-        self.rate * (1.0 + self.swing) * burst * shape / 1e3
+    pub fn max_rate_per_ms(&self) -> f64 {
+        let burst = self.failures.iter().map(|f| f.factor).fold(1.0, f64::max);
+        let shape = self.rate_profile.iter().map(|(_, times)| *times).fold(1.0, f64::max);
+        self.rate_per_s * (1.0 + self.rate_amplitude) * burst * shape / 1e3
     }
 
     /// The numbers of a tier's machines, counted over all tiers.
-    pub fn machines_of(&self, tier: usize) -> std::ops::Range<usize> {
-        let first: usize = self.tiers.iter().take(tier).map(|t| t.places.len()).sum();
-        first..first + self.tiers[tier].places.len()
+    pub fn machines_of_tier(&self, tier: usize) -> std::ops::Range<usize> {
+        let first: usize = self.tiers.iter().take(tier).map(|t| t.machines.len()).sum();
+        first..first + self.tiers[tier].machines.len()
     }
 
     /// Mean work of a request over all tiers, in core milliseconds.
     pub fn mean_work(&self) -> f64 {
-        self.mean(|c| c.work)
+        self.class_mean(|c| c.mean_work_ms)
     }
 
     /// The fleet's capacity in requests per second: that of the tier that saturates first.
-    pub fn capacity(&self) -> f64 {
+    pub fn capacity_per_s(&self) -> f64 {
         let work = self.mean_work();
-        let able = |tier: &DrawnTier| tier.able() / (work * tier.part).max(1e-9);
+        let able = |tier: &DrawnTier| tier.full_capacity() / (work * tier.work_fraction).max(1e-9);
         self.tiers.iter().map(able).fold(f64::MAX, f64::min) * 1e3
     }
 
     /// The tenants' quotas in weight per second, and the part of the weight beyond them that counts.
-    pub fn shares(&self) -> TenantQuotas {
-        let worth = self.mean(|c| c.worth);
+    pub fn tenant_quotas(&self) -> TenantQuotas {
+        let worth = self.class_mean(|c| c.weight);
         TenantQuotas {
             quotas: self.tenants.iter().map(|t| t.quota * worth).collect(),
-            beyond: self.over_share_worth,
+            beyond: self.over_quota_weight,
         }
     }
 
     /// The factor of the rate at a time.
-    pub fn factor(&self, now: f64) -> f64 {
-        self.shape.iter().take_while(|(from, _)| *from <= now).last().map_or(1.0, |(_, times)| *times)
+    pub fn profile_factor(&self, now: f64) -> f64 {
+        self.rate_profile.iter().take_while(|(from, _)| *from <= now).last().map_or(1.0, |(_, times)| *times)
     }
 
     /// The settings of a proxy.
     #[allow(clippy::too_many_lines, reason = "one field per setting")]
     pub fn settings(&self, tier: usize, rank: usize, copies: usize, zone: usize) -> Settings {
-        let kind = &self.tiers[tier].kind;
+        let kind = &self.tiers[tier].spec;
         let class = |c: &DrawnClass| Class {
             name: c.name.clone(),
-            latency_objective_ms: c.aim,
+            latency_objective_ms: c.latency_objective,
             objective_per_work_ms: 0.0,
             deadline_ms: c.deadline,
-            priority_weight: c.worth,
+            priority_weight: c.weight,
             late_weight_fraction: 0.0,
-            retry_safety: match c.repeats {
+            retry_safety: match c.retry_safety {
                 ClassRetrySafety::Safe => RetrySafety::Idempotent,
                 ClassRetrySafety::Keyed => RetrySafety::IdempotencyKey,
                 ClassRetrySafety::Once => RetrySafety::NonIdempotent,
@@ -378,8 +384,11 @@
             dedup_window_ms: 2_500.0,
             streaming: false,
         };
-        let tenant =
-            |t: &DrawnTenant| Tenant { name: t.name.clone(), quota_per_s: t.quota, fraction: t.traffic };
+        let tenant = |t: &DrawnTenant| Tenant {
+            name: t.name.clone(),
+            quota_per_s: t.quota,
+            fraction: t.traffic_share,
+        };
         Settings {
             rank: rank as u32,
             fleet_size: copies as u32,
@@ -394,7 +403,7 @@
             marks_retry: true,
             must_subscribe: false,
             weight_by_work: true,
-            over_quota_weight: self.over_share_worth,
+            over_quota_weight: self.over_quota_weight,
             tick_ms: 2.0,
             rating_source: RatingSource::Off,
             report: Vec::new(),
--- a/crates/simulation/src/sim/side_effects.rs
+++ b/crates/simulation/src/sim/side_effects.rs
@@ -55,9 +55,9 @@
 }
 
 impl SideEffectCounts {
-    pub(super) fn new(figures: &DrawnScenario) -> SideEffectCounts {
-        let highest = figures.classes.iter().map(|c| c.worth).fold(0.0, f64::max);
-        let worthiest = figures.classes.iter().map(|c| c.worth >= highest).collect();
+    pub(super) fn new(parameters: &DrawnScenario) -> SideEffectCounts {
+        let highest = parameters.classes.iter().map(|c| c.weight).fold(0.0, f64::max);
+        let worthiest = parameters.classes.iter().map(|c| c.weight >= highest).collect();
         SideEffectCounts { worthiest, ..SideEffectCounts::default() }
     }
 
@@ -120,11 +120,11 @@
     /// Sums up. `by_proxy`: client attempts that reached each proxy, and those it rejected.
     pub(super) fn close(
         self,
-        figures: &DrawnScenario,
+        parameters: &DrawnScenario,
         by_proxy: &[[u64; 2]],
         start: impl Fn(usize) -> SlowStartModel,
     ) -> SideEffects {
-        let machines: usize = figures.tiers.iter().map(|t| t.places.len()).sum();
+        let machines: usize = parameters.tiers.iter().map(|t| t.machines.len()).sum();
         let inverted = self.rejected.iter().filter(|(second, proxy)| {
             let door = self.doors.get(second).copied().unwrap_or_default();
             door.others || door.first.is_some_and(|first| first != *proxy)
@@ -142,7 +142,7 @@
                 true => self.sent_to_failing as f64 / (self.failing_ms / 1e3),
                 false => 0.0,
             },
-            handshakes: self.opened as f64 / machines.max(1) as f64 / (figures.length / 1e3),
+            handshakes: self.opened as f64 / machines.max(1) as f64 / (parameters.length / 1e3),
             overshoot: overshoots.fold(0.0, f64::max),
             refused_spread: variance.sqrt(),
             worthiest_refused: self.rejected.len() as f64 / self.arrived.max(1) as f64,
@@ -153,21 +153,21 @@
 
 impl DrawnScenario {
     /// The slow start of a machine of a tier, by the platform's rules.
-    pub fn cold_start(&self, tier: usize, place: usize) -> SlowStartModel {
+    pub fn slow_start_model(&self, tier: usize, place: usize) -> SlowStartModel {
         let (of, rules) = (&self.tiers[tier], self.settings(tier, 0, 1, 0).rules);
         SlowStartModel {
-            warm_capacity: of.places[place].speed * of.kind.cores as f64,
-            start_fraction: of.kind.warmup_start_fraction,
-            warmup_ms: of.kind.warmup,
+            warm_capacity: of.machines[place].speed * of.spec.cores as f64,
+            start_fraction: of.spec.warmup_start_fraction,
+            warmup_ms: of.spec.warmup,
             overload_multiple: rules.overload_multiple,
             window_ms: rules.overload_window_ms,
-            tolerance: SLACK_REQUESTS * self.work_at(tier),
+            tolerance: SLACK_REQUESTS * self.mean_work_at(tier),
         }
     }
 
     /// Mean work of a request at a tier, in core milliseconds.
-    pub fn work_at(&self, tier: usize) -> f64 {
-        let calls_above: f64 = self.tiers.iter().take(tier).map(|t| t.calls.max(1.0)).product();
-        self.mean_work() * self.tiers[tier].part / calls_above
+    pub fn mean_work_at(&self, tier: usize) -> f64 {
+        let calls_above: f64 = self.tiers.iter().take(tier).map(|t| t.requests_below.max(1.0)).product();
+        self.mean_work() * self.tiers[tier].work_fraction / calls_above
     }
 }
--- a/crates/simulation/src/stability.rs
+++ b/crates/simulation/src/stability.rs
@@ -133,7 +133,7 @@
         }
         let tally = sim::run(&scenario, policy, seed);
         ended();
-        let course = ServiceCourse::of(&tally.seconds, loss.at / 1e3, loss.lasts / 1e3);
+        let course = ServiceCourse::of(&tally.seconds, loss.at / 1e3, loss.duration / 1e3);
         (tally, course)
     });
     let cells = places.iter().zip(runs).map(|(((load, lost), _), runs)| {
