--- a/crates/fault-injection/src/open_loop_clients.rs
+++ b/crates/fault-injection/src/open_loop_clients.rs
@@ -6,7 +6,7 @@
 use crate::http::{OutgoingRequest, Wire};
 use crate::server::{send_request, target, RecordedAttempt};
 use hillstall_decision::RetrySafety;
-use hillstall_simulation::random::part;
+use hillstall_simulation::random::uniform;
 use hillstall_simulation::sim::accounting;
 use hillstall_simulation::sim::arrivals::{weighted_index, Arrival, Arrivals};
 use hillstall_simulation::sim::setup::{stream_rng, Stream};
@@ -57,7 +57,7 @@
     }
 
     fn next_fraction(&self) -> f64 {
-        part(&mut self.random.borrow_mut())
+        uniform(&mut self.random.borrow_mut())
     }
 
     /// Starts all requests of a seed, each at its time; returns once the last has started.
@@ -120,13 +120,13 @@
         let class = &figures.classes[arrival.class];
         let tell = |ended| {
             let worth = (arrival.tenant, arrival.weight);
-            self.fleet.tally.borrow_mut().ended(arrival.at_ms, worth, ended);
+            self.fleet.tally.borrow_mut().record_outcome(arrival.at_ms, worth, ended);
         };
-        self.fleet.tally.borrow_mut().asked(arrival.at_ms, arrival.tenant, arrival.weight);
+        self.fleet.tally.borrow_mut().record_request(arrival.at_ms, arrival.tenant, arrival.weight);
         let deadline_at = arrival.at_ms + class.deadline;
         let (mut no, mut at) = (0, arrival.at_ms);
         loop {
-            self.fleet.tally.borrow_mut().tried(at);
+            self.fleet.tally.borrow_mut().record_client_attempt(at);
             let over = (at + figures.attempt_timeout_fraction * class.deadline).min(deadline_at);
             let (ended, come_back) = self.run_attempt(number, no, &arrival, over).await;
             let now = history.now();
@@ -147,7 +147,7 @@
             no += 1;
             if no > figures.retries || now + wait >= deadline_at {
                 return tell(if refused {
-                    accounting::RequestOutcome::Refused
+                    accounting::RequestOutcome::Rejected
                 } else {
                     accounting::RequestOutcome::Failed
                 });
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -131,17 +131,17 @@
     let empty = RunSummary::new("drill", seed, 1.0, fleet.figures.tenant_quotas());
     let mut tally = fleet.tally.replace(empty);
     for hop in &seen.hops {
-        tally.sent(hop.at, truth.servers[hop.server].tier);
+        tally.record_attempt(hop.at, truth.servers[hop.server].tier);
     }
     for a_try in seen.tries.iter().filter(|t| t.process < fleet.fronts && t.written_at.is_some()) {
-        tally.came_to(a_try.process);
+        tally.record_arrival_at(a_try.process);
         if a_try.ended == crate::history::ClientResult::Refused {
-            tally.refused_by(a_try.process);
+            tally.record_rejection_by(a_try.process);
         }
     }
     let verdict = invariant_checker::check(&truth, &seen);
     let processes = fleet.processes.len();
-    Ok(ScenarioRun { tally: tally.close(chokes), seen, truth, verdict, processes })
+    Ok(ScenarioRun { tally: tally.into_summary(chokes), seen, truth, verdict, processes })
 }
 
 /// Samples the capacity of the first tier.
@@ -153,6 +153,6 @@
         let states: Vec<(f64, bool)> = fleet.servers[..first].iter().map(|s| s.state()).collect();
         let able: f64 = states.iter().map(|s| s.0).sum();
         let choked = states.iter().filter(|s| s.1).count() as u64;
-        fleet.tally.borrow_mut().looked(fleet.history.now().max(0.0), able / whole, choked);
+        fleet.tally.borrow_mut().record_capacity_sample(fleet.history.now().max(0.0), able / whole, choked);
     }
 }
--- a/crates/fault-injection/src/soak/clients.rs
+++ b/crates/fault-injection/src/soak/clients.rs
@@ -7,7 +7,7 @@
 use crate::platform_rules::CONNECT_AFTER_TERM_MS;
 use crate::server::{closes, result_of, target, RecordedAttempt, CROSSED_MS};
 use hillstall_decision::RetrySafety;
-use hillstall_simulation::random::part;
+use hillstall_simulation::random::uniform;
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cell::RefCell;
@@ -122,7 +122,7 @@
     }
 
     fn between(&self, (low, high): (f64, f64)) -> f64 {
-        low + (high - low) * part(&mut self.random.borrow_mut())
+        low + (high - low) * uniform(&mut self.random.borrow_mut())
     }
 
     async fn pause(&self, range_ms: (f64, f64)) {
--- a/crates/fault-injection/src/soak/plan.rs
+++ b/crates/fault-injection/src/soak/plan.rs
@@ -3,7 +3,7 @@
 use crate::platform_rules::{earliest_kill_ms, CONNECT_AFTER_TERM_MS};
 use crate::process_supervisor::ProcessSignal;
 use crate::tcp_proxy::Fault;
-use hillstall_simulation::random::part;
+use hillstall_simulation::random::uniform;
 use hillstall_simulation::scenario::{Scenario, ScenarioError};
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -85,11 +85,11 @@
 
 impl Draw {
     fn between(&mut self, low: f64, high: f64) -> f64 {
-        low + (high - low) * part(&mut self.0)
+        low + (high - low) * uniform(&mut self.0)
     }
 
     fn happens(&mut self, chance: f64) -> bool {
-        part(&mut self.0) < chance
+        uniform(&mut self.0) < chance
     }
 
     fn count(&mut self, low: usize, high: usize) -> usize {
--- a/crates/fault-injection/src/udp_proxy.rs
+++ b/crates/fault-injection/src/udp_proxy.rs
@@ -2,7 +2,7 @@
 //! or refusal.
 
 use crate::tcp_proxy::Fault;
-use hillstall_simulation::random::part;
+use hillstall_simulation::random::uniform;
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cell::{Cell, RefCell};
@@ -67,7 +67,7 @@
     }
 
     fn loses(&self, forth: bool) -> bool {
-        let by_chance = part(&mut self.rng.borrow_mut());
+        let by_chance = uniform(&mut self.rng.borrow_mut());
         by_chance < self.loss.get()
             || match self.fault.get() {
                 Fault::Silent | Fault::Reset | Fault::Refuse => true,
--- a/crates/hillstall/src/fault_injection.rs
+++ b/crates/hillstall/src/fault_injection.rs
@@ -153,7 +153,7 @@
             simulated.seed
         );
     }
-    let _ = writeln!(text, "drill over lab: {:+.2} ± {:.2} points\n", difference.mean, difference.half);
+    let _ = writeln!(text, "drill over lab: {:+.2} ± {:.2} points\n", difference.mean, difference.half_width);
     text
 }
 
--- a/crates/hillstall/src/simulation.rs
+++ b/crates/hillstall/src/simulation.rs
@@ -171,7 +171,7 @@
     progress.finish_and_clear();
     let mut table = map.table();
     if let Some(earlier_runs) = earlier_runs {
-        let (comparison, worse) = map.beside(&earlier_runs);
+        let (comparison, worse) = map.compare_with(&earlier_runs);
         table += &format!("\n{comparison}\n{worse} cells are worse by more than two points\n");
     }
     let runs = map.cells.iter().flat_map(|cell| &cell.runs);
@@ -241,7 +241,7 @@
 
 const COMPARED_METRICS: [ComparedMetric; 4] = [
     ComparedMetric { name: "service, points in 100", scale: 100.0, value: |run| run.service },
-    ComparedMetric { name: "worst 10 s, points in 100", scale: 100.0, value: |run| run.worst },
+    ComparedMetric { name: "worst 10 s, points in 100", scale: 100.0, value: |run| run.worst_window },
     ComparedMetric { name: "99th percentile, ms", scale: 1.0, value: |run| run.p99_ms },
     ComparedMetric { name: "attempts a call", scale: 1.0, value: |run| run.attempts },
 ];
@@ -250,8 +250,8 @@
 fn format_gains(baseline: &[RunSummary], candidate: &[RunSummary]) -> String {
     let line = |metric: ComparedMetric| {
         let gain = experiment::gain(baseline, candidate, metric.value);
-        let note = if gain.is_apart() { "" } else { "   (may be chance)" };
-        let (mean, half_width) = (metric.scale * gain.mean, metric.scale * gain.half);
+        let note = if gain.excludes_zero() { "" } else { "   (may be chance)" };
+        let (mean, half_width) = (metric.scale * gain.mean, metric.scale * gain.half_width);
         format!("  {}: {mean:+.2} ± {half_width:.2}{note}", metric.name)
     };
     COMPARED_METRICS.map(line).join("\n")
--- a/crates/hillstall/tests/fault_injection/main.rs
+++ b/crates/hillstall/tests/fault_injection/main.rs
@@ -98,7 +98,7 @@
     let after = |p: &harness::Played| {
         let last = &p.0.tally.seconds[6..];
         let sum = |of: fn(&hillstall_simulation::sim::Second) -> f64| last.iter().map(of).sum::<f64>();
-        100.0 * sum(|s| s.earned) / sum(|s| s.worth)
+        100.0 * sum(|s| s.served_weight) / sum(|s| s.offered_weight)
     };
     assert!(after(&kept) > 85.0, "service is {:.1} once they are back", after(&kept));
     // One that ends and was not told to is a crash.
@@ -115,7 +115,7 @@
     kept.keeps_the_rules();
     let ended = kept.0.seen.lives.iter().filter(|l| matches!(l.what, ProcessEvent::Ended(Some(0)))).count();
     assert_eq!(ended, 5, "all five fronts ended in order");
-    assert!(kept.0.tally.refused > 0.02, "the tier is crowded: {:.3} refused", kept.0.tally.refused);
+    assert!(kept.0.tally.rejected > 0.02, "the tier is crowded: {:.3} refused", kept.0.tally.rejected);
     // One that is killed where it should have been asked loses what it had taken.
     let broken = scripted("drill-roll", 1, |fleet| async move {
         wait(&fleet.history, 1.5).await;
@@ -200,14 +200,14 @@
     kept.keeps_the_rules();
     let course = |p: &harness::Played| ServiceCourse::of(&p.0.tally.seconds, 4.0, 8.0);
     // Half is left for a load of 85 in 100.
-    let part = |course: ServiceCourse| course.during / (0.5 / 0.85);
+    let part = |course: ServiceCourse| course.during_loss / (0.5 / 0.85);
     let killed = kept.0.seen.lives.iter().filter(|l| l.what == ProcessEvent::Killed).count();
     assert_eq!(killed, 3, "the proxies beside three boxes are gone with them");
     let off = lied("drill-half", 1, without_gates);
     say("% served of what is left to serve", 100.0 * part(course(&kept)), 100.0 * part(course(&off)));
     assert_eq!(kept.0.tally.chokes, 0, "a box that is left turned slow");
     assert!(part(course(&kept)) >= 0.75, "{:?}", course(&kept));
-    assert!(course(&kept).back_after.is_some_and(|after| after <= 8.0), "{:?}", course(&kept));
+    assert!(course(&kept).recovery_seconds.is_some_and(|after| after <= 8.0), "{:?}", course(&kept));
     assert!(part(course(&off)) < part(course(&kept)) - 0.2, "gates are of no use: {:?}", course(&off));
 }
 
--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -59,7 +59,7 @@
     /// The mean.
     pub mean: f64,
     /// Half of the 95% interval by Student's t; infinite for one value.
-    pub half: f64,
+    pub half_width: f64,
 }
 
 impl Mean {
@@ -68,16 +68,16 @@
         let count = values.len() as f64;
         let mean = values.iter().sum::<f64>() / count.max(1.0);
         if values.len() < 2 {
-            return Mean { mean, half: f64::INFINITY };
+            return Mean { mean, half_width: f64::INFINITY };
         }
         let variance = values.iter().map(|v| (v - mean).powi(2)).sum::<f64>() / (count - 1.0);
         let quantile = StudentsT::new(0.0, 1.0, count - 1.0).map_or(f64::INFINITY, |t| t.inverse_cdf(0.975));
-        Mean { mean, half: quantile * (variance / count).sqrt() }
+        Mean { mean, half_width: quantile * (variance / count).sqrt() }
     }
 
     /// Whether 0 lies outside of the interval.
-    pub fn is_apart(&self) -> bool {
-        self.mean.abs() > self.half
+    pub fn excludes_zero(&self) -> bool {
+        self.mean.abs() > self.half_width
     }
 }
 
--- a/crates/simulation/src/fleet_ratio.rs
+++ b/crates/simulation/src/fleet_ratio.rs
@@ -49,14 +49,14 @@
 
 impl FleetRatio {
     /// The runs with the fewest instances at a cell's load.
-    fn alone<'a>(&'a self, cell: &'a RatioCell) -> &'a RatioCell {
+    fn fewest_instances<'a>(&'a self, cell: &'a RatioCell) -> &'a RatioCell {
         let same = self.cells.iter().filter(|other| other.load == cell.load);
         same.min_by_key(|other| other.instances).unwrap_or(cell)
     }
 
     /// Service over that of the fewest instances, seed by seed: the requests are the same, so their randomness cancels out.
     pub fn ratio(&self, cell: &RatioCell) -> Mean {
-        let pairs = cell.runs.iter().zip(&self.alone(cell).runs);
+        let pairs = cell.runs.iter().zip(&self.fewest_instances(cell).runs);
         Mean::of(&pairs.map(|(many, one)| many.service / one.service.max(1e-9)).collect::<Vec<_>>())
     }
 
@@ -81,21 +81,21 @@
         for cell in &self.cells {
             let mean =
                 |figure: fn(&RunSummary) -> f64| Mean::of(&cell.runs.iter().map(figure).collect::<Vec<_>>());
-            let with = |m: Mean, d: usize| format!("{:.d$} ± {:.d$}", m.mean, m.half);
+            let with = |m: Mean, d: usize| format!("{:.d$} ± {:.d$}", m.mean, m.half_width);
             let bare = |m: Mean, d: usize| format!("{:.d$}", m.mean);
             rows.push(vec![
                 format!("{:.2}", cell.load),
                 cell.instances.to_string(),
                 with(mean(|t| 100.0 * t.service), 1),
                 with(self.ratio(cell), 3),
-                bare(mean(|t| t.tries), 2),
+                bare(mean(|t| t.client_attempts), 2),
                 bare(mean(|t| t.attempts), 2),
-                bare(mean(|t| t.harm.trials), 2),
-                bare(mean(|t| t.harm.handshakes), 2),
-                bare(mean(|t| t.harm.overshoot), 2),
-                bare(mean(|t| t.harm.refused_spread), 3),
-                bare(mean(|t| 100.0 * t.harm.worthiest_refused), 2),
-                bare(mean(|t| 100.0 * t.harm.inversions), 1),
+                bare(mean(|t| t.side_effects.attempts_at_failing), 2),
+                bare(mean(|t| t.side_effects.new_connections), 2),
+                bare(mean(|t| t.side_effects.slow_start_load), 2),
+                bare(mean(|t| t.side_effects.rejection_spread), 3),
+                bare(mean(|t| 100.0 * t.side_effects.top_class_rejected), 2),
+                bare(mean(|t| 100.0 * t.side_effects.inversions), 1),
                 bare(mean(|t| t.chokes as f64), 1),
             ]);
         }
@@ -118,10 +118,25 @@
         let plots = [
             lines("Fleet ratio", "copies", "", &curves(&|cell| self.ratio(cell).mean))?,
             lines("Attempts for each call", "copies", "", &curves(&mean(|t| t.attempts)))?,
-            lines("Trials at a failing server", "copies", "1/s", &curves(&mean(|t| t.harm.trials)))?,
-            lines("New connections a server", "copies", "1/s", &curves(&mean(|t| t.harm.handshakes)))?,
-            lines("Spread of the refused parts", "copies", "", &curves(&mean(|t| t.harm.refused_spread)))?,
-            lines("Inversions", "copies", "%", &curves(&mean(|t| 100.0 * t.harm.inversions)))?,
+            lines(
+                "Trials at a failing server",
+                "copies",
+                "1/s",
+                &curves(&mean(|t| t.side_effects.attempts_at_failing)),
+            )?,
+            lines(
+                "New connections a server",
+                "copies",
+                "1/s",
+                &curves(&mean(|t| t.side_effects.new_connections)),
+            )?,
+            lines(
+                "Spread of the refused parts",
+                "copies",
+                "",
+                &curves(&mean(|t| t.side_effects.rejection_spread)),
+            )?,
+            lines("Inversions", "copies", "%", &curves(&mean(|t| 100.0 * t.side_effects.inversions)))?,
         ];
         Ok(page(title, &self.rows(), &plots))
     }
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -53,7 +53,7 @@
     /// A policy for one proxy.
     pub fn start(self, settings: Settings, seed: u64) -> Box<dyn Policy> {
         match self {
-            PolicyName::Hillstall => Box::new(Module(Balancer::new(settings, seed))),
+            PolicyName::Hillstall => Box::new(DecisionModule(Balancer::new(settings, seed))),
             _ => Box::new(Textbook::new(self, &settings, seed)),
         }
     }
@@ -82,53 +82,53 @@
     fn handle(&mut self, now: Millis, event: Event<'_>, actions: &mut Vec<Action>);
 
     /// Whether it needs the true load before each request.
-    fn sees(&self) -> bool {
+    fn needs_true_load(&self) -> bool {
         false
     }
 
     /// Sets the true load of each backend: requests on it over its capacity now; infinite when it is down or silent.
-    fn show(&mut self, _truth: &[(BackendId, f64)]) {}
+    fn set_true_load(&mut self, _truth: &[(BackendId, f64)]) {}
 }
 
-struct Module(Balancer);
+struct DecisionModule(Balancer);
 
-impl Policy for Module {
+impl Policy for DecisionModule {
     fn handle(&mut self, now: Millis, event: Event<'_>, actions: &mut Vec<Action>) {
         self.0.handle(now, event, actions);
     }
 }
 
-struct Open {
-    at: usize,
+struct OpenRequest {
+    server_index: usize,
     attempts: u32,
     tried: Vec<BackendId>,
 }
 
 /// The textbook policies: a backend by the rule, and another at once where the first never ran the request.
 struct Textbook {
-    rule: PolicyName,
+    policy: PolicyName,
     rng: Xoshiro256PlusPlus,
     servers: Vec<(BackendInfo, f64)>,
-    truth: HashMap<BackendId, f64>,
-    open: HashMap<RequestId, Open>,
-    turn: usize,
-    most_attempts: u32,
+    true_loads: HashMap<BackendId, f64>,
+    open: HashMap<RequestId, OpenRequest>,
+    next_in_turn: usize,
+    max_attempts: u32,
 }
 
 impl Textbook {
     fn new(rule: PolicyName, settings: &Settings, seed: u64) -> Textbook {
         Textbook {
-            rule,
+            policy: rule,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             servers: Vec::new(),
-            truth: HashMap::new(),
+            true_loads: HashMap::new(),
             open: HashMap::new(),
-            turn: settings.rank as usize,
-            most_attempts: settings.permissions.max_attempts,
+            next_in_turn: settings.rank as usize,
+            max_attempts: settings.permissions.max_attempts,
         }
     }
 
-    fn below(&mut self, bound: usize) -> usize {
+    fn random_index(&mut self, bound: usize) -> usize {
         ((u128::from(self.rng.next_u64()) * bound as u128) >> 64) as usize
     }
 
@@ -144,24 +144,24 @@
             return None;
         }
         let out = |i: &usize| self.servers[*i].1;
-        let true_load = |i: &usize| self.truth.get(&self.servers[*i].0.id).copied().unwrap_or(f64::MAX);
-        match self.rule {
+        let true_load = |i: &usize| self.true_loads.get(&self.servers[*i].0.id).copied().unwrap_or(f64::MAX);
+        match self.policy {
             PolicyName::RoundRobin => {
-                self.turn += 1;
-                Some(able[self.turn % able.len()])
+                self.next_in_turn += 1;
+                Some(able[self.next_in_turn % able.len()])
             }
             PolicyName::LeastOutstanding => able.iter().copied().min_by(|a, b| out(a).total_cmp(&out(b))),
             PolicyName::Oracle => able.iter().copied().min_by(|a, b| true_load(a).total_cmp(&true_load(b))),
             PolicyName::TwoChoices => {
-                let (a, b) = (able[self.below(able.len())], able[self.below(able.len())]);
+                let (a, b) = (able[self.random_index(able.len())], able[self.random_index(able.len())]);
                 Some(if self.servers[a].1 <= self.servers[b].1 { a } else { b })
             }
-            PolicyName::Random | PolicyName::Hillstall => Some(able[self.below(able.len())]),
+            PolicyName::Random | PolicyName::Hillstall => Some(able[self.random_index(able.len())]),
         }
     }
 
     fn send(&mut self, id: RequestId, attempts: u32, tried: Vec<BackendId>, actions: &mut Vec<Action>) {
-        let picked = if attempts < self.most_attempts { self.pick(&tried) } else { None };
+        let picked = if attempts < self.max_attempts { self.pick(&tried) } else { None };
         let Some(at) = picked else {
             return actions.push(Action::Reject {
                 request: id,
@@ -173,7 +173,7 @@
         let backend = self.servers[at].0.id;
         let mut tried = tried;
         tried.push(backend);
-        self.open.insert(id, Open { at, attempts: attempts + 1, tried });
+        self.open.insert(id, OpenRequest { server_index: at, attempts: attempts + 1, tried });
         actions.push(Action::Send { request: id, backend, timeout_ms: 0.0 });
     }
 
@@ -199,7 +199,7 @@
             Event::Request { id, .. } => self.send(id, 0, Vec::new(), actions),
             Event::Outcome { request, outcome, ended, .. } => {
                 let Some(open) = self.open.remove(&request) else { return };
-                self.servers[open.at].1 = (self.servers[open.at].1 - 1.0).max(0.0);
+                self.servers[open.server_index].1 = (self.servers[open.server_index].1 - 1.0).max(0.0);
                 if ended {
                 } else if outcome.never_ran() && outcome != Outcome::NotSent {
                     self.send(request, open.attempts, open.tried, actions);
@@ -211,12 +211,12 @@
         }
     }
 
-    fn sees(&self) -> bool {
-        self.rule == PolicyName::Oracle
+    fn needs_true_load(&self) -> bool {
+        self.policy == PolicyName::Oracle
     }
 
-    fn show(&mut self, truth: &[(BackendId, f64)]) {
-        self.truth.clear();
-        self.truth.extend(truth.iter().copied());
+    fn set_true_load(&mut self, truth: &[(BackendId, f64)]) {
+        self.true_loads.clear();
+        self.true_loads.extend(truth.iter().copied());
     }
 }
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -14,15 +14,15 @@
 /// The columns: heading, figure, decimals.
 const COLUMNS: [Figure; 12] = [
     ("service", |t| 100.0 * t.service, 2),
-    ("worst 10 s", |t| 100.0 * t.worst, 1),
+    ("worst 10 s", |t| 100.0 * t.worst_window, 1),
     ("late %", |t| 100.0 * t.late, 2),
-    ("refused %", |t| 100.0 * t.refused, 2),
-    ("by hot proxies %", |t| 100.0 * t.refused_hot, 1),
-    ("by cool proxies %", |t| 100.0 * t.refused_cool, 1),
+    ("refused %", |t| 100.0 * t.rejected, 2),
+    ("by hot proxies %", |t| 100.0 * t.rejected_hot, 1),
+    ("by cool proxies %", |t| 100.0 * t.rejected_cool, 1),
     ("failed %", |t| 100.0 * t.failed, 2),
     ("p50 ms", |t| t.p50_ms, 1),
     ("p99 ms", |t| t.p99_ms, 0),
-    ("tries", |t| t.tries, 2),
+    ("tries", |t| t.client_attempts, 2),
     ("attempts", |t| t.attempts, 2),
     ("choked", |t| t.chokes as f64, 1),
 ];
@@ -49,12 +49,12 @@
         let mut row = vec![name.clone(), runs.len().to_string()];
         for (i, (_, figure, decimals)) in COLUMNS.iter().enumerate() {
             let mean = Mean::of(&runs.iter().map(figure).collect::<Vec<_>>());
-            row.push(match i == 0 && mean.half.is_finite() {
-                true => format!("{:.decimals$} ± {:.decimals$}", mean.mean, mean.half),
+            row.push(match i == 0 && mean.half_width.is_finite() {
+                true => format!("{:.decimals$} ± {:.decimals$}", mean.mean, mean.half_width),
                 false => format!("{:.decimals$}", mean.mean),
             });
         }
-        row.push(runs.iter().map(|t| t.late_sends + t.wrong_answers).sum::<u64>().to_string());
+        row.push(runs.iter().map(|t| t.late_sends + t.response_errors).sum::<u64>().to_string());
         rows.push(row);
     }
     rows
@@ -159,9 +159,9 @@
         groups.iter().map(|(name, runs)| (name.clone(), curve(runs, figure))).collect()
     };
     let mut plots = vec![
-        plot("Service: worth within the aim", "%", &of(|s| percent(s.earned, s.worth)))?,
+        plot("Service: worth within the aim", "%", &of(|s| percent(s.served_weight, s.offered_weight)))?,
         plot("Latency, 99th percentile, from the intended start", "ms", &of(|s| s.p99_ms))?,
-        plot("Turned away, after all tries", "calls/s", &of(|s| s.refused as f64))?,
+        plot("Turned away, after all tries", "calls/s", &of(|s| s.rejected as f64))?,
         plot(
             "Attempts for each first try, first tier",
             "",
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -3,7 +3,7 @@
 
 use crate::model::machine::{Choke, MachineSpec};
 use crate::model::work::Shape;
-use crate::random::part;
+use crate::random::uniform;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde::{Deserialize, Deserializer};
 
@@ -43,7 +43,7 @@
 
     /// The value of a run.
     pub fn draw(self, rng: &mut Xoshiro256PlusPlus) -> f64 {
-        self.low + (self.high - self.low) * part(rng)
+        self.low + (self.high - self.low) * uniform(rng)
     }
 }
 
--- a/crates/simulation/src/sim/accounting.rs
+++ b/crates/simulation/src/sim/accounting.rs
@@ -20,13 +20,13 @@
     /// Weight per second; empty where there are no tenants.
     pub quotas: Vec<f64>,
     /// The part of the weight beyond a quota that counts.
-    pub beyond: f64,
+    pub over_quota_weight: f64,
 }
 
 impl TenantQuotas {
-    fn counted(&self, tenant: usize, weight: f64, seconds: f64) -> f64 {
+    fn counted_weight(&self, tenant: usize, weight: f64, seconds: f64) -> f64 {
         let quota = self.quotas.get(tenant).map_or(f64::MAX, |quota| quota * seconds);
-        weight.min(quota) + self.beyond * (weight - quota).max(0.0)
+        weight.min(quota) + self.over_quota_weight * (weight - quota).max(0.0)
     }
 }
 
@@ -41,7 +41,7 @@
         in_aim: bool,
     },
     /// Rejected, at the last attempt.
-    Refused,
+    Rejected,
     /// Failed, or given up by its client.
     Failed,
 }
@@ -52,21 +52,26 @@
     /// Requests that were to start in it.
     pub offered: u64,
     /// Answered within the latency objective.
-    pub in_aim: u64,
+    #[serde(rename = "in_aim")]
+    pub within_objective: u64,
     /// Answered later.
     pub late: u64,
     /// Rejected.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Failed, or given up by the client.
     pub failed: u64,
     /// Tries by clients, repeats among them, by the time of the try.
-    pub tries: u64,
+    #[serde(rename = "tries")]
+    pub client_attempts: u64,
     /// Attempts of the first tier's proxies, by the time of the send.
     pub attempts: u64,
     /// Worth asked for.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub offered_weight: f64,
     /// Worth answered within the aim.
-    pub earned: f64,
+    #[serde(rename = "earned")]
+    pub served_weight: f64,
     /// What the first tier's machines can do, as a part of what they can when warm and sound; mean of the samples.
     pub capacity: f64,
     /// Machines of the first tier that are slower since they were crowded; the most in the second.
@@ -97,23 +102,28 @@
     /// Weight answered within the latency objective over the weight requested.
     pub service: f64,
     /// The same in the worst ten seconds.
-    pub worst: f64,
+    #[serde(rename = "worst")]
+    pub worst_window: f64,
     /// Client requests.
     pub offered: u64,
     /// Answered late, as a part of the requests.
     pub late: f64,
     /// Rejected at the last attempt, as a part of the requests.
-    pub refused: f64,
+    #[serde(rename = "refused")]
+    pub rejected: f64,
     /// Failed, or given up by the client.
     pub failed: f64,
     /// The part of client attempts rejected at the quarter of the first tier's proxies with most traffic ...
     #[serde(default)]
-    pub refused_hot: f64,
+    #[serde(rename = "refused_hot")]
+    pub rejected_hot: f64,
     /// ... and at the quarter with least.
     #[serde(default)]
-    pub refused_cool: f64,
+    #[serde(rename = "refused_cool")]
+    pub rejected_cool: f64,
     /// Client attempts per request.
-    pub tries: f64,
+    #[serde(rename = "tries")]
+    pub client_attempts: f64,
     /// Attempts of all proxies per client request.
     pub attempts: f64,
     /// Mean latency of the responses, in milliseconds.
@@ -127,10 +137,12 @@
     /// Attempts sent to a machine more than 2 s after the proxies were notified that it drains or is gone.
     pub late_sends: u64,
     /// Final responses beyond the first, and requests that a proxy left without one.
-    pub wrong_answers: u64,
+    #[serde(rename = "wrong_answers")]
+    pub response_errors: u64,
     /// Side effects of all proxies together, where they were counted.
     #[serde(default)]
-    pub harm: SideEffects,
+    #[serde(rename = "harm")]
+    pub side_effects: SideEffects,
     /// Each second.
     pub seconds: Vec<Second>,
     #[serde(skip)]
@@ -141,7 +153,7 @@
     #[serde(skip)]
     all_attempts: u64,
     #[serde(skip)]
-    shares: TenantQuotas,
+    tenant_quotas: TenantQuotas,
 }
 
 impl RunSummary {
@@ -163,22 +175,22 @@
             policy: policy.to_string(),
             seed,
             service: 0.0,
-            worst: 0.0,
+            worst_window: 0.0,
             offered: 0,
             late: 0.0,
-            refused: 0.0,
+            rejected: 0.0,
             failed: 0.0,
-            refused_hot: 0.0,
-            refused_cool: 0.0,
-            tries: 0.0,
+            rejected_hot: 0.0,
+            rejected_cool: 0.0,
+            client_attempts: 0.0,
             attempts: 0.0,
             mean_ms: 0.0,
             p50_ms: 0.0,
             p99_ms: 0.0,
             chokes: 0,
             late_sends: 0,
-            wrong_answers: 0,
-            harm: SideEffects::default(),
+            response_errors: 0,
+            side_effects: SideEffects::default(),
             seconds: vec![
                 Second { tenants: vec![[0.0; 2]; shares.quotas.len().max(1)], ..Second::default() };
                 seconds
@@ -186,7 +198,7 @@
             histogram: Histogram::new_with_max(LONGEST_US, 3).ok(),
             by_proxy: Vec::new(),
             all_attempts: 0,
-            shares,
+            tenant_quotas: shares,
         }
     }
 
@@ -196,15 +208,15 @@
     }
 
     /// A client request starts.
-    pub fn asked(&mut self, at_ms: f64, tenant: usize, weight: f64) {
+    pub fn record_request(&mut self, at_ms: f64, tenant: usize, weight: f64) {
         let second = self.second(at_ms);
         second.offered += 1;
         second.tenants[tenant][0] += weight;
     }
 
     /// A client starts an attempt.
-    pub fn tried(&mut self, at_ms: f64) {
-        self.second(at_ms).tries += 1;
+    pub fn record_client_attempt(&mut self, at_ms: f64) {
+        self.second(at_ms).client_attempts += 1;
     }
 
     fn at_proxy(&mut self, proxy: usize) -> &mut [u64; 2] {
@@ -215,12 +227,12 @@
     }
 
     /// A client's attempt reaches a proxy of the first tier.
-    pub fn came_to(&mut self, proxy: usize) {
+    pub fn record_arrival_at(&mut self, proxy: usize) {
         self.at_proxy(proxy)[0] += 1;
     }
 
     /// Such a proxy rejects one.
-    pub fn refused_by(&mut self, proxy: usize) {
+    pub fn record_rejection_by(&mut self, proxy: usize) {
         self.at_proxy(proxy)[1] += 1;
     }
 
@@ -230,7 +242,7 @@
     }
 
     /// Computes the parts rejected at the quarters of the proxies with most and with least traffic.
-    fn compare_proxies(&mut self) {
+    fn compute_rejections_by_traffic(&mut self) {
         self.by_proxy.retain(|[came, _]| *came > 0);
         self.by_proxy.sort_unstable();
         let quarter = (self.by_proxy.len() / 4).max(1).min(self.by_proxy.len());
@@ -238,12 +250,12 @@
             let [came, refused] = [0, 1].map(|of| proxies.iter().map(|p| p[of]).sum::<u64>() as f64);
             refused / came.max(1.0)
         };
-        self.refused_cool = part(&self.by_proxy[..quarter]);
-        self.refused_hot = part(&self.by_proxy[self.by_proxy.len() - quarter..]);
+        self.rejected_cool = part(&self.by_proxy[..quarter]);
+        self.rejected_hot = part(&self.by_proxy[self.by_proxy.len() - quarter..]);
     }
 
     /// A proxy sends an attempt.
-    pub fn sent(&mut self, at_ms: f64, tier: usize) {
+    pub fn record_attempt(&mut self, at_ms: f64, tier: usize) {
         self.all_attempts += 1;
         if tier == 0 {
             self.second(at_ms).attempts += 1;
@@ -251,7 +263,7 @@
     }
 
     /// A sample: the first tier's capacity as a part of its best, and its choked machines.
-    pub fn looked(&mut self, at_ms: f64, capacity: f64, choked: u64) {
+    pub fn record_capacity_sample(&mut self, at_ms: f64, capacity: f64, choked: u64) {
         let second = self.second(at_ms);
         second.samples += 1;
         second.capacity += (capacity - second.capacity) / second.samples as f64;
@@ -259,12 +271,17 @@
     }
 
     /// A request ends, for its client.
-    pub fn ended(&mut self, first_at_ms: f64, (tenant, weight): (usize, f64), ended: RequestOutcome) {
+    pub fn record_outcome(
+        &mut self,
+        first_at_ms: f64,
+        (tenant, weight): (usize, f64),
+        ended: RequestOutcome,
+    ) {
         let second = self.second(first_at_ms);
         match ended {
             RequestOutcome::Answered { latency_ms, in_aim } => {
                 if in_aim {
-                    second.in_aim += 1;
+                    second.within_objective += 1;
                     second.tenants[tenant][1] += weight;
                 } else {
                     second.late += 1;
@@ -274,45 +291,49 @@
                     histogram.saturating_record((latency_ms * 1e3) as u64);
                 }
             }
-            RequestOutcome::Refused => second.refused += 1,
+            RequestOutcome::Rejected => second.rejected += 1,
             RequestOutcome::Failed => second.failed += 1,
         }
     }
 
     /// Counts each tenant's weight up to its quota in each window, and spreads it evenly over the window's seconds.
-    fn count_worth(&mut self) {
-        let shares = std::mem::take(&mut self.shares);
+    fn count_weight(&mut self) {
+        let shares = std::mem::take(&mut self.tenant_quotas);
         for stretch in self.seconds.chunks_mut(QUOTA_WINDOW_SECONDS) {
             for tenant in 0..shares.quotas.len().max(1) {
                 let part = [0, 1].map(|of| {
                     let worth: f64 = stretch.iter().map(|s| s.tenants[tenant][of]).sum();
-                    shares.counted(tenant, worth, stretch.len() as f64) / worth.max(1e-9)
+                    shares.counted_weight(tenant, worth, stretch.len() as f64) / worth.max(1e-9)
                 });
                 for second in stretch.iter_mut() {
-                    second.worth += part[0] * second.tenants[tenant][0];
-                    second.earned += part[1] * second.tenants[tenant][1];
+                    second.offered_weight += part[0] * second.tenants[tenant][0];
+                    second.served_weight += part[1] * second.tenants[tenant][1];
                 }
             }
         }
     }
 
     /// Computes the totals.
-    pub fn close(mut self, chokes: u64) -> RunSummary {
+    pub fn into_summary(mut self, chokes: u64) -> RunSummary {
         self.chokes = chokes;
-        self.count_worth();
-        self.compare_proxies();
+        self.count_weight();
+        self.compute_rejections_by_traffic();
         let sum = |f: fn(&Second) -> f64| self.seconds.iter().map(f).sum::<f64>();
         let offered = sum(|s| s.offered as f64).max(1.0);
         let (late, rejected, failed) =
-            (sum(|s| s.late as f64), sum(|s| s.refused as f64), sum(|s| s.failed as f64));
-        let (tries, earned, worth) = (sum(|s| s.tries as f64), sum(|s| s.earned), sum(|s| s.worth).max(1e-9));
+            (sum(|s| s.late as f64), sum(|s| s.rejected as f64), sum(|s| s.failed as f64));
+        let (tries, earned, worth) = (
+            sum(|s| s.client_attempts as f64),
+            sum(|s| s.served_weight),
+            sum(|s| s.offered_weight).max(1e-9),
+        );
         self.offered = offered as u64;
-        (self.late, self.refused, self.failed) = (late / offered, rejected / offered, failed / offered);
-        (self.tries, self.attempts) = (tries / offered, self.all_attempts as f64 / offered);
+        (self.late, self.rejected, self.failed) = (late / offered, rejected / offered, failed / offered);
+        (self.client_attempts, self.attempts) = (tries / offered, self.all_attempts as f64 / offered);
         self.service = earned / worth;
         let part = |seconds: &[Second]| {
-            let worth: f64 = seconds.iter().map(|s| s.worth).sum();
-            let earned: f64 = seconds.iter().map(|s| s.earned).sum();
+            let worth: f64 = seconds.iter().map(|s| s.offered_weight).sum();
+            let earned: f64 = seconds.iter().map(|s| s.served_weight).sum();
             if worth > 0.0 {
                 earned / worth
             } else {
@@ -320,7 +341,7 @@
             }
         };
         let over = WORST_OVER.min(self.seconds.len());
-        self.worst = self.seconds.windows(over).map(part).fold(1.0, f64::min);
+        self.worst_window = self.seconds.windows(over).map(part).fold(1.0, f64::min);
         if let Some(histogram) = &self.histogram {
             self.mean_ms = histogram.mean() / 1e3;
             self.p50_ms = histogram.value_at_quantile(0.5) as f64 / 1e3;
--- a/crates/simulation/src/sim/arrivals.rs
+++ b/crates/simulation/src/sim/arrivals.rs
@@ -3,7 +3,7 @@
 
 use super::setup::{stream_rng, DrawnFailure, DrawnScenario, Stream};
 use crate::model::work;
-use crate::random::part;
+use crate::random::uniform;
 use crate::scenario::FailureKind;
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -66,7 +66,7 @@
             of.rate_per_s * (1.0 + of.rate_amplitude * turn.sin()) * of.profile_factor(now) * self.burst(now)
                 / 1e3;
         // Drawn in any case, so that the random stream is the same with and without bursts.
-        let [keep, class, zone, tenant] = [(); 4].map(|()| part(&mut self.rng));
+        let [keep, class, zone, tenant] = [(); 4].map(|()| uniform(&mut self.rng));
         // Distributions take different numbers of draws, so each request's work has a stream of its own.
         let mut size = Xoshiro256PlusPlus::seed_from_u64(self.rng.next_u64());
         if keep * of.max_rate_per_ms() >= rate {
@@ -98,7 +98,7 @@
             return None;
         }
         loop {
-            self.at += -(1.0 - part(&mut self.rng)).ln() / max_rate;
+            self.at += -(1.0 - uniform(&mut self.rng)).ln() / max_rate;
             if self.at > self.parameters.length {
                 return None;
             }
--- a/crates/simulation/src/sim/attempts.rs
+++ b/crates/simulation/src/sim/attempts.rs
@@ -6,7 +6,7 @@
 use super::{Attempt, ProxyRequest, RequestSource, World};
 use crate::model::machine::Admission;
 use crate::model::work::{self, Shape};
-use crate::random::part;
+use crate::random::uniform;
 use hillstall_decision::{BackendId, Event, LoadReport, Outcome};
 
 impl World {
@@ -41,10 +41,10 @@
             answered: false,
             abandoned: false,
         });
-        if self.proxies[proxy].policy.sees() {
+        if self.proxies[proxy].policy.needs_true_load() {
             let truth: Vec<(BackendId, f64)> =
                 self.tiers[self.proxies[proxy].tier].iter().map(|h| (*h as u32, self.load(*h))).collect();
-            self.proxies[proxy].policy.show(&truth);
+            self.proxies[proxy].policy.set_true_load(&truth);
         }
         let event = Event::Request {
             id: id as u64,
@@ -72,14 +72,14 @@
     pub(super) fn send(&mut self, request: usize, machine: usize, timeout: f64) {
         let proxy = self.requests[request].proxy;
         let tier = self.proxies[proxy].tier;
-        self.totals.sent(self.now, tier);
+        self.totals.record_attempt(self.now, tier);
         if self.hosts[machine].away_notified_at.is_some_and(|notified_at| self.now > notified_at + 2_000.0) {
             self.totals.late_sends += 1;
         }
         let of = &self.parameters.tiers[tier];
         let whole = of.requests_below.floor();
         let calls_below =
-            whole as usize + usize::from(part(&mut self.network_rng) < of.requests_below - whole);
+            whole as usize + usize::from(uniform(&mut self.network_rng) < of.requests_below - whole);
         let phases = calls_below + 1;
         let attempt = self.attempts.len();
         let noise = self.parameters.classes[self.requests[request].class].attempt_noise_cv;
@@ -238,13 +238,13 @@
             return;
         }
         if std::mem::replace(&mut a.answered, true) {
-            self.totals.wrong_answers += 1;
+            self.totals.response_errors += 1;
             return;
         }
         match a.source {
             RequestSource::Client { client_request: call, no } => {
                 if end == ResponseKind::Rejected {
-                    self.totals.refused_by(a.proxy);
+                    self.totals.record_rejection_by(a.proxy);
                     self.side_effects.on_rejected(self.now, a.proxy, a.class, a.attempts == 0);
                 }
                 let at = self.now + self.parameters.client_delay;
--- a/crates/simulation/src/sim/clients.rs
+++ b/crates/simulation/src/sim/clients.rs
@@ -5,7 +5,7 @@
 use super::link_faults::Way;
 use super::queue::{ResponseKind, SimEvent};
 use super::{ClientRequest, RequestSource, World};
-use crate::random::part;
+use crate::random::uniform;
 use hillstall_decision::Event;
 
 impl World {
@@ -22,7 +22,7 @@
 
     fn start_client_request(&mut self, arrival: Arrival) {
         let Arrival { class, tenant, zone, work_ms: work, weight: worth, .. } = arrival;
-        self.totals.asked(self.now, tenant, worth);
+        self.totals.record_request(self.now, tenant, worth);
         self.client_requests.push(ClientRequest {
             class,
             tenant,
@@ -43,7 +43,7 @@
         let of = &self.client_requests[client_request];
         let (no, at) = (of.attempt_number, self.now + wait);
         let timeout_at = (at + self.attempt_timeout(of.class)).min(of.deadline_at);
-        self.totals.tried(at);
+        self.totals.record_client_attempt(at);
         self.queue.put(at + self.parameters.client_delay, SimEvent::ClientAttempt { client_request, no });
         self.queue.put(timeout_at, SimEvent::ClientAttemptTimeout { client_request, no });
     }
@@ -67,7 +67,7 @@
             return None;
         }
         let weights = candidates.iter().map(|p| self.proxies[*p].traffic_weight);
-        Some(candidates[weighted_index(part(&mut self.network_rng), weights)])
+        Some(candidates[weighted_index(uniform(&mut self.network_rng), weights)])
     }
 
     /// A client's attempt reaches the load balancer in front of the first tier's proxies.
@@ -91,7 +91,7 @@
             Way::Blocked(_) => return,
             Way::Refused | Way::Broken => return self.broken(client_request, no),
         }
-        self.totals.came_to(proxy);
+        self.totals.record_arrival_at(proxy);
         self.side_effects.on_arrival(class);
         let attempt_timeout = self.attempt_timeout(class);
         // The time left when the response must be sent.
@@ -152,21 +152,22 @@
                 let latency_ms = self.now - of.started_at;
                 let (first_at, tenant, weight) = (of.started_at, of.tenant, of.weight);
                 let in_aim = latency_ms <= self.parameters.classes[of.class].latency_objective;
-                self.totals.ended(
+                self.totals.record_outcome(
                     first_at,
                     (tenant, weight),
                     RequestOutcome::Answered { latency_ms, in_aim },
                 );
             }
             ResponseKind::Rejected => {
-                self.retry_or_close(client_request, RequestOutcome::Refused, retry_after)
+                self.retry_or_close(client_request, RequestOutcome::Rejected, retry_after)
             }
             ResponseKind::Failed => self.retry_or_close(client_request, RequestOutcome::Failed, 0.0),
         }
     }
 
     fn retry_or_close(&mut self, client_request: usize, ended: RequestOutcome, retry_after: f64) {
-        let follows = retry_after > 0.0 && part(&mut self.network_rng) < self.parameters.retry_after_fraction;
+        let follows =
+            retry_after > 0.0 && uniform(&mut self.network_rng) < self.parameters.retry_after_fraction;
         let wait =
             if follows { retry_after.max(self.parameters.retry_wait) } else { self.parameters.retry_wait };
         let of = &mut self.client_requests[client_request];
@@ -175,7 +176,7 @@
         if of.attempt_number > self.parameters.retries || self.now + wait >= of.deadline_at {
             of.closed = true;
             let first_at = of.started_at;
-            return self.totals.ended(first_at, (0, 0.0), ended);
+            return self.totals.record_outcome(first_at, (0, 0.0), ended);
         }
         self.start_client_attempt(client_request, wait);
     }
--- a/crates/simulation/src/sim/mod.rs
+++ b/crates/simulation/src/sim/mod.rs
@@ -177,13 +177,13 @@
         world.sample_capacity();
     }
     let open = world.requests.iter().filter(|a| !a.answered && !a.abandoned).count() as u64;
-    world.totals.wrong_answers += open;
+    world.totals.response_errors += open;
     let account = std::mem::take(&mut world.side_effects);
     let place = |host: usize| world.hosts[host].index_in_tier;
     let start = |host: usize| world.parameters.slow_start_model(world.hosts[host].tier, place(host));
-    world.totals.harm = account.close(&world.parameters, world.totals.by_proxy(), start);
+    world.totals.side_effects = account.into_side_effects(&world.parameters, world.totals.by_proxy(), start);
     let chokes = world.hosts.iter().map(|h| u64::from(h.machine.chokes())).sum();
-    world.totals.close(chokes)
+    world.totals.into_summary(chokes)
 }
 
 impl World {
@@ -360,11 +360,11 @@
         }
         self.last_sample_at = self.now;
         let failing = self.hosts.iter().filter(|h| h.unreachable || !h.machine.is_responsive()).count();
-        self.side_effects.failing(failing as f64 * SAMPLE_INTERVAL_MS);
+        self.side_effects.add_failing_time(failing as f64 * SAMPLE_INTERVAL_MS);
         let whole = self.parameters.tiers[0].full_capacity();
         let hosts = || self.tiers[0].iter().map(|h| &self.hosts[*h]).filter(|h| !h.unreachable);
         let able: f64 = hosts().map(|h| h.machine.capacity(self.now)).sum();
         let choked = hosts().filter(|h| h.machine.is_choked()).count() as u64;
-        self.totals.looked(self.now, able / whole, choked);
+        self.totals.record_capacity_sample(self.now, able / whole, choked);
     }
 }
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -355,7 +355,7 @@
         let worth = self.class_mean(|c| c.weight);
         TenantQuotas {
             quotas: self.tenants.iter().map(|t| t.quota * worth).collect(),
-            beyond: self.over_quota_weight,
+            over_quota_weight: self.over_quota_weight,
         }
     }
 
--- a/crates/simulation/src/stability.rs
+++ b/crates/simulation/src/stability.rs
@@ -21,11 +21,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceCourse {
     /// Service before the loss, as a part.
-    pub before: f64,
+    pub baseline: f64,
     /// Service while it lasts.
-    pub during: f64,
+    pub during_loss: f64,
     /// Seconds from its end until service has recovered; `None` if it never does.
-    pub back_after: Option<f64>,
+    pub recovery_seconds: Option<f64>,
 }
 
 impl ServiceCourse {
@@ -34,9 +34,9 @@
         let service = |range: std::ops::Range<usize>| {
             let range = range.start.min(seconds.len())..range.end.min(seconds.len());
             let sum = |of: fn(&Second) -> f64| seconds[range.clone()].iter().map(of).sum::<f64>();
-            let worth = sum(|s| s.worth);
+            let worth = sum(|s| s.offered_weight);
             if worth > 0.0 {
-                sum(|s| s.earned) / worth
+                sum(|s| s.served_weight) / worth
             } else {
                 0.0
             }
@@ -47,7 +47,11 @@
         let before = service(WARM.min(usual)..usual);
         let back = (ends..(seconds.len() + 1).saturating_sub(OVER))
             .find(|s| service(*s..s + OVER) >= RETURNED * before);
-        ServiceCourse { before, during: service(begins..ends), back_after: back.map(|s| (s - ends) as f64) }
+        ServiceCourse {
+            baseline: before,
+            during_loss: service(begins..ends),
+            recovery_seconds: back.map(|s| (s - ends) as f64),
+        }
     }
 }
 
@@ -56,7 +60,7 @@
     /// The load, as a part of the capacity.
     pub load: f64,
     /// The part of the machines that is lost.
-    pub lost: f64,
+    pub lost_fraction: f64,
     /// One run for each seed.
     pub runs: Vec<RunSummary>,
     /// The course of each run.
@@ -65,8 +69,8 @@
 
 impl StabilityCell {
     /// The part of the load that the remaining machines can serve.
-    pub fn bearable(&self) -> f64 {
-        ((1.0 - self.lost) / self.load).min(1.0)
+    pub fn servable_fraction(&self) -> f64 {
+        ((1.0 - self.lost_fraction) / self.load).min(1.0)
     }
 
     /// A figure's mean over the seeds.
@@ -75,13 +79,13 @@
     }
 
     /// Number of seeds that never recovered.
-    pub fn stuck(&self) -> usize {
-        self.courses.iter().filter(|c| c.back_after.is_none()).count()
+    pub fn unrecovered_seeds(&self) -> usize {
+        self.courses.iter().filter(|c| c.recovery_seconds.is_none()).count()
     }
 
     /// The longest recovery among the seeds that recovered, in seconds.
-    fn slowest(&self) -> f64 {
-        self.courses.iter().filter_map(|c| c.back_after).fold(0.0, f64::max)
+    fn longest_recovery(&self) -> f64 {
+        self.courses.iter().filter_map(|c| c.recovery_seconds).fold(0.0, f64::max)
     }
 
     fn chokes(&self) -> f64 {
@@ -89,7 +93,7 @@
     }
 
     fn name(&self) -> String {
-        format!("load={} lost={}", self.load, self.lost)
+        format!("load={} lost={}", self.load, self.lost_fraction)
     }
 }
 
@@ -138,7 +142,7 @@
     });
     let cells = places.iter().zip(runs).map(|(((load, lost), _), runs)| {
         let (runs, courses) = runs.into_iter().unzip();
-        let mut cell = StabilityCell { load: *load, lost: *lost, runs, courses };
+        let mut cell = StabilityCell { load: *load, lost_fraction: *lost, runs, courses };
         let name = cell.name();
         cell.runs.iter_mut().for_each(|tally| tally.cell.clone_from(&name));
         cell
@@ -160,17 +164,17 @@
             "choked",
         ];
         let row = |cell: &StabilityCell| {
-            let during = cell.mean(|c| 100.0 * c.during);
-            let back: Vec<f64> = cell.courses.iter().filter_map(|c| c.back_after).collect();
+            let during = cell.mean(|c| 100.0 * c.during_loss);
+            let back: Vec<f64> = cell.courses.iter().filter_map(|c| c.recovery_seconds).collect();
             vec![
                 format!("{:.2}", cell.load),
-                format!("{:.2}", cell.lost),
-                format!("{:.1}", cell.mean(|c| 100.0 * c.before).mean),
-                format!("{:.1} ± {:.1}", during.mean, during.half),
-                format!("{:.0}", during.mean / cell.bearable()),
+                format!("{:.2}", cell.lost_fraction),
+                format!("{:.1}", cell.mean(|c| 100.0 * c.baseline).mean),
+                format!("{:.1} ± {:.1}", during.mean, during.half_width),
+                format!("{:.0}", during.mean / cell.servable_fraction()),
                 format!("{:.1}", Mean::of(&back).mean),
-                format!("{:.0}", cell.slowest()),
-                format!("{} of {}", cell.stuck(), cell.courses.len()),
+                format!("{:.0}", cell.longest_recovery()),
+                format!("{} of {}", cell.unrecovered_seeds(), cell.courses.len()),
                 format!("{:.1}", cell.chokes()),
             ]
         };
@@ -185,7 +189,7 @@
 
     /// Compares the cells with an earlier map, seed by seed: service of the whole run, in percentage points.
     /// The second part counts the cells that are significantly worse.
-    pub fn beside(&self, earlier: &[RunSummary]) -> (String, usize) {
+    pub fn compare_with(&self, earlier: &[RunSummary]) -> (String, usize) {
         let heading = ["load", "lost", "service before the change", "now", "gain", ""].map(String::from);
         let (mut rows, mut worse) = (vec![heading.to_vec()], 0);
         for cell in &self.cells {
@@ -203,10 +207,10 @@
             worse += usize::from(is_worse);
             rows.push(vec![
                 format!("{:.2}", cell.load),
-                format!("{:.2}", cell.lost),
+                format!("{:.2}", cell.lost_fraction),
                 format!("{:.1}", mean(|p| p.0).mean),
                 format!("{:.1}", mean(|p| p.1).mean),
-                format!("{:+.1} ± {:.1}", gain.mean, gain.half),
+                format!("{:+.1} ± {:.1}", gain.mean, gain.half_width),
                 if is_worse { "worse" } else { "" }.to_string(),
             ]);
         }
@@ -216,15 +220,26 @@
     /// One self-contained page: the table, and plots over the part that is lost, a curve for each load.
     pub fn html(&self, title: &str) -> Result<String, PlotError> {
         let curves = |figure: &dyn Fn(&StabilityCell) -> f64| {
-            by_load(self.cells.iter().map(|cell| (cell.load, (cell.lost, figure(cell)))))
+            by_load(self.cells.iter().map(|cell| (cell.load, (cell.lost_fraction, figure(cell)))))
         };
-        let part = |cell: &StabilityCell| 100.0 * cell.stuck() as f64 / cell.courses.len().max(1) as f64;
-        let during = |cell: &StabilityCell| cell.mean(|c| 100.0 * c.during).mean;
+        let part =
+            |cell: &StabilityCell| 100.0 * cell.unrecovered_seeds() as f64 / cell.courses.len().max(1) as f64;
+        let during = |cell: &StabilityCell| cell.mean(|c| 100.0 * c.during_loss).mean;
         let axis = "part of the servers that is lost";
         let plots = [
             lines("Service while the loss lasts", axis, "%", &curves(&during))?,
-            lines("... of what is left to serve", axis, "%", &curves(&|c| during(c) / c.bearable()))?,
-            lines("Longest time until service is back", axis, "s", &curves(&StabilityCell::slowest))?,
+            lines(
+                "... of what is left to serve",
+                axis,
+                "%",
+                &curves(&|c| during(c) / c.servable_fraction()),
+            )?,
+            lines(
+                "Longest time until service is back",
+                axis,
+                "s",
+                &curves(&StabilityCell::longest_recovery),
+            )?,
             lines("Seeds that never come back", axis, "%", &curves(&part))?,
             lines("Servers that turned slow", axis, "servers", &curves(&StabilityCell::chokes))?,
         ];
--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -45,7 +45,7 @@
 #[test]
 fn worth_beyond_a_share_counts_in_part() {
     let (tally, _) = play(&day());
-    let worth: f64 = tally.seconds.iter().map(|s| s.worth).sum();
+    let worth: f64 = tally.seconds.iter().map(|s| s.offered_weight).sum();
     // Tenant u asks for 75 a second on average and has a share of 5: 5 + 0.2 * 70, beside 75 of tenant t.
     let expected = 20.0 * (75.0 + 5.0 + 0.2 * 70.0);
     assert!((worth / expected - 1.0).abs() < 0.06, "{worth}, {expected}");
--- a/crates/simulation/tests/experiments.rs
+++ b/crates/simulation/tests/experiments.rs
@@ -30,8 +30,9 @@
         let scenario = scenarios::find(name).expect("embedded");
         let tally = sim::run(&scenario, PolicyName::Hillstall, 1);
         assert!(tally.offered > 500, "{name}: {} calls", tally.offered);
-        assert_eq!((tally.late_sends, tally.wrong_answers), (0, 0), "{name}");
-        let ended: u64 = tally.seconds.iter().map(|s| s.in_aim + s.late + s.refused + s.failed).sum();
+        assert_eq!((tally.late_sends, tally.response_errors), (0, 0), "{name}");
+        let ended: u64 =
+            tally.seconds.iter().map(|s| s.within_objective + s.late + s.rejected + s.failed).sum();
         assert_eq!(ended, tally.offered, "{name}: each call ends once");
     }
 }
@@ -62,7 +63,7 @@
     let scenario = scenarios::find("hot-copies").expect("embedded");
     for seed in 1..=3 {
         let tally = sim::run(&scenario, PolicyName::Hillstall, seed);
-        let (hot, cool) = (tally.refused_hot, tally.refused_cool);
+        let (hot, cool) = (tally.rejected_hot, tally.rejected_cool);
         assert!(
             hot <= 2.0 * cool + 0.05,
             "seed {seed}: {hot:.2} refused by hot copies, {cool:.2} by cool ones"
@@ -74,15 +75,15 @@
 #[test]
 fn a_mean_has_the_interval_of_students_t() {
     let mean = Mean::of(&[1.0, 2.0, 3.0]);
-    assert!((mean.mean - 2.0).abs() < 1e-12 && (mean.half - 2.4841).abs() < 1e-3, "{mean:?}");
-    assert!(!mean.is_apart() && !Mean::of(&[5.0]).is_apart());
+    assert!((mean.mean - 2.0).abs() < 1e-12 && (mean.half_width - 2.4841).abs() < 1e-3, "{mean:?}");
+    assert!(!mean.excludes_zero() && !Mean::of(&[5.0]).excludes_zero());
 }
 
 #[test]
 fn the_same_policy_gains_nothing_on_itself() {
     let scenario = scenarios::find("one-hangs").expect("embedded");
     let tallies = runs(&scenario, &[PolicyName::Random], &[1, 2, 3], || {});
-    assert_eq!(gain(&tallies, &tallies, |t| t.service), Mean { mean: 0.0, half: 0.0 });
+    assert_eq!(gain(&tallies, &tallies, |t| t.service), Mean { mean: 0.0, half_width: 0.0 });
 }
 
 #[test]
--- a/crates/simulation/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -66,9 +66,9 @@
     for (cores, utilisation) in [(1, 0.5), (1, 0.7), (4, 0.8)] {
         let (measured, theory) = (queue(cores, utilisation), erlang_c(cores, utilisation));
         // Twice the half-width at 95% is beyond 99.9% for ten seeds; the seeds are fixed.
-        assert!(measured.half < 0.03 * theory, "{cores} cores: too wide: {measured:?}");
+        assert!(measured.half_width < 0.03 * theory, "{cores} cores: too wide: {measured:?}");
         assert!(
-            (measured.mean - theory).abs() < 2.0 * measured.half,
+            (measured.mean - theory).abs() < 2.0 * measured.half_width,
             "{cores} at {utilisation}: {measured:?}, {theory}"
         );
     }
--- a/crates/simulation/tests/written_forms.rs
+++ b/crates/simulation/tests/written_forms.rs
@@ -19,17 +19,26 @@
     let line = text("tally.json");
     let run: RunSummary = serde_json::from_str(&line).expect("a run");
     assert_eq!((run.cell.as_str(), run.policy.as_str(), run.seed), ("load.of_capacity=0.4", "hillstall", 7));
-    assert_eq!((run.service, run.worst, run.offered), (0.91, 0.82, 1_003));
-    assert_eq!((run.late, run.refused, run.failed), (0.01, 0.02, 0.03));
-    assert_eq!((run.refused_hot, run.refused_cool, run.tries, run.attempts), (0.04, 0.05, 1.25, 1.5));
+    assert_eq!((run.service, run.worst_window, run.offered), (0.91, 0.82, 1_003));
+    assert_eq!((run.late, run.rejected, run.failed), (0.01, 0.02, 0.03));
+    assert_eq!(
+        (run.rejected_hot, run.rejected_cool, run.client_attempts, run.attempts),
+        (0.04, 0.05, 1.25, 1.5)
+    );
     assert_eq!((run.mean_ms, run.p50_ms, run.p99_ms), (21.5, 20.5, 99.5));
-    assert_eq!((run.chokes, run.late_sends, run.wrong_answers), (4, 5, 6));
-    let harm = run.harm;
-    assert_eq!((harm.trials, harm.handshakes, harm.overshoot), (0.5, 0.25, 0.75));
-    assert_eq!((harm.refused_spread, harm.worthiest_refused, harm.inversions), (0.125, 0.0625, 0.375));
+    assert_eq!((run.chokes, run.late_sends, run.response_errors), (4, 5, 6));
+    let harm = run.side_effects;
+    assert_eq!((harm.attempts_at_failing, harm.new_connections, harm.slow_start_load), (0.5, 0.25, 0.75));
+    assert_eq!((harm.rejection_spread, harm.top_class_rejected, harm.inversions), (0.125, 0.0625, 0.375));
     let second = &run.seconds[0];
-    assert_eq!((second.offered, second.in_aim, second.late, second.refused, second.failed), (11, 8, 1, 2, 3));
-    assert_eq!((second.tries, second.attempts, second.worth, second.earned), (14, 15, 16.5, 12.5));
+    assert_eq!(
+        (second.offered, second.within_objective, second.late, second.rejected, second.failed),
+        (11, 8, 1, 2, 3)
+    );
+    assert_eq!(
+        (second.client_attempts, second.attempts, second.offered_weight, second.served_weight),
+        (14, 15, 16.5, 12.5)
+    );
     assert_eq!((second.capacity, second.choked, second.p50_ms, second.p99_ms), (0.875, 9, 19.5, 88.5));
     assert_eq!(serde_json::to_string(&run).expect("plain data") + "\n", line);
 }
