--- a/crates/fault-injection/src/invariant_checker.rs
+++ b/crates/fault-injection/src/invariant_checker.rs
@@ -364,7 +364,7 @@
             let of = |h: &&BackendAttempt| h.server == start.server && h.at >= start.at;
             let sent: Vec<(f64, f64)> =
                 self.observations.hops.iter().filter(of).map(|h| (h.at - start.at, h.work)).collect();
-            let (most, when) = self.truth.servers[start.server].cold.overshoot(&sent);
+            let (most, when) = self.truth.servers[start.server].cold.peak_overload(&sent);
             (start.server, most, start.at + when)
         });
         each.collect()
--- a/crates/hillstall/src/demo.rs
+++ b/crates/hillstall/src/demo.rs
@@ -1,7 +1,7 @@
 //! `hillstall demo`: the proxy in front of stand-in servers, all in one process, for a first look.
 
 use crate::config::{self, Config, ParseError};
-use hillstall_simulation::servers::Answers;
+use hillstall_simulation::servers::ResponseBody;
 use hillstall_simulation::site;
 use hillstall_simulation::stand_in_thread::StandInThread;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 }
 
 /// The response body of a stand-in server: its name, and the request line.
-fn response_body(number: usize) -> Rc<Answers> {
+fn response_body(number: usize) -> Rc<ResponseBody> {
     Rc::new(move |method, target| {
         let server = format!("server-{number}");
         serde_json::json!({"server": server, "method": method, "target": target}).to_string().into_bytes()
--- a/crates/hillstall/src/simulation.rs
+++ b/crates/hillstall/src/simulation.rs
@@ -122,7 +122,7 @@
     for path in days {
         let text = std::fs::read_to_string(path).map_err(FileError::at(path))?;
         let name = path.file_stem().map(|stem| stem.to_string_lossy().into_owned()).unwrap_or_default();
-        let (runs, unknown_kinds) = experiment::days(&text, policies, &options.seeds())
+        let (runs, unknown_kinds) = experiment::run_recorded_day(&text, policies, &options.seeds())
             .map_err(SimulationError::invalid(path.display()))?;
         for kind in unknown_kinds {
             print_message(format!("{}: no model for {kind}", path.display()));
--- a/crates/hot-path-bench/src/paths.rs
+++ b/crates/hot-path-bench/src/paths.rs
@@ -89,7 +89,7 @@
     fn add(&mut self, other: RunTotals) {
         // Fails only between histograms of other bounds.
         let _ = self.responses.served.add(&other.responses.served);
-        self.responses.refused += other.responses.refused;
+        self.responses.rejected += other.responses.rejected;
         self.responses.failed += other.responses.failed;
         self.seconds += other.seconds;
         self.cpu_time += other.cpu_time;
@@ -98,7 +98,7 @@
     }
 
     fn requests(&self) -> f64 {
-        (self.responses.served.len() + self.responses.refused + self.responses.failed) as f64
+        (self.responses.served.len() + self.responses.rejected + self.responses.failed) as f64
     }
 
     /// CPU time per request, in microseconds.
@@ -119,7 +119,7 @@
             self.latency_ms(0.99),
             self.cpu_us(),
             1e6 / self.cpu_us().max(0.001),
-            self.responses.refused,
+            self.responses.rejected,
             self.responses.failed,
             self.opened,
             self.open
@@ -225,7 +225,7 @@
         await_listener("the proxy", address).await?;
         closed_loop_clients::run(address, IDLE_WARM_UP_CLIENTS, WARM_UP).await;
         let before = proxy.memory()?;
-        let idle = closed_loop_clients::idle(address, connections).await?;
+        let idle = closed_loop_clients::open_idle_connections(address, connections).await?;
         let after = proxy.memory()?;
         let per_connection = after.saturating_sub(before) as f64 / idle.len().max(1) as f64;
         println!("| connections | MB before | MB with them | KiB each |");
--- a/crates/simulation/src/closed_loop_clients.rs
+++ b/crates/simulation/src/closed_loop_clients.rs
@@ -17,7 +17,7 @@
     /// Latencies of the 200 responses, in microseconds.
     pub served: Histogram<u64>,
     /// Responses 429 and 503.
-    pub refused: u64,
+    pub rejected: u64,
     /// Any other response, and connections that ended.
     pub failed: u64,
 }
@@ -26,7 +26,7 @@
     fn default() -> ClientTotals {
         // 3 digits up to 60 s: some KiB; it can't fail with these bounds.
         let served = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds in order");
-        ClientTotals { served, refused: 0, failed: 0 }
+        ClientTotals { served, rejected: 0, failed: 0 }
     }
 }
 
@@ -35,7 +35,7 @@
     address: SocketAddr,
     number: usize,
     until: Instant,
-    tally: &RefCell<ClientTotals>,
+    summary: &RefCell<ClientTotals>,
 ) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
@@ -47,7 +47,7 @@
         let begun = Instant::now();
         stream.write_all(request.as_bytes()).await?;
         let (status, used) = loop {
-            if let Some(whole) = whole(&read) {
+            if let Some(whole) = complete_response(&read) {
                 break whole;
             }
             if stream.read_buf(&mut read).await? == 0 {
@@ -55,11 +55,11 @@
             }
         };
         read.drain(..used);
-        let tally = &mut *tally.borrow_mut();
+        let summary = &mut *summary.borrow_mut();
         match status {
-            200 => tally.served.saturating_record(begun.elapsed().as_micros() as u64),
-            429 | 503 => tally.refused += 1,
-            _ => tally.failed += 1,
+            200 => summary.served.saturating_record(begun.elapsed().as_micros() as u64),
+            429 | 503 => summary.rejected += 1,
+            _ => summary.failed += 1,
         }
     }
     Ok(())
@@ -74,7 +74,7 @@
 }
 
 /// The status and the length of a response, once it is complete.
-fn whole(read: &[u8]) -> Option<(u16, usize)> {
+fn complete_response(read: &[u8]) -> Option<(u16, usize)> {
     let mut headers = [EMPTY_HEADER; 32];
     let mut response = Response::new(&mut headers);
     let Ok(httparse::Status::Complete(head)) = response.parse(read) else { return None };
@@ -84,15 +84,15 @@
 }
 
 /// Runs a number of clients for a time and returns their totals.
-pub async fn run(address: SocketAddr, callers: usize, time: Duration) -> ClientTotals {
-    let (tally, until) = (Rc::new(RefCell::new(ClientTotals::default())), Instant::now() + time);
-    let tasks: Vec<_> = (0..callers)
+pub async fn run(address: SocketAddr, clients: usize, time: Duration) -> ClientTotals {
+    let (summary, until) = (Rc::new(RefCell::new(ClientTotals::default())), Instant::now() + time);
+    let tasks: Vec<_> = (0..clients)
         .map(|number| {
-            let tally = tally.clone();
+            let summary = summary.clone();
             spawn_local(async move {
                 while Instant::now() < until {
-                    if run_client(address, number, until, &tally).await.is_err() {
-                        tally.borrow_mut().failed += 1;
+                    if run_client(address, number, until, &summary).await.is_err() {
+                        summary.borrow_mut().failed += 1;
                         // No tight loop against a listener that is not there.
                         tokio::time::sleep(Duration::from_millis(1)).await;
                     }
@@ -103,17 +103,17 @@
     for task in tasks {
         let _ = task.await;
     }
-    tally.take()
+    summary.take()
 }
 
 /// Connections that have carried one request each and are idle then.
-pub async fn idle(address: SocketAddr, count: usize) -> std::io::Result<Vec<TcpStream>> {
+pub async fn open_idle_connections(address: SocketAddr, count: usize) -> std::io::Result<Vec<TcpStream>> {
     let mut streams = Vec::with_capacity(count);
     for number in 0..count {
         let mut stream = TcpStream::connect(address).await?;
         stream.write_all(request(&format!("idle-{number:x}")).as_bytes()).await?;
         let mut read = Vec::new();
-        while whole(&read).is_none() {
+        while complete_response(&read).is_none() {
             if stream.read_buf(&mut read).await? == 0 {
                 return Err(std::io::ErrorKind::UnexpectedEof.into());
             }
--- a/crates/simulation/src/discovery.rs
+++ b/crates/simulation/src/discovery.rs
@@ -12,7 +12,7 @@
 const HEARTBEAT: Duration = Duration::from_secs(2);
 
 /// An endpoint list in which these backends are ready.
-pub fn list(servers: &[SocketAddr]) -> Value {
+pub fn endpoint_list(servers: &[SocketAddr]) -> Value {
     let endpoints: Vec<Value> = servers
         .iter()
         .enumerate()
--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -2,7 +2,7 @@
 
 use crate::policy::PolicyName;
 use crate::scenario::{Scenario, ScenarioError};
-use crate::sim::{self, Day, DayError, RunSummary};
+use crate::sim::{self, DayError, RecordedDay, RunSummary};
 use rayon::prelude::*;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
@@ -15,19 +15,19 @@
     ended: impl Fn() + Sync,
 ) -> Vec<RunSummary> {
     each(policies, seeds, |policy, seed| {
-        let tally = sim::run(scenario, policy, seed);
+        let summary = sim::run(scenario, policy, seed);
         ended();
-        tally
+        summary
     })
 }
 
 /// Runs a recorded day with each policy and seed. The second part names its failures that have no model.
-pub fn days(
+pub fn run_recorded_day(
     text: &str,
     policies: &[PolicyName],
     seeds: &[u64],
 ) -> Result<(Vec<RunSummary>, Vec<String>), DayError> {
-    let day = Day::read(text)?;
+    let day = RecordedDay::read(text)?;
     Ok((each(policies, seeds, |policy, seed| day.run(policy, seed)), day.unsupported_failures))
 }
 
--- a/crates/simulation/src/fleet_ratio.rs
+++ b/crates/simulation/src/fleet_ratio.rs
@@ -39,9 +39,9 @@
     let scenarios = grid(text, &axes)?;
     let places = loads.iter().flat_map(|load| copies.iter().map(move |copies| (*load, *copies)));
     let runs = by_cell(&scenarios, seeds, |(_, scenario), seed| {
-        let tally = sim::run(scenario, PolicyName::Hillstall, seed);
+        let summary = sim::run(scenario, PolicyName::Hillstall, seed);
         ended();
-        tally
+        summary
     });
     let cells = places.zip(runs).map(|((load, copies), runs)| RatioCell { load, instances: copies, runs });
     Ok(FleetRatio { cells: cells.collect() })
--- a/crates/simulation/src/model/slow_start.rs
+++ b/crates/simulation/src/model/slow_start.rs
@@ -31,7 +31,7 @@
 
     /// The largest load over what it bears, and when that was; above 1 it falls over. `sent`: the times
     /// after its start at which work arrived, in order, and its amount.
-    pub fn overshoot(&self, sent: &[(f64, f64)]) -> (f64, f64) {
+    pub fn peak_overload(&self, sent: &[(f64, f64)]) -> (f64, f64) {
         let (mut worst, mut when, mut first, mut sum) = (0.0, 0.0, 0, 0.0);
         for (at, work) in sent {
             if *at > self.warmup_ms {
@@ -74,16 +74,16 @@
         let able = |t: f64| 2.0 * (0.5 + 0.5 * t / 8_000.0);
         let sent: Vec<(f64, f64)> =
             (0..800).map(|n| f64::from(n) * 10.0).map(|t| (t, 10.0 * able(t))).collect();
-        let (worst, _) = START.overshoot(&sent);
+        let (worst, _) = START.peak_overload(&sent);
         assert!((worst - 1.0 / 3.0).abs() < 0.01, "{worst}");
         let twice: Vec<(f64, f64)> = sent.iter().map(|(t, w)| (*t, 3.3 * w)).collect();
-        assert!(START.overshoot(&twice).0 > 1.05, "3.3 times what it can do");
+        assert!(START.peak_overload(&twice).0 > 1.05, "3.3 times what it can do");
     }
 
     #[test]
     fn a_burst_at_the_start_counts_against_the_whole_stretch_and_warm_work_not_at_all() {
         // Over its first two seconds it does 2 * (1000 + 125) = 2250, and bears three times that.
-        let (worst, when) = START.overshoot(&[(0.0, 3_375.0), (9_000.0, 1e9)]);
+        let (worst, when) = START.peak_overload(&[(0.0, 3_375.0), (9_000.0, 1e9)]);
         assert!((worst - 0.5).abs() < 1e-9 && when == 0.0, "{worst} at {when}");
     }
 }
--- a/crates/simulation/src/model/work.rs
+++ b/crates/simulation/src/model/work.rs
@@ -7,7 +7,7 @@
 /// Distribution of the work of a class's requests. All have the mean of the class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Shape {
+pub enum WorkDistribution {
     /// Always the mean.
     Fixed,
     /// Exponential: coefficient of variation 1.
@@ -18,11 +18,11 @@
 }
 
 /// Draws the work of one request: `mean` in core milliseconds, `cv` the coefficient of variation (log-normal alone).
-pub fn draw(shape: Shape, mean: f64, cv: f64, rng: &mut Xoshiro256PlusPlus) -> f64 {
+pub fn draw(shape: WorkDistribution, mean: f64, cv: f64, rng: &mut Xoshiro256PlusPlus) -> f64 {
     match shape {
-        Shape::Fixed => mean,
-        Shape::Exp => mean * Distribution::<f64>::sample(&Exp1, rng),
-        Shape::Lognormal => {
+        WorkDistribution::Fixed => mean,
+        WorkDistribution::Exp => mean * Distribution::<f64>::sample(&Exp1, rng),
+        WorkDistribution::Lognormal => {
             // With s^2 = ln(1 + cv^2) and m = ln(mean) - s^2 / 2, mean and cv are those asked for.
             let variance = (1.0 + cv * cv).ln();
             match LogNormal::new(mean.ln() - variance / 2.0, variance.sqrt()) {
@@ -41,7 +41,9 @@
     #[test]
     fn mean_and_variation_are_those_asked_for() {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(7);
-        for (shape, cv) in [(Shape::Fixed, 0.0), (Shape::Exp, 1.0), (Shape::Lognormal, 0.7)] {
+        for (shape, cv) in
+            [(WorkDistribution::Fixed, 0.0), (WorkDistribution::Exp, 1.0), (WorkDistribution::Lognormal, 0.7)]
+        {
             let drawn: Vec<f64> = (0..100_000).map(|_| draw(shape, 80.0, cv, &mut rng)).collect();
             let mean = drawn.iter().sum::<f64>() / drawn.len() as f64;
             let variance = drawn.iter().map(|w| (w - mean).powi(2)).sum::<f64>() / drawn.len() as f64;
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -2,7 +2,7 @@
 //! be a range `[low, high]`, of which each seed draws one value. Errors name the line of an unknown key or bad value.
 
 use crate::model::machine::{Choke, MachineSpec};
-use crate::model::work::Shape;
+use crate::model::work::WorkDistribution;
 use crate::random::uniform;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde::{Deserialize, Deserializer};
@@ -12,10 +12,10 @@
 pub enum ScenarioError {
     /// Invalid TOML, key or value; the text names line, column and key.
     #[error("{0}")]
-    Form(#[from] toml::de::Error),
+    Syntax(#[from] toml::de::Error),
     /// Values that contradict each other.
     #[error("{key}: {why}")]
-    Sense {
+    Invalid {
         /// Where.
         key: String,
         /// What is wrong.
@@ -37,7 +37,7 @@
     }
 
     /// The most it can be.
-    fn most(self) -> f64 {
+    fn max(self) -> f64 {
         self.high
     }
 
@@ -105,18 +105,18 @@
     Number::of(1.0)
 }
 
-fn warm() -> Span {
+fn zero_duration() -> Span {
     Span::ms(0.0)
 }
 
-fn far() -> Number {
+fn unlimited() -> Number {
     Number::of(1e9)
 }
 
 /// A slowdown that outlasts its cause; see [`Choke`].
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Choking {
+pub struct ChokeSpec {
     at: Number,
     over: Span,
     slower: Number,
@@ -140,13 +140,13 @@
     #[serde(default = "one")]
     pub speed: Number,
     /// Slots per core: requests in progress.
-    #[serde(default = "far")]
+    #[serde(default = "unlimited")]
     pub slots_per_core: Number,
     /// Queue length per core.
-    #[serde(default = "far")]
+    #[serde(default = "unlimited")]
     pub room_per_core: Number,
     /// Requests per core above which a machine gets slower ...
-    #[serde(default = "far")]
+    #[serde(default = "unlimited")]
     pub thrash_at: Number,
     /// ... and the part of its speed left then.
     #[serde(default = "one")]
@@ -155,10 +155,10 @@
     #[serde(default = "one")]
     pub cold_from: Number,
     /// ... and the duration of the slow start.
-    #[serde(default = "warm")]
+    #[serde(default = "zero_duration")]
     pub cold: Span,
     /// The slowdown that outlasts its cause.
-    pub choke: Option<Choking>,
+    pub choke: Option<ChokeSpec>,
     /// This tier's part of a request's work; the rest falls to the tiers below.
     #[serde(default = "one")]
     pub work_part: Number,
@@ -221,7 +221,7 @@
     pub work: Span,
     /// Distribution of the work.
     #[serde(default)]
-    pub shape: Shape,
+    pub shape: WorkDistribution,
     /// Coefficient of variation, for `lognormal`.
     #[serde(default = "one")]
     pub cv: Number,
@@ -246,18 +246,18 @@
     /// Instead of `rate`: a part of the first tier's capacity.
     pub of_capacity: Option<Number>,
     /// Amplitude of the rate's sine wave, as a part of its mean.
-    #[serde(default = "none")]
+    #[serde(default = "zero")]
     pub swing: Number,
     /// Period of the sine wave.
-    #[serde(default = "swing_time")]
+    #[serde(default = "default_rate_period")]
     pub period: Span,
 }
 
-fn none() -> Number {
+fn zero() -> Number {
     Number::of(0.0)
 }
 
-fn swing_time() -> Span {
+fn default_rate_period() -> Span {
     Span::ms(20_000.0)
 }
 
@@ -407,10 +407,11 @@
     /// When.
     pub at: Span,
     /// What.
-    pub what: FailureKind,
+    #[serde(rename = "what")]
+    pub kind: FailureKind,
     /// For how long.
     #[serde(rename = "for")]
-    pub lasts: Span,
+    pub duration: Span,
     /// Which zone, from 0.
     #[serde(default)]
     pub zone: usize,
@@ -434,7 +435,7 @@
     #[serde(default)]
     pub mode: LinkFaultMode,
     /// Of a link fault that delays: by how much.
-    #[serde(default = "warm")]
+    #[serde(default = "zero_duration")]
     pub delay: Span,
 }
 
@@ -461,7 +462,7 @@
     pub times: Number,
 }
 
-fn zones() -> usize {
+fn one_zone() -> usize {
     1
 }
 
@@ -474,7 +475,7 @@
     /// How long requests arrive; the run ends when all are answered.
     pub length: Span,
     /// Number of zones; machines and proxies are assigned to them in turn.
-    #[serde(default = "zones")]
+    #[serde(default = "one_zone")]
     pub zones: usize,
     /// Proxies before the first tier.
     pub proxies: Number,
@@ -521,7 +522,7 @@
 
     #[allow(clippy::too_many_lines, reason = "one check per key")]
     fn check(&self) -> Result<(), ScenarioError> {
-        let wrong = |key: String, why: &str| Err(ScenarioError::Sense { key, why: why.to_string() });
+        let wrong = |key: String, why: &str| Err(ScenarioError::Invalid { key, why: why.to_string() });
         if self.tiers.is_empty() {
             return wrong("tier".into(), "at least one is needed");
         }
@@ -529,27 +530,27 @@
             return wrong("class".into(), "1 to 200 are needed");
         }
         if !(1..=64).contains(&self.zones) {
-            return wrong("zones".into(), "1 to 64 are possible");
+            return wrong("one_zone".into(), "1 to 64 are possible");
         }
         if self.load.rate.is_some() == self.load.of_capacity.is_some() {
             return wrong("load".into(), "give either rate or of_capacity");
         }
         // Larger values would not end, or not fit into memory; a wrong unit is the likely cause.
         let mut bounds = vec![
-            ("length".to_string(), self.length.0.most() / 1e3, 86_400.0, "s"),
-            ("proxies".to_string(), self.proxies.most(), 10_000.0, ""),
-            ("hot.times".to_string(), self.hot.map_or(0.0, |hot| hot.times.most()), 1_000.0, ""),
+            ("length".to_string(), self.length.0.max() / 1e3, 86_400.0, "s"),
+            ("proxies".to_string(), self.proxies.max(), 10_000.0, ""),
+            ("hot.times".to_string(), self.hot.map_or(0.0, |hot| hot.times.max()), 1_000.0, ""),
             ("tenant".to_string(), self.tenants.len() as f64, 1_000.0, "tenants"),
-            ("load.rate".to_string(), self.load.rate.map_or(0.0, Number::most), 1e6, "calls/s"),
-            ("load.of_capacity".to_string(), self.load.of_capacity.map_or(0.0, Number::most), 100.0, ""),
+            ("load.rate".to_string(), self.load.rate.map_or(0.0, Number::max), 1e6, "calls/s"),
+            ("load.of_capacity".to_string(), self.load.of_capacity.map_or(0.0, Number::max), 100.0, ""),
         ];
         for (i, tier) in self.tiers.iter().enumerate() {
-            bounds.push((format!("tier[{i}].servers"), tier.servers.most(), 10_000.0, ""));
-            bounds.push((format!("tier[{i}].cores"), tier.cores.most(), 1_024.0, ""));
-            bounds.push((format!("tier[{i}].calls"), tier.calls.most(), 100.0, ""));
+            bounds.push((format!("tier[{i}].servers"), tier.servers.max(), 10_000.0, ""));
+            bounds.push((format!("tier[{i}].cores"), tier.cores.max(), 1_024.0, ""));
+            bounds.push((format!("tier[{i}].calls"), tier.calls.max(), 100.0, ""));
         }
         for (i, failure) in self.failures.iter().enumerate() {
-            bounds.push((format!("failure[{i}].times"), failure.times.most(), 1_000.0, ""));
+            bounds.push((format!("failure[{i}].times"), failure.times.max(), 1_000.0, ""));
         }
         if let Some((key, value, most, unit)) = bounds.into_iter().find(|b| b.1 > b.2) {
             return wrong(key, &format!("{value} {unit} is more than the {most} that can be run"));
--- a/crates/simulation/src/scenarios.rs
+++ b/crates/simulation/src/scenarios.rs
@@ -44,6 +44,6 @@
 /// One of them, parsed. An error would be a bug of this package: the tests parse them all.
 pub fn find(name: &str) -> Result<Scenario, ScenarioError> {
     let text = text(name)
-        .ok_or_else(|| ScenarioError::Sense { key: name.into(), why: "no such scenario".into() })?;
+        .ok_or_else(|| ScenarioError::Invalid { key: name.into(), why: "no such scenario".into() })?;
     Scenario::parse(text)
 }
--- a/crates/simulation/src/servers.rs
+++ b/crates/simulation/src/servers.rs
@@ -13,11 +13,11 @@
 const MAX_HEADERS: usize = 64;
 
 /// Makes the body of a response from a request.
-pub type Answers = dyn Fn(&str, &str) -> Vec<u8>;
+pub type ResponseBody = dyn Fn(&str, &str) -> Vec<u8>;
 
 /// Counts of the backends' connections, which are costly at real ones.
 #[derive(Debug, Default)]
-pub struct Connections {
+pub struct ConnectionCounts {
     /// Opened since the start.
     pub opened: AtomicU64,
     /// Open at the moment.
@@ -25,7 +25,7 @@
 }
 
 /// Serves every connection until its task is dropped. `answers` gets method and target.
-pub async fn serve(listener: TcpListener, answers: Rc<Answers>, connections: Arc<Connections>) {
+pub async fn serve(listener: TcpListener, answers: Rc<ResponseBody>, connections: Arc<ConnectionCounts>) {
     while let Ok((stream, _)) = listener.accept().await {
         let (answers, connections) = (answers.clone(), connections.clone());
         spawn_local(async move {
@@ -38,12 +38,12 @@
     }
 }
 
-async fn connection(mut stream: TcpStream, answers: &Answers) -> std::io::Result<()> {
+async fn connection(mut stream: TcpStream, answers: &ResponseBody) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut read = Vec::with_capacity(1024);
     let mut written = Vec::with_capacity(1024);
     loop {
-        let Some(used) = take(&read, answers, &mut written) else {
+        let Some(used) = write_response(&read, answers, &mut written) else {
             if read.len() >= MAX_HEAD_BYTES || stream.read_buf(&mut read).await? == 0 {
                 return Ok(());
             }
@@ -66,7 +66,7 @@
 
 /// Reads one head and writes its response; returns the length of the request, `None` if its head is incomplete
 /// (or can't be read, which ends when the buffer is full).
-fn take(read: &[u8], answers: &Answers, written: &mut Vec<u8>) -> Option<usize> {
+fn write_response(read: &[u8], answers: &ResponseBody, written: &mut Vec<u8>) -> Option<usize> {
     let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut request = Request::new(&mut headers);
     let head = match request.parse(read) {
--- a/crates/simulation/src/sim/attempts.rs
+++ b/crates/simulation/src/sim/attempts.rs
@@ -1,16 +1,16 @@
 //! Requests at proxies, their attempts, and the machines that these reach.
 
-use super::link_faults::Way;
+use super::link_faults::LinkState;
 use super::queue::{ResponseKind, SimEvent};
 use super::setup::CONNECT_TIMEOUT;
 use super::{Attempt, ProxyRequest, RequestSource, World};
 use crate::model::machine::Admission;
-use crate::model::work::{self, Shape};
+use crate::model::work::{self, WorkDistribution};
 use crate::random::uniform;
 use hillstall_decision::{BackendId, Event, LoadReport, Outcome};
 
 impl World {
-    fn way(&self, proxy: usize, host: usize) -> f64 {
+    fn link_delay(&self, proxy: usize, host: usize) -> f64 {
         match self.proxies[proxy].zone == self.hosts[host].zone {
             true => self.parameters.same_zone_delay,
             false => self.parameters.cross_zone_delay,
@@ -42,8 +42,10 @@
             abandoned: false,
         });
         if self.proxies[proxy].policy.needs_true_load() {
-            let truth: Vec<(BackendId, f64)> =
-                self.tiers[self.proxies[proxy].tier].iter().map(|h| (*h as u32, self.load(*h))).collect();
+            let truth: Vec<(BackendId, f64)> = self.tiers[self.proxies[proxy].tier]
+                .iter()
+                .map(|h| (*h as u32, self.true_load(*h)))
+                .collect();
             self.proxies[proxy].policy.set_true_load(&truth);
         }
         let event = Event::Request {
@@ -56,10 +58,10 @@
             is_write: false,
             timeout_ms: ttl,
         };
-        self.notify(proxy, event);
+        self.pass_event(proxy, event);
     }
 
-    fn load(&self, host: usize) -> f64 {
+    fn true_load(&self, host: usize) -> f64 {
         let h = &self.hosts[host];
         let able = h.machine.capacity(self.now);
         match able > 0.0 && !h.unreachable {
@@ -69,7 +71,7 @@
     }
 
     #[allow(clippy::too_many_lines, reason = "one attempt, in the order of its random draws")]
-    pub(super) fn send(&mut self, request: usize, machine: usize, timeout: f64) {
+    pub(super) fn send_attempt(&mut self, request: usize, machine: usize, timeout: f64) {
         let proxy = self.requests[request].proxy;
         let tier = self.proxies[proxy].tier;
         self.totals.record_attempt(self.now, tier);
@@ -83,7 +85,7 @@
         let phases = calls_below + 1;
         let attempt = self.attempts.len();
         let noise = self.parameters.classes[self.requests[request].class].attempt_noise_cv;
-        let off = work::draw(Shape::Lognormal, 1.0, noise, &mut self.network_rng);
+        let off = work::draw(WorkDistribution::Lognormal, 1.0, noise, &mut self.network_rng);
         let (class, part) = (self.requests[request].class, of.work_fraction);
         if tier == 0 && self.requests[request].attempts == 0 {
             self.side_effects.on_admitted(self.now, proxy, class);
@@ -117,56 +119,61 @@
         } else {
             proxy_request.deadline_at
         };
-        let way = self.way(proxy, machine);
-        match self.way_to(proxy, machine) {
-            Way::Open(more) => self.queue.put(self.now + way + more, SimEvent::Reach { attempt }),
-            Way::Blocked(_) => {
+        let way = self.link_delay(proxy, machine);
+        match self.link_to_machine(proxy, machine) {
+            LinkState::Open(more) => {
+                self.queue.schedule(self.now + way + more, SimEvent::AttemptArrival { attempt })
+            }
+            LinkState::Blocked(_) => {
                 let outcome = Outcome::ConnectFailed;
-                self.queue.put(self.now + CONNECT_TIMEOUT, SimEvent::Back { attempt, outcome });
+                self.queue
+                    .schedule(self.now + CONNECT_TIMEOUT, SimEvent::AttemptOutcome { attempt, outcome });
             }
-            Way::Refused => {
+            LinkState::Refused => {
                 let outcome = Outcome::ConnectFailed;
-                self.queue.put(self.now + 2.0 * way, SimEvent::Back { attempt, outcome });
+                self.queue.schedule(self.now + 2.0 * way, SimEvent::AttemptOutcome { attempt, outcome });
             }
-            Way::Broken => {
+            LinkState::Broken => {
                 let outcome = Outcome::Reset;
-                self.queue.put(self.now + 2.0 * way, SimEvent::Back { attempt, outcome });
+                self.queue.schedule(self.now + 2.0 * way, SimEvent::AttemptOutcome { attempt, outcome });
             }
         }
-        self.queue.put(end, SimEvent::TimeUp { attempt });
+        self.queue.schedule(end, SimEvent::AttemptTimeout { attempt });
     }
 
-    pub(super) fn reach(&mut self, attempt: usize) {
+    pub(super) fn attempt_arrives(&mut self, attempt: usize) {
         let (machine, work) = (self.attempts[attempt].machine, self.attempts[attempt].phase_work);
         if self.attempts[attempt].ended {
             return;
         }
-        let way = self.way(self.requests[self.attempts[attempt].request].proxy, machine);
+        let way = self.link_delay(self.requests[self.attempts[attempt].request].proxy, machine);
         let host = &mut self.hosts[machine];
         if host.unreachable {
             let outcome = Outcome::ConnectFailed;
-            return self.queue.put(self.now + CONNECT_TIMEOUT, SimEvent::Back { attempt, outcome });
+            return self
+                .queue
+                .schedule(self.now + CONNECT_TIMEOUT, SimEvent::AttemptOutcome { attempt, outcome });
         }
         if !host.machine.is_up() {
             let outcome = Outcome::ConnectFailed;
-            return self.queue.put(self.now + way, SimEvent::Back { attempt, outcome });
+            return self.queue.schedule(self.now + way, SimEvent::AttemptOutcome { attempt, outcome });
         }
         if host.rejects_new {
             let outcome = Outcome::Rejected;
-            return self.queue.put(self.now + way, SimEvent::Back { attempt, outcome });
+            return self.queue.schedule(self.now + way, SimEvent::AttemptOutcome { attempt, outcome });
         }
         match host.machine.offer(self.now, attempt as u64, work, &mut self.completed_jobs) {
             Admission::Accepted => self.attempts[attempt].on_machine = true,
             Admission::QueueFull => {
                 let outcome = Outcome::Rejected;
-                self.queue.put(self.now + way, SimEvent::Back { attempt, outcome });
+                self.queue.schedule(self.now + way, SimEvent::AttemptOutcome { attempt, outcome });
             }
         }
-        self.worked(machine);
+        self.continue_completed_work(machine);
     }
 
     /// Continues with the work a machine has completed, and schedules its next completion.
-    pub(super) fn worked(&mut self, machine: usize) {
+    pub(super) fn continue_completed_work(&mut self, machine: usize) {
         while !self.completed_jobs.is_empty() {
             for job in std::mem::take(&mut self.completed_jobs) {
                 self.phase_done(job as usize);
@@ -176,7 +183,7 @@
         host.change_stamp += 1;
         let stamp = host.change_stamp;
         if let Some(due) = host.machine.next_change() {
-            self.queue.put(due.max(self.now), SimEvent::Due { machine, stamp });
+            self.queue.schedule(due.max(self.now), SimEvent::MachineChange { machine, stamp });
         }
     }
 
@@ -184,14 +191,14 @@
         let a = &mut self.attempts[attempt];
         a.phases_left -= 1;
         if a.phases_left == 0 || a.cancelled {
-            return self.finish(attempt, Outcome::Ok);
+            return self.finish_attempt(attempt, Outcome::Ok);
         }
         let (machine, request) = (a.machine, a.request);
         let of = &self.requests[request];
         let (whose, work, ttl) = ((of.class, of.tenant), of.work, of.deadline_at - self.now);
         let calls_left = a.phases_left as f64;
         let Some(proxy) = self.hosts[machine].proxy else {
-            return self.finish(attempt, Outcome::Ok);
+            return self.finish_attempt(attempt, Outcome::Ok);
         };
         // The work of the tiers below is spread over the requests that are left of this one.
         let tier = self.hosts[machine].tier;
@@ -207,7 +214,7 @@
     }
 
     /// A machine has finished an attempt.
-    fn finish(&mut self, attempt: usize, outcome: Outcome) {
+    fn finish_attempt(&mut self, attempt: usize, outcome: Outcome) {
         let machine = self.attempts[attempt].machine;
         if !std::mem::take(&mut self.attempts[attempt].on_machine) {
             return;
@@ -215,24 +222,30 @@
         let now = self.now;
         self.hosts[machine].machine.release(now, &mut self.completed_jobs);
         let proxy = self.requests[self.attempts[attempt].request].proxy;
-        let way = self.way(proxy, machine);
+        let way = self.link_delay(proxy, machine);
         if !self.hosts[machine].unreachable {
-            match self.way_to(proxy, machine) {
-                Way::Open(more) => self.queue.put(now + way + more, SimEvent::Back { attempt, outcome }),
+            match self.link_to_machine(proxy, machine) {
+                LinkState::Open(more) => {
+                    self.queue.schedule(now + way + more, SimEvent::AttemptOutcome { attempt, outcome })
+                }
                 // It is retransmitted, and arrives when the link is back.
-                Way::Blocked(until) => self.queue.put(until + way, SimEvent::Back { attempt, outcome }),
-                Way::Refused => self.queue.put(now + way, SimEvent::Back { attempt, outcome }),
-                Way::Broken => {
+                LinkState::Blocked(until) => {
+                    self.queue.schedule(until + way, SimEvent::AttemptOutcome { attempt, outcome })
+                }
+                LinkState::Refused => {
+                    self.queue.schedule(now + way, SimEvent::AttemptOutcome { attempt, outcome })
+                }
+                LinkState::Broken => {
                     let outcome = Outcome::Reset;
-                    self.queue.put(now + way, SimEvent::Back { attempt, outcome });
+                    self.queue.schedule(now + way, SimEvent::AttemptOutcome { attempt, outcome });
                 }
             }
         }
-        self.worked(machine);
+        self.continue_completed_work(machine);
     }
 
     /// The final response of a proxy, to the source of the request.
-    pub(super) fn answer(&mut self, request: usize, end: ResponseKind, retry_after: f64) {
+    pub(super) fn respond(&mut self, request: usize, end: ResponseKind, retry_after: f64) {
         let a = &mut self.requests[request];
         if a.abandoned {
             return;
@@ -248,24 +261,25 @@
                     self.side_effects.on_rejected(self.now, a.proxy, a.class, a.attempts == 0);
                 }
                 let at = self.now + self.parameters.client_delay;
-                self.queue.put(at, SimEvent::Final { client_request: call, no, end, retry_after });
+                self.queue
+                    .schedule(at, SimEvent::ResponseArrival { client_request: call, no, end, retry_after });
             }
             RequestSource::Machine { attempt } => {
                 let of = &mut self.attempts[attempt];
                 of.request_below = None;
                 let (machine, work) = (of.machine, of.phase_work);
                 if end != ResponseKind::Served {
-                    self.finish(attempt, Outcome::Error);
+                    self.finish_attempt(attempt, Outcome::Error);
                 } else if of.on_machine {
                     let now = self.now;
                     self.hosts[machine].machine.resume(now, attempt as u64, work, &mut self.completed_jobs);
-                    self.worked(machine);
+                    self.continue_completed_work(machine);
                 }
             }
         }
     }
 
-    pub(super) fn time_up(&mut self, attempt: usize) {
+    pub(super) fn attempt_timed_out(&mut self, attempt: usize) {
         if self.attempts[attempt].ended {
             return;
         }
@@ -282,9 +296,9 @@
     }
 
     fn drop_at_machine(&mut self, attempt: usize) {
-        let way =
-            self.way(self.requests[self.attempts[attempt].request].proxy, self.attempts[attempt].machine);
-        self.queue.put(self.now + way, SimEvent::Cancel { attempt });
+        let way = self
+            .link_delay(self.requests[self.attempts[attempt].request].proxy, self.attempts[attempt].machine);
+        self.queue.schedule(self.now + way, SimEvent::CancelArrival { attempt });
     }
 
     /// Queued work is dropped; running work goes on to the end of its phase.
@@ -296,14 +310,14 @@
         a.cancelled = true;
         let (machine, below) = (a.machine, a.request_below.take());
         if let Some(request_below) = below {
-            self.client_leaves(request_below);
-            return self.finish(attempt, Outcome::Cancelled);
+            self.client_gone(request_below);
+            return self.finish_attempt(attempt, Outcome::Cancelled);
         }
         let now = self.now;
         if self.hosts[machine].machine.cancel(now, attempt as u64, &mut self.completed_jobs) {
             self.attempts[attempt].on_machine = false;
         }
-        self.worked(machine);
+        self.continue_completed_work(machine);
     }
 
     /// An attempt ends for its proxy, once; later outcomes are ignored.
@@ -322,7 +336,7 @@
         }
         let served = outcome == Outcome::Ok && !self.requests[request].abandoned;
         if served {
-            self.answer(request, ResponseKind::Served, 0.0);
+            self.respond(request, ResponseKind::Served, 0.0);
         }
         // At the deadline the request fails, whatever the policy would still do.
         let late = self.now >= self.requests[request].deadline_at;
@@ -335,10 +349,10 @@
             ended: served || self.requests[request].abandoned,
             report: LoadReport::default(),
         };
-        self.notify(proxy, event);
+        self.pass_event(proxy, event);
         let a = &self.requests[request];
         if late && !a.answered && !a.abandoned && a.in_flight.is_none() {
-            self.answer(request, ResponseKind::Failed, 0.0);
+            self.respond(request, ResponseKind::Failed, 0.0);
         }
     }
 
@@ -350,12 +364,12 @@
                 continue;
             }
             if let Some(below) = a.request_below.take() {
-                self.client_leaves(below);
+                self.client_gone(below);
             }
             if reset {
-                let way = self.way(self.requests[self.attempts[attempt].request].proxy, machine);
+                let way = self.link_delay(self.requests[self.attempts[attempt].request].proxy, machine);
                 let outcome = Outcome::Reset;
-                self.queue.put(self.now + way, SimEvent::Back { attempt, outcome });
+                self.queue.schedule(self.now + way, SimEvent::AttemptOutcome { attempt, outcome });
             }
         }
     }
--- a/crates/simulation/src/sim/clients.rs
+++ b/crates/simulation/src/sim/clients.rs
@@ -2,7 +2,7 @@
 
 use super::accounting::RequestOutcome;
 use super::arrivals::{weighted_index, Arrival};
-use super::link_faults::Way;
+use super::link_faults::LinkState;
 use super::queue::{ResponseKind, SimEvent};
 use super::{ClientRequest, RequestSource, World};
 use crate::random::uniform;
@@ -10,13 +10,13 @@
 
 impl World {
     /// The next client request starts, and the one after it is scheduled.
-    pub(super) fn arrive(&mut self) {
+    pub(super) fn start_next_request(&mut self) {
         if let Some(arrival) = self.next_arrival.take() {
             self.start_client_request(arrival);
         }
         self.next_arrival = self.arrivals.next();
         if let Some(next) = self.next_arrival {
-            self.queue.put(next.at_ms, SimEvent::Arrival);
+            self.queue.schedule(next.at_ms, SimEvent::Arrival);
         }
     }
 
@@ -44,8 +44,9 @@
         let (no, at) = (of.attempt_number, self.now + wait);
         let timeout_at = (at + self.attempt_timeout(of.class)).min(of.deadline_at);
         self.totals.record_client_attempt(at);
-        self.queue.put(at + self.parameters.client_delay, SimEvent::ClientAttempt { client_request, no });
-        self.queue.put(timeout_at, SimEvent::ClientAttemptTimeout { client_request, no });
+        self.queue
+            .schedule(at + self.parameters.client_delay, SimEvent::ClientAttempt { client_request, no });
+        self.queue.schedule(timeout_at, SimEvent::ClientAttemptTimeout { client_request, no });
     }
 
     /// How long a client of a class waits for one attempt, in milliseconds.
@@ -82,14 +83,14 @@
         if !self.proxies[proxy].alive {
             // With its machine gone nobody refuses the connection: it times out.
             if !self.proxies[proxy].silent {
-                self.broken(client_request, no);
+                self.fail_client_attempt(client_request, no);
             }
             return;
         }
-        match self.way_in(proxy) {
-            Way::Open(_) => {}
-            Way::Blocked(_) => return,
-            Way::Refused | Way::Broken => return self.broken(client_request, no),
+        match self.link_from_clients(proxy) {
+            LinkState::Open(_) => {}
+            LinkState::Blocked(_) => return,
+            LinkState::Refused | LinkState::Broken => return self.fail_client_attempt(client_request, no),
         }
         self.totals.record_arrival_at(proxy);
         self.side_effects.on_arrival(class);
@@ -115,13 +116,13 @@
             return;
         }
         if let Some(request) = self.client_requests[client_request].proxy_request {
-            self.client_leaves(request);
+            self.client_gone(request);
         }
         self.retry_or_close(client_request, RequestOutcome::Failed, 0.0);
     }
 
     /// The client of a request has gone: it needs no response.
-    pub(super) fn client_leaves(&mut self, request: usize) {
+    pub(super) fn client_gone(&mut self, request: usize) {
         let of = &mut self.requests[request];
         if of.answered || of.abandoned {
             return;
@@ -129,11 +130,11 @@
         of.abandoned = true;
         let proxy = of.proxy;
         if self.proxies[proxy].alive {
-            self.notify(proxy, Event::ClientGone { request: request as u64 });
+            self.pass_event(proxy, Event::ClientGone { request: request as u64 });
         }
     }
 
-    pub(super) fn final_at_client(
+    pub(super) fn response_arrives(
         &mut self,
         client_request: usize,
         no: u32,
--- a/crates/simulation/src/sim/failures.rs
+++ b/crates/simulation/src/sim/failures.rs
@@ -12,7 +12,7 @@
 impl World {
     /// The machines that a failure affects: those it names, or this part of its tier, from the first on, and at least
     /// one.
-    fn meant(&self, index: usize, part: f64) -> Vec<usize> {
+    fn affected_machines(&self, index: usize, part: f64) -> Vec<usize> {
         let failure = &self.parameters.failures[index];
         if !failure.machines.is_empty() {
             return failure.machines.clone();
@@ -22,7 +22,7 @@
     }
 
     #[allow(clippy::too_many_lines, reason = "one arm per kind of failure")]
-    pub(super) fn failure(&mut self, index: usize, begins: bool) {
+    pub(super) fn switch_failure(&mut self, index: usize, begins: bool) {
         let failure = &self.parameters.failures[index];
         let (what, zone, part, times) = (failure.kind, failure.zone, failure.fraction, failure.factor);
         match what {
@@ -32,67 +32,69 @@
                 self.discovery_down = begins;
                 if !begins {
                     for machine in std::mem::take(&mut self.unsent_notices) {
-                        self.announce(machine);
+                        self.notify_proxies(machine);
                     }
                 }
             }
             FailureKind::Slow => {
                 // A shared dependency: the whole tier, whatever part is given.
-                for machine in self.meant(index, 1.0) {
+                for machine in self.affected_machines(index, 1.0) {
                     let times = if begins { times.max(1e-3) } else { 1.0 };
                     self.hosts[machine].machine.set_dependency_slowdown(
                         self.now,
                         times,
                         &mut self.completed_jobs,
                     );
-                    self.worked(machine);
+                    self.continue_completed_work(machine);
                 }
             }
             FailureKind::Hang => {
-                for machine in self.meant(index, part) {
+                for machine in self.affected_machines(index, part) {
                     self.hosts[machine].machine.set_hung(self.now, begins, &mut self.completed_jobs);
-                    self.worked(machine);
+                    self.continue_completed_work(machine);
                 }
             }
             FailureKind::TurnAway => {
-                for machine in self.meant(index, part) {
+                for machine in self.affected_machines(index, part) {
                     self.hosts[machine].rejects_new = begins;
                 }
             }
             FailureKind::Crash => {
-                for machine in self.meant(index, part) {
+                for machine in self.affected_machines(index, part) {
                     if begins {
-                        self.die(machine, true)
+                        self.kill_machine(machine, true)
                     } else {
-                        self.revive(machine)
+                        self.restart_machine(machine)
                     }
                 }
             }
             FailureKind::Lose => {
-                self.meant(index, part).into_iter().for_each(|machine| self.lose(machine, begins));
+                self.affected_machines(index, part)
+                    .into_iter()
+                    .for_each(|machine| self.set_unreachable(machine, begins));
             }
             FailureKind::LoseZone => {
                 let machines: Vec<usize> =
                     (0..self.hosts.len()).filter(|h| self.hosts[*h].zone == zone).collect();
-                machines.into_iter().for_each(|machine| self.lose(machine, begins));
+                machines.into_iter().for_each(|machine| self.set_unreachable(machine, begins));
                 for proxy in 0..self.proxies.len() {
                     if self.proxies[proxy].zone == zone && self.proxies[proxy].tier == 0 {
                         self.proxies[proxy].alive = !begins;
                         self.proxies[proxy].silent = begins;
                         self.proxies[proxy].gone_at = self.now;
                         if begins {
-                            self.abandon(proxy);
+                            self.abandon_requests(proxy);
                         }
                     }
                 }
             }
             FailureKind::Release if begins => {
-                let machines = self.meant(index, part);
+                let machines = self.affected_machines(index, part);
                 let interval = self.parameters.failures[index].duration / machines.len() as f64;
                 for (i, machine) in machines.into_iter().enumerate() {
                     let at = self.now + i as f64 * interval;
-                    self.queue.put(at, SimEvent::Release { machine, step: Step::Drain });
-                    self.queue.put(at + 0.8 * interval, SimEvent::Release { machine, step: Step::Stop });
+                    self.queue.schedule(at, SimEvent::Release { machine, step: Step::Drain });
+                    self.queue.schedule(at + 0.8 * interval, SimEvent::Release { machine, step: Step::Stop });
                 }
             }
             FailureKind::Release => {}
@@ -109,23 +111,23 @@
                 let proxies = self.first_tier_proxies(part);
                 let interval = self.parameters.failures[index].duration / proxies.len() as f64;
                 for (i, proxy) in proxies.into_iter().enumerate() {
-                    self.queue.put(self.now + i as f64 * interval, SimEvent::Roll { proxy });
+                    self.queue.schedule(self.now + i as f64 * interval, SimEvent::GracefulRestart { proxy });
                 }
             }
             // A reload of the same file changes nothing; a stopped process has no model here.
             FailureKind::RollProxies | FailureKind::ReloadProxies | FailureKind::StopProxies => {}
-            FailureKind::Cut => self.cut(index, begins),
+            FailureKind::Cut => self.switch_link_fault(index, begins),
         }
     }
 
     /// A proxy is gone: its requests are lost, and their clients time out.
-    fn abandon(&mut self, proxy: usize) {
+    fn abandon_requests(&mut self, proxy: usize) {
         for request in self.requests.iter_mut().filter(|a| a.proxy == proxy && !a.answered) {
             request.abandoned = true;
         }
     }
 
-    fn die(&mut self, machine: usize, reset: bool) {
+    fn kill_machine(&mut self, machine: usize, reset: bool) {
         let mut done = Vec::new();
         self.hosts[machine].machine.kill(self.now, &mut done);
         // Work that completed in this moment is lost with the rest.
@@ -133,53 +135,53 @@
         self.hosts[machine].change_stamp += 1;
         self.lose_attempts_on(machine, reset);
         let notice = if reset { self.parameters.notice_delay } else { self.parameters.silent_notice_delay };
-        self.changed(machine, BackendState::Gone, notice);
+        self.change_state(machine, BackendState::Gone, notice);
     }
 
     /// A machine is gone from the network, or is back.
-    fn lose(&mut self, machine: usize, begins: bool) {
+    fn set_unreachable(&mut self, machine: usize, begins: bool) {
         if begins {
-            self.die(machine, false);
+            self.kill_machine(machine, false);
         } else {
-            self.revive(machine);
+            self.restart_machine(machine);
         }
         self.hosts[machine].unreachable = begins;
     }
 
-    fn revive(&mut self, machine: usize) {
+    fn restart_machine(&mut self, machine: usize) {
         self.hosts[machine].machine.start(self.now);
         self.hosts[machine].started_at = Some(self.now);
-        self.changed(machine, BackendState::Ready, self.parameters.start_notice_delay);
+        self.change_state(machine, BackendState::Ready, self.parameters.start_notice_delay);
     }
 
     pub(super) fn release_step(&mut self, machine: usize, step: Step) {
         match step {
             Step::Drain if self.hosts[machine].state == BackendState::Ready => {
-                self.changed(machine, BackendState::Draining, self.parameters.notice_delay);
+                self.change_state(machine, BackendState::Draining, self.parameters.notice_delay);
             }
             Step::Drain => {}
             // A machine that another failure has taken down is not restarted here.
             Step::Stop if self.hosts[machine].state == BackendState::Draining => {
-                self.die(machine, true);
+                self.kill_machine(machine, true);
                 let at = self.now + RESTART_MS;
-                self.queue.put(at, SimEvent::Release { machine, step: Step::Start });
+                self.queue.schedule(at, SimEvent::Release { machine, step: Step::Start });
             }
             Step::Stop => {}
             Step::Start => {
                 if !self.hosts[machine].unreachable {
-                    self.revive(machine);
+                    self.restart_machine(machine);
                 }
             }
         }
     }
 
     /// The endpoint list changes; the proxies are notified `notice` milliseconds later.
-    fn changed(&mut self, machine: usize, state: BackendState, notice: f64) {
+    fn change_state(&mut self, machine: usize, state: BackendState, notice: f64) {
         self.hosts[machine].state = state;
-        self.queue.put(self.now + notice, SimEvent::EndpointNotice { machine });
+        self.queue.schedule(self.now + notice, SimEvent::EndpointNotice { machine });
     }
 
-    pub(super) fn announce(&mut self, machine: usize) {
+    pub(super) fn notify_proxies(&mut self, machine: usize) {
         if self.discovery_down {
             return self.unsent_notices.push(machine);
         }
@@ -196,7 +198,10 @@
 
     /// Notifies one proxy of one machine's state.
     pub(super) fn notify_of_machine(&mut self, proxy: usize, machine: usize) {
-        let list: [BackendInfo; 1] = [self.info(machine)];
-        self.notify(proxy, Event::EndpointsChanged { kind: ListKind::Delta, version: 0, backends: &list });
+        let list: [BackendInfo; 1] = [self.backend_info(machine)];
+        self.pass_event(
+            proxy,
+            Event::EndpointsChanged { kind: ListKind::Delta, version: 0, backends: &list },
+        );
     }
 }
--- a/crates/simulation/src/sim/link_faults.rs
+++ b/crates/simulation/src/sim/link_faults.rs
@@ -5,7 +5,7 @@
 
 /// What becomes of a message on a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Way {
+pub(super) enum LinkState {
     /// It arrives so much later than usual, in milliseconds.
     Open(f64),
     /// Nothing passes until this time, in milliseconds.
@@ -17,7 +17,7 @@
 }
 
 impl World {
-    pub(super) fn cut(&mut self, index: usize, begins: bool) {
+    pub(super) fn switch_link_fault(&mut self, index: usize, begins: bool) {
         self.active_link_faults.retain(|cut| *cut != index);
         if begins {
             return self.active_link_faults.push(index);
@@ -31,7 +31,7 @@
     }
 
     /// The state of a proxy's link of a kind; `to` is the zone of the machine at its other end.
-    fn way_of(&self, link: LinkKind, proxy: usize, to: Option<usize>) -> Way {
+    fn link_state(&self, link: LinkKind, proxy: usize, to: Option<usize>) -> LinkState {
         let of = &self.proxies[proxy];
         let place = (of.rank, self.proxies_of_tier[of.tier].len());
         for index in &self.active_link_faults {
@@ -45,27 +45,27 @@
                 continue;
             }
             return match cut.mode {
-                LinkFaultMode::Delay => Way::Open(cut.delay),
-                LinkFaultMode::Refuse => Way::Refused,
-                LinkFaultMode::Reset => Way::Broken,
+                LinkFaultMode::Delay => LinkState::Open(cut.delay),
+                LinkFaultMode::Refuse => LinkState::Refused,
+                LinkFaultMode::Reset => LinkState::Broken,
                 LinkFaultMode::Silent | LinkFaultMode::LoseForth | LinkFaultMode::LoseBack => {
-                    Way::Blocked(failure.at + failure.duration)
+                    LinkState::Blocked(failure.at + failure.duration)
                 }
             };
         }
-        Way::Open(0.0)
+        LinkState::Open(0.0)
     }
 
-    pub(super) fn way_to(&self, proxy: usize, host: usize) -> Way {
-        self.way_of(LinkKind::ProxyServer, proxy, Some(self.hosts[host].zone))
+    pub(super) fn link_to_machine(&self, proxy: usize, host: usize) -> LinkState {
+        self.link_state(LinkKind::ProxyServer, proxy, Some(self.hosts[host].zone))
     }
 
-    pub(super) fn way_in(&self, proxy: usize) -> Way {
-        self.way_of(LinkKind::ClientFront, proxy, None)
+    pub(super) fn link_from_clients(&self, proxy: usize) -> LinkState {
+        self.link_state(LinkKind::ClientFront, proxy, None)
     }
 
     /// Whether a proxy is cut off from the discovery service.
     pub(super) fn is_cut_off_from_discovery(&self, proxy: usize) -> bool {
-        !matches!(self.way_of(LinkKind::ProxyDiscovery, proxy, None), Way::Open(_))
+        !matches!(self.link_state(LinkKind::ProxyDiscovery, proxy, None), LinkState::Open(_))
     }
 }
--- a/crates/simulation/src/sim/mod.rs
+++ b/crates/simulation/src/sim/mod.rs
@@ -146,32 +146,32 @@
 
 /// Runs a scenario under a policy in simulated time.
 pub fn run(scenario: &Scenario, policy: PolicyName, seed: u64) -> RunSummary {
-    play(setup::draw(scenario, seed), policy, seed)
+    run_drawn(setup::draw(scenario, seed), policy, seed)
 }
 
 /// A recorded day of the platform's simulator.
-pub struct Day {
+pub struct RecordedDay {
     parameters: DrawnScenario,
     /// Failures in it that the simulation has no model for.
     pub unsupported_failures: Vec<String>,
 }
 
-impl Day {
+impl RecordedDay {
     /// Reads a day file.
-    pub fn read(text: &str) -> Result<Day, DayError> {
+    pub fn read(text: &str) -> Result<RecordedDay, DayError> {
         let (parameters, unknown) = recorded_day::parameters(text)?;
-        Ok(Day { parameters: parameters, unsupported_failures: unknown })
+        Ok(RecordedDay { parameters: parameters, unsupported_failures: unknown })
     }
 
     /// Runs it under a policy in simulated time.
     pub fn run(&self, policy: PolicyName, seed: u64) -> RunSummary {
-        play(self.parameters.clone(), policy, seed)
+        run_drawn(self.parameters.clone(), policy, seed)
     }
 }
 
-fn play(parameters: DrawnScenario, policy: PolicyName, seed: u64) -> RunSummary {
+fn run_drawn(parameters: DrawnScenario, policy: PolicyName, seed: u64) -> RunSummary {
     let mut world = World::new(parameters, policy, seed);
-    while let Some((at, what)) = world.queue.next() {
+    while let Some((at, what)) = world.queue.pop() {
         world.now = at;
         world.handle_event(what);
         world.sample_capacity();
@@ -270,21 +270,24 @@
         }
         self.policy_seeds = seeds;
         for (index, failure) in self.parameters.failures.iter().enumerate() {
-            self.queue.put(failure.at, SimEvent::Failure { index, begins: true });
-            self.queue.put(failure.at + failure.duration, SimEvent::Failure { index, begins: false });
+            self.queue.schedule(failure.at, SimEvent::Failure { index, begins: true });
+            self.queue.schedule(failure.at + failure.duration, SimEvent::Failure { index, begins: false });
         }
-        self.queue.put(0.0, SimEvent::Arrival);
+        self.queue.schedule(0.0, SimEvent::Arrival);
     }
 
     /// Sends a proxy the whole endpoint list.
     fn send_endpoint_list(&mut self, proxy: usize) {
         let tier = self.proxies[proxy].tier;
-        let list: Vec<BackendInfo> = self.tiers[tier].iter().map(|h| self.info(*h)).collect();
-        self.notify(proxy, Event::EndpointsChanged { kind: ListKind::Cached, version: 0, backends: &list });
+        let list: Vec<BackendInfo> = self.tiers[tier].iter().map(|h| self.backend_info(*h)).collect();
+        self.pass_event(
+            proxy,
+            Event::EndpointsChanged { kind: ListKind::Cached, version: 0, backends: &list },
+        );
     }
 
     /// A machine as the endpoint list has it.
-    fn info(&self, host: usize) -> BackendInfo {
+    fn backend_info(&self, host: usize) -> BackendInfo {
         let h = &self.hosts[host];
         BackendInfo {
             id: host as u32,
@@ -298,7 +301,7 @@
     }
 
     /// Passes an event to a proxy's policy, and carries out its actions.
-    fn notify(&mut self, proxy: usize, event: Event<'_>) {
+    fn pass_event(&mut self, proxy: usize, event: Event<'_>) {
         let mut actions = Vec::new();
         self.proxies[proxy].policy.handle(self.now, event, &mut actions);
         for action in actions {
@@ -309,15 +312,15 @@
     fn dispatch(&mut self, proxy: usize, action: Action) {
         match action {
             Action::Send { request, backend, timeout_ms } => {
-                self.send(request as usize, backend as usize, timeout_ms);
+                self.send_attempt(request as usize, backend as usize, timeout_ms);
             }
             Action::Reject { request, retry_after_ms, .. } => {
-                self.answer(request as usize, queue::ResponseKind::Rejected, retry_after_ms);
+                self.respond(request as usize, queue::ResponseKind::Rejected, retry_after_ms);
             }
-            Action::Fail { request, .. } => self.answer(request as usize, queue::ResponseKind::Failed, 0.0),
+            Action::Fail { request, .. } => self.respond(request as usize, queue::ResponseKind::Failed, 0.0),
             Action::Cancel { request, .. } => self.cancel_attempt(request as usize),
             Action::SetTimer { after_ms, token } => {
-                self.queue.put(self.now + after_ms, SimEvent::Timer { proxy, token });
+                self.queue.schedule(self.now + after_ms, SimEvent::Timer { proxy, token });
             }
             // The endpoint list is pushed here, and nothing is probed.
             _ => {}
@@ -326,30 +329,30 @@
 
     fn handle_event(&mut self, what: SimEvent) {
         match what {
-            SimEvent::Arrival => self.arrive(),
+            SimEvent::Arrival => self.start_next_request(),
             SimEvent::ClientAttempt { client_request, no } => self.client_attempt_arrives(client_request, no),
             SimEvent::ClientAttemptTimeout { client_request, no } => {
                 self.client_attempt_timed_out(client_request, no)
             }
-            SimEvent::Final { client_request, no, end, retry_after } => {
-                self.final_at_client(client_request, no, end, retry_after)
+            SimEvent::ResponseArrival { client_request, no, end, retry_after } => {
+                self.response_arrives(client_request, no, end, retry_after)
             }
-            SimEvent::Reach { attempt } => self.reach(attempt),
-            SimEvent::Due { machine, stamp } => {
+            SimEvent::AttemptArrival { attempt } => self.attempt_arrives(attempt),
+            SimEvent::MachineChange { machine, stamp } => {
                 if self.hosts[machine].change_stamp == stamp {
                     let now = self.now;
                     self.hosts[machine].machine.advance(now, &mut self.completed_jobs);
-                    self.worked(machine);
+                    self.continue_completed_work(machine);
                 }
             }
-            SimEvent::Back { attempt, outcome } => self.end_attempt(attempt, outcome),
-            SimEvent::TimeUp { attempt } => self.time_up(attempt),
-            SimEvent::Cancel { attempt } => self.cancel_at_machine(attempt),
-            SimEvent::Timer { proxy, token } => self.notify(proxy, Event::Timer { token }),
-            SimEvent::Failure { index, begins } => self.failure(index, begins),
-            SimEvent::Roll { proxy } => self.roll(proxy),
+            SimEvent::AttemptOutcome { attempt, outcome } => self.end_attempt(attempt, outcome),
+            SimEvent::AttemptTimeout { attempt } => self.attempt_timed_out(attempt),
+            SimEvent::CancelArrival { attempt } => self.cancel_at_machine(attempt),
+            SimEvent::Timer { proxy, token } => self.pass_event(proxy, Event::Timer { token }),
+            SimEvent::Failure { index, begins } => self.switch_failure(index, begins),
+            SimEvent::GracefulRestart { proxy } => self.restart_gracefully(proxy),
             SimEvent::Release { machine, step } => self.release_step(machine, step),
-            SimEvent::EndpointNotice { machine } => self.announce(machine),
+            SimEvent::EndpointNotice { machine } => self.notify_proxies(machine),
         }
     }
 
--- a/crates/simulation/src/sim/proxy_restarts.rs
+++ b/crates/simulation/src/sim/proxy_restarts.rs
@@ -29,23 +29,25 @@
         for request in open {
             self.requests[request].abandoned = true;
             if let Some(attempt) = self.requests[request].in_flight {
-                self.queue.put(self.now, SimEvent::Cancel { attempt });
+                self.queue.schedule(self.now, SimEvent::CancelArrival { attempt });
             }
             if let RequestSource::Client { client_request: call, no } = self.requests[request].source {
-                self.broken(call, no);
+                self.fail_client_attempt(call, no);
             }
         }
     }
 
     /// A client's attempt fails at once, as its connection broke or was refused.
-    pub(super) fn broken(&mut self, client_request: usize, no: u32) {
+    pub(super) fn fail_client_attempt(&mut self, client_request: usize, no: u32) {
         let at = self.now + self.parameters.client_delay;
-        self.queue
-            .put(at, SimEvent::Final { client_request, no, end: ResponseKind::Failed, retry_after: 0.0 });
+        self.queue.schedule(
+            at,
+            SimEvent::ResponseArrival { client_request, no, end: ResponseKind::Failed, retry_after: 0.0 },
+        );
     }
 
     /// A new process in place of an older one, with no learned state.
-    fn fresh(&mut self, of: usize) -> Proxy {
+    fn new_process(&mut self, of: usize) -> Proxy {
         let old = &self.proxies[of];
         let (tier, rank, zone, traffic_weight) = (old.tier, old.rank, old.zone, old.traffic_weight);
         let settings = self.parameters.settings(tier, rank, self.proxies_of_tier[tier].len(), zone);
@@ -65,15 +67,15 @@
     }
 
     pub(super) fn restart_proxy(&mut self, proxy: usize) {
-        self.proxies[proxy] = self.fresh(proxy);
+        self.proxies[proxy] = self.new_process(proxy);
         self.send_endpoint_list(proxy);
     }
 
     /// Restarts a proxy gracefully: it finishes what it has, while a new one starts in its place.
-    pub(super) fn roll(&mut self, proxy: usize) {
+    pub(super) fn restart_gracefully(&mut self, proxy: usize) {
         if self.proxies[proxy].draining {
             // Second step: the new one is up.
-            let new = self.fresh(proxy);
+            let new = self.new_process(proxy);
             let number = self.proxies.len();
             self.proxies.push(new);
             if let Some(place) = self.proxies_of_tier[0].iter_mut().find(|p| **p == proxy) {
@@ -83,7 +85,7 @@
         }
         if self.proxies[proxy].alive {
             self.proxies[proxy].draining = true;
-            self.queue.put(self.now + START_MS, SimEvent::Roll { proxy });
+            self.queue.schedule(self.now + START_MS, SimEvent::GracefulRestart { proxy });
         }
     }
 }
--- a/crates/simulation/src/sim/queue.rs
+++ b/crates/simulation/src/sim/queue.rs
@@ -14,17 +14,17 @@
     /// A client's attempt times out.
     ClientAttemptTimeout { client_request: usize, no: u32 },
     /// The final response to an attempt reaches its client.
-    Final { client_request: usize, no: u32, end: ResponseKind, retry_after: f64 },
+    ResponseArrival { client_request: usize, no: u32, end: ResponseKind, retry_after: f64 },
     /// An attempt reaches its machine.
-    Reach { attempt: usize },
+    AttemptArrival { attempt: usize },
     /// A machine completes work; the event is stale unless its stamp is the machine's.
-    Due { machine: usize, stamp: u64 },
+    MachineChange { machine: usize, stamp: u64 },
     /// The outcome of an attempt reaches its proxy.
-    Back { attempt: usize, outcome: hillstall_decision::Outcome },
+    AttemptOutcome { attempt: usize, outcome: hillstall_decision::Outcome },
     /// An attempt times out at its proxy.
-    TimeUp { attempt: usize },
+    AttemptTimeout { attempt: usize },
     /// A cancellation reaches the machine.
-    Cancel { attempt: usize },
+    CancelArrival { attempt: usize },
     /// A timer of a policy.
     Timer { proxy: usize, token: u64 },
     /// A failure begins or ends.
@@ -32,7 +32,7 @@
     /// A step in the release of a machine.
     Release { machine: usize, step: Step },
     /// A proxy of the first tier is restarted gracefully.
-    Roll { proxy: usize },
+    GracefulRestart { proxy: usize },
     /// The proxies of a tier are notified of a machine's state.
     EndpointNotice { machine: usize },
 }
@@ -55,13 +55,13 @@
 
 struct Entry {
     at: f64,
-    order: u64,
-    what: SimEvent,
+    sequence: u64,
+    event: SimEvent,
 }
 
 impl Ord for Entry {
     fn cmp(&self, other: &Entry) -> Ordering {
-        self.at.total_cmp(&other.at).then(self.order.cmp(&other.order))
+        self.at.total_cmp(&other.at).then(self.sequence.cmp(&other.sequence))
     }
 }
 
@@ -83,16 +83,16 @@
 #[derive(Default)]
 pub(super) struct Queue {
     heap: BinaryHeap<Reverse<Entry>>,
-    order: u64,
+    last_sequence: u64,
 }
 
 impl Queue {
-    pub(super) fn put(&mut self, at: f64, what: SimEvent) {
-        self.order += 1;
-        self.heap.push(Reverse(Entry { at, order: self.order, what }));
+    pub(super) fn schedule(&mut self, at: f64, what: SimEvent) {
+        self.last_sequence += 1;
+        self.heap.push(Reverse(Entry { at, sequence: self.last_sequence, event: what }));
     }
 
-    pub(super) fn next(&mut self) -> Option<(f64, SimEvent)> {
-        self.heap.pop().map(|Reverse(entry)| (entry.at, entry.what))
+    pub(super) fn pop(&mut self) -> Option<(f64, SimEvent)> {
+        self.heap.pop().map(|Reverse(entry)| (entry.at, entry.event))
     }
 }
--- a/crates/simulation/src/sim/recorded_day.rs
+++ b/crates/simulation/src/sim/recorded_day.rs
@@ -5,7 +5,7 @@
     DrawnBackend, DrawnClass, DrawnFailure, DrawnScenario, DrawnTenant, DrawnTier, LinkFault,
 };
 use crate::model::machine::{Choke, MachineSpec};
-use crate::model::work::Shape;
+use crate::model::work::WorkDistribution;
 use crate::scenario::{ClassRetrySafety, FailureKind};
 use serde::Deserialize;
 
@@ -14,10 +14,10 @@
 pub enum DayError {
     /// Invalid JSON, or a part is missing; the text names the line and the key.
     #[error("{0}")]
-    Form(#[from] serde_json::Error),
+    Syntax(#[from] serde_json::Error),
     /// Its parts contradict each other.
     #[error("{0}")]
-    Sense(String),
+    Invalid(String),
 }
 
 #[derive(Deserialize)]
@@ -166,7 +166,7 @@
 #[allow(clippy::too_many_lines, reason = "one field of the recorded day after another")]
 pub(super) fn parameters(text: &str) -> Result<(DrawnScenario, Vec<String>), DayError> {
     let day: Day = serde_json::from_str(text)?;
-    let wrong = |why: &str| Err(DayError::Sense(why.to_string()));
+    let wrong = |why: &str| Err(DayError::Invalid(why.to_string()));
     if day.tiers.is_empty() || day.classes.is_empty() || day.zones.is_empty() {
         return wrong("a day needs tiers, classes and zones");
     }
@@ -195,7 +195,7 @@
             // The file states the work of one request to a tier; here it is that of all requests there per client request.
             let calls: f64 = day.tiers[..=i].iter().map(|t| t.calls).product();
             let kind =
-                tier.kinds.first().ok_or_else(|| DayError::Sense(format!("{}: no kinds", tier.name)))?;
+                tier.kinds.first().ok_or_else(|| DayError::Invalid(format!("{}: no kinds", tier.name)))?;
             Ok(DrawnTier {
                 name: tier.name.clone(),
                 spec: machine(kind, tier.choke.as_ref()),
@@ -299,9 +299,9 @@
         share: class.share,
         mean_work_ms: ms(class.work),
         work_distribution: match class.dist.as_str() {
-            "fixed" => Shape::Fixed,
-            "lognormal" => Shape::Lognormal,
-            _ => Shape::Exp,
+            "fixed" => WorkDistribution::Fixed,
+            "lognormal" => WorkDistribution::Lognormal,
+            _ => WorkDistribution::Exp,
         },
         work_cv: class.cv,
         attempt_noise_cv: class.attempt_noise,
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -2,7 +2,7 @@
 
 use super::accounting::TenantQuotas;
 use crate::model::machine::MachineSpec;
-use crate::model::work::Shape;
+use crate::model::work::WorkDistribution;
 use crate::scenario::{ClassRetrySafety, FailureKind, LinkFaultMode, LinkKind, Scenario};
 use hillstall_decision::{
     Class, DedupScope, ObjectiveWeights, Permissions, Prices, RatingSource, ReportVia, RetrySafety, Rules,
@@ -41,7 +41,7 @@
     /// Mean work of a request over all tiers, in core milliseconds.
     pub mean_work_ms: f64,
     /// Distribution of the work.
-    pub work_distribution: Shape,
+    pub work_distribution: WorkDistribution,
     /// Coefficient of variation of the work.
     pub work_cv: f64,
     /// Coefficient of variation of an attempt's work around its request's.
@@ -241,9 +241,9 @@
         .collect();
     let failures = (scenario.failures.iter())
         .map(|f| DrawnFailure {
-            kind: f.what,
+            kind: f.kind,
             at: f.at.0.draw(rng),
-            duration: f.lasts.0.draw(rng),
+            duration: f.duration.0.draw(rng),
             zone: f.zone,
             tier: f.tier,
             fraction: f.part.draw(rng).min(1.0),
@@ -255,7 +255,7 @@
                 to_zone: f.to_zone,
                 mode: f.mode,
                 // Drawn for link faults alone, so that all other draws are the same without them.
-                delay: if f.what == FailureKind::Cut { f.delay.0.draw(rng) } else { 0.0 },
+                delay: if f.kind == FailureKind::Cut { f.delay.0.draw(rng) } else { 0.0 },
             },
         })
         .collect();
--- a/crates/simulation/src/sim/side_effects.rs
+++ b/crates/simulation/src/sim/side_effects.rs
@@ -141,7 +141,8 @@
         let all: f64 = parts.iter().map(|p| p.0).sum::<f64>().max(1.0);
         let mean = parts.iter().map(|(came, part)| came * part).sum::<f64>() / all;
         let variance = parts.iter().map(|(came, part)| came * (part - mean).powi(2)).sum::<f64>() / all;
-        let overshoots = self.sent_after_start.iter().map(|((host, _), sent)| start(*host).overshoot(sent).0);
+        let overshoots =
+            self.sent_after_start.iter().map(|((host, _), sent)| start(*host).peak_overload(sent).0);
         SideEffects {
             attempts_at_failing: match self.failing_ms > 0.0 {
                 true => self.sent_to_failing as f64 / (self.failing_ms / 1e3),
--- a/crates/simulation/src/site.rs
+++ b/crates/simulation/src/site.rs
@@ -1,6 +1,6 @@
 //! A small deployment: the platform file of a proxy in front of stand-in backends on loopback.
 
-use crate::discovery::list;
+use crate::discovery::endpoint_list;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
@@ -18,12 +18,12 @@
     listen: SocketAddr,
     discovery: SocketAddr,
     servers: &[SocketAddr],
-    holds: ProcessLimits,
+    limits: ProcessLimits,
 ) -> Value {
     json!({
         "name": "n1", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": holds.memory_mb, "sockets": holds.sockets},
-        "known": list(servers),
+        "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
+        "known": endpoint_list(servers),
         "settings": {
             "Allowed": {"MaxAttempts": 4, "Cancelling": true, "RetryAfter": true, "MaxRetryAfter": 5000,
                 "IdleClose": 20000, "ConnectTimeout": 300},
--- a/crates/simulation/src/stability.rs
+++ b/crates/simulation/src/stability.rs
@@ -135,16 +135,16 @@
         if *lost <= 0.0 {
             scenario.failures.remove(0);
         }
-        let tally = sim::run(&scenario, policy, seed);
+        let summary = sim::run(&scenario, policy, seed);
         ended();
-        let course = ServiceCourse::of(&tally.seconds, loss.at / 1e3, loss.duration / 1e3);
-        (tally, course)
+        let course = ServiceCourse::of(&summary.seconds, loss.at / 1e3, loss.duration / 1e3);
+        (summary, course)
     });
     let cells = places.iter().zip(runs).map(|(((load, lost), _), runs)| {
         let (runs, courses) = runs.into_iter().unzip();
         let mut cell = StabilityCell { load: *load, lost_fraction: *lost, runs, courses };
         let name = cell.name();
-        cell.runs.iter_mut().for_each(|tally| tally.cell.clone_from(&name));
+        cell.runs.iter_mut().for_each(|summary| summary.cell.clone_from(&name));
         cell
     });
     Ok(StabilityMap { cells: cells.collect() })
--- a/crates/simulation/src/stand_in_thread.rs
+++ b/crates/simulation/src/stand_in_thread.rs
@@ -1,7 +1,7 @@
 //! Stand-in backends and discovery, on a thread of their own until the program ends.
 
 use crate::discovery;
-use crate::servers::{self, Answers, Connections};
+use crate::servers::{self, ConnectionCounts, ResponseBody};
 use std::io::Result;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -16,7 +16,7 @@
     /// Their discovery service.
     pub discovery: SocketAddr,
     /// The servers' connections.
-    pub connections: Arc<Connections>,
+    pub connections: Arc<ConnectionCounts>,
 }
 
 /// A listener at a port of the system's choice, and its address.
@@ -31,13 +31,13 @@
     /// Starts a number of backends; `answers` makes the responses of each, by its number.
     pub fn start(
         count: usize,
-        answers: impl Fn(usize) -> Rc<Answers> + Send + 'static,
+        answers: impl Fn(usize) -> Rc<ResponseBody> + Send + 'static,
     ) -> Result<StandInThread> {
         let bound: Vec<_> = (0..count).map(|_| listener()).collect::<Result<_>>()?;
         let (list, discovery) = listener()?;
         let servers: Vec<SocketAddr> = bound.iter().map(|(_, address)| *address).collect();
-        let known = discovery::list(&servers);
-        let connections = Arc::new(Connections::default());
+        let known = discovery::endpoint_list(&servers);
+        let connections = Arc::new(ConnectionCounts::default());
         let counted = connections.clone();
         let runtime = Builder::new_current_thread().enable_all().build()?;
         std::thread::Builder::new().name("stand-ins".into()).spawn(move || {
--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -1,6 +1,6 @@
 //! Days in the form of the bench, made up here: what is read, what is passed over, what is refused.
 
-use hillstall_simulation::experiment::days;
+use hillstall_simulation::experiment::run_recorded_day;
 use hillstall_simulation::policy::PolicyName;
 use serde_json::{json, Value};
 
@@ -25,27 +25,27 @@
 }
 
 fn play(day: &Value) -> (hillstall_simulation::sim::RunSummary, Vec<String>) {
-    let (mut tallies, unknown) =
-        days(&day.to_string(), &[PolicyName::LeastOutstanding], &[1]).expect("a day");
-    (tallies.remove(0), unknown)
+    let (mut summaries, unknown) =
+        run_recorded_day(&day.to_string(), &[PolicyName::LeastOutstanding], &[1]).expect("a day");
+    (summaries.remove(0), unknown)
 }
 
 #[test]
 fn load_and_shape_are_those_of_the_file() {
-    let (tally, unknown) = play(&day());
+    let (summary, unknown) = play(&day());
     // 5 core ms in a ms over 20 ms of work: 250 calls a second, of which 0.4, and twice that from 10 s on.
-    assert!((2_800..3_200).contains(&tally.offered), "{}", tally.offered);
+    assert!((2_800..3_200).contains(&summary.offered), "{}", summary.offered);
     let calls =
-        |seconds: std::ops::Range<usize>| tally.seconds[seconds].iter().map(|s| s.offered).sum::<u64>();
+        |seconds: std::ops::Range<usize>| summary.seconds[seconds].iter().map(|s| s.offered).sum::<u64>();
     let (first, second) = (calls(0..10), calls(10..20));
     assert!((1.8..2.2).contains(&(second as f64 / first as f64)), "{first}, {second}");
-    assert!(unknown.is_empty() && tally.service > 0.999, "{}", tally.service);
+    assert!(unknown.is_empty() && summary.service > 0.999, "{}", summary.service);
 }
 
 #[test]
 fn worth_beyond_a_share_counts_in_part() {
-    let (tally, _) = play(&day());
-    let worth: f64 = tally.seconds.iter().map(|s| s.offered_weight).sum();
+    let (summary, _) = play(&day());
+    let worth: f64 = summary.seconds.iter().map(|s| s.offered_weight).sum();
     // Tenant u asks for 75 a second on average and has a share of 5: 5 + 0.2 * 70, beside 75 of tenant t.
     let expected = 20.0 * (75.0 + 5.0 + 0.2 * 70.0);
     assert!((worth / expected - 1.0).abs() < 0.06, "{worth}, {expected}");
@@ -58,18 +58,19 @@
         {"kind": "crash", "at": 5_000_000, "len": 5_000_000, "tier": 0, "size": 0.0, "on": [1]},
         {"kind": "meteor", "at": 1, "len": 1},
     ]);
-    let (tally, unknown) = play(&day);
+    let (summary, unknown) = play(&day);
     assert_eq!(unknown, ["meteor"]);
-    let able = tally.seconds[7].capacity;
+    let able = summary.seconds[7].capacity;
     // The machine at speed 1.5 is away: 1 of 2.5 is left.
     assert!((able - 0.4).abs() < 0.01, "{able}");
-    assert!(tally.seconds[15].capacity > 0.99);
+    assert!(summary.seconds[15].capacity > 0.99);
 }
 
 #[test]
 fn what_is_no_day_is_refused() {
-    let told =
-        |day: &Value| days(&day.to_string(), &[PolicyName::Random], &[1]).expect_err("no day").to_string();
+    let told = |day: &Value| {
+        run_recorded_day(&day.to_string(), &[PolicyName::Random], &[1]).expect_err("no day").to_string()
+    };
     let mut missing = day();
     missing.as_object_mut().expect("an object").remove("traffic");
     assert!(told(&missing).contains("traffic"), "{}", told(&missing));
@@ -79,5 +80,5 @@
     let mut endless = day();
     endless["length"] = json!(1e300);
     assert!(told(&endless).contains("length"), "{}", told(&endless));
-    assert!(days("{", &[PolicyName::Random], &[1]).is_err());
+    assert!(run_recorded_day("{", &[PolicyName::Random], &[1]).is_err());
 }
--- a/crates/simulation/tests/experiments.rs
+++ b/crates/simulation/tests/experiments.rs
@@ -7,8 +7,8 @@
 use hillstall_simulation::scenarios;
 use hillstall_simulation::sim::{self, RunSummary};
 
-fn bytes(tally: &RunSummary) -> String {
-    serde_json::to_string(tally).expect("plain data")
+fn bytes(summary: &RunSummary) -> String {
+    serde_json::to_string(summary).expect("plain data")
 }
 
 #[test]
@@ -28,32 +28,32 @@
 fn hillstall_keeps_the_rules_while_a_hall_is_lost_and_boxes_hang() {
     for name in scenarios::names() {
         let scenario = scenarios::find(name).expect("embedded");
-        let tally = sim::run(&scenario, PolicyName::Hillstall, 1);
-        assert!(tally.offered > 500, "{name}: {} calls", tally.offered);
-        assert_eq!((tally.late_sends, tally.response_errors), (0, 0), "{name}");
+        let summary = sim::run(&scenario, PolicyName::Hillstall, 1);
+        assert!(summary.offered > 500, "{name}: {} calls", summary.offered);
+        assert_eq!((summary.late_sends, summary.response_errors), (0, 0), "{name}");
         let ended: u64 =
-            tally.seconds.iter().map(|s| s.within_objective + s.late + s.rejected + s.failed).sum();
-        assert_eq!(ended, tally.offered, "{name}: each call ends once");
+            summary.seconds.iter().map(|s| s.within_objective + s.late + s.rejected + s.failed).sum();
+        assert_eq!(ended, summary.offered, "{name}: each call ends once");
     }
 }
 
 #[test]
 fn policies_get_the_same_calls_and_the_order_of_results_is_fixed() {
     let scenario = scenarios::find("one-hangs").expect("embedded");
-    let tallies = runs(&scenario, &[PolicyName::Random, PolicyName::Hillstall], &[1, 2], || {});
-    let order: Vec<(&str, u64)> = tallies.iter().map(|t| (t.policy.as_str(), t.seed)).collect();
+    let summaries = runs(&scenario, &[PolicyName::Random, PolicyName::Hillstall], &[1, 2], || {});
+    let order: Vec<(&str, u64)> = summaries.iter().map(|t| (t.policy.as_str(), t.seed)).collect();
     assert_eq!(order, [("random", 1), ("random", 2), ("hillstall", 1), ("hillstall", 2)]);
     for seed in 0..2 {
         let offered = |t: &RunSummary| t.seconds.iter().map(|s| s.offered).collect::<Vec<_>>();
-        assert_eq!(offered(&tallies[seed]), offered(&tallies[seed + 2]));
+        assert_eq!(offered(&summaries[seed]), offered(&summaries[seed + 2]));
     }
 }
 
 #[test]
 fn losing_a_hall_costs_service_while_it_is_away() {
     let scenario = scenarios::find("lose-hall").expect("embedded");
-    let tally = sim::run(&scenario, PolicyName::Hillstall, 1);
-    let able = |s: usize| tally.seconds[s].capacity;
+    let summary = sim::run(&scenario, PolicyName::Hillstall, 1);
+    let able = |s: usize| summary.seconds[s].capacity;
     assert!(able(5) > 0.95 && (0.4..0.6).contains(&able(15)), "{} and {}", able(5), able(15));
     assert!(able(22) < 0.95, "the hall comes back cold: {}", able(22));
 }
@@ -62,13 +62,13 @@
 fn copies_with_many_times_the_calls_refuse_no_larger_part_than_the_others() {
     let scenario = scenarios::find("hot-copies").expect("embedded");
     for seed in 1..=3 {
-        let tally = sim::run(&scenario, PolicyName::Hillstall, seed);
-        let (hot, cool) = (tally.rejected_hot, tally.rejected_cool);
+        let summary = sim::run(&scenario, PolicyName::Hillstall, seed);
+        let (hot, cool) = (summary.rejected_hot, summary.rejected_cool);
         assert!(
             hot <= 2.0 * cool + 0.05,
             "seed {seed}: {hot:.2} refused by hot copies, {cool:.2} by cool ones"
         );
-        assert!(tally.service > 0.95, "seed {seed}: service {:.3}", tally.service);
+        assert!(summary.service > 0.95, "seed {seed}: service {:.3}", summary.service);
     }
 }
 
@@ -82,8 +82,8 @@
 #[test]
 fn the_same_policy_gains_nothing_on_itself() {
     let scenario = scenarios::find("one-hangs").expect("embedded");
-    let tallies = runs(&scenario, &[PolicyName::Random], &[1, 2, 3], || {});
-    assert_eq!(gain(&tallies, &tallies, |t| t.service), Mean { mean: 0.0, half_width: 0.0 });
+    let summaries = runs(&scenario, &[PolicyName::Random], &[1, 2, 3], || {});
+    assert_eq!(gain(&summaries, &summaries, |t| t.service), Mean { mean: 0.0, half_width: 0.0 });
 }
 
 #[test]
@@ -126,7 +126,7 @@
     assert!(crowd.contains("tier[0].servers: "), "{crowd}");
     let zone = Scenario::parse(&text.replacen("zone = 1", "zone = 2", 1));
     assert!(
-        matches!(zone, Err(ScenarioError::Sense { ref key, .. }) if key == "failure[0].zone"),
+        matches!(zone, Err(ScenarioError::Invalid { ref key, .. }) if key == "failure[0].zone"),
         "{zone:?}"
     );
 }
--- a/crates/simulation/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -41,8 +41,8 @@
         rate = utilisation * f64::from(cores) * 100.0,
     );
     let scenario = Scenario::parse(&text).expect("a scenario");
-    let tallies = runs(&scenario, &[PolicyName::Random], &Vec::from_iter(1..=10), || {});
-    Mean::of(&tallies.iter().map(|tally| tally.mean_ms).collect::<Vec<_>>())
+    let summaries = runs(&scenario, &[PolicyName::Random], &Vec::from_iter(1..=10), || {});
+    Mean::of(&summaries.iter().map(|summary| summary.mean_ms).collect::<Vec<_>>())
 }
 
 /// Mean time in an M/M/c queue (Erlang C), for mean work 10 ms.
