--- a/crates/simulation/tests/experiments.rs
+++ b/crates/simulation/tests/experiments.rs
@@ -1,4 +1,5 @@
-//! Whole runs: they repeat to the byte, keep the rules, and hold policies against each other on the same calls.
+//! Whole runs and experiments: runs are reproducible, keep the proxies' rules, and give all policies the same
+//! requests.
 
 use hillstall_simulation::experiment::{gain, grid, runs, Axis, Mean, SweepError};
 use hillstall_simulation::policy::PolicyName;
@@ -12,8 +13,8 @@
 }
 
 #[test]
-fn a_seed_repeats_to_the_byte_and_another_differs() {
-    // Two proxies, and many of which each refuses a part.
+fn a_seed_is_reproducible_to_the_byte_and_another_differs() {
+    // One scenario with two proxies, and one with many, each of which rejects a part of its requests.
     for name in ["lose-hall", "fleet-sum"] {
         let scenario = scenarios::find(name).expect("embedded");
         for policy in [PolicyName::Hillstall, PolicyName::TwoChoices] {
@@ -25,20 +26,20 @@
 }
 
 #[test]
-fn hillstall_keeps_the_rules_while_a_hall_is_lost_and_boxes_hang() {
+fn hillstall_keeps_the_rules_in_every_embedded_scenario() {
     for name in scenarios::names() {
         let scenario = scenarios::find(name).expect("embedded");
         let summary = sim::run(&scenario, PolicyName::Hillstall, 1);
-        assert!(summary.offered > 500, "{name}: {} calls", summary.offered);
+        assert!(summary.offered > 500, "{name}: {} requests", summary.offered);
         assert_eq!((summary.late_sends, summary.response_errors), (0, 0), "{name}");
         let ended: u64 =
             summary.seconds.iter().map(|s| s.within_objective + s.late + s.rejected + s.failed).sum();
-        assert_eq!(ended, summary.offered, "{name}: each call ends once");
+        assert_eq!(ended, summary.offered, "{name}: each request ends once");
     }
 }
 
 #[test]
-fn policies_get_the_same_calls_and_the_order_of_results_is_fixed() {
+fn policies_get_the_same_requests_and_the_order_of_results_is_fixed() {
     let scenario = scenarios::find("one-hangs").expect("embedded");
     let summaries = runs(&scenario, &[PolicyName::Random, PolicyName::Hillstall], &[1, 2], || {});
     let order: Vec<(&str, u64)> = summaries.iter().map(|t| (t.policy.as_str(), t.seed)).collect();
@@ -50,37 +51,37 @@
 }
 
 #[test]
-fn losing_a_hall_costs_service_while_it_is_away() {
+fn losing_a_zone_costs_capacity_until_its_machines_are_warm() {
     let scenario = scenarios::find("lose-hall").expect("embedded");
     let summary = sim::run(&scenario, PolicyName::Hillstall, 1);
-    let able = |s: usize| summary.seconds[s].capacity;
-    assert!(able(5) > 0.95 && (0.4..0.6).contains(&able(15)), "{} and {}", able(5), able(15));
-    assert!(able(22) < 0.95, "the hall comes back cold: {}", able(22));
+    let capacity = |s: usize| summary.seconds[s].capacity;
+    assert!(capacity(5) > 0.95 && (0.4..0.6).contains(&capacity(15)), "{} and {}", capacity(5), capacity(15));
+    assert!(capacity(22) < 0.95, "the zone's machines must come back in slow start: {}", capacity(22));
 }
 
 #[test]
-fn copies_with_many_times_the_calls_refuse_no_larger_part_than_the_others() {
+fn instances_with_many_times_the_traffic_do_not_reject_a_larger_part_than_the_others() {
     let scenario = scenarios::find("hot-copies").expect("embedded");
     for seed in 1..=3 {
         let summary = sim::run(&scenario, PolicyName::Hillstall, seed);
         let (hot, cool) = (summary.rejected_hot, summary.rejected_cool);
         assert!(
             hot <= 2.0 * cool + 0.05,
-            "seed {seed}: {hot:.2} refused by hot copies, {cool:.2} by cool ones"
+            "seed {seed}: {hot:.2} rejected by hot instances, {cool:.2} by cool ones"
         );
         assert!(summary.service > 0.95, "seed {seed}: service {:.3}", summary.service);
     }
 }
 
 #[test]
-fn a_mean_has_the_interval_of_students_t() {
+fn a_mean_has_the_confidence_interval_of_students_t() {
     let mean = Mean::of(&[1.0, 2.0, 3.0]);
     assert!((mean.mean - 2.0).abs() < 1e-12 && (mean.half_width - 2.4841).abs() < 1e-3, "{mean:?}");
     assert!(!mean.excludes_zero() && !Mean::of(&[5.0]).excludes_zero());
 }
 
 #[test]
-fn the_same_policy_gains_nothing_on_itself() {
+fn a_policy_has_no_gain_over_itself() {
     let scenario = scenarios::find("one-hangs").expect("embedded");
     let summaries = runs(&scenario, &[PolicyName::Random], &[1, 2, 3], || {});
     assert_eq!(gain(&summaries, &summaries, |t| t.service), Mean { mean: 0.0, half_width: 0.0 });
@@ -101,28 +102,28 @@
 }
 
 #[test]
-fn a_wrong_file_is_told_with_line_and_key() {
+fn errors_in_a_scenario_file_name_the_line_or_the_key() {
     let text = scenarios::text("lose-hall").expect("embedded");
-    let told = |from: &str, to: &str| {
+    let error_of = |from: &str, to: &str| {
         let why = Scenario::parse(&text.replacen(from, to, 1)).expect_err("wrong");
         why.to_string()
     };
     let line = |part: &str| 1 + text.lines().position(|l| l.contains(part)).expect("there");
-    let unknown = told("swing = 0.2", "swnig = 0.2");
+    let unknown = error_of("swing = 0.2", "swnig = 0.2");
     assert!(
         unknown.contains(&format!("line {}", line("swing = 0.2"))) && unknown.contains("swnig"),
         "{unknown}"
     );
-    let time = told("aim = \"500ms\"", "aim = \"500 parsecs\"");
+    let time = error_of("aim = \"500ms\"", "aim = \"500 parsecs\"");
     assert!(
         time.contains("500 parsecs") && time.contains(&format!("line {}", line("aim = \"500ms\""))),
         "{time}"
     );
-    let range = told("of_capacity = [0.38, 0.46]", "of_capacity = [0.5, 0.4]");
+    let range = error_of("of_capacity = [0.38, 0.46]", "of_capacity = [0.5, 0.4]");
     assert!(range.contains("0.5 to 0.4"), "{range}");
-    let endless = told("length = \"40s\"", "length = \"40y\"");
+    let endless = error_of("length = \"40s\"", "length = \"40y\"");
     assert!(endless.contains("length: ") && endless.contains("86400"), "{endless}");
-    let crowd = told("servers = 12", "servers = 1e12");
+    let crowd = error_of("servers = 12", "servers = 1e12");
     assert!(crowd.contains("tier[0].servers: "), "{crowd}");
     let zone = Scenario::parse(&text.replacen("zone = 1", "zone = 2", 1));
     assert!(
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn a_report_holds_its_table_and_plots() {
+fn a_report_has_its_table_and_plots() {
     let scenario = scenarios::find("one-hangs").expect("embedded");
     let groups = report::groups(runs(&scenario, &[PolicyName::Random, PolicyName::Oracle], &[1], || {}));
     let page = report::html("a <test>", &groups).expect("a page");
--- a/crates/simulation/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -1,4 +1,5 @@
-//! The model against theory where it is exact, and against the failures it is there to cause.
+//! The machine model: compared with queueing theory where that is exact, and with the failure modes it has to
+//! show.
 
 use hillstall_simulation::experiment::{runs, Mean};
 use hillstall_simulation::model::machine::{Admission, Choke, Machine, MachineSpec};
@@ -19,8 +20,9 @@
     }
 }
 
-/// Mean latency over ten seeds of a queue with so many cores at a utilisation, work exponential with mean 10 ms.
-fn queue(cores: u32, utilisation: f64) -> Mean {
+/// Mean latency over ten seeds of one machine with `cores` cores at a utilisation. The work is exponentially
+/// distributed with mean 10 ms.
+fn simulated_latency(cores: u32, utilisation: f64) -> Mean {
     let text = format!(
         r#"
         name = "queue"
@@ -45,7 +47,7 @@
     Mean::of(&summaries.iter().map(|summary| summary.mean_ms).collect::<Vec<_>>())
 }
 
-/// Mean time in an M/M/c queue (Erlang C), for mean work 10 ms.
+/// Mean time in an M/M/c queue by the Erlang C formula, for mean work 10 ms.
 fn erlang_c(cores: u32, utilisation: f64) -> f64 {
     let offered = utilisation * f64::from(cores);
     let mut term = 1.0;
@@ -55,18 +57,19 @@
         sum += term;
     }
     let last = term * offered / f64::from(cores) / (1.0 - utilisation);
-    let waits = last / (sum + last);
-    10.0 + waits * 10.0 / (f64::from(cores) * (1.0 - utilisation))
+    let waiting_probability = last / (sum + last);
+    10.0 + waiting_probability * 10.0 / (f64::from(cores) * (1.0 - utilisation))
 }
 
 #[test]
-fn waiting_times_are_those_of_queueing_theory() {
+fn mean_latency_matches_queueing_theory() {
     // M/M/1 at 0.7: 10 / (1 - 0.7).
     assert!((erlang_c(1, 0.7) - 100.0 / 3.0).abs() < 1e-9);
     for (cores, utilisation) in [(1, 0.5), (1, 0.7), (4, 0.8)] {
-        let (measured, theory) = (queue(cores, utilisation), erlang_c(cores, utilisation));
-        // Twice the half-width at 95% is beyond 99.9% for ten seeds; the seeds are fixed.
-        assert!(measured.half_width < 0.03 * theory, "{cores} cores: too wide: {measured:?}");
+        let (measured, theory) = (simulated_latency(cores, utilisation), erlang_c(cores, utilisation));
+        // For ten seeds, twice the half-width of the 95% interval covers more than 99.9%. The seeds are
+        // fixed.
+        assert!(measured.half_width < 0.03 * theory, "{cores} cores: interval too wide: {measured:?}");
         assert!(
             (measured.mean - theory).abs() < 2.0 * measured.half_width,
             "{cores} at {utilisation}: {measured:?}, {theory}"
@@ -75,7 +78,7 @@
 }
 
 #[test]
-fn a_crowd_chokes_a_machine_and_only_idleness_frees_it() {
+fn saturation_chokes_a_machine_and_only_idleness_ends_it() {
     let choke = Choke {
         queued_per_core: 4.0,
         saturated_for: 1_500.0,
@@ -86,7 +89,7 @@
     };
     let mut machine = Machine::new(MachineSpec { choke: Some(choke), ..machine_spec() });
     let mut done = Vec::new();
-    // Ten jobs of a second each on two cores: eight wait, for as long as it takes to choke.
+    // Eleven jobs of two seconds each on two cores: nine wait, for longer than it takes to choke.
     for job in 0..11 {
         assert_eq!(machine.offer(0.0, job, 2_000.0, &mut done), Admission::Accepted);
     }
@@ -94,9 +97,9 @@
     assert!(!machine.is_choked());
     machine.advance(1_600.0, &mut done);
     assert!(machine.is_choked());
-    // What it still does is three times slower.
+    // A choked machine is three times slower.
     assert!((machine.capacity(1_600.0) - 2.0 / 3.0).abs() < 1e-9);
-    // A trickle that keeps one core of two busy keeps it slow, long after the crowd has gone.
+    // A light load that keeps one core of two busy keeps the machine choked, long after the queue is empty.
     let mut machine = Machine::new(MachineSpec { choke: Some(choke), ..machine_spec() });
     let mut now = 0.0;
     for job in 0..12 {
@@ -107,14 +110,14 @@
         machine.advance(now, &mut done);
         machine.offer(now, job, 200.0, &mut done);
     }
-    assert!(machine.is_choked(), "a trickle must keep it slow");
+    assert!(machine.is_choked(), "a light load must keep the machine choked");
     machine.advance(now + 30_000.0, &mut done);
-    assert!(!machine.is_choked(), "idleness frees it");
+    assert!(!machine.is_choked(), "an idle machine must recover");
     assert_eq!(machine.chokes(), 1);
 }
 
 #[test]
-fn a_full_machine_turns_away_and_a_dead_one_loses_all() {
+fn a_full_machine_rejects_and_a_killed_one_loses_all_requests() {
     let mut machine = Machine::new(MachineSpec { slots: 2, queue_capacity: 1, ..machine_spec() });
     let mut done = Vec::new();
     for job in 0..3 {
@@ -123,12 +126,12 @@
     assert_eq!(machine.offer(0.0, 3, 10.0, &mut done), Admission::QueueFull);
     machine.kill(5.0, &mut done);
     machine.advance(100.0, &mut done);
-    assert!(done.is_empty(), "what a dead machine held never ends: {done:?}");
+    assert!(done.is_empty(), "requests of a killed machine must not end: {done:?}");
     assert_eq!((machine.requests(), machine.next_change()), (0, None));
 }
 
 #[test]
-fn a_silent_machine_goes_on_where_it_was() {
+fn a_hung_machine_continues_where_it_stopped() {
     let mut machine = Machine::new(machine_spec());
     let mut done = Vec::new();
     machine.offer(0.0, 1, 10.0, &mut done);
@@ -141,13 +144,13 @@
 }
 
 #[test]
-fn a_fresh_machine_gets_faster_until_it_is_warm() {
+fn a_started_machine_gets_faster_until_it_is_warm() {
     let mut machine = Machine::new(MachineSpec { warmup: 1_000.0, ..machine_spec() });
     machine.start(0.0);
     assert!((machine.capacity(0.0) - 0.5).abs() < 1e-9);
     assert!((machine.capacity(500.0) - 1.25).abs() < 1e-9);
     assert!((machine.capacity(1_000.0) - 2.0).abs() < 1e-9);
-    // The work of a whole second while it warms: the mean of 0.25 and 1, on one core.
+    // Work of one core in the second of the slow start: its speed rises from 0.25 to 1, so 0.625 on average.
     let mut done = Vec::new();
     machine.offer(0.0, 1, 10_000.0, &mut done);
     machine.advance(1_000.0, &mut done);
@@ -155,15 +158,15 @@
 }
 
 #[test]
-fn a_cancel_drops_what_waits_and_leaves_what_runs() {
+fn a_cancel_drops_waiting_requests_and_leaves_running_ones() {
     let mut machine = Machine::new(MachineSpec { cores: 1, slots: 2, ..machine_spec() });
     let mut done = Vec::new();
     for job in 0..3 {
         machine.offer(0.0, job, 10.0, &mut done);
     }
-    assert!(!machine.cancel(1.0, 0, &mut done), "it runs");
-    assert!(machine.cancel(1.0, 1, &mut done), "it has a slot and waits for a core");
-    assert!(machine.cancel(1.0, 2, &mut done), "it waits, now for a core");
+    assert!(!machine.cancel(1.0, 0, &mut done), "the request is running");
+    assert!(machine.cancel(1.0, 1, &mut done), "the request has a slot and waits for a core");
+    assert!(machine.cancel(1.0, 2, &mut done), "the request has got the free slot and waits for a core");
     machine.advance(100.0, &mut done);
     assert_eq!(done, [0]);
 }
--- a/crates/simulation/tests/stored_files.rs
+++ b/crates/simulation/tests/stored_files.rs
@@ -1,5 +1,5 @@
-//! What is written to files and read again: runs kept with `--json`, and the logs of a fleet. The files in `fixtures/` are
-//! of an earlier version of the program; what comes of them stays the same.
+//! Compatibility of stored files: runs written with `--json`, and access logs of a fleet. The files in
+//! `fixtures/` were written by an earlier version of the program and must give the same results.
 
 use hillstall_simulation::access_log_report::AccessLogReport;
 use hillstall_simulation::report;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_run_is_read_key_by_key_and_written_to_the_same_bytes() {
+fn a_stored_run_is_read_completely_and_written_to_the_same_bytes() {
     let line = text("tally.json");
     let run: RunSummary = serde_json::from_str(&line).expect("a run");
     assert_eq!((run.cell.as_str(), run.policy.as_str(), run.seed), ("load.of_capacity=0.4", "hillstall", 7));
@@ -44,13 +44,13 @@
 }
 
 #[test]
-fn the_table_of_a_run_is_this() {
+fn the_table_of_a_stored_run_is_unchanged() {
     let run: RunSummary = serde_json::from_str(&text("tally.json")).expect("a run");
     assert_eq!(report::table(&report::groups(vec![run])), text("tally.table.txt"));
 }
 
 #[test]
-fn the_logs_of_a_fleet_come_to_these_tables() {
+fn the_tables_of_stored_access_logs_are_unchanged() {
     let fleet = AccessLogReport::read(&fixture("calls")).expect("logs");
     assert_eq!(fleet.tables(), text("calls.tables.txt"));
 }
