--- a/crates/fault-injection/src/open_loop_clients.rs
+++ b/crates/fault-injection/src/open_loop_clients.rs
@@ -134,12 +134,11 @@
                 let latency_ms = now - arrival.at_ms;
                 return tell(accounting::RequestOutcome::Answered {
                     latency_ms,
-                    in_aim: latency_ms <= class.latency_objective,
+                    within_objective: latency_ms <= class.latency_objective,
                 });
             }
             let refused = ended == ClientResult::Refused;
-            let follows = come_back.is_some_and(|wait| wait > 0.0)
-                && self.next_fraction() < figures.retry_after_fraction;
+            let follows = come_back.is_some_and(|wait| wait > 0.0) && self.next_fraction() < figures.honour;
             let wait = match follows {
                 true => come_back.unwrap_or(0.0).max(figures.retry_wait),
                 false => figures.retry_wait,
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -141,7 +141,7 @@
     }
     let verdict = invariant_checker::check(&truth, &seen);
     let processes = fleet.processes.len();
-    Ok(ScenarioRun { tally: tally.into_summary(chokes), seen, truth, verdict, processes })
+    Ok(ScenarioRun { tally: tally.finish(chokes), seen, truth, verdict, processes })
 }
 
 /// Samples the capacity of the first tier.
--- a/crates/simulation/src/access_log_report.rs
+++ b/crates/simulation/src/access_log_report.rs
@@ -1,6 +1,6 @@
-//! A report on the access logs of a fleet (`log.calls = true`): requests over all proxies, by the traffic of each proxy, by
-//! the reason why they were not served, by tier and by second. Other lines are skipped, and so is text before a record
-//! that a log collector has added.
+//! A report on the access logs of a fleet (`log.calls = true`): requests of all proxies by tier, by the
+//! traffic of the proxy, by the reason why they were not served, and by second. Lines that are no access-log
+//! records are skipped, and so is text that a log collector has put in front of a record.
 
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,23 +8,23 @@
 use std::path::{Path, PathBuf};
 use std::time::UNIX_EPOCH;
 
-/// Why the logs can't be read.
+/// Why there is no report.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadLogError {
-    /// A file or the folder.
+    /// A file or the folder can't be read.
     #[error("{path}: {why}")]
     File {
-        /// Which.
+        /// The file or folder.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         why: std::io::Error,
     },
-    /// Nothing to count.
+    /// The folder has no access-log records.
     #[error("{0}: no file in it holds a record of a call; is log.calls set, and log.format = \"json\"?")]
     Empty(PathBuf),
 }
 
-/// The fields of a record that are used.
+/// The fields of an access-log record that the report uses.
 #[derive(Deserialize)]
 struct Record {
     timestamp: String,
@@ -44,57 +44,58 @@
 
 /// Outcomes of a group of requests.
 #[derive(Clone, Debug, Default)]
-struct Ends {
+struct OutcomeCounts {
     calls: u64,
     served: u64,
-    /// By the reason why the proxy gave them up, or by the outcome of the last attempt.
+    /// Number of requests not served, by the proxy's reason, or else by the outcome of the last attempt.
     unserved: BTreeMap<String, u64>,
-    /// Of the served ones, in milliseconds.
-    took: Vec<f64>,
+    /// Latencies of the served requests, in milliseconds.
+    latencies: Vec<f64>,
 }
 
-impl Ends {
+impl OutcomeCounts {
     fn count(&mut self, record: &Record) {
         self.calls += 1;
         if record.end == "served" {
             self.served += 1;
-            return self.took.push(record.earlier_ms + record.last_ms);
+            return self.latencies.push(record.earlier_ms + record.last_ms);
         }
         let why = [&record.why, &record.outcome, &record.end].into_iter().find(|why| !why.is_empty());
         *self.unserved.entry(why.cloned().unwrap_or_default()).or_default() += 1;
     }
 
-    fn add(&mut self, other: &Ends) {
+    fn add(&mut self, other: &OutcomeCounts) {
         self.calls += other.calls;
         self.served += other.served;
-        self.took.extend(&other.took);
+        self.latencies.extend(&other.latencies);
         for (why, count) in &other.unserved {
             *self.unserved.entry(why.clone()).or_default() += count;
         }
     }
 
-    /// A row: requests, the part not served, its parts by reason, and the median latency of the served ones.
+    /// A table row: number of requests, percentage not served, percentage for each reason, and median latency
+    /// of the served requests.
     fn row(&self, reasons: &BTreeSet<&String>) -> String {
         let part = |count: u64| 100.0 * count as f64 / self.calls.max(1) as f64;
         let mut row = format!(" {} | {:.1} |", self.calls, part(self.calls - self.served));
         for reason in reasons {
             let _ = write!(row, " {:.1} |", part(self.unserved.get(*reason).copied().unwrap_or(0)));
         }
-        let mut took = self.took.clone();
-        took.sort_by(f64::total_cmp);
-        let median = took.get(took.len() / 2).map_or("-".to_string(), |ms| format!("{ms:.0}"));
+        let mut latencies = self.latencies.clone();
+        latencies.sort_by(f64::total_cmp);
+        let median = latencies.get(latencies.len() / 2).map_or("-".to_string(), |ms| format!("{ms:.0}"));
         row + &format!(" {median} |\n")
     }
 }
 
-/// The requests of one tier.
+/// The requests of one tier, by proxy (path of its log) and by second (Unix time).
 #[derive(Debug, Default)]
 struct Tier {
-    proxies: BTreeMap<PathBuf, Ends>,
-    seconds: BTreeMap<u64, Ends>,
+    proxies: BTreeMap<PathBuf, OutcomeCounts>,
+    seconds: BTreeMap<u64, OutcomeCounts>,
 }
 
-/// The requests of a fleet.
+/// Counts of the requests of a fleet.
 #[derive(Debug, Default)]
 pub struct AccessLogReport {
     tiers: BTreeMap<String, Tier>,
@@ -102,7 +103,7 @@
 }
 
 impl AccessLogReport {
-    /// Reads a folder in which each file is the log of one proxy.
+    /// Reads a folder in which each file is the log of one proxy; subfolders are skipped.
     pub fn read(folder: &Path) -> Result<AccessLogReport, ReadLogError> {
         let failed = |path: &Path, why| ReadLogError::File { path: path.to_path_buf(), why };
         let entries = std::fs::read_dir(folder).map_err(|why| failed(folder, why))?;
@@ -110,7 +111,7 @@
         for entry in entries {
             let path = entry.map_err(|why| failed(folder, why))?.path();
             if path.is_file() {
-                // A log may end within a character.
+                // A log that was cut off may end within a UTF-8 character.
                 let bytes = std::fs::read(&path).map_err(|why| failed(&path, why))?;
                 fleet.add(&path, &String::from_utf8_lossy(&bytes));
             }
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Adds one proxy's log.
+    /// Counts the requests in the log of one proxy.
     pub fn add(&mut self, proxy: &Path, log: &str) {
         let records = log.lines().filter_map(|line| {
             let record: Record = serde_json::from_str(&line[line.find('{')?..]).ok()?;
@@ -137,12 +138,12 @@
         }
     }
 
-    /// The tables, one tier after another.
+    /// The Markdown tables of each tier: by load of the proxies, and by second.
     pub fn tables(&self) -> String {
         let mut text = String::new();
         for (name, tier) in &self.tiers {
-            let mut whole = Ends::default();
-            tier.proxies.values().for_each(|ends| whole.add(ends));
+            let mut whole = OutcomeCounts::default();
+            tier.proxies.values().for_each(|counts| whole.add(counts));
             let reasons: BTreeSet<&String> = whole.unserved.keys().collect();
             let names: String = reasons.iter().map(|reason| format!(" {reason} % |")).collect();
             let rule = "---: |".repeat(reasons.len());
@@ -154,13 +155,13 @@
             };
             let _ = write!(text, "{name}: {} proxies\n\n", tier.proxies.len());
             text += &head("proxies by load");
-            for (quarter, ends) in ["least", "second", "third", "most"].iter().zip(tier.quarters()) {
-                let _ = write!(text, "| {quarter} loaded quarter |{}", ends.row(&reasons));
+            for (quarter, counts) in ["least", "second", "third", "most"].iter().zip(tier.quarters()) {
+                let _ = write!(text, "| {quarter} loaded quarter |{}", counts.row(&reasons));
             }
             let _ = writeln!(text, "| all |{}", whole.row(&reasons));
             text += &head("second");
-            for (second, ends) in &tier.seconds {
-                let _ = write!(text, "| {} |{}", second - self.from, ends.row(&reasons));
+            for (second, counts) in &tier.seconds {
+                let _ = write!(text, "| {} |{}", second - self.from, counts.row(&reasons));
             }
             text.push('\n');
         }
@@ -169,13 +170,13 @@
 }
 
 impl Tier {
-    /// The proxies in quarters, from least to most traffic.
-    fn quarters(&self) -> [Ends; 4] {
-        let mut by_load: Vec<&Ends> = self.proxies.values().collect();
-        by_load.sort_by_key(|ends| ends.calls);
-        let mut quarters: [Ends; 4] = std::array::from_fn(|_| Ends::default());
-        for (place, ends) in by_load.iter().enumerate() {
-            quarters[place * 4 / by_load.len()].add(ends);
+    /// Totals of the proxies in four quarters, from least to most traffic.
+    fn quarters(&self) -> [OutcomeCounts; 4] {
+        let mut by_load: Vec<&OutcomeCounts> = self.proxies.values().collect();
+        by_load.sort_by_key(|counts| counts.calls);
+        let mut quarters: [OutcomeCounts; 4] = std::array::from_fn(|_| OutcomeCounts::default());
+        for (place, counts) in by_load.iter().enumerate() {
+            quarters[place * 4 / by_load.len()].add(counts);
         }
         quarters
     }
@@ -193,7 +194,7 @@
     }
 
     #[test]
-    fn calls_are_counted_by_load_reason_tier_and_second() {
+    fn requests_are_counted_by_load_reason_tier_and_second() {
         let mut fleet = AccessLogReport { from: u64::MAX, ..AccessLogReport::default() };
         for proxy in 0..3 {
             let log = record(0, "front", "served", "") + "noise {\n" + &record(1, "front", "served", "");
@@ -213,12 +214,12 @@
     }
 
     #[test]
-    fn a_folder_without_records_says_what_to_set() {
+    fn the_error_for_a_folder_without_records_names_the_setting() {
         let folder = std::env::temp_dir().join(format!("hillstall-calls-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         std::fs::write(folder.join("n0.log"), b"not sent: \xff\n").expect("a file");
         let why = AccessLogReport::read(&folder).expect_err("nothing to count").to_string();
-        std::fs::remove_dir_all(&folder).expect("it goes");
+        std::fs::remove_dir_all(&folder).expect("the folder is removed");
         assert!(why.contains("log.calls"), "{why}");
         assert!(matches!(AccessLogReport::read(&folder), Err(ReadLogError::File { .. })));
     }
--- a/crates/simulation/src/closed_loop_clients.rs
+++ b/crates/simulation/src/closed_loop_clients.rs
@@ -1,5 +1,6 @@
-//! Closed-loop clients on persistent connections: each sends its next request as soon as it has its response. That
-//! measures the cost of a request; behaviour under load needs open-loop clients.
+//! Closed-loop clients on persistent connections: each sends its next request as soon as it has the response
+//! to the last. They measure the cost of a request; to measure behaviour under load, use open-loop clients,
+//! whose rate does not drop when responses are slow.
 
 use hdrhistogram::Histogram;
 use httparse::{Response, EMPTY_HEADER};
@@ -11,26 +12,26 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
-/// Totals of the responses.
+/// What the clients of a measurement received, in total.
 #[derive(Clone, Debug)]
 pub struct ClientTotals {
     /// Latencies of the 200 responses, in microseconds.
     pub served: Histogram<u64>,
-    /// Responses 429 and 503.
+    /// Number of responses with status 429 or 503.
     pub rejected: u64,
-    /// Any other response, and connections that ended.
+    /// Number of other responses, and of connections that could not be opened or ended early.
     pub failed: u64,
 }
 
 impl Default for ClientTotals {
     fn default() -> ClientTotals {
-        // 3 digits up to 60 s: some KiB; it can't fail with these bounds.
+        // Three significant digits up to 60 s take some KiB. These bounds are valid, so this can't fail.
         let served = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds in order");
         ClientTotals { served, rejected: 0, failed: 0 }
     }
 }
 
-/// Sends one request after another on one connection, until the time is up or the connection ends.
+/// Sends one request after another on one connection, until `until` or until the connection fails.
 async fn run_client(
     address: SocketAddr,
     number: usize,
@@ -40,15 +41,15 @@
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let mut read = Vec::with_capacity(1024);
-    let mut asked = 0u64;
+    let mut sent = 0u64;
     while Instant::now() < until {
-        asked += 1;
-        let request = request(&format!("{number:04x}-{asked:08x}"));
+        sent += 1;
+        let request = request(&format!("{number:04x}-{sent:08x}"));
         let begun = Instant::now();
         stream.write_all(request.as_bytes()).await?;
         let (status, used) = loop {
-            if let Some(whole) = complete_response(&read) {
-                break whole;
+            if let Some(response) = complete_response(&read) {
+                break response;
             }
             if stream.read_buf(&mut read).await? == 0 {
                 return Err(std::io::ErrorKind::UnexpectedEof.into());
@@ -65,7 +66,7 @@
     Ok(())
 }
 
-/// An idempotent request.
+/// The text of an idempotent request (class `browse`) with this request ID.
 pub fn request(id: &str) -> String {
     format!(
         "GET /api/7f3a HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: {id}\r\nRequest-Class: browse\r\n\
@@ -73,7 +74,7 @@
     )
 }
 
-/// The status and the length of a response, once it is complete.
+/// The status and the length in bytes of the first response in `read`; `None` while it is incomplete.
 fn complete_response(read: &[u8]) -> Option<(u16, usize)> {
     let mut headers = [EMPTY_HEADER; 32];
     let mut response = Response::new(&mut headers);
@@ -83,7 +84,8 @@
     (read.len() >= head + body).then_some((response.code.unwrap_or(0), head + body))
 }
 
-/// Runs a number of clients for a time and returns their totals.
+/// Runs concurrent clients for a time and returns their totals. A client whose connection fails opens a new
+/// one.
 pub async fn run(address: SocketAddr, clients: usize, time: Duration) -> ClientTotals {
     let (summary, until) = (Rc::new(RefCell::new(ClientTotals::default())), Instant::now() + time);
     let tasks: Vec<_> = (0..clients)
@@ -93,7 +95,7 @@
                 while Instant::now() < until {
                     if run_client(address, number, until, &summary).await.is_err() {
                         summary.borrow_mut().failed += 1;
-                        // No tight loop against a listener that is not there.
+                        // Avoids a tight loop while nothing listens.
                         tokio::time::sleep(Duration::from_millis(1)).await;
                     }
                 }
@@ -106,7 +108,7 @@
     summary.take()
 }
 
-/// Connections that have carried one request each and are idle then.
+/// Opens `count` connections that carry one request each and stay open, idle.
 pub async fn open_idle_connections(address: SocketAddr, count: usize) -> std::io::Result<Vec<TcpStream>> {
     let mut streams = Vec::with_capacity(count);
     for number in 0..count {
--- a/crates/simulation/src/discovery.rs
+++ b/crates/simulation/src/discovery.rs
@@ -1,5 +1,6 @@
-//! The discovery service, by the platform's protocol: the whole list at
-//! `GET /discovery/hosts`, and a watch with an empty line every 2 s. The list here never changes.
+//! A stand-in for the platform's discovery service. `GET /discovery/hosts` returns the whole endpoint list;
+//! with `stream=1` the response stays open and carries an empty line every 2 s as a heartbeat. The list never
+//! changes.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -11,7 +12,8 @@
 
 const HEARTBEAT: Duration = Duration::from_secs(2);
 
-/// An endpoint list in which these backends are ready.
+/// The endpoint list as JSON, with all these backends ready; they are called `server-0`, `server-1` and so
+/// on.
 pub fn endpoint_list(servers: &[SocketAddr]) -> Value {
     let endpoints: Vec<Value> = servers
         .iter()
@@ -21,7 +23,7 @@
     json!({"index": 1, "snapshot": true, "endpoints": endpoints})
 }
 
-/// Serves one list for ever.
+/// Serves one endpoint list until the task is dropped.
 pub async fn serve(listener: TcpListener, list: Value) {
     while let Ok((stream, _)) = listener.accept().await {
         let list = list.clone();
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,7 +1,11 @@
-//! The surroundings of a proxy, for measurements, rehearsals and a first look, in two forms; no part of the proxy itself.
-//! On loopback sockets: backends that answer at once, their discovery service, a bare byte relay as the lower bound of any
-//! proxy's cost, and closed-loop clients. In simulated time: machines that saturate, choke, hang and die, clients that
-//! retry, and experiments that compare policies. Besides, a report on the access logs of a fleet.
+//! Stand-ins and models for the environment of a proxy, used by benchmarks, fault injection, experiments and
+//! the demo. Nothing here is part of the proxy itself.
+//!
+//! - On loopback sockets: backends that answer at once, their discovery service, a bare byte relay as the
+//!   lower bound of any proxy's cost, and closed-loop clients.
+//! - In simulated time: machines that saturate, choke, hang and crash, clients that retry, and experiments
+//!   that compare load-balancing policies.
+//! - A report on the access logs of a fleet.
 
 pub mod access_log_report;
 pub mod closed_loop_clients;
--- a/crates/simulation/src/model/mod.rs
+++ b/crates/simulation/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! Models of a proxy's surroundings without I/O: time and randomness are arguments. The same machine runs in
-//! simulated time ([`crate::sim`]) and can be put behind a clock that is real.
+//! Models without I/O of the machines behind a proxy. Time and randomness are arguments, so the same model
+//! runs in simulated time ([`crate::sim`]) and on a real clock (fault injection).
 
 pub mod machine;
 pub mod slow_start;
--- a/crates/simulation/src/model/work.rs
+++ b/crates/simulation/src/model/work.rs
@@ -1,10 +1,10 @@
-//! The work of a request, in milliseconds of one core at speed 1.
+//! The amount of work of a request, in milliseconds of one core at speed 1 (core milliseconds).
 
 use rand_distr::{Distribution, Exp1, LogNormal};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde::Deserialize;
 
-/// Distribution of the work of a class's requests. All have the mean of the class.
+/// Distribution of the work of a class's requests; all have the class's mean.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WorkDistribution {
@@ -17,13 +17,15 @@
     Lognormal,
 }
 
-/// Draws the work of one request: `mean` in core milliseconds, `cv` the coefficient of variation (log-normal alone).
+/// Draws the work of one request: `mean` in core milliseconds, `cv` the coefficient of variation (log-normal
+/// alone).
 pub fn draw(shape: WorkDistribution, mean: f64, cv: f64, rng: &mut Xoshiro256PlusPlus) -> f64 {
     match shape {
         WorkDistribution::Fixed => mean,
         WorkDistribution::Exp => mean * Distribution::<f64>::sample(&Exp1, rng),
         WorkDistribution::Lognormal => {
-            // With s^2 = ln(1 + cv^2) and m = ln(mean) - s^2 / 2, mean and cv are those asked for.
+            // The normal's variance is ln(1 + cv^2) and its mean ln(mean) - variance / 2, which give the
+            // requested mean and coefficient of variation.
             let variance = (1.0 + cv * cv).ln();
             match LogNormal::new(mean.ln() - variance / 2.0, variance.sqrt()) {
                 Ok(normal) => normal.sample(rng),
@@ -39,7 +41,7 @@
     use rand_xoshiro::rand_core::SeedableRng;
 
     #[test]
-    fn mean_and_variation_are_those_asked_for() {
+    fn drawn_work_has_the_requested_mean_and_variation() {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(7);
         for (shape, cv) in
             [(WorkDistribution::Fixed, 0.0), (WorkDistribution::Exp, 1.0), (WorkDistribution::Lognormal, 0.7)]
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -1,4 +1,5 @@
-//! The policies of an experiment: the decision module, and textbook policies to compare it with.
+//! The load-balancing policies of an experiment: the decision module, and textbook policies to compare it
+//! with.
 
 use hillstall_decision::Balancer;
 use hillstall_decision::{
@@ -22,13 +23,13 @@
     LeastOutstanding,
     /// The less loaded of two random ready backends (power of two choices).
     TwoChoices,
-    /// The backend with the least true load, by its queue and capacity at this moment: an upper bound for the
-    /// selection that no real proxy can reach. It rejects nothing.
+    /// The ready backend with the least true load, that is, requests over capacity at this moment. It is an
+    /// upper bound of backend selection, as no real proxy knows the true load. It rejects nothing.
     Oracle,
 }
 
 impl PolicyName {
-    /// All of them, in the order of tables.
+    /// All policies, in the order of the tables.
     pub const ALL: [PolicyName; 6] = [
         PolicyName::Hillstall,
         PolicyName::Random,
@@ -38,7 +39,7 @@
         PolicyName::Oracle,
     ];
 
-    /// The name in tables and on the command line.
+    /// The policy's name in tables, in stored runs and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             PolicyName::Hillstall => "hillstall",
@@ -50,7 +51,7 @@
         }
     }
 
-    /// A policy for one proxy.
+    /// Creates the policy of one proxy.
     pub fn start(self, settings: Settings, seed: u64) -> Box<dyn Policy> {
         match self {
             PolicyName::Hillstall => Box::new(DecisionModule(Balancer::new(settings, seed))),
@@ -78,18 +79,20 @@
 
 /// The policy of one proxy.
 pub trait Policy {
-    /// Handles an event and appends the actions.
+    /// Handles an event and appends the resulting actions; see [`Balancer::handle`].
     fn handle(&mut self, now: Millis, event: Event<'_>, actions: &mut Vec<Action>);
 
-    /// Whether it needs the true load before each request.
+    /// Whether the policy needs [`Policy::set_true_load`] before each request.
     fn needs_true_load(&self) -> bool {
         false
     }
 
-    /// Sets the true load of each backend: requests on it over its capacity now; infinite when it is down or silent.
+    /// Sets the true load of each backend: its requests over its capacity at this moment, and `f64::MAX` for
+    /// a backend that is down, unreachable or hung.
     fn set_true_load(&mut self, _truth: &[(BackendId, f64)]) {}
 }
 
+/// The decision module as a [`Policy`].
 struct DecisionModule(Balancer);
 
 impl Policy for DecisionModule {
@@ -98,16 +101,19 @@
     }
 }
 
+/// A request with an attempt in flight.
 struct OpenRequest {
     server_index: usize,
     attempts: u32,
     tried: Vec<BackendId>,
 }
 
-/// The textbook policies: a backend by the rule, and another at once where the first never ran the request.
+/// A textbook policy. It retries at once at another backend if an attempt never ran, and does not retry
+/// otherwise.
 struct Textbook {
     policy: PolicyName,
     rng: Xoshiro256PlusPlus,
+    /// The backends, each with the number of this proxy's requests in flight.
     servers: Vec<(BackendInfo, f64)>,
     true_loads: HashMap<BackendId, f64>,
     open: HashMap<RequestId, OpenRequest>,
@@ -134,29 +140,38 @@
 
     fn pick(&mut self, tried: &[BackendId]) -> Option<usize> {
         let ready = |s: &(BackendInfo, f64)| s.0.state == BackendState::Ready;
-        let mut able: Vec<usize> = (0..self.servers.len())
+        let mut candidates: Vec<usize> = (0..self.servers.len())
             .filter(|&i| ready(&self.servers[i]) && !tried.contains(&self.servers[i].0.id))
             .collect();
-        if able.is_empty() {
-            able = (0..self.servers.len()).filter(|&i| ready(&self.servers[i])).collect();
+        if candidates.is_empty() {
+            candidates = (0..self.servers.len()).filter(|&i| ready(&self.servers[i])).collect();
         }
-        if able.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        let out = |i: &usize| self.servers[*i].1;
+        let in_flight = |i: &usize| self.servers[*i].1;
         let true_load = |i: &usize| self.true_loads.get(&self.servers[*i].0.id).copied().unwrap_or(f64::MAX);
         match self.policy {
             PolicyName::RoundRobin => {
                 self.next_in_turn += 1;
-                Some(able[self.next_in_turn % able.len()])
+                Some(candidates[self.next_in_turn % candidates.len()])
+            }
+            PolicyName::LeastOutstanding => {
+                candidates.iter().copied().min_by(|a, b| in_flight(a).total_cmp(&in_flight(b)))
+            }
+            PolicyName::Oracle => {
+                candidates.iter().copied().min_by(|a, b| true_load(a).total_cmp(&true_load(b)))
             }
-            PolicyName::LeastOutstanding => able.iter().copied().min_by(|a, b| out(a).total_cmp(&out(b))),
-            PolicyName::Oracle => able.iter().copied().min_by(|a, b| true_load(a).total_cmp(&true_load(b))),
             PolicyName::TwoChoices => {
-                let (a, b) = (able[self.random_index(able.len())], able[self.random_index(able.len())]);
+                let (a, b) = (
+                    candidates[self.random_index(candidates.len())],
+                    candidates[self.random_index(candidates.len())],
+                );
                 Some(if self.servers[a].1 <= self.servers[b].1 { a } else { b })
             }
-            PolicyName::Random | PolicyName::Hillstall => Some(able[self.random_index(able.len())]),
+            PolicyName::Random | PolicyName::Hillstall => {
+                Some(candidates[self.random_index(candidates.len())])
+            }
         }
     }
 
@@ -181,7 +196,7 @@
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             self.servers.iter_mut().for_each(|s| s.0.state = BackendState::Gone);
         }
-        // Places stay, as open requests refer to them.
+        // Backends are never removed, as open requests refer to them by index.
         for info in list {
             match self.servers.iter_mut().find(|s| s.0.id == info.id) {
                 Some(known) => known.0 = *info,
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports: a table for the terminal, and one HTML file with its plots inside.
+//! Reports on runs: a Markdown table for the terminal, and an HTML page with inline plots.
 
 use crate::experiment::Mean;
 use crate::sim::{RunSummary, Second};
@@ -11,7 +11,8 @@
 
 type Figure = (&'static str, fn(&RunSummary) -> f64, usize);
 
-/// The columns: heading, figure, decimals.
+/// The columns of the table: heading, figure and decimals. The headings stay, as operators know them from
+/// stored reports.
 const COLUMNS: [Figure; 12] = [
     ("service", |t| 100.0 * t.service, 2),
     ("worst 10 s", |t| 100.0 * t.worst_window, 1),
@@ -27,7 +28,7 @@
     ("choked", |t| t.chokes as f64, 1),
 ];
 
-/// Runs by their groups, in the order of their first runs.
+/// Groups runs by [`RunSummary::group`], in the order of each group's first run.
 pub fn groups(runs: Vec<RunSummary>) -> Vec<(String, Vec<RunSummary>)> {
     let mut groups: Vec<(String, Vec<RunSummary>)> = Vec::new();
     for run in runs {
@@ -40,7 +41,8 @@
     groups
 }
 
-/// The heading and one line for each group of runs: means over the seeds, for the service with its 95% interval.
+/// The heading, and a row for each group of runs with means over the seeds; service has its 95% confidence
+/// interval.
 fn rows(groups: &[(String, Vec<RunSummary>)]) -> Vec<Vec<String>> {
     let named = COLUMNS.iter().map(|c| c.0);
     let heading = ["runs", "seeds"].into_iter().chain(named).chain(["broken rules"]).map(String::from);
@@ -60,12 +62,12 @@
     rows
 }
 
-/// A table for the terminal, in Markdown.
+/// The table of groups of runs, in Markdown.
 pub fn table(groups: &[(String, Vec<RunSummary>)]) -> String {
     markdown(&rows(groups))
 }
 
-/// A table whose first row is its heading, in Markdown.
+/// Formats rows as a Markdown table; the first row is the heading.
 pub(crate) fn markdown(rows: &[Vec<String>]) -> String {
     let columns = rows.first().map_or(0, Vec::len);
     let mut lines: Vec<String> = rows.iter().map(|row| format!("| {} |\n", row.join(" | "))).collect();
@@ -73,7 +75,7 @@
     lines.concat()
 }
 
-/// One curve: its name, and a value for each second.
+/// A curve over the seconds of a run: its name, and a value for each second.
 type Curve = (String, Vec<f64>);
 
 /// A plot over the seconds of a run.
@@ -85,10 +87,10 @@
     lines(title, "s", unit, &curves.iter().map(over_time).collect::<Vec<_>>())
 }
 
-/// A curve: its name, and its points.
+/// A curve: its name and its points.
 pub(crate) type Points = (String, Vec<(f64, f64)>);
 
-/// The points of cells as curves, one for each load, in the order in which the loads come.
+/// Groups points by load into curves, one for each load, in the order in which the loads first occur.
 pub(crate) fn by_load(points: impl Iterator<Item = (f64, (f64, f64))>) -> Vec<Points> {
     let mut curves: Vec<Points> = Vec::new();
     for (load, point) in points {
@@ -101,12 +103,12 @@
     curves
 }
 
-/// A plot of curves over any axis.
+/// A plot of curves as an SVG; `axis` and `unit` label the axes.
 pub(crate) fn lines(title: &str, axis: &str, unit: &str, curves: &[Points]) -> Result<String, PlotError> {
     let wrong = |why: &dyn std::fmt::Display| PlotError(why.to_string());
     let points = || curves.iter().flat_map(|c| c.1.iter());
-    let widest = points().map(|p| p.0).fold(0.0, f64::max).max(1e-9);
-    let most = points().map(|p| p.1).fold(0.0, f64::max).max(1e-9) * 1.05;
+    let max_x = points().map(|p| p.0).fold(0.0, f64::max).max(1e-9);
+    let max_value = points().map(|p| p.1).fold(0.0, f64::max).max(1e-9) * 1.05;
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, (860, 260)).into_drawing_area();
@@ -115,7 +117,7 @@
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(56)
-            .build_cartesian_2d(0.0..widest, 0.0..most)
+            .build_cartesian_2d(0.0..max_x, 0.0..max_value)
             .map_err(|e| wrong(&e))?;
         let mut mesh = chart.configure_mesh();
         mesh.x_desc(axis).y_desc(unit).draw().map_err(|e| wrong(&e))?;
@@ -133,7 +135,7 @@
     Ok(svg)
 }
 
-/// The mean over runs, second by second.
+/// The mean of a figure over runs, second by second.
 fn curve(runs: &[RunSummary], figure: impl Fn(&Second) -> f64) -> Vec<f64> {
     let seconds = runs.iter().map(|t| t.seconds.len()).min().unwrap_or(0);
     let mean = |s: usize| runs.iter().map(|t| figure(&t.seconds[s])).sum::<f64>() / runs.len().max(1) as f64;
@@ -144,7 +146,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// A ratio in percent; 100 where the whole is 0.
+/// A ratio in percent; 100 if the whole is 0.
 fn percent(part: f64, whole: f64) -> f64 {
     if whole > 0.0 {
         100.0 * part / whole
@@ -153,35 +155,41 @@
     }
 }
 
-/// One self-contained page: the table, and plots over time of the groups.
+/// One self-contained HTML page: the table, and plots of the groups over time.
 pub fn html(title: &str, groups: &[(String, Vec<RunSummary>)]) -> Result<String, PlotError> {
     let of = |figure: fn(&Second) -> f64| -> Vec<Curve> {
         groups.iter().map(|(name, runs)| (name.clone(), curve(runs, figure))).collect()
     };
     let mut plots = vec![
-        plot("Service: worth within the aim", "%", &of(|s| percent(s.served_weight, s.offered_weight)))?,
+        plot(
+            "Service: weight answered within the latency objective",
+            "%",
+            &of(|s| percent(s.served_weight, s.offered_weight)),
+        )?,
         plot("Latency, 99th percentile, from the intended start", "ms", &of(|s| s.p99_ms))?,
-        plot("Turned away, after all tries", "calls/s", &of(|s| s.rejected as f64))?,
+        plot("Requests rejected at their last attempt", "calls/s", &of(|s| s.rejected as f64))?,
         plot(
-            "Attempts for each first try, first tier",
+            "Attempts per client request, first tier",
             "",
             &of(|s| s.attempts as f64 / (s.offered as f64).max(1.0)),
         )?,
-        plot("Machines slower since they were crowded", "machines", &of(|s| s.choked as f64))?,
+        plot("Choked machines, first tier", "machines", &of(|s| s.choked as f64))?,
     ];
     if let Some((name, runs)) = groups.first() {
         let offered = curve(runs, |s| s.offered as f64);
         let peak = offered.iter().copied().fold(1.0, f64::max);
         let load = offered.iter().map(|v| percent(*v, peak)).collect();
-        let able = curve(runs, |s| 100.0 * s.capacity);
-        let curves =
-            [(format!("what the first tier can do ({name})"), able), ("load, of its peak".into(), load)];
+        let capacity = curve(runs, |s| 100.0 * s.capacity);
+        let curves = [
+            (format!("capacity of the first tier ({name})"), capacity),
+            ("load, as a fraction of its peak".into(), load),
+        ];
         plots.push(plot("Capacity against load", "%", &curves)?);
     }
     Ok(page(title, &rows(groups), &plots))
 }
 
-/// One self-contained page of a table, whose first row is its heading, and plots.
+/// One self-contained HTML page of a table, whose first row is its heading, and of SVG plots.
 pub(crate) fn page(title: &str, rows: &[Vec<String>], plots: &[String]) -> String {
     let line = |(i, row): (usize, &Vec<String>)| {
         let tag = if i == 0 { "th" } else { "td" };
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,5 +1,7 @@
-//! A scenario as a TOML file: tiers, load, clients, discovery, and failures with their times. Any time or number may
-//! be a range `[low, high]`, of which each seed draws one value. Errors name the line of an unknown key or bad value.
+//! The format of scenario files (TOML): tiers, load, clients, discovery, and failures with their times. Any
+//! time or number may be a range `[low, high]`, from which each seed draws one value. Errors name the line of
+//! an unknown key or a bad value. Except for renamed fields, the names of fields and values are the keys and
+//! values of the file.
 
 use crate::model::machine::{Choke, MachineSpec};
 use crate::model::work::WorkDistribution;
@@ -10,20 +12,20 @@
 /// Why a file is not a valid scenario.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// Invalid TOML, key or value; the text names line, column and key.
+    /// The TOML is invalid, or a key or value is; the text names line, column and key.
     #[error("{0}")]
     Syntax(#[from] toml::de::Error),
-    /// Values that contradict each other.
+    /// A value is out of bounds, or values contradict each other.
     #[error("{key}: {why}")]
     Invalid {
-        /// Where.
+        /// The key, such as `tier[0].servers`.
         key: String,
-        /// What is wrong.
+        /// What is wrong with the value.
         why: String,
     },
 }
 
-/// A number, or a range of which each seed draws one. Negative numbers are errors.
+/// A number, or a range from which each seed draws one. Negative numbers are errors.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Number {
     low: f64,
@@ -31,17 +33,17 @@
 }
 
 impl Number {
-    /// One value for all seeds.
+    /// A number that is the same for all seeds.
     pub const fn of(value: f64) -> Number {
         Number { low: value, high: value }
     }
 
-    /// The most it can be.
+    /// The largest value that can be drawn.
     fn max(self) -> f64 {
         self.high
     }
 
-    /// The value of a run.
+    /// Draws the value of a run, uniformly from the range.
     pub fn draw(self, rng: &mut Xoshiro256PlusPlus) -> f64 {
         self.low + (self.high - self.low) * uniform(rng)
     }
@@ -49,7 +51,7 @@
 
 fn range<E: serde::de::Error>(low: f64, high: f64) -> Result<Number, E> {
     if !(low.is_finite() && high.is_finite() && 0.0 <= low && low <= high) {
-        return Err(E::custom(format!("{low} to {high} is no range of numbers from 0 up")));
+        return Err(E::custom(format!("{low} to {high} is not a range of finite numbers from 0 up")));
     }
     Ok(Number { low, high })
 }
@@ -71,12 +73,12 @@
     }
 }
 
-/// A time such as `"250ms"`, or a range of times; drawn in milliseconds.
+/// A duration such as `"250ms"`, or a range of durations. Draws are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Span(pub Number);
 
 impl Span {
-    /// One time for all seeds, in milliseconds.
+    /// A duration in milliseconds that is the same for all seeds.
     pub const fn ms(value: f64) -> Span {
         Span(Number::of(value))
     }
@@ -92,7 +94,7 @@
         }
         let ms = |text: &str| match humantime::parse_duration(text) {
             Ok(time) => Ok(time.as_secs_f64() * 1e3),
-            Err(why) => Err(serde::de::Error::custom(format!("{text:?} is no time: {why}"))),
+            Err(why) => Err(serde::de::Error::custom(format!("{text:?} is not a duration: {why}"))),
         };
         match Form::deserialize(from)? {
             Form::One(text) => ms(&text).and_then(|at| range(at, at)).map(Span),
@@ -113,7 +115,7 @@
     Number::of(1e9)
 }
 
-/// A slowdown that outlasts its cause; see [`Choke`].
+/// The parameters of a slowdown that outlasts its cause; see [`Choke`] for their meaning.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChokeSpec {
@@ -125,50 +127,50 @@
     most: Span,
 }
 
-/// A tier of equal machines.
+/// A tier of equal machines. Each tier has proxies in front of it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
-    /// For people.
+    /// The tier's name, for reports.
     pub name: String,
-    /// Machines.
+    /// Number of machines.
     pub servers: Number,
-    /// Cores of each.
+    /// Cores per machine.
     #[serde(default = "one")]
     pub cores: Number,
-    /// Speed: core milliseconds per millisecond of a core.
+    /// Speed: core milliseconds of work that one core does in a millisecond.
     #[serde(default = "one")]
     pub speed: Number,
-    /// Slots per core: requests in progress.
+    /// Maximum number of requests in progress, per core.
     #[serde(default = "unlimited")]
     pub slots_per_core: Number,
-    /// Queue length per core.
+    /// Maximum number of queued requests, per core.
     #[serde(default = "unlimited")]
     pub room_per_core: Number,
-    /// Requests per core above which a machine gets slower ...
+    /// Requests per core above which a machine thrashes.
     #[serde(default = "unlimited")]
     pub thrash_at: Number,
-    /// ... and the part of its speed left then.
+    /// Fraction of the speed that is left to a machine that thrashes.
     #[serde(default = "one")]
     pub thrash_to: Number,
-    /// The part of its speed right after a start ...
+    /// Fraction of the speed right after a start.
     #[serde(default = "one")]
     pub cold_from: Number,
-    /// ... and the duration of the slow start.
+    /// Duration of the slow start.
     #[serde(default = "zero_duration")]
     pub cold: Span,
-    /// The slowdown that outlasts its cause.
+    /// The slowdown after saturation; none if absent.
     pub choke: Option<ChokeSpec>,
-    /// This tier's part of a request's work; the rest falls to the tiers below.
+    /// This tier's fraction of a client request's work.
     #[serde(default = "one")]
     pub work_part: Number,
-    /// Requests to the next tier per request, on average, one after another.
+    /// Mean number of requests to the next tier per request; they are sent one after another.
     #[serde(default = "one")]
     pub calls: Number,
 }
 
 impl Tier {
-    /// One machine's figures, and how many there are.
+    /// Draws the number of machines and the parameters of each.
     pub fn draw(&self, rng: &mut Xoshiro256PlusPlus) -> (usize, MachineSpec) {
         let servers = self.servers.draw(rng).round().max(1.0) as usize;
         let cores = self.cores.draw(rng).round().max(1.0);
@@ -180,7 +182,7 @@
             idle_for: c.rest.0.draw(rng),
             max_duration: c.most.0.draw(rng),
         });
-        let kind = MachineSpec {
+        let spec = MachineSpec {
             cores: cores as usize,
             speed: self.speed.draw(rng).max(1e-3),
             slots: (self.slots_per_core.draw(rng) * cores).round().max(1.0) as usize,
@@ -191,7 +193,7 @@
             warmup: self.cold.0.draw(rng),
             choke,
         };
-        (servers, kind)
+        (servers, spec)
     }
 }
 
@@ -199,12 +201,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ClassRetrySafety {
-    /// At any time.
+    /// They are idempotent.
     #[default]
     Safe,
-    /// With an idempotency key that all backends of the tier remember for 2.5 s.
+    /// They carry an idempotency key that all backends of the tier remember for 2.5 s.
     Keyed,
-    /// Never.
+    /// They must not be retried once they may have run.
     Once,
 }
 
@@ -212,43 +214,43 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// For people.
+    /// The class's name, for reports.
     pub name: String,
-    /// Its part of the requests, relative to the other classes.
+    /// Share of the requests, relative to the other classes.
     #[serde(default = "one")]
     pub share: Number,
-    /// Mean work of a request over all tiers.
+    /// Mean work of a client request over all tiers, as time of one core at speed 1.
     pub work: Span,
     /// Distribution of the work.
     #[serde(default)]
     pub shape: WorkDistribution,
-    /// Coefficient of variation, for `lognormal`.
+    /// Coefficient of variation of the work, for `lognormal`.
     #[serde(default = "one")]
     pub cv: Number,
-    /// The latency objective: later responses earn nothing.
+    /// The latency objective: later responses do not count as service.
     pub aim: Span,
-    /// The deadline, from the first attempt.
+    /// The deadline, from the start of the client's first attempt.
     pub deadline: Span,
-    /// Weight of a request.
+    /// Priority weight of a request of mean work.
     #[serde(default = "one")]
     pub worth: Number,
-    /// Whether it may be retried.
+    /// Whether requests may be retried.
     #[serde(default)]
     pub repeats: ClassRetrySafety,
 }
 
-/// The load: an open-loop Poisson process.
+/// The load: an open-loop Poisson process. Exactly one of `rate` and `of_capacity` is given.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Client requests per second.
+    /// Mean rate of client requests, per second.
     pub rate: Option<Number>,
-    /// Instead of `rate`: a part of the first tier's capacity.
+    /// Mean rate of client requests, as a fraction of the fleet's capacity.
     pub of_capacity: Option<Number>,
-    /// Amplitude of the rate's sine wave, as a part of its mean.
+    /// Amplitude of the rate's sine wave, as a fraction of the mean rate.
     #[serde(default = "zero")]
     pub swing: Number,
-    /// Period of the sine wave.
+    /// Period of the rate's sine wave.
     #[serde(default = "default_rate_period")]
     pub period: Span,
 }
@@ -265,13 +267,13 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// Client retries.
+    /// Maximum number of retries of a client.
     pub retries: Number,
-    /// Wait before each.
+    /// Minimum wait of a client before a retry.
     pub wait: Span,
-    /// The timeout of a client's attempt, as a part of the deadline.
+    /// Timeout of a client's attempt, as a fraction of the class's deadline.
     pub try_part: Number,
-    /// The part of clients that follow Retry-After.
+    /// Fraction of the clients that wait as long as `Retry-After` says.
     pub honour: Number,
 }
 
@@ -286,7 +288,7 @@
     }
 }
 
-/// One-way times.
+/// One-way network delays.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Net {
@@ -308,9 +310,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// Until the proxies are notified of a drain, a death or a start.
+    /// Delay until the proxies are notified that a machine drains, is gone or has started.
     pub notice: Span,
-    /// How long a draining machine still accepts requests after the notification.
+    /// How long a draining machine still accepts requests after the proxies were notified.
     pub serves_on: Span,
 }
 
@@ -324,7 +326,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Front {
-    /// Until it notices that a proxy is gone.
+    /// Delay until the load balancer avoids a proxy that is gone.
     pub notice: Span,
 }
 
@@ -334,41 +336,42 @@
     }
 }
 
-/// The failures.
+/// Kind of a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FailureKind {
-    /// All machines of a zone are silent, and return in slow start; its proxies answer nothing meanwhile.
+    /// All machines and first-tier proxies of a zone are unreachable; the machines return in slow start.
     LoseZone,
-    /// A part of a tier's machines die (connections are reset) and restart in slow start.
+    /// A fraction of a tier's machines crash (their connections are reset) and restart in slow start.
     Crash,
-    /// A part of a tier's machines are cut off from the network, and return in slow start.
+    /// A fraction of a tier's machines are unreachable, and return in slow start.
     Lose,
-    /// A part of a tier's machines are silent for a while and then go on.
+    /// A fraction of a tier's machines hang for a while, and then continue where they stopped.
     Hang,
-    /// A part of a tier's machines reject all new requests, as if their queues were full.
+    /// A fraction of a tier's machines reject all new requests, as if their queues were full.
     TurnAway,
-    /// A shared dependency makes all machines of a tier slower by a factor.
+    /// A slow shared dependency makes all machines of a tier slower by a factor.
     Slow,
     /// The load is multiplied by a factor.
     Burst,
-    /// A part of a tier's machines, one after another: drain, stop, restart in slow start.
+    /// A fraction of a tier's machines drain, stop and restart in slow start, one after another.
     Release,
-    /// Discovery sends no updates.
+    /// The discovery service sends no updates.
     DiscoveryDown,
-    /// A part of the first tier's proxies are killed at once, and restart with no learned state.
+    /// A fraction of the first tier's proxies are killed at once, and restart with no learned state.
     KillProxies,
-    /// A part of them are stopped for a while, and continue with their state.
+    /// A fraction of the first tier's proxies are stopped for a while (SIGSTOP), and continue with their
+    /// state.
     StopProxies,
-    /// A part of them are restarted gracefully, one after another.
+    /// A fraction of the first tier's proxies are restarted gracefully, one after another.
     RollProxies,
-    /// A part of them reload their files.
+    /// A fraction of the first tier's proxies reload their files.
     ReloadProxies,
-    /// A fault of links; see [`Failure::link`] and [`Failure::mode`].
+    /// Network links fail; see [`Failure::link`] and [`Failure::mode`].
     Cut,
 }
 
-/// Kind of a faulty link.
+/// Kind of the links that a [`FailureKind::Cut`] affects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LinkKind {
@@ -388,53 +391,53 @@
     /// Nothing passes, without an error.
     #[default]
     Silent,
-    /// What the connecting side sends is lost.
+    /// Data that the connecting side sends is lost.
     LoseForth,
-    /// What the other side sends is lost.
+    /// Data that the accepting side sends is lost.
     LoseBack,
     /// Connections are reset.
     Reset,
     /// New connections are refused.
     Refuse,
-    /// Everything is delayed by `delay`, each way.
+    /// All data is delayed by `delay`, each way.
     Delay,
 }
 
-/// A failure at a time.
+/// A failure, with its time and its extent.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Failure {
-    /// When.
+    /// When the failure begins, from the start of the run.
     pub at: Span,
-    /// What.
+    /// Kind of the failure.
     #[serde(rename = "what")]
     pub kind: FailureKind,
-    /// For how long.
+    /// How long the failure lasts.
     #[serde(rename = "for")]
     pub duration: Span,
-    /// Which zone, from 0.
+    /// Index of the affected zone, for [`FailureKind::LoseZone`].
     #[serde(default)]
     pub zone: usize,
-    /// Which tier, from 0 at the top.
+    /// Index of the affected tier, from 0 at the top.
     #[serde(default)]
     pub tier: usize,
-    /// The part of the machines; at least one.
+    /// Fraction of the tier's machines, or of its proxies, that is affected; at least one of them is.
     #[serde(default = "one")]
     pub part: Number,
-    /// How many times slower, or how many times the load.
+    /// Factor of the slowdown, for [`FailureKind::Slow`], or of the load, for [`FailureKind::Burst`].
     #[serde(default = "one")]
     pub times: Number,
-    /// Of a link fault: which links; those of `part` of the proxies ...
+    /// Kind of the affected links, for [`FailureKind::Cut`]: those of the fraction `part` of the proxies.
     #[serde(default)]
     pub link: LinkKind,
-    /// ... in this zone alone, if it is given, ...
+    /// If set, a [`FailureKind::Cut`] affects only links of proxies in this zone.
     pub from_zone: Option<usize>,
-    /// ... to the machines of this zone alone, if it is given.
+    /// If set, a [`FailureKind::Cut`] affects only links to machines in this zone.
     pub to_zone: Option<usize>,
-    /// Of a link fault: its kind.
+    /// What a [`FailureKind::Cut`] does to the links.
     #[serde(default)]
     pub mode: LinkFaultMode,
-    /// Of a link fault that delays: by how much.
+    /// Additional one-way delay, for [`LinkFaultMode::Delay`].
     #[serde(default = "zero_duration")]
     pub delay: Span,
 }
@@ -443,22 +446,22 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantSpec {
-    /// For people.
+    /// The tenant's name.
     pub name: String,
-    /// Its part of the requests, relative to the other tenants.
+    /// Share of the requests, relative to the other tenants.
     #[serde(default = "one")]
     pub traffic: Number,
-    /// Its quota, as a part of the fleet's capacity.
+    /// Quota, as a fraction of the fleet's capacity.
     pub share: Number,
 }
 
-/// Proxies of the first tier with more traffic than the others.
+/// Proxies in front of the first tier that get more traffic than the others.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DemandSkewSpec {
-    /// How many.
+    /// Number of these proxies.
     pub proxies: Number,
-    /// Traffic of each, as a multiple of an ordinary one's; drawn for each.
+    /// Traffic of each, as a multiple of an ordinary proxy's; drawn for each of them.
     pub times: Number,
 }
 
@@ -466,54 +469,55 @@
     1
 }
 
-/// An experiment.
+/// A scenario: the fleet, its load, and what fails.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// For people.
+    /// The scenario's name, for reports.
     pub name: String,
-    /// How long requests arrive; the run ends when all are answered.
+    /// How long client requests arrive; the run ends when all have ended.
     pub length: Span,
-    /// Number of zones; machines and proxies are assigned to them in turn.
+    /// Number of zones; machines and proxies are assigned to them round robin.
     #[serde(default = "one_zone")]
     pub zones: usize,
-    /// Proxies before the first tier.
+    /// Number of proxies in front of the first tier.
     pub proxies: Number,
-    /// Those of them with more traffic than the others.
+    /// Proxies among these that get more traffic than the others; none if absent.
     pub hot: Option<DemandSkewSpec>,
-    /// The tenants; without any, there are no quotas.
+    /// The tenants; there are no quotas if this is empty.
     #[serde(rename = "tenant", default)]
     pub tenants: Vec<TenantSpec>,
-    /// The part of the weight beyond a tenant's quota that counts.
+    /// Fraction that counts of the weight beyond a tenant's quota.
     #[serde(default = "one")]
     pub over_share_worth: Number,
-    /// The tiers, from the top. Each machine has a proxy of its own to the next.
+    /// The tiers, from the one that clients call down. Each machine has its own proxy in front of the next
+    /// tier.
     #[serde(rename = "tier")]
     pub tiers: Vec<Tier>,
-    /// The classes.
+    /// The request classes.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
-    /// The load.
+    /// The load of client requests.
     pub load: Load,
-    /// The clients.
+    /// Retries and timeouts of the clients.
     #[serde(default)]
     pub clients: Clients,
-    /// The network.
+    /// Network delays.
     #[serde(default)]
     pub net: Net,
-    /// Discovery.
+    /// Delays of discovery.
     #[serde(default)]
     pub discovery: Discovery,
     /// The load balancer in front of the proxies.
     #[serde(default)]
     pub front: Front,
-    /// The failures.
+    /// The failures, each with its time.
     #[serde(rename = "failure", default)]
     pub failures: Vec<Failure>,
 }
 
 impl Scenario {
-    /// Reads a scenario.
+    /// Parses and validates a scenario file.
     pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario = toml::from_str(text)?;
         scenario.check()?;
@@ -522,20 +526,20 @@
 
     #[allow(clippy::too_many_lines, reason = "one check per key")]
     fn check(&self) -> Result<(), ScenarioError> {
-        let wrong = |key: String, why: &str| Err(ScenarioError::Invalid { key, why: why.to_string() });
+        let invalid = |key: String, why: &str| Err(ScenarioError::Invalid { key, why: why.to_string() });
         if self.tiers.is_empty() {
-            return wrong("tier".into(), "at least one is needed");
+            return invalid("tier".into(), "at least one is needed");
         }
         if self.classes.is_empty() || self.classes.len() > 200 {
-            return wrong("class".into(), "1 to 200 are needed");
+            return invalid("class".into(), "1 to 200 are needed");
         }
         if !(1..=64).contains(&self.zones) {
-            return wrong("one_zone".into(), "1 to 64 are possible");
+            return invalid("one_zone".into(), "must be from 1 to 64");
         }
         if self.load.rate.is_some() == self.load.of_capacity.is_some() {
-            return wrong("load".into(), "give either rate or of_capacity");
+            return invalid("load".into(), "give either rate or of_capacity, and not both");
         }
-        // Larger values would not end, or not fit into memory; a wrong unit is the likely cause.
+        // With larger values a run would not end or not fit into memory. The likely cause is a wrong unit.
         let mut bounds = vec![
             ("length".to_string(), self.length.0.max() / 1e3, 86_400.0, "s"),
             ("proxies".to_string(), self.proxies.max(), 10_000.0, ""),
@@ -552,18 +556,21 @@
         for (i, failure) in self.failures.iter().enumerate() {
             bounds.push((format!("failure[{i}].times"), failure.times.max(), 1_000.0, ""));
         }
-        if let Some((key, value, most, unit)) = bounds.into_iter().find(|b| b.1 > b.2) {
-            return wrong(key, &format!("{value} {unit} is more than the {most} that can be run"));
+        if let Some((key, value, limit, unit)) = bounds.into_iter().find(|b| b.1 > b.2) {
+            return invalid(key, &format!("{value} {unit} is more than the {limit} that can be run"));
         }
         for (i, failure) in self.failures.iter().enumerate() {
             if failure.tier >= self.tiers.len() {
-                return wrong(format!("failure[{i}].tier"), "there is no such tier");
+                return invalid(format!("failure[{i}].tier"), "the scenario has no such tier");
             }
             if [failure.from_zone, failure.to_zone].into_iter().flatten().any(|zone| zone >= self.zones) {
-                return wrong(format!("failure[{i}].from_zone"), "there is no such zone, or to_zone's");
+                return invalid(
+                    format!("failure[{i}].from_zone"),
+                    "from_zone or to_zone is not a zone of the scenario",
+                );
             }
             if failure.zone >= self.zones {
-                return wrong(format!("failure[{i}].zone"), "there is no such zone");
+                return invalid(format!("failure[{i}].zone"), "the scenario has no such zone");
             }
         }
         Ok(())
--- a/crates/simulation/src/scenarios.rs
+++ b/crates/simulation/src/scenarios.rs
@@ -1,8 +1,8 @@
-//! Scenarios that come with the program.
+//! The scenarios embedded in the program, by name.
 
 use crate::scenario::{Scenario, ScenarioError};
 
-/// A scenario for fault injection: its own part, and the small fleet that all of them share.
+/// The text of a fault-injection scenario: its own file, followed by the small fleet that all of them share.
 macro_rules! drill {
     ($file:literal) => {
         concat!(include_str!(concat!("../scenarios/", $file)), include_str!("../scenarios/drill-fleet.toml"))
@@ -31,17 +31,18 @@
     ("drill-half", drill!("drill-half.toml")),
 ];
 
-/// Their names.
+/// The names of all embedded scenarios.
 pub fn names() -> impl Iterator<Item = &'static str> {
     ALL.iter().map(|(name, _)| *name)
 }
 
-/// The text of one.
+/// The TOML text of an embedded scenario; `None` if there is none of that name.
 pub fn text(name: &str) -> Option<&'static str> {
     ALL.iter().find(|(known, _)| *known == name).map(|(_, text)| *text)
 }
 
-/// One of them, parsed. An error would be a bug of this package: the tests parse them all.
+/// Parses an embedded scenario. Fails for an unknown name; the texts themselves are valid, as the tests parse
+/// them all.
 pub fn find(name: &str) -> Result<Scenario, ScenarioError> {
     let text = text(name)
         .ok_or_else(|| ScenarioError::Invalid { key: name.into(), why: "no such scenario".into() })?;
--- a/crates/simulation/src/servers.rs
+++ b/crates/simulation/src/servers.rs
@@ -1,4 +1,4 @@
-//! Backends that answer every request at once.
+//! Stand-in backends that answer every request at once with status 200.
 
 use httparse::{Request, EMPTY_HEADER};
 use std::rc::Rc;
@@ -8,30 +8,30 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// The largest request head that is read, in bytes.
+/// A connection is closed when its request head is not complete within this many bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 64;
 
-/// Makes the body of a response from a request.
+/// Makes the body of a response from the method and the target of a request.
 pub type ResponseBody = dyn Fn(&str, &str) -> Vec<u8>;
 
-/// Counts of the backends' connections, which are costly at real ones.
+/// Connection counts of the stand-in backends: each new connection costs a real backend a handshake.
 #[derive(Debug, Default)]
 pub struct ConnectionCounts {
-    /// Opened since the start.
+    /// Connections accepted since the start.
     pub opened: AtomicU64,
-    /// Open at the moment.
+    /// Connections open now.
     pub open: AtomicU64,
 }
 
-/// Serves every connection until its task is dropped. `answers` gets method and target.
+/// Accepts and serves connections until the task is dropped.
 pub async fn serve(listener: TcpListener, answers: Rc<ResponseBody>, connections: Arc<ConnectionCounts>) {
     while let Ok((stream, _)) = listener.accept().await {
         let (answers, connections) = (answers.clone(), connections.clone());
         spawn_local(async move {
             connections.opened.fetch_add(1, Ordering::Relaxed);
             connections.open.fetch_add(1, Ordering::Relaxed);
-            // A peer that leaves, or sends no valid request, ends only its own connection.
+            // A peer that disconnects or sends an invalid request ends only its own connection.
             let _ = connection(stream, &*answers).await;
             connections.open.fetch_sub(1, Ordering::Relaxed);
         });
@@ -64,8 +64,9 @@
     }
 }
 
-/// Reads one head and writes its response; returns the length of the request, `None` if its head is incomplete
-/// (or can't be read, which ends when the buffer is full).
+/// Parses one request head and appends the response to `written`. Returns the length of the request with its
+/// body, or `None` if the head is incomplete or invalid; the caller closes the connection at
+/// [`MAX_HEAD_BYTES`].
 fn write_response(read: &[u8], answers: &ResponseBody, written: &mut Vec<u8>) -> Option<usize> {
     let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut request = Request::new(&mut headers);
--- a/crates/simulation/src/sim/accounting.rs
+++ b/crates/simulation/src/sim/accounting.rs
@@ -1,25 +1,25 @@
-//! What a run measured. Latency counts from the intended start of a client's first try, so that no wait is left out
-//! (no coordinated omission); a call belongs to the second in which it was to start.
+//! Results of a run. Latency counts from the intended start of a client's first attempt, so that no wait is
+//! left out (no coordinated omission). A request is counted in the second in which it was to start.
 
 use super::side_effects::SideEffects;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// Seconds over which the worst stretch is looked for.
-const WORST_OVER: usize = 10;
-/// Longest latency that is told apart, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+/// Length of the window of [`RunSummary::worst_window`], in seconds.
+const WORST_WINDOW_SECONDS: usize = 10;
+/// Latencies above this are recorded as this value, in microseconds.
+const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// Seconds over which a tenant's worth is held against its share.
+/// Window in which a tenant's weight is compared with its quota.
 const QUOTA_WINDOW_SECONDS: usize = 5;
 
-/// The tenants' quotas. Weight that a tenant requests or is served beyond its quota counts only in part; this is counted
-/// over a window, not by request.
+/// The tenants' quotas. Weight that a tenant requests, or is served, beyond its quota within a window counts
+/// only in part.
 #[derive(Clone, Debug, Default)]
 pub struct TenantQuotas {
-    /// Weight per second; empty where there are no tenants.
+    /// Each tenant's quota in weight per second; empty if there are no tenants.
     pub quotas: Vec<f64>,
-    /// The part of the weight beyond a quota that counts.
+    /// Fraction that counts of the weight beyond a quota.
     pub over_quota_weight: f64,
 }
 
@@ -33,54 +33,55 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestOutcome {
-    /// Answered; the latency counts from the intended start of the first attempt.
+    /// The client got a response with status 200.
     Answered {
-        /// In milliseconds.
+        /// Milliseconds from the intended start of the first attempt.
         latency_ms: f64,
-        /// Within the class's latency objective.
-        in_aim: bool,
+        /// Whether that is within the class's latency objective.
+        within_objective: bool,
     },
-    /// Rejected, at the last attempt.
+    /// The last attempt was rejected.
     Rejected,
-    /// Failed, or given up by its client.
+    /// The last attempt failed or timed out at the client.
     Failed,
 }
 
-/// One second of a run.
+/// Results for one second of a run. Serialized names are those of stored runs.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Second {
-    /// Requests that were to start in it.
+    /// Client requests that were to start in this second.
     pub offered: u64,
-    /// Answered within the latency objective.
+    /// Requests answered within the latency objective.
     #[serde(rename = "in_aim")]
     pub within_objective: u64,
-    /// Answered later.
+    /// Requests answered after the latency objective.
     pub late: u64,
-    /// Rejected.
+    /// Requests whose last attempt was rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed, or given up by the client.
+    /// Requests that failed or timed out at the client.
     pub failed: u64,
-    /// Tries by clients, repeats among them, by the time of the try.
+    /// Client attempts that started in this second, retries included.
     #[serde(rename = "tries")]
     pub client_attempts: u64,
-    /// Attempts of the first tier's proxies, by the time of the send.
+    /// Attempts that the first tier's proxies sent in this second.
     pub attempts: u64,
-    /// Worth asked for.
+    /// Weight of the requests, as far as it counts under the tenants' quotas.
     #[serde(rename = "worth")]
     pub offered_weight: f64,
-    /// Worth answered within the aim.
+    /// Weight answered within the latency objective, as far as it counts under the tenants' quotas.
     #[serde(rename = "earned")]
     pub served_weight: f64,
-    /// What the first tier's machines can do, as a part of what they can when warm and sound; mean of the samples.
+    /// Capacity of the first tier's machines as a fraction of their capacity when warm and healthy; mean of
+    /// the samples.
     pub capacity: f64,
-    /// Machines of the first tier that are slower since they were crowded; the most in the second.
+    /// Maximum number of choked machines in the first tier.
     pub choked: u64,
-    /// Median latency of the answers, in milliseconds.
+    /// Median latency of the answered requests, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile, in milliseconds.
+    /// 99th percentile of the latency of the answered requests, in milliseconds.
     pub p99_ms: f64,
-    /// Of each tenant: weight requested, and weight answered within the latency objective.
+    /// For each tenant, the weight requested and the weight answered within the latency objective.
     #[serde(skip)]
     tenants: Vec<[f64; 2]>,
     #[serde(skip)]
@@ -89,65 +90,66 @@
     latencies: Vec<f64>,
 }
 
-/// A run.
+/// Results of a run. Serialized names are those of stored runs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunSummary {
-    /// The cell of a sweep it belongs to; empty for a run that stands alone.
+    /// The cell of a sweep that the run belongs to; empty outside of a sweep.
     #[serde(default)]
     pub cell: String,
     /// The policy's name.
     pub policy: String,
     /// The seed.
     pub seed: u64,
-    /// Weight answered within the latency objective over the weight requested.
+    /// Service: the weight answered within the latency objective, as a fraction of the weight requested.
     pub service: f64,
-    /// The same in the worst ten seconds.
+    /// The lowest service in any ten consecutive seconds.
     #[serde(rename = "worst")]
     pub worst_window: f64,
-    /// Client requests.
+    /// Number of client requests.
     pub offered: u64,
-    /// Answered late, as a part of the requests.
+    /// Fraction of the requests answered after the latency objective.
     pub late: f64,
-    /// Rejected at the last attempt, as a part of the requests.
+    /// Fraction of the requests whose last attempt was rejected.
     #[serde(rename = "refused")]
     pub rejected: f64,
-    /// Failed, or given up by the client.
+    /// Fraction of the requests that failed or timed out at the client.
     pub failed: f64,
-    /// The part of client attempts rejected at the quarter of the first tier's proxies with most traffic ...
+    /// Fraction of client attempts rejected by the quarter of the first tier's proxies with the most traffic.
     #[serde(default)]
     #[serde(rename = "refused_hot")]
     pub rejected_hot: f64,
-    /// ... and at the quarter with least.
+    /// Fraction of client attempts rejected by the quarter of the first tier's proxies with the least
+    /// traffic.
     #[serde(default)]
     #[serde(rename = "refused_cool")]
     pub rejected_cool: f64,
-    /// Client attempts per request.
+    /// Client attempts per client request.
     #[serde(rename = "tries")]
     pub client_attempts: f64,
     /// Attempts of all proxies per client request.
     pub attempts: f64,
-    /// Mean latency of the responses, in milliseconds.
+    /// Mean latency of the answered requests, in milliseconds.
     pub mean_ms: f64,
-    /// Median latency, in milliseconds.
+    /// Median latency of the answered requests, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile, in milliseconds.
+    /// 99th percentile of the latency of the answered requests, in milliseconds.
     pub p99_ms: f64,
-    /// Times that a machine choked (turned slow under a long queue).
+    /// How often a machine became choked, that is, slow after it was saturated.
     pub chokes: u64,
     /// Attempts sent to a machine more than 2 s after the proxies were notified that it drains or is gone.
     pub late_sends: u64,
-    /// Final responses beyond the first, and requests that a proxy left without one.
+    /// Number of second responses to a request, and of requests that a proxy never answered.
     #[serde(rename = "wrong_answers")]
     pub response_errors: u64,
-    /// Side effects of all proxies together, where they were counted.
+    /// Side effects of all proxies together; zero where they were not counted.
     #[serde(default)]
     #[serde(rename = "harm")]
     pub side_effects: SideEffects,
-    /// Each second.
+    /// The results of each second.
     pub seconds: Vec<Second>,
     #[serde(skip)]
     histogram: Option<Histogram<u64>>,
-    /// Of each proxy of the first tier: client attempts that reached it, and those it rejected.
+    /// For each first-tier proxy, the client attempts that reached it and those that it rejected.
     #[serde(skip)]
     by_proxy: Vec<[u64; 2]>,
     #[serde(skip)]
@@ -157,7 +159,7 @@
 }
 
 impl RunSummary {
-    /// The group of runs it belongs to: its policy, and its cell in a sweep.
+    /// The name of the group of runs that this run belongs to: its policy, and its cell in a sweep.
     pub fn group(&self) -> String {
         match self.cell.is_empty() {
             true => self.policy.clone(),
@@ -167,8 +169,8 @@
 }
 
 impl RunSummary {
-    /// Empty totals of a run of a length in milliseconds.
-    pub fn new(policy: &str, seed: u64, length_ms: f64, shares: TenantQuotas) -> RunSummary {
+    /// Creates an empty summary of a run; [`RunSummary::finish`] computes the totals.
+    pub fn new(policy: &str, seed: u64, length_ms: f64, tenant_quotas: TenantQuotas) -> RunSummary {
         let seconds = (length_ms / 1e3).ceil().max(1.0) as usize;
         RunSummary {
             cell: String::new(),
@@ -192,13 +194,16 @@
             response_errors: 0,
             side_effects: SideEffects::default(),
             seconds: vec![
-                Second { tenants: vec![[0.0; 2]; shares.quotas.len().max(1)], ..Second::default() };
+                Second {
+                    tenants: vec![[0.0; 2]; tenant_quotas.quotas.len().max(1)],
+                    ..Second::default()
+                };
                 seconds
             ],
-            histogram: Histogram::new_with_max(LONGEST_US, 3).ok(),
+            histogram: Histogram::new_with_max(MAX_LATENCY_US, 3).ok(),
             by_proxy: Vec::new(),
             all_attempts: 0,
-            tenant_quotas: shares,
+            tenant_quotas,
         }
     }
 
@@ -207,14 +212,14 @@
         &mut self.seconds[((at_ms / 1e3) as usize).min(last)]
     }
 
-    /// A client request starts.
+    /// Records the start of a client request.
     pub fn record_request(&mut self, at_ms: f64, tenant: usize, weight: f64) {
         let second = self.second(at_ms);
         second.offered += 1;
         second.tenants[tenant][0] += weight;
     }
 
-    /// A client starts an attempt.
+    /// Records the start of a client's attempt.
     pub fn record_client_attempt(&mut self, at_ms: f64) {
         self.second(at_ms).client_attempts += 1;
     }
@@ -226,35 +231,37 @@
         &mut self.by_proxy[proxy]
     }
 
-    /// A client's attempt reaches a proxy of the first tier.
+    /// Records that a client's attempt reaches a first-tier proxy.
     pub fn record_arrival_at(&mut self, proxy: usize) {
         self.at_proxy(proxy)[0] += 1;
     }
 
-    /// Such a proxy rejects one.
+    /// Records that a first-tier proxy rejects a client's attempt.
     pub fn record_rejection_by(&mut self, proxy: usize) {
         self.at_proxy(proxy)[1] += 1;
     }
 
-    /// Of each proxy of the first tier, by its number: client attempts that reached it, and those it rejected.
+    /// For each first-tier proxy, by its number: the client attempts that reached it and those that it
+    /// rejected.
     pub(super) fn by_proxy(&self) -> &[[u64; 2]] {
         &self.by_proxy
     }
 
-    /// Computes the parts rejected at the quarters of the proxies with most and with least traffic.
+    /// Computes the rejected fractions of the quarters of the proxies with the most and with the least
+    /// traffic.
     fn compute_rejections_by_traffic(&mut self) {
-        self.by_proxy.retain(|[came, _]| *came > 0);
+        self.by_proxy.retain(|[arrived, _]| *arrived > 0);
         self.by_proxy.sort_unstable();
         let quarter = (self.by_proxy.len() / 4).max(1).min(self.by_proxy.len());
         let part = |proxies: &[[u64; 2]]| {
-            let [came, refused] = [0, 1].map(|of| proxies.iter().map(|p| p[of]).sum::<u64>() as f64);
-            refused / came.max(1.0)
+            let [arrived, refused] = [0, 1].map(|of| proxies.iter().map(|p| p[of]).sum::<u64>() as f64);
+            refused / arrived.max(1.0)
         };
         self.rejected_cool = part(&self.by_proxy[..quarter]);
         self.rejected_hot = part(&self.by_proxy[self.by_proxy.len() - quarter..]);
     }
 
-    /// A proxy sends an attempt.
+    /// Records that a proxy in front of a tier sends an attempt.
     pub fn record_attempt(&mut self, at_ms: f64, tier: usize) {
         self.all_attempts += 1;
         if tier == 0 {
@@ -262,7 +269,8 @@
         }
     }
 
-    /// A sample: the first tier's capacity as a part of its best, and its choked machines.
+    /// Records a sample of the first tier: its capacity as a fraction of the healthy capacity, and its choked
+    /// machines.
     pub fn record_capacity_sample(&mut self, at_ms: f64, capacity: f64, choked: u64) {
         let second = self.second(at_ms);
         second.samples += 1;
@@ -270,7 +278,7 @@
         second.choked = second.choked.max(choked);
     }
 
-    /// A request ends, for its client.
+    /// Records how a client request ended, in the second of its intended start.
     pub fn record_outcome(
         &mut self,
         first_at_ms: f64,
@@ -279,8 +287,8 @@
     ) {
         let second = self.second(first_at_ms);
         match ended {
-            RequestOutcome::Answered { latency_ms, in_aim } => {
-                if in_aim {
+            RequestOutcome::Answered { latency_ms, within_objective } => {
+                if within_objective {
                     second.within_objective += 1;
                     second.tenants[tenant][1] += weight;
                 } else {
@@ -296,16 +304,17 @@
         }
     }
 
-    /// Counts each tenant's weight up to its quota in each window, and spreads it evenly over the window's seconds.
+    /// Counts each tenant's weight up to its quota in each window, and spreads it evenly over the window's
+    /// seconds.
     fn count_weight(&mut self) {
-        let shares = std::mem::take(&mut self.tenant_quotas);
-        for stretch in self.seconds.chunks_mut(QUOTA_WINDOW_SECONDS) {
-            for tenant in 0..shares.quotas.len().max(1) {
+        let quotas = std::mem::take(&mut self.tenant_quotas);
+        for window in self.seconds.chunks_mut(QUOTA_WINDOW_SECONDS) {
+            for tenant in 0..quotas.quotas.len().max(1) {
                 let part = [0, 1].map(|of| {
-                    let worth: f64 = stretch.iter().map(|s| s.tenants[tenant][of]).sum();
-                    shares.counted_weight(tenant, worth, stretch.len() as f64) / worth.max(1e-9)
+                    let worth: f64 = window.iter().map(|s| s.tenants[tenant][of]).sum();
+                    quotas.counted_weight(tenant, worth, window.len() as f64) / worth.max(1e-9)
                 });
-                for second in stretch.iter_mut() {
+                for second in window.iter_mut() {
                     second.offered_weight += part[0] * second.tenants[tenant][0];
                     second.served_weight += part[1] * second.tenants[tenant][1];
                 }
@@ -313,8 +322,8 @@
         }
     }
 
-    /// Computes the totals.
-    pub fn into_summary(mut self, chokes: u64) -> RunSummary {
+    /// Computes the totals at the end of a run.
+    pub fn finish(mut self, chokes: u64) -> RunSummary {
         self.chokes = chokes;
         self.count_weight();
         self.compute_rejections_by_traffic();
@@ -322,26 +331,24 @@
         let offered = sum(|s| s.offered as f64).max(1.0);
         let (late, rejected, failed) =
             (sum(|s| s.late as f64), sum(|s| s.rejected as f64), sum(|s| s.failed as f64));
-        let (tries, earned, worth) = (
-            sum(|s| s.client_attempts as f64),
-            sum(|s| s.served_weight),
-            sum(|s| s.offered_weight).max(1e-9),
-        );
+        let client_attempts = sum(|s| s.client_attempts as f64);
+        let (served, weight) = (sum(|s| s.served_weight), sum(|s| s.offered_weight).max(1e-9));
         self.offered = offered as u64;
         (self.late, self.rejected, self.failed) = (late / offered, rejected / offered, failed / offered);
-        (self.client_attempts, self.attempts) = (tries / offered, self.all_attempts as f64 / offered);
-        self.service = earned / worth;
-        let part = |seconds: &[Second]| {
-            let worth: f64 = seconds.iter().map(|s| s.offered_weight).sum();
-            let earned: f64 = seconds.iter().map(|s| s.served_weight).sum();
-            if worth > 0.0 {
-                earned / worth
+        (self.client_attempts, self.attempts) =
+            (client_attempts / offered, self.all_attempts as f64 / offered);
+        self.service = served / weight;
+        let service = |seconds: &[Second]| {
+            let weight: f64 = seconds.iter().map(|s| s.offered_weight).sum();
+            let served: f64 = seconds.iter().map(|s| s.served_weight).sum();
+            if weight > 0.0 {
+                served / weight
             } else {
                 1.0
             }
         };
-        let over = WORST_OVER.min(self.seconds.len());
-        self.worst_window = self.seconds.windows(over).map(part).fold(1.0, f64::min);
+        let window = WORST_WINDOW_SECONDS.min(self.seconds.len());
+        self.worst_window = self.seconds.windows(window).map(service).fold(1.0, f64::min);
         if let Some(histogram) = &self.histogram {
             self.mean_ms = histogram.mean() / 1e3;
             self.p50_ms = histogram.value_at_quantile(0.5) as f64 / 1e3;
@@ -349,11 +356,11 @@
         }
         for second in &mut self.seconds {
             second.latencies.sort_by(f64::total_cmp);
-            let at = |part: f64| {
-                let place = (part * second.latencies.len() as f64) as usize;
+            let quantile = |fraction: f64| {
+                let place = (fraction * second.latencies.len() as f64) as usize;
                 second.latencies.get(place.min(second.latencies.len().saturating_sub(1))).copied()
             };
-            (second.p50_ms, second.p99_ms) = (at(0.5).unwrap_or(0.0), at(0.99).unwrap_or(0.0));
+            (second.p50_ms, second.p99_ms) = (quantile(0.5).unwrap_or(0.0), quantile(0.99).unwrap_or(0.0));
         }
         self
     }
--- a/crates/simulation/src/sim/arrivals.rs
+++ b/crates/simulation/src/sim/arrivals.rs
@@ -1,5 +1,6 @@
-//! The calls of a run: a Poisson process whose rate changes, drawn at its highest rate and thinned. It is a stream of
-//! its own, so that one seed gives the same calls whatever the proxies do, in simulated time and on sockets alike.
+//! The client requests of a run: a Poisson process with a changing rate, drawn at its maximum rate and
+//! thinned. It has a random stream of its own, so that a seed gives the same requests whatever the proxies
+//! do, in simulated time and on sockets alike.
 
 use super::setup::{stream_rng, DrawnFailure, DrawnScenario, Stream};
 use crate::model::work;
@@ -8,30 +9,30 @@
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-/// A call that a client means to make.
+/// A client request that is to start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// When (ms from the start).
+    /// When the request starts, in milliseconds from the start of the run.
     pub at_ms: f64,
-    /// Its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Whose it is.
+    /// Index of the tenant that makes the request.
     pub tenant: usize,
-    /// The zone of its client.
+    /// Index of the client's zone.
     pub zone: usize,
-    /// Its work over all tiers, in core milliseconds.
+    /// The request's work over all tiers, in core milliseconds.
     pub work_ms: f64,
-    /// Its weight: in one class it grows with the work.
+    /// The request's weight: its class's weight, scaled by its work over the class's mean work.
     pub weight: f64,
 }
 
-/// The part that a number from 0 to 1 falls on, with the parts scaled to add up to 1.
-pub fn weighted_index(number: f64, parts: impl Iterator<Item = f64> + Clone) -> usize {
-    let mut left = number * parts.clone().sum::<f64>();
+/// Picks an index in proportion to the weights, by a uniform `number` from 0 to 1; 0 if there are no weights.
+pub fn weighted_index(number: f64, weights: impl Iterator<Item = f64> + Clone) -> usize {
+    let mut left = number * weights.clone().sum::<f64>();
     let mut last = 0;
-    for (i, part) in parts.enumerate() {
+    for (i, weight) in weights.enumerate() {
         last = i;
-        left -= part;
+        left -= weight;
         if left < 0.0 {
             break;
         }
@@ -47,12 +48,13 @@
 }
 
 impl Arrivals {
-    /// Those of a seed.
+    /// The arrivals of a run with this seed.
     pub fn new(parameters: &DrawnScenario, seed: u64) -> Arrivals {
         Arrivals { parameters: parameters.clone(), rng: stream_rng(seed, Stream::Arrivals), at: 0.0 }
     }
 
-    /// The load factor of the burst in force at a time; 1 without one.
+    /// The load factor of the burst at a time; 1 without one. Of overlapping bursts, the last in the file
+    /// counts.
     fn burst(&self, now: f64) -> f64 {
         let bursts =
             |f: &&DrawnFailure| f.kind == FailureKind::Burst && f.at <= now && now < f.at + f.duration;
@@ -61,14 +63,17 @@
 
     fn draw(&mut self) -> Option<Arrival> {
         let (now, of) = (self.at, &self.parameters);
-        let turn = now / of.rate_period * std::f64::consts::TAU;
-        let rate =
-            of.rate_per_s * (1.0 + of.rate_amplitude * turn.sin()) * of.profile_factor(now) * self.burst(now)
-                / 1e3;
-        // Drawn in any case, so that the random stream is the same with and without bursts.
+        let phase = now / of.rate_period * std::f64::consts::TAU;
+        let rate = of.rate_per_s
+            * (1.0 + of.rate_amplitude * phase.sin())
+            * of.profile_factor(now)
+            * self.burst(now)
+            / 1e3;
+        // Drawn even for arrivals that are thinned out, so that the random stream is the same with and
+        // without bursts.
         let [keep, class, zone, tenant] = [(); 4].map(|()| uniform(&mut self.rng));
-        // Distributions take different numbers of draws, so each request's work has a stream of its own.
-        let mut size = Xoshiro256PlusPlus::seed_from_u64(self.rng.next_u64());
+        // Work distributions take different numbers of draws, so the work of each request has its own stream.
+        let mut work_rng = Xoshiro256PlusPlus::seed_from_u64(self.rng.next_u64());
         if keep * of.max_rate_per_ms() >= rate {
             return None;
         }
@@ -76,7 +81,7 @@
         let tenant = weighted_index(tenant, of.tenants.iter().map(|t| t.traffic_share));
         let zone = weighted_index(zone, of.zone_traffic.iter().copied());
         let of = &of.classes[class];
-        let work = work::draw(of.work_distribution, of.mean_work_ms, of.work_cv, &mut size);
+        let work = work::draw(of.work_distribution, of.mean_work_ms, of.work_cv, &mut work_rng);
         Some(Arrival {
             at_ms: now,
             class,
@@ -93,7 +98,7 @@
 
     fn next(&mut self) -> Option<Arrival> {
         let max_rate = self.parameters.max_rate_per_ms();
-        // With a rate of zero there are no intervals to draw.
+        // At a rate of zero the intervals would be infinite.
         if max_rate <= 0.0 {
             return None;
         }
--- a/crates/simulation/src/sim/attempts.rs
+++ b/crates/simulation/src/sim/attempts.rs
@@ -1,8 +1,8 @@
-//! Requests at proxies, their attempts, and the machines that these reach.
+//! Requests at proxies, their attempts, and the work of the machines that serve them.
 
 use super::link_faults::LinkState;
 use super::queue::{ResponseKind, SimEvent};
-use super::setup::CONNECT_TIMEOUT;
+use super::setup::CONNECT_TIMEOUT_MS;
 use super::{Attempt, ProxyRequest, RequestSource, World};
 use crate::model::machine::Admission;
 use crate::model::work::{self, WorkDistribution};
@@ -17,7 +17,8 @@
         }
     }
 
-    /// A request reaches a proxy.
+    /// A request reaches a proxy. `work` is in core milliseconds over this tier and those below; `ttl` is the
+    /// time to the deadline, in milliseconds.
     pub(super) fn receive_request(
         &mut self,
         proxy: usize,
@@ -27,7 +28,7 @@
         ttl: f64,
     ) {
         let id = self.requests.len();
-        // Clients mark their retries, as the settings say.
+        // Clients mark their retries: the settings have `marks_retry`.
         let is_retry = matches!(source, RequestSource::Client { no, .. } if no > 0);
         self.requests.push(ProxyRequest {
             proxy,
@@ -63,9 +64,9 @@
 
     fn true_load(&self, host: usize) -> f64 {
         let h = &self.hosts[host];
-        let able = h.machine.capacity(self.now);
-        match able > 0.0 && !h.unreachable {
-            true => (h.machine.requests() + 1) as f64 / able,
+        let capacity = h.machine.capacity(self.now);
+        match capacity > 0.0 && !h.unreachable {
+            true => (h.machine.requests() + 1) as f64 / capacity,
             false => f64::MAX,
         }
     }
@@ -79,14 +80,14 @@
             self.totals.late_sends += 1;
         }
         let of = &self.parameters.tiers[tier];
-        let whole = of.requests_below.floor();
-        let calls_below =
-            whole as usize + usize::from(uniform(&mut self.network_rng) < of.requests_below - whole);
+        let whole_requests = of.requests_below.floor();
+        let calls_below = whole_requests as usize
+            + usize::from(uniform(&mut self.network_rng) < of.requests_below - whole_requests);
         let phases = calls_below + 1;
         let attempt = self.attempts.len();
         let noise = self.parameters.classes[self.requests[request].class].attempt_noise_cv;
-        let off = work::draw(WorkDistribution::Lognormal, 1.0, noise, &mut self.network_rng);
-        let (class, part) = (self.requests[request].class, of.work_fraction);
+        let noise_factor = work::draw(WorkDistribution::Lognormal, 1.0, noise, &mut self.network_rng);
+        let (class, work_fraction) = (self.requests[request].class, of.work_fraction);
         if tier == 0 && self.requests[request].attempts == 0 {
             self.side_effects.on_admitted(self.now, proxy, class);
         }
@@ -97,7 +98,7 @@
             (proxy, machine),
             failing,
             started,
-            self.requests[request].work * off * part,
+            self.requests[request].work * noise_factor * work_fraction,
         );
         let proxy_request = &mut self.requests[request];
         self.attempts.push(Attempt {
@@ -109,7 +110,7 @@
             on_machine: false,
             cancelled: false,
             phases_left: phases,
-            phase_work: proxy_request.work * off * part / phases as f64,
+            phase_work: proxy_request.work * noise_factor * work_fraction / phases as f64,
             request_below: None,
         });
         proxy_request.attempts += 1;
@@ -119,23 +120,23 @@
         } else {
             proxy_request.deadline_at
         };
-        let way = self.link_delay(proxy, machine);
+        let delay = self.link_delay(proxy, machine);
         match self.link_to_machine(proxy, machine) {
-            LinkState::Open(more) => {
-                self.queue.schedule(self.now + way + more, SimEvent::AttemptArrival { attempt })
+            LinkState::Open(extra_delay) => {
+                self.queue.schedule(self.now + delay + extra_delay, SimEvent::AttemptArrival { attempt })
             }
             LinkState::Blocked(_) => {
                 let outcome = Outcome::ConnectFailed;
                 self.queue
-                    .schedule(self.now + CONNECT_TIMEOUT, SimEvent::AttemptOutcome { attempt, outcome });
+                    .schedule(self.now + CONNECT_TIMEOUT_MS, SimEvent::AttemptOutcome { attempt, outcome });
             }
             LinkState::Refused => {
                 let outcome = Outcome::ConnectFailed;
-                self.queue.schedule(self.now + 2.0 * way, SimEvent::AttemptOutcome { attempt, outcome });
+                self.queue.schedule(self.now + 2.0 * delay, SimEvent::AttemptOutcome { attempt, outcome });
             }
             LinkState::Broken => {
                 let outcome = Outcome::Reset;
-                self.queue.schedule(self.now + 2.0 * way, SimEvent::AttemptOutcome { attempt, outcome });
+                self.queue.schedule(self.now + 2.0 * delay, SimEvent::AttemptOutcome { attempt, outcome });
             }
         }
         self.queue.schedule(end, SimEvent::AttemptTimeout { attempt });
@@ -146,33 +147,33 @@
         if self.attempts[attempt].ended {
             return;
         }
-        let way = self.link_delay(self.requests[self.attempts[attempt].request].proxy, machine);
+        let delay = self.link_delay(self.requests[self.attempts[attempt].request].proxy, machine);
         let host = &mut self.hosts[machine];
         if host.unreachable {
             let outcome = Outcome::ConnectFailed;
             return self
                 .queue
-                .schedule(self.now + CONNECT_TIMEOUT, SimEvent::AttemptOutcome { attempt, outcome });
+                .schedule(self.now + CONNECT_TIMEOUT_MS, SimEvent::AttemptOutcome { attempt, outcome });
         }
         if !host.machine.is_up() {
             let outcome = Outcome::ConnectFailed;
-            return self.queue.schedule(self.now + way, SimEvent::AttemptOutcome { attempt, outcome });
+            return self.queue.schedule(self.now + delay, SimEvent::AttemptOutcome { attempt, outcome });
         }
         if host.rejects_new {
             let outcome = Outcome::Rejected;
-            return self.queue.schedule(self.now + way, SimEvent::AttemptOutcome { attempt, outcome });
+            return self.queue.schedule(self.now + delay, SimEvent::AttemptOutcome { attempt, outcome });
         }
         match host.machine.offer(self.now, attempt as u64, work, &mut self.completed_jobs) {
             Admission::Accepted => self.attempts[attempt].on_machine = true,
             Admission::QueueFull => {
                 let outcome = Outcome::Rejected;
-                self.queue.schedule(self.now + way, SimEvent::AttemptOutcome { attempt, outcome });
+                self.queue.schedule(self.now + delay, SimEvent::AttemptOutcome { attempt, outcome });
             }
         }
         self.continue_completed_work(machine);
     }
 
-    /// Continues with the work a machine has completed, and schedules its next completion.
+    /// Processes the jobs that have completed a phase, and schedules the machine's next change.
     pub(super) fn continue_completed_work(&mut self, machine: usize) {
         while !self.completed_jobs.is_empty() {
             for job in std::mem::take(&mut self.completed_jobs) {
@@ -195,25 +196,32 @@
         }
         let (machine, request) = (a.machine, a.request);
         let of = &self.requests[request];
-        let (whose, work, ttl) = ((of.class, of.tenant), of.work, of.deadline_at - self.now);
+        let (class_and_tenant, work, ttl) = ((of.class, of.tenant), of.work, of.deadline_at - self.now);
         let calls_left = a.phases_left as f64;
         let Some(proxy) = self.hosts[machine].proxy else {
             return self.finish_attempt(attempt, Outcome::Ok);
         };
-        // The work of the tiers below is spread over the requests that are left of this one.
+        // The work at the tiers below is divided by the number of requests sent there.
         let tier = self.hosts[machine].tier;
-        let all = self.parameters.tiers[tier].requests_below.max(1.0).max(calls_left);
+        let requests_below = self.parameters.tiers[tier].requests_below.max(1.0).max(calls_left);
         self.attempts[attempt].request_below = Some(self.requests.len());
         let work = if self.parameters.independent_tier_work {
-            let class = &self.parameters.classes[whose.0];
+            let class = &self.parameters.classes[class_and_tenant.0];
             work::draw(class.work_distribution, class.mean_work_ms, class.work_cv, &mut self.network_rng)
         } else {
             work
         };
-        self.receive_request(proxy, RequestSource::Machine { attempt }, whose, work / all, ttl.max(0.0));
+        self.receive_request(
+            proxy,
+            RequestSource::Machine { attempt },
+            class_and_tenant,
+            work / requests_below,
+            ttl.max(0.0),
+        );
     }
 
-    /// A machine has finished an attempt.
+    /// Ends an attempt at its machine and sends the outcome to the proxy, unless the machine has already lost
+    /// it.
     fn finish_attempt(&mut self, attempt: usize, outcome: Outcome) {
         let machine = self.attempts[attempt].machine;
         if !std::mem::take(&mut self.attempts[attempt].on_machine) {
@@ -222,29 +230,30 @@
         let now = self.now;
         self.hosts[machine].machine.release(now, &mut self.completed_jobs);
         let proxy = self.requests[self.attempts[attempt].request].proxy;
-        let way = self.link_delay(proxy, machine);
+        let delay = self.link_delay(proxy, machine);
         if !self.hosts[machine].unreachable {
             match self.link_to_machine(proxy, machine) {
-                LinkState::Open(more) => {
-                    self.queue.schedule(now + way + more, SimEvent::AttemptOutcome { attempt, outcome })
-                }
-                // It is retransmitted, and arrives when the link is back.
+                LinkState::Open(extra_delay) => self
+                    .queue
+                    .schedule(now + delay + extra_delay, SimEvent::AttemptOutcome { attempt, outcome }),
+                // TCP retransmits the response, so it arrives once the link is back.
                 LinkState::Blocked(until) => {
-                    self.queue.schedule(until + way, SimEvent::AttemptOutcome { attempt, outcome })
+                    self.queue.schedule(until + delay, SimEvent::AttemptOutcome { attempt, outcome })
                 }
                 LinkState::Refused => {
-                    self.queue.schedule(now + way, SimEvent::AttemptOutcome { attempt, outcome })
+                    self.queue.schedule(now + delay, SimEvent::AttemptOutcome { attempt, outcome })
                 }
                 LinkState::Broken => {
                     let outcome = Outcome::Reset;
-                    self.queue.schedule(now + way, SimEvent::AttemptOutcome { attempt, outcome });
+                    self.queue.schedule(now + delay, SimEvent::AttemptOutcome { attempt, outcome });
                 }
             }
         }
         self.continue_completed_work(machine);
     }
 
-    /// The final response of a proxy, to the source of the request.
+    /// Sends a proxy's final response to the source of the request. A second response to a request is counted
+    /// as an error.
     pub(super) fn respond(&mut self, request: usize, end: ResponseKind, retry_after: f64) {
         let a = &mut self.requests[request];
         if a.abandoned {
@@ -255,14 +264,13 @@
             return;
         }
         match a.source {
-            RequestSource::Client { client_request: call, no } => {
+            RequestSource::Client { client_request, no } => {
                 if end == ResponseKind::Rejected {
                     self.totals.record_rejection_by(a.proxy);
                     self.side_effects.on_rejected(self.now, a.proxy, a.class, a.attempts == 0);
                 }
                 let at = self.now + self.parameters.client_delay;
-                self.queue
-                    .schedule(at, SimEvent::ResponseArrival { client_request: call, no, end, retry_after });
+                self.queue.schedule(at, SimEvent::ResponseArrival { client_request, no, end, retry_after });
             }
             RequestSource::Machine { attempt } => {
                 let of = &mut self.attempts[attempt];
@@ -287,7 +295,7 @@
         self.end_attempt(attempt, Outcome::Timeout);
     }
 
-    /// The policy cancels an attempt.
+    /// Cancels a request's attempt in flight, on behalf of the policy.
     pub(super) fn cancel_attempt(&mut self, request: usize) {
         if let Some(attempt) = self.requests[request].in_flight {
             self.drop_at_machine(attempt);
@@ -296,12 +304,13 @@
     }
 
     fn drop_at_machine(&mut self, attempt: usize) {
-        let way = self
+        let delay = self
             .link_delay(self.requests[self.attempts[attempt].request].proxy, self.attempts[attempt].machine);
-        self.queue.schedule(self.now + way, SimEvent::CancelArrival { attempt });
+        self.queue.schedule(self.now + delay, SimEvent::CancelArrival { attempt });
     }
 
-    /// Queued work is dropped; running work goes on to the end of its phase.
+    /// A cancellation reaches the machine: queued work is dropped, running work continues to the end of its
+    /// phase.
     pub(super) fn cancel_at_machine(&mut self, attempt: usize) {
         let a = &mut self.attempts[attempt];
         if !a.on_machine || self.hosts[a.machine].unreachable {
@@ -320,7 +329,7 @@
         self.continue_completed_work(machine);
     }
 
-    /// An attempt ends for its proxy, once; later outcomes are ignored.
+    /// Ends an attempt at its proxy. Only the first outcome counts; later ones are ignored.
     pub(super) fn end_attempt(&mut self, attempt: usize, outcome: Outcome) {
         let a = &mut self.attempts[attempt];
         if std::mem::replace(&mut a.ended, true) {
@@ -338,7 +347,7 @@
         if served {
             self.respond(request, ResponseKind::Served, 0.0);
         }
-        // At the deadline the request fails, whatever the policy would still do.
+        // At the deadline the request fails even if the policy has not given it up.
         let late = self.now >= self.requests[request].deadline_at;
         let event = Event::Outcome {
             request: request as u64,
@@ -356,7 +365,8 @@
         }
     }
 
-    /// The attempts on a machine are lost with its process; `reset`: their connections are reset.
+    /// Loses all attempts on a machine whose process has died. With `reset` their connections are reset;
+    /// otherwise the proxies get no sign of it.
     pub(super) fn lose_attempts_on(&mut self, machine: usize, reset: bool) {
         for attempt in 0..self.attempts.len() {
             let a = &mut self.attempts[attempt];
@@ -367,9 +377,9 @@
                 self.client_gone(below);
             }
             if reset {
-                let way = self.link_delay(self.requests[self.attempts[attempt].request].proxy, machine);
+                let delay = self.link_delay(self.requests[self.attempts[attempt].request].proxy, machine);
                 let outcome = Outcome::Reset;
-                self.queue.schedule(self.now + way, SimEvent::AttemptOutcome { attempt, outcome });
+                self.queue.schedule(self.now + delay, SimEvent::AttemptOutcome { attempt, outcome });
             }
         }
     }
--- a/crates/simulation/src/sim/clients.rs
+++ b/crates/simulation/src/sim/clients.rs
@@ -1,4 +1,5 @@
-//! Open-loop clients: a request starts when the arrival process says so, whatever became of the others.
+//! Open-loop clients, and the load balancer in front of the first tier's proxies. A request starts when the
+//! arrival process says so, whatever became of earlier ones.
 
 use super::accounting::RequestOutcome;
 use super::arrivals::{weighted_index, Arrival};
@@ -38,7 +39,7 @@
         self.start_client_attempt(self.client_requests.len() - 1, 0.0);
     }
 
-    /// A client starts an attempt after a wait. Its timeout counts from that start.
+    /// Schedules a client's attempt after a wait. The attempt's timeout counts from its start.
     fn start_client_attempt(&mut self, client_request: usize, wait: f64) {
         let of = &self.client_requests[client_request];
         let (no, at) = (of.attempt_number, self.now + wait);
@@ -49,14 +50,15 @@
         self.queue.schedule(timeout_at, SimEvent::ClientAttemptTimeout { client_request, no });
     }
 
-    /// How long a client of a class waits for one attempt, in milliseconds.
+    /// How long a client of a class waits for the response to one attempt, in milliseconds.
     fn attempt_timeout(&self, class: usize) -> f64 {
         self.parameters.attempt_timeout_fraction * self.parameters.classes[class].deadline
     }
 
-    /// The proxy that the load balancer in front chooses: one of the client's zone, or of another where that has none.
+    /// Picks the proxy for a client's attempt as the load balancer does: one in the client's zone, or in any
+    /// zone if that has none. `None` if no proxy is left.
     fn choose_proxy(&mut self, zone: usize) -> Option<usize> {
-        // It avoids a proxy that is gone only once it has noticed.
+        // The load balancer avoids a proxy that is gone only after `front_notice_delay`.
         let listed = |p: &&usize| {
             let proxy = &self.proxies[**p];
             !proxy.draining && (proxy.alive || self.now - proxy.gone_at < self.parameters.front_notice_delay)
@@ -81,7 +83,7 @@
         let (zone, deadline) = (of.zone, of.deadline_at);
         let Some(proxy) = self.choose_proxy(zone) else { return };
         if !self.proxies[proxy].alive {
-            // With its machine gone nobody refuses the connection: it times out.
+            // If the proxy's machine is gone too, nothing refuses the connection, and the attempt times out.
             if !self.proxies[proxy].silent {
                 self.fail_client_attempt(client_request, no);
             }
@@ -95,7 +97,7 @@
         self.totals.record_arrival_at(proxy);
         self.side_effects.on_arrival(class);
         let attempt_timeout = self.attempt_timeout(class);
-        // The time left when the response must be sent.
+        // The proxy must send its response one way before the client's timeout or deadline.
         let ttl = attempt_timeout.min(deadline - self.now + self.parameters.client_delay)
             - 2.0 * self.parameters.client_delay;
         self.client_requests[client_request].proxy_request = Some(self.requests.len());
@@ -108,7 +110,7 @@
         );
     }
 
-    /// The client has waited long enough for this attempt.
+    /// A client's attempt times out: the client closes it, and may retry.
     pub(super) fn client_attempt_timed_out(&mut self, client_request: usize, no: u32) {
         if self.client_requests[client_request].closed
             || self.client_requests[client_request].attempt_number != no
@@ -121,7 +123,7 @@
         self.retry_or_close(client_request, RequestOutcome::Failed, 0.0);
     }
 
-    /// The client of a request has gone: it needs no response.
+    /// The client of a request at a proxy has disconnected, and needs no response.
     pub(super) fn client_gone(&mut self, request: usize) {
         let of = &mut self.requests[request];
         if of.answered || of.abandoned {
@@ -152,11 +154,11 @@
                 of.closed = true;
                 let latency_ms = self.now - of.started_at;
                 let (first_at, tenant, weight) = (of.started_at, of.tenant, of.weight);
-                let in_aim = latency_ms <= self.parameters.classes[of.class].latency_objective;
+                let within_objective = latency_ms <= self.parameters.classes[of.class].latency_objective;
                 self.totals.record_outcome(
                     first_at,
                     (tenant, weight),
-                    RequestOutcome::Answered { latency_ms, in_aim },
+                    RequestOutcome::Answered { latency_ms, within_objective },
                 );
             }
             ResponseKind::Rejected => {
@@ -167,10 +169,12 @@
     }
 
     fn retry_or_close(&mut self, client_request: usize, ended: RequestOutcome, retry_after: f64) {
-        let follows =
-            retry_after > 0.0 && uniform(&mut self.network_rng) < self.parameters.retry_after_fraction;
-        let wait =
-            if follows { retry_after.max(self.parameters.retry_wait) } else { self.parameters.retry_wait };
+        let waits_as_told = retry_after > 0.0 && uniform(&mut self.network_rng) < self.parameters.honour;
+        let wait = if waits_as_told {
+            retry_after.max(self.parameters.retry_wait)
+        } else {
+            self.parameters.retry_wait
+        };
         let of = &mut self.client_requests[client_request];
         of.attempt_number += 1;
         of.proxy_request = None;
--- a/crates/simulation/src/sim/failures.rs
+++ b/crates/simulation/src/sim/failures.rs
@@ -1,4 +1,5 @@
-//! Failures, and how the proxies are notified of them.
+//! Begin and end of failures, and how the proxies are notified of machines that drain, are gone or have
+//! started.
 
 use super::queue::{SimEvent, Step};
 use super::setup::count_of_fraction;
@@ -6,12 +7,12 @@
 use crate::scenario::FailureKind;
 use hillstall_decision::{BackendInfo, BackendState, Event, ListKind};
 
-/// Restart time of a drained machine, in milliseconds.
+/// Time from the stop of a drained machine to its start.
 const RESTART_MS: f64 = 500.0;
 
 impl World {
-    /// The machines that a failure affects: those it names, or this part of its tier, from the first on, and at least
-    /// one.
+    /// The machines that a failure affects: those that it names, or else a fraction of its tier in order,
+    /// rounded to at least one.
     fn affected_machines(&self, index: usize, part: f64) -> Vec<usize> {
         let failure = &self.parameters.failures[index];
         if !failure.machines.is_empty() {
@@ -26,7 +27,7 @@
         let failure = &self.parameters.failures[index];
         let (what, zone, part, times) = (failure.kind, failure.zone, failure.fraction, failure.factor);
         match what {
-            // The arrival process handles bursts.
+            // Bursts are applied by the arrival process.
             FailureKind::Burst => {}
             FailureKind::DiscoveryDown => {
                 self.discovery_down = begins;
@@ -37,7 +38,7 @@
                 }
             }
             FailureKind::Slow => {
-                // A shared dependency: the whole tier, whatever part is given.
+                // A shared dependency affects the whole tier, whatever fraction the failure has.
                 for machine in self.affected_machines(index, 1.0) {
                     let times = if begins { times.max(1e-3) } else { 1.0 };
                     self.hosts[machine].machine.set_dependency_slowdown(
@@ -114,15 +115,16 @@
                     self.queue.schedule(self.now + i as f64 * interval, SimEvent::GracefulRestart { proxy });
                 }
             }
-            // A reload of the same file changes nothing; a stopped process has no model here.
+            // Reloading an unchanged file has no effect, and stopped processes are not modelled in simulated
+            // time.
             FailureKind::RollProxies | FailureKind::ReloadProxies | FailureKind::StopProxies => {}
             FailureKind::Cut => self.switch_link_fault(index, begins),
         }
     }
 
-    /// A proxy is gone: its requests are lost, and their clients time out.
+    /// Abandons all open requests of a proxy that is gone; their clients time out.
     fn abandon_requests(&mut self, proxy: usize) {
-        for request in self.requests.iter_mut().filter(|a| a.proxy == proxy && !a.answered) {
+        for request in self.requests.iter_mut().filter(|r| r.proxy == proxy && !r.answered) {
             request.abandoned = true;
         }
     }
@@ -130,7 +132,7 @@
     fn kill_machine(&mut self, machine: usize, reset: bool) {
         let mut done = Vec::new();
         self.hosts[machine].machine.kill(self.now, &mut done);
-        // Work that completed in this moment is lost with the rest.
+        // Jobs that complete at this very moment are lost with the rest.
         done.clear();
         self.hosts[machine].change_stamp += 1;
         self.lose_attempts_on(machine, reset);
@@ -138,7 +140,7 @@
         self.change_state(machine, BackendState::Gone, notice);
     }
 
-    /// A machine is gone from the network, or is back.
+    /// Cuts a machine off from the network, or brings it back in slow start.
     fn set_unreachable(&mut self, machine: usize, begins: bool) {
         if begins {
             self.kill_machine(machine, false);
@@ -160,7 +162,7 @@
                 self.change_state(machine, BackendState::Draining, self.parameters.notice_delay);
             }
             Step::Drain => {}
-            // A machine that another failure has taken down is not restarted here.
+            // A machine that another failure has taken down is not restarted by the release.
             Step::Stop if self.hosts[machine].state == BackendState::Draining => {
                 self.kill_machine(machine, true);
                 let at = self.now + RESTART_MS;
@@ -175,7 +177,7 @@
         }
     }
 
-    /// The endpoint list changes; the proxies are notified `notice` milliseconds later.
+    /// Changes a machine's state; the proxies are notified `notice` milliseconds later.
     fn change_state(&mut self, machine: usize, state: BackendState, notice: f64) {
         self.hosts[machine].state = state;
         self.queue.schedule(self.now + notice, SimEvent::EndpointNotice { machine });
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Notifies one proxy of one machine's state.
+    /// Passes one machine's state to one proxy.
     pub(super) fn notify_of_machine(&mut self, proxy: usize, machine: usize) {
         let list: [BackendInfo; 1] = [self.backend_info(machine)];
         self.pass_event(
--- a/crates/simulation/src/sim/link_faults.rs
+++ b/crates/simulation/src/sim/link_faults.rs
@@ -1,14 +1,14 @@
-//! Faults of network links.
+//! Faults of network links between clients, proxies, machines and discovery.
 
 use super::World;
 use crate::scenario::{LinkFaultMode, LinkKind};
 
-/// What becomes of a message on a link.
+/// The state of a link, which decides what happens to a message on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum LinkState {
-    /// It arrives so much later than usual, in milliseconds.
+    /// The message arrives, delayed by this many milliseconds beyond the usual.
     Open(f64),
-    /// Nothing passes until this time, in milliseconds.
+    /// Nothing passes until this simulated time, in milliseconds.
     Blocked(f64),
     /// Connections are refused.
     Refused,
@@ -30,18 +30,19 @@
         }
     }
 
-    /// The state of a proxy's link of a kind; `to` is the zone of the machine at its other end.
+    /// The state of a proxy's link of a kind. `to` is the zone of the machine at the other end, if that is a
+    /// machine. Where several faults affect the link, the one that began first counts.
     fn link_state(&self, link: LinkKind, proxy: usize, to: Option<usize>) -> LinkState {
         let of = &self.proxies[proxy];
         let place = (of.rank, self.proxies_of_tier[of.tier].len());
         for index in &self.active_link_faults {
             let failure = &self.parameters.failures[*index];
             let cut = &failure.link_fault;
-            let meant = cut.link == link
+            let affects_link = cut.link == link
                 && (link == LinkKind::ClientFront || failure.tier == of.tier)
                 && cut.affects_proxy(failure.fraction, place, of.zone)
                 && to.is_none_or(|zone| cut.affects_zone(zone));
-            if !meant {
+            if !affects_link {
                 continue;
             }
             return match cut.mode {
--- a/crates/simulation/src/sim/mod.rs
+++ b/crates/simulation/src/sim/mod.rs
@@ -1,5 +1,5 @@
-//! A scenario in simulated time: clients, proxies that run a policy, machines, and failures. One seed and one policy
-//! give one run, byte for byte.
+//! Runs a scenario in simulated time: clients, proxies that run a policy, machines, and failures. Runs are
+//! deterministic: the same scenario, seed and policy give the same result, byte for byte.
 
 pub mod accounting;
 pub mod arrivals;
@@ -26,51 +26,57 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use setup::{DrawnScenario, Stream};
 
-/// Between two samples of the machines' capacity, in milliseconds.
+/// Interval of the samples of the machines' capacity.
 const SAMPLE_INTERVAL_MS: f64 = 100.0;
 
+/// A machine with its place in the fleet.
 struct Host {
     machine: Machine,
     tier: usize,
-    /// Its place in the tier.
+    /// The machine's index among those of its tier.
     index_in_tier: usize,
     zone: usize,
-    /// Its true state; the endpoint list follows later.
+    /// The true state; the proxies' endpoint lists follow later.
     state: BackendState,
     started_at: Option<f64>,
-    /// Cut off from the network.
+    /// Whether the machine is cut off from the network.
     unreachable: bool,
-    /// Rejects new attempts, as if its queue were full.
+    /// Whether the machine rejects new attempts, as if its queue were full.
     rejects_new: bool,
+    /// Changes whenever the machine's next change is scheduled anew, so that events with an older stamp are
+    /// stale.
     change_stamp: u64,
-    /// Its own proxy to the next tier.
+    /// The machine's own proxy in front of the next tier; `None` at the last tier.
     proxy: Option<usize>,
-    /// When the proxies were notified that it drains or is gone.
+    /// When the proxies were notified that the machine drains or is gone; `None` while it is listed as ready.
     away_notified_at: Option<f64>,
 }
 
+/// A proxy instance in front of a tier.
 struct Proxy {
     policy: Box<dyn Policy>,
     tier: usize,
     rank: usize,
     zone: usize,
-    /// Its traffic as a multiple of an average proxy's.
+    /// Traffic as a multiple of an ordinary proxy's; only first-tier proxies differ.
     traffic_weight: f64,
     alive: bool,
-    /// It shuts down gracefully: it accepts nothing new, and all know it.
+    /// The proxy shuts down gracefully: the load balancer no longer sends it new requests.
     draining: bool,
-    /// It is gone with its machine: connections are not refused, they time out.
+    /// The proxy's machine is gone too, so connections are not refused but time out.
     silent: bool,
-    /// Since when it is gone.
+    /// When the proxy was last killed or lost.
     gone_at: f64,
 }
 
+/// Who sent a request to a proxy.
 #[derive(Clone, Copy)]
 enum RequestSource {
     Client { client_request: usize, no: u32 },
     Machine { attempt: usize },
 }
 
+/// A request at a proxy.
 struct ProxyRequest {
     proxy: usize,
     source: RequestSource,
@@ -81,25 +87,32 @@
     attempts: u32,
     in_flight: Option<usize>,
     answered: bool,
+    /// Whether the client has disconnected or the proxy is gone.
     abandoned: bool,
 }
 
+/// An attempt of a proxy at a machine.
 struct Attempt {
     request: usize,
     number: u32,
     machine: usize,
     sent_at: f64,
-    /// Its outcome was passed to the policy.
+    /// Whether the attempt's outcome was passed to the policy.
     ended: bool,
-    /// It occupies a slot of its machine; false once the machine's process has died.
+    /// Whether the attempt occupies a slot or a queue place of its machine; false once the machine's process
+    /// has died.
     on_machine: bool,
-    /// It was cancelled.
+    /// Whether the attempt was cancelled; its running phase still ends.
     cancelled: bool,
+    /// Phases of work at the machine that have not ended; between two phases is a request to the next tier.
     phases_left: usize,
+    /// Work of one phase, in core milliseconds.
     phase_work: f64,
+    /// The request to the next tier that the attempt waits for.
     request_below: Option<usize>,
 }
 
+/// A request of a client, with all its attempts.
 struct ClientRequest {
     class: usize,
     tenant: usize,
@@ -109,19 +122,21 @@
     deadline_at: f64,
     zone: usize,
     attempt_number: u32,
-    /// The request at a proxy that the current client attempt became.
+    /// The current client attempt's request at a proxy; `None` until it reaches one.
     proxy_request: Option<usize>,
     closed: bool,
 }
 
-/// One run.
+/// The state of one run.
 struct World {
     parameters: DrawnScenario,
     now: f64,
     queue: Queue,
     hosts: Vec<Host>,
+    /// The machines of each tier, by their index in `hosts`.
     tiers: Vec<Vec<usize>>,
     proxies: Vec<Proxy>,
+    /// The proxies in front of each tier, by their index in `proxies`.
     proxies_of_tier: Vec<Vec<usize>>,
     requests: Vec<ProxyRequest>,
     attempts: Vec<Attempt>,
@@ -131,10 +146,11 @@
     next_arrival: Option<Arrival>,
     network_rng: Xoshiro256PlusPlus,
     discovery_down: bool,
+    /// Machines whose state changed while discovery was down; the proxies are notified once it works again.
     unsent_notices: Vec<usize>,
-    /// Endpoint updates that proxies cut off from discovery have missed: proxy and machine.
+    /// Endpoint updates that proxies missed while they were cut off from discovery, as proxy and machine.
     missed_notices: Vec<(usize, usize)>,
-    /// Link faults in force, by their place among the failures.
+    /// Active link faults, by their index among the failures.
     active_link_faults: Vec<usize>,
     policy_name: PolicyName,
     policy_seeds: Xoshiro256PlusPlus,
@@ -144,26 +160,26 @@
     last_sample_at: f64,
 }
 
-/// Runs a scenario under a policy in simulated time.
+/// Runs a scenario with a policy in simulated time.
 pub fn run(scenario: &Scenario, policy: PolicyName, seed: u64) -> RunSummary {
     run_drawn(setup::draw(scenario, seed), policy, seed)
 }
 
-/// A recorded day of the platform's simulator.
+/// A recorded day of the platform's simulator, ready to be run.
 pub struct RecordedDay {
     parameters: DrawnScenario,
-    /// Failures in it that the simulation has no model for.
+    /// Kinds of failures in the file that the simulation does not support; they are left out.
     pub unsupported_failures: Vec<String>,
 }
 
 impl RecordedDay {
-    /// Reads a day file.
+    /// Parses a day file (JSON).
     pub fn read(text: &str) -> Result<RecordedDay, DayError> {
-        let (parameters, unknown) = recorded_day::parameters(text)?;
-        Ok(RecordedDay { parameters: parameters, unsupported_failures: unknown })
+        let (parameters, unsupported_failures) = recorded_day::parameters(text)?;
+        Ok(RecordedDay { parameters, unsupported_failures })
     }
 
-    /// Runs it under a policy in simulated time.
+    /// Runs the day with a policy in simulated time.
     pub fn run(&self, policy: PolicyName, seed: u64) -> RunSummary {
         run_drawn(self.parameters.clone(), policy, seed)
     }
@@ -176,14 +192,14 @@
         world.handle_event(what);
         world.sample_capacity();
     }
-    let open = world.requests.iter().filter(|a| !a.answered && !a.abandoned).count() as u64;
+    let open = world.requests.iter().filter(|r| !r.answered && !r.abandoned).count() as u64;
     world.totals.response_errors += open;
-    let account = std::mem::take(&mut world.side_effects);
-    let place = |host: usize| world.hosts[host].index_in_tier;
-    let start = |host: usize| world.parameters.slow_start_model(world.hosts[host].tier, place(host));
-    world.totals.side_effects = account.into_side_effects(&world.parameters, world.totals.by_proxy(), start);
+    let counts = std::mem::take(&mut world.side_effects);
+    let index = |host: usize| world.hosts[host].index_in_tier;
+    let start = |host: usize| world.parameters.slow_start_model(world.hosts[host].tier, index(host));
+    world.totals.side_effects = counts.into_side_effects(&world.parameters, world.totals.by_proxy(), start);
     let chokes = world.hosts.iter().map(|h| u64::from(h.machine.chokes())).sum();
-    world.totals.into_summary(chokes)
+    world.totals.finish(chokes)
 }
 
 impl World {
@@ -211,7 +227,7 @@
             side_effects: side_effects::SideEffectCounts::new(&parameters),
             totals: RunSummary::new(policy.name(), seed, parameters.length, parameters.tenant_quotas()),
             last_sample_at: f64::MIN,
-            parameters: parameters,
+            parameters,
         };
         world.build(policy);
         world
@@ -240,7 +256,8 @@
             self.tiers.push((first..self.hosts.len()).collect());
         }
         for tier in 0..self.tiers.len() {
-            // The first tier's proxies stand alone; each machine has one of its own to the next tier.
+            // First-tier proxies are processes of their own; in front of any other tier, each machine of the
+            // tier above has its own proxy.
             let hosts_of_proxies: Vec<Option<usize>> = match tier {
                 0 => vec![None; self.parameters.proxy_zones.len()],
                 _ => self.tiers[tier - 1].iter().copied().map(Some).collect(),
@@ -276,7 +293,7 @@
         self.queue.schedule(0.0, SimEvent::Arrival);
     }
 
-    /// Sends a proxy the whole endpoint list.
+    /// Passes the whole endpoint list of a proxy's tier to the proxy.
     fn send_endpoint_list(&mut self, proxy: usize) {
         let tier = self.proxies[proxy].tier;
         let list: Vec<BackendInfo> = self.tiers[tier].iter().map(|h| self.backend_info(*h)).collect();
@@ -286,7 +303,7 @@
         );
     }
 
-    /// A machine as the endpoint list has it.
+    /// A machine's entry in the endpoint list, by its true state.
     fn backend_info(&self, host: usize) -> BackendInfo {
         let h = &self.hosts[host];
         BackendInfo {
@@ -322,7 +339,7 @@
             Action::SetTimer { after_ms, token } => {
                 self.queue.schedule(self.now + after_ms, SimEvent::Timer { proxy, token });
             }
-            // The endpoint list is pushed here, and nothing is probed.
+            // Polls are not needed, as the endpoint list is pushed; probes are not permitted by the settings.
             _ => {}
         }
     }
@@ -364,10 +381,10 @@
         self.last_sample_at = self.now;
         let failing = self.hosts.iter().filter(|h| h.unreachable || !h.machine.is_responsive()).count();
         self.side_effects.add_failing_time(failing as f64 * SAMPLE_INTERVAL_MS);
-        let whole = self.parameters.tiers[0].full_capacity();
+        let full_capacity = self.parameters.tiers[0].full_capacity();
         let hosts = || self.tiers[0].iter().map(|h| &self.hosts[*h]).filter(|h| !h.unreachable);
-        let able: f64 = hosts().map(|h| h.machine.capacity(self.now)).sum();
+        let capacity: f64 = hosts().map(|h| h.machine.capacity(self.now)).sum();
         let choked = hosts().filter(|h| h.machine.is_choked()).count() as u64;
-        self.totals.record_capacity_sample(self.now, able / whole, choked);
+        self.totals.record_capacity_sample(self.now, capacity / full_capacity, choked);
     }
 }
--- a/crates/simulation/src/sim/proxy_restarts.rs
+++ b/crates/simulation/src/sim/proxy_restarts.rs
@@ -1,21 +1,21 @@
-//! Restarts of the first tier's proxies.
+//! Kills and restarts of first-tier proxies.
 
 use super::queue::{ResponseKind, SimEvent};
 use super::setup::count_of_fraction;
 use super::{Proxy, RequestSource, World};
 use rand_xoshiro::rand_core::RngCore;
 
-/// Start time of a proxy, in milliseconds.
+/// Time that a new proxy process takes to start.
 const START_MS: f64 = 100.0;
 
 impl World {
-    /// This part of the first tier's proxies, from the first on, and at least one.
+    /// A fraction of the first tier's proxies, rounded to at least one, in the order of their ranks.
     pub(super) fn first_tier_proxies(&self, part: f64) -> Vec<usize> {
         let all = &self.proxies_of_tier[0];
         all[..count_of_fraction(part, all.len())].to_vec()
     }
 
-    /// The process is killed: its connections are reset, and new ones refused.
+    /// Kills a proxy's process: its connections are reset, and new ones are refused.
     pub(super) fn kill_proxy(&mut self, proxy: usize) {
         self.proxies[proxy].alive = false;
         self.proxies[proxy].gone_at = self.now;
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A client's attempt fails at once, as its connection broke or was refused.
+    /// Fails a client's attempt at once, because its connection was reset or refused.
     pub(super) fn fail_client_attempt(&mut self, client_request: usize, no: u32) {
         let at = self.now + self.parameters.client_delay;
         self.queue.schedule(
@@ -46,7 +46,7 @@
         );
     }
 
-    /// A new process in place of an older one, with no learned state.
+    /// A new process with the settings of an older one, and with no learned state.
     fn new_process(&mut self, of: usize) -> Proxy {
         let old = &self.proxies[of];
         let (tier, rank, zone, traffic_weight) = (old.tier, old.rank, old.zone, old.traffic_weight);
@@ -71,10 +71,11 @@
         self.send_endpoint_list(proxy);
     }
 
-    /// Restarts a proxy gracefully: it finishes what it has, while a new one starts in its place.
+    /// Restarts a proxy gracefully: it completes its open requests, while a new process starts in its place.
+    /// The first call begins the drain; the second, [`START_MS`] later, puts the new process in place.
     pub(super) fn restart_gracefully(&mut self, proxy: usize) {
         if self.proxies[proxy].draining {
-            // Second step: the new one is up.
+            // Second step: the new process is up.
             let new = self.new_process(proxy);
             let number = self.proxies.len();
             self.proxies.push(new);
--- a/crates/simulation/src/sim/queue.rs
+++ b/crates/simulation/src/sim/queue.rs
@@ -1,43 +1,44 @@
-//! Future events in the order of time. Events of one moment keep the order in which they were added, so that equal
-//! seeds give equal runs.
+//! The queue of future events, ordered by time. Events of the same time keep the order in which they were
+//! scheduled, so that equal seeds give equal runs.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// A future event.
+/// An event in simulated time.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum SimEvent {
     /// The next client request starts.
     Arrival,
-    /// A client's attempt reaches its proxy.
+    /// A client's attempt reaches the load balancer in front of the proxies.
     ClientAttempt { client_request: usize, no: u32 },
     /// A client's attempt times out.
     ClientAttemptTimeout { client_request: usize, no: u32 },
-    /// The final response to an attempt reaches its client.
+    /// The final response to a client's attempt reaches the client.
     ResponseArrival { client_request: usize, no: u32, end: ResponseKind, retry_after: f64 },
-    /// An attempt reaches its machine.
+    /// A proxy's attempt reaches its machine.
     AttemptArrival { attempt: usize },
-    /// A machine completes work; the event is stale unless its stamp is the machine's.
+    /// A machine completes work or its speed changes. The event is stale unless `stamp` is the machine's
+    /// current one.
     MachineChange { machine: usize, stamp: u64 },
-    /// The outcome of an attempt reaches its proxy.
+    /// The outcome of an attempt reaches the proxy that sent it.
     AttemptOutcome { attempt: usize, outcome: hillstall_decision::Outcome },
-    /// An attempt times out at its proxy.
+    /// An attempt times out at the proxy that sent it.
     AttemptTimeout { attempt: usize },
-    /// A cancellation reaches the machine.
+    /// The cancellation of an attempt reaches its machine.
     CancelArrival { attempt: usize },
-    /// A timer of a policy.
+    /// A timer that a proxy's policy has set.
     Timer { proxy: usize, token: u64 },
     /// A failure begins or ends.
     Failure { index: usize, begins: bool },
-    /// A step in the release of a machine.
+    /// A step in the release of a machine: it drains, stops and starts again.
     Release { machine: usize, step: Step },
-    /// A proxy of the first tier is restarted gracefully.
+    /// A step in the graceful restart of a first-tier proxy: it begins to drain, or the new process is up.
     GracefulRestart { proxy: usize },
-    /// The proxies of a tier are notified of a machine's state.
+    /// The proxies in front of a machine are notified of its state.
     EndpointNotice { machine: usize },
 }
 
-/// Steps of a machine's release.
+/// The steps of a machine's release, in order.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Step {
     Drain,
@@ -45,7 +46,7 @@
     Start,
 }
 
-/// Kind of a proxy's final response.
+/// How a proxy answers a request in the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ResponseKind {
     Served,
@@ -79,7 +80,6 @@
 
 impl Eq for Entry {}
 
-/// The event queue.
 #[derive(Default)]
 pub(super) struct Queue {
     heap: BinaryHeap<Reverse<Entry>>,
--- a/crates/simulation/src/sim/recorded_day.rs
+++ b/crates/simulation/src/sim/recorded_day.rs
@@ -1,5 +1,7 @@
-//! Reads a recorded day of the platform's simulator: each machine's speed, the load and the failures. What has no model
-//! here is skipped (see `docs/measurements/simulation.md`); a missing part is an error.
+//! Parses a recorded day of the platform's simulator (JSON): the machines with their speeds, the load and the
+//! failures. Parts that this simulation does not model are ignored (see `docs/measurements/simulation.md`); a
+//! missing part is an error. The names of fields and values are those of the file. Times in the file are in
+//! microseconds, except for those of the load profile (`traffic.shape`), which are in seconds.
 
 use super::setup::{
     DrawnBackend, DrawnClass, DrawnFailure, DrawnScenario, DrawnTenant, DrawnTier, LinkFault,
@@ -12,10 +14,10 @@
 /// Why a file is not a valid day.
 #[derive(Debug, thiserror::Error)]
 pub enum DayError {
-    /// Invalid JSON, or a part is missing; the text names the line and the key.
+    /// The JSON is invalid or a part is missing; the text names the line and the key.
     #[error("{0}")]
     Syntax(#[from] serde_json::Error),
-    /// Its parts contradict each other.
+    /// A value is out of bounds, or parts contradict each other.
     #[error("{0}")]
     Invalid(String),
 }
@@ -40,7 +42,7 @@
     troubles: Vec<Trouble>,
 }
 
-/// Microseconds, one way.
+/// One-way network delays, in microseconds.
 #[derive(Deserialize)]
 struct Net {
     same: f64,
@@ -53,11 +55,11 @@
     load: f64,
     shape: Vec<(f64, f64)>,
     zone_share: Vec<f64>,
-    #[serde(default = "whole")]
+    #[serde(default = "one")]
     over_share_worth: f64,
 }
 
-fn whole() -> f64 {
+fn one() -> f64 {
     1.0
 }
 
@@ -162,53 +164,55 @@
     us / 1e3
 }
 
-/// The parameters of a day; the second part names failures that have no model.
+/// The parameters of a day, and the kinds of its failures that the simulation does not support.
 #[allow(clippy::too_many_lines, reason = "one field of the recorded day after another")]
 pub(super) fn parameters(text: &str) -> Result<(DrawnScenario, Vec<String>), DayError> {
     let day: Day = serde_json::from_str(text)?;
-    let wrong = |why: &str| Err(DayError::Invalid(why.to_string()));
+    let invalid = |why: &str| Err(DayError::Invalid(why.to_string()));
     if day.tiers.is_empty() || day.classes.is_empty() || day.zones.is_empty() {
-        return wrong("a day needs tiers, classes and zones");
+        return invalid("a day needs tiers, classes and zones");
     }
     if !(0.0..=86_400e6).contains(&day.length) || day.classes.len() > 200 {
-        return wrong("length must be within a day, and classes at most 200");
+        return invalid("length must be within a day, and classes at most 200");
     }
     if day.tiers.iter().any(|t| !(0.0..=100.0).contains(&t.calls)) {
-        return wrong("tiers: calls must be from 0 to 100");
+        return invalid("tiers: calls must be from 0 to 100");
     }
     if day.servers.iter().any(|s| s.tier >= day.tiers.len() || s.zone >= day.zones.len()) {
-        return wrong("servers: a tier or zone that is not there");
+        return invalid("servers: an entry names a tier or zone that the file does not have");
     }
-    let mut places: Vec<Vec<DrawnBackend>> = day.tiers.iter().map(|_| Vec::new()).collect();
-    // From a number of the file's list of machines to the one here: by tiers, in the order of the file.
-    let mut within: Vec<(usize, usize)> = Vec::new();
+    let mut machines: Vec<Vec<DrawnBackend>> = day.tiers.iter().map(|_| Vec::new()).collect();
+    // For each machine of the file's list: its tier and its index there. Here machines are numbered tier by
+    // tier.
+    let mut tier_and_index: Vec<(usize, usize)> = Vec::new();
     for server in &day.servers {
-        within.push((server.tier, places[server.tier].len()));
-        places[server.tier].push(DrawnBackend { zone: server.zone, speed: server.speed });
+        tier_and_index.push((server.tier, machines[server.tier].len()));
+        machines[server.tier].push(DrawnBackend { zone: server.zone, speed: server.speed });
     }
-    if places.iter().any(Vec::is_empty) {
-        return wrong("servers: a tier has none");
+    if machines.iter().any(Vec::is_empty) {
+        return invalid("servers: a tier has no machines");
     }
-    let starts: Vec<usize> = (0..places.len()).map(|t| places[..t].iter().map(Vec::len).sum()).collect();
+    let starts: Vec<usize> = (0..machines.len()).map(|t| machines[..t].iter().map(Vec::len).sum()).collect();
     let tiers: Vec<DrawnTier> = (day.tiers.iter().enumerate())
         .map(|(i, tier)| {
-            // The file states the work of one request to a tier; here it is that of all requests there per client request.
+            // The file gives the work of one request to a tier; `work_fraction` is that of all requests that
+            // a client request causes there.
             let calls: f64 = day.tiers[..=i].iter().map(|t| t.calls).product();
             let kind =
                 tier.kinds.first().ok_or_else(|| DayError::Invalid(format!("{}: no kinds", tier.name)))?;
             Ok(DrawnTier {
                 name: tier.name.clone(),
-                spec: machine(kind, tier.choke.as_ref()),
-                machines: std::mem::take(&mut places[i]),
+                spec: machine_spec(kind, tier.choke.as_ref()),
+                machines: std::mem::take(&mut machines[i]),
                 work_fraction: tier.work * calls,
-                // The file states how many requests the tier above sends to a tier.
+                // The file gives, with each tier, the number of requests that the tier above sends to it.
                 requests_below: day.tiers.get(i + 1).map_or(0.0, |below| below.calls),
             })
         })
         .collect::<Result<_, DayError>>()?;
     let classes: Vec<DrawnClass> = day.classes.iter().map(class).collect();
     let proxies = day.balancers.iter().filter(|b| b.tier == 0).map(|b| b.zone % day.zones.len()).collect();
-    let mut unknown = Vec::new();
+    let mut unsupported = Vec::new();
     let mut failures = Vec::new();
     for trouble in &day.troubles {
         let what = match trouble.kind.as_str() {
@@ -217,12 +221,16 @@
             "zone_loss" => FailureKind::LoseZone,
             "burst" => FailureKind::Burst,
             other => {
-                unknown.push(other.to_string());
+                unsupported.push(other.to_string());
                 continue;
             }
         };
-        let on =
-            trouble.on.iter().filter_map(|s| within.get(*s)).map(|(tier, n)| starts[*tier] + n).collect();
+        let machines_hit = trouble
+            .on
+            .iter()
+            .filter_map(|s| tier_and_index.get(*s))
+            .map(|(tier, n)| starts[*tier] + n)
+            .collect();
         failures.push(DrawnFailure {
             kind: what,
             at: ms(trouble.at),
@@ -231,7 +239,7 @@
             tier: trouble.tier.min(day.tiers.len() - 1),
             fraction: 1.0,
             factor: trouble.size,
-            machines: on,
+            machines: machines_hit,
             link_fault: LinkFault::default(),
         });
     }
@@ -253,7 +261,7 @@
         retries: day.clients.retries,
         retry_wait: if day.clients.backoff == "none" { 0.0 } else { ms(day.clients.backoff_us) },
         attempt_timeout_fraction: day.clients.try_share,
-        retry_after_fraction: day.clients.honour,
+        honour: day.clients.honour,
         same_zone_delay: ms(day.net.same),
         cross_zone_delay: ms(day.net.cross),
         client_delay: ms(day.net.client),
@@ -269,10 +277,10 @@
     parameters.tenants = (day.tenants.into_iter())
         .map(|t| DrawnTenant { name: t.name, traffic_share: t.traffic, quota: t.quota * capacity })
         .collect();
-    Ok((parameters, unknown))
+    Ok((parameters, unsupported))
 }
 
-fn machine(kind: &MachineKind, choke: Option<&Choking>) -> MachineSpec {
+fn machine_spec(kind: &MachineKind, choke: Option<&Choking>) -> MachineSpec {
     MachineSpec {
         cores: kind.cores.max(1),
         speed: 1.0,
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -1,4 +1,5 @@
-//! Draws the parameters of one run from a scenario and a seed, and makes the settings of each proxy.
+//! Draws the parameters of one run from a scenario and a seed, and derives the settings of each proxy from
+//! them. Times and durations are in milliseconds of simulated time.
 
 use super::accounting::TenantQuotas;
 use crate::model::machine::MachineSpec;
@@ -11,32 +12,32 @@
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-/// Independent random streams: the clients' must not depend on a policy's actions, so that runs of one
-/// seed with two policies get the same requests.
+/// Independent random streams of a run. The arrivals must not depend on what a policy does, so that runs of
+/// one seed with two policies get the same requests.
 #[derive(Clone, Copy)]
 pub enum Stream {
-    /// The parameters of the run.
+    /// Draws of the run's parameters.
     Parameters,
-    /// The arrivals.
+    /// Client requests: time, class, tenant, zone and work.
     Arrivals,
-    /// The network, and the clients' choices.
+    /// Choices of the clients, the load balancer and the machines during the run.
     Network,
-    /// The proxies' seeds.
+    /// Seeds of the proxies' policies.
     Policies,
 }
 
-/// The random numbers of a stream.
+/// The random number generator of a stream.
 pub fn stream_rng(seed: u64, stream: Stream) -> Xoshiro256PlusPlus {
     let number = stream as u64 + 1;
     Xoshiro256PlusPlus::seed_from_u64(seed ^ number.wrapping_mul(0x9E37_79B9_7F4A_7C15))
 }
 
-/// A class of requests.
+/// A class of requests, as drawn for one run.
 #[derive(Clone)]
 pub struct DrawnClass {
     /// For people.
     pub name: String,
-    /// Its part of the requests.
+    /// Share of the requests, relative to the other classes.
     pub share: f64,
     /// Mean work of a request over all tiers, in core milliseconds.
     pub mean_work_ms: f64,
@@ -44,103 +45,105 @@
     pub work_distribution: WorkDistribution,
     /// Coefficient of variation of the work.
     pub work_cv: f64,
-    /// Coefficient of variation of an attempt's work around its request's.
+    /// Coefficient of variation of an attempt's work around the work of its request; 0 if they are equal.
     pub attempt_noise_cv: f64,
-    /// The latency objective, in milliseconds: later responses earn nothing.
+    /// The latency objective: later responses do not count as service.
     pub latency_objective: f64,
-    /// The deadline, from the first attempt, in milliseconds.
+    /// The deadline, from the start of the client's first attempt.
     pub deadline: f64,
-    /// Weight of a request.
+    /// Priority weight of a request of mean work.
     pub weight: f64,
-    /// Whether it may be retried.
+    /// Whether requests may be retried.
     pub retry_safety: ClassRetrySafety,
 }
 
 /// Zone and speed of a machine.
 #[derive(Clone)]
 pub struct DrawnBackend {
-    /// Its zone.
+    /// Index of the machine's zone.
     pub zone: usize,
     /// Speed: core milliseconds per millisecond of a core.
     pub speed: f64,
 }
 
-/// A tenant.
+/// A tenant, as drawn for one run.
 #[derive(Clone)]
 pub struct DrawnTenant {
     /// For people.
     pub name: String,
-    /// Its part of the requests, relative to the others.
+    /// Share of the requests, relative to the other tenants.
     pub traffic_share: f64,
-    /// Its quota, in requests per second.
+    /// Quota, in requests per second.
     pub quota: f64,
 }
 
-/// A tier of machines.
+/// A tier of machines, as drawn for one run.
 #[derive(Clone)]
 pub struct DrawnTier {
     /// For people.
     pub name: String,
-    /// Its machines.
+    /// The machines of the tier.
     pub machines: Vec<DrawnBackend>,
-    /// What each of them can do.
+    /// Capacity and limits of each machine; the speed is that of the machine.
     pub spec: MachineSpec,
-    /// A part: of the work of a request, or of the machines.
+    /// Work of all requests that one client request causes at this tier, as a fraction of the client
+    /// request's work.
     pub work_fraction: f64,
-    /// Requests to the next tier per request, on average.
+    /// Mean number of requests to the next tier per request; 0 at the last tier.
     pub requests_below: f64,
 }
 
-/// A failure.
+/// A failure, as drawn for one run.
 #[derive(Clone)]
 pub struct DrawnFailure {
-    /// The failures.
+    /// Kind of the failure.
     pub kind: FailureKind,
-    /// When (ms).
+    /// When the failure begins.
     pub at: f64,
-    /// For how long (ms).
+    /// How long the failure lasts.
     pub duration: f64,
-    /// Its zone.
+    /// Index of the affected zone, for kinds that affect a zone.
     pub zone: usize,
-    /// Which tier.
+    /// Index of the affected tier, from 0 at the top.
     pub tier: usize,
-    /// A part: of the work of a request, or of the machines.
+    /// Fraction of the tier's machines or proxies that is affected; at least one of them is.
     pub fraction: f64,
-    /// How many times slower, or how many times the load.
+    /// Factor of the slowdown, or of the load, for kinds that have one.
     pub factor: f64,
-    /// The machines it affects, where they are named.
+    /// Numbers of the affected machines, counted over all tiers; if empty, `fraction` applies.
     pub machines: Vec<usize>,
-    /// Of a link fault.
+    /// The affected links, for [`FailureKind::Cut`].
     pub link_fault: LinkFault,
 }
 
-/// The links of a link fault, and its kind.
+/// The links that a link fault affects, and what it does to them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LinkFault {
-    /// Between whom.
+    /// Kind of the affected links.
     pub link: LinkKind,
-    /// Proxies of this zone alone.
+    /// If set, only links from proxies in this zone are affected.
     pub from_zone: Option<usize>,
-    /// Machines of this zone alone.
+    /// If set, only links to machines in this zone are affected.
     pub to_zone: Option<usize>,
-    /// What it does.
+    /// Kind of the fault.
     pub mode: LinkFaultMode,
-    /// Its delay, in milliseconds.
+    /// Additional one-way delay, for [`LinkFaultMode::Delay`].
     pub delay: f64,
 }
 
-/// A part of a number, rounded, and at least one.
-pub fn count_of_fraction(part: f64, all: usize) -> usize {
-    ((part * all as f64).round() as usize).clamp(1, all)
+/// A fraction of a count, rounded, and at least 1.
+pub fn count_of_fraction(fraction: f64, all: usize) -> usize {
+    ((fraction * all as f64).round() as usize).clamp(1, all)
 }
 
 impl LinkFault {
-    /// Whether it affects links from a proxy with a rank among a number of instances.
-    pub fn affects_proxy(&self, part: f64, (rank, copies): (usize, usize), zone: usize) -> bool {
-        rank < count_of_fraction(part, copies) && self.from_zone.is_none_or(|from| from == zone)
+    /// Whether links of a proxy are affected, given the fraction of affected proxies and the proxy's rank
+    /// among the instances of its tier.
+    pub fn affects_proxy(&self, fraction: f64, (rank, instances): (usize, usize), zone: usize) -> bool {
+        rank < count_of_fraction(fraction, instances) && self.from_zone.is_none_or(|from| from == zone)
     }
 
-    /// Whether it affects links to a machine of a zone.
+    /// Whether links to machines of a zone are affected.
     pub fn affects_zone(&self, zone: usize) -> bool {
         self.to_zone.is_none_or(|to| to == zone)
     }
@@ -149,77 +152,79 @@
 /// The parameters of one run.
 #[derive(Clone)]
 pub struct DrawnScenario {
-    /// How long requests arrive, in milliseconds.
+    /// How long client requests arrive.
     pub length: f64,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// The zones' parts of the clients.
+    /// Share of the clients in each zone, relative to the other zones.
     pub zone_traffic: Vec<f64>,
-    /// The zone of each proxy before the first tier.
+    /// Zone of each proxy in front of the first tier.
     pub proxy_zones: Vec<usize>,
-    /// Traffic of each, as a multiple of an ordinary one's.
+    /// Traffic of each of these proxies, as a multiple of an ordinary proxy's; 1 where there is no entry.
     pub proxy_traffic: Vec<f64>,
-    /// The tiers, from the top.
+    /// The tiers, from the one that clients call down.
     pub tiers: Vec<DrawnTier>,
-    /// The classes.
+    /// The request classes.
     pub classes: Vec<DrawnClass>,
-    /// The tenants.
+    /// The tenants; empty if there are no quotas.
     pub tenants: Vec<DrawnTenant>,
-    /// The part of the weight beyond a quota that counts.
+    /// Fraction that counts of the weight beyond a tenant's quota.
     pub over_quota_weight: f64,
-    /// Whether a request's work at a lower tier is drawn anew, or follows from the request above it.
+    /// Whether the work of a request at a lower tier is drawn anew; otherwise it follows from the client
+    /// request's.
     pub independent_tier_work: bool,
-    /// Client requests per second.
+    /// Mean rate of client requests, per second.
     pub rate_per_s: f64,
-    /// Amplitude of the rate's sine wave, as a part of its mean.
+    /// Amplitude of the rate's sine wave, as a fraction of the mean rate.
     pub rate_amplitude: f64,
-    /// Period of the sine wave, in milliseconds.
+    /// Period of the rate's sine wave.
     pub rate_period: f64,
-    /// Times, in milliseconds, from which on the rate is multiplied by a factor.
+    /// Load profile: times in order, and the factor of the rate from each time on.
     pub rate_profile: Vec<(f64, f64)>,
-    /// Client retries.
+    /// Maximum number of retries of a client.
     pub retries: u32,
-    /// Wait before each (ms).
+    /// Minimum wait of a client before a retry.
     pub retry_wait: f64,
-    /// The timeout of a client's attempt, as a part of the deadline.
+    /// Timeout of a client's attempt, as a fraction of the class's deadline.
     pub attempt_timeout_fraction: f64,
-    /// The part of clients that follow Retry-After.
-    pub retry_after_fraction: f64,
-    /// One way within a zone (ms).
+    /// Fraction of the clients that wait as long as `Retry-After` says.
+    pub honour: f64,
+    /// One-way network delay within a zone.
     pub same_zone_delay: f64,
-    /// One way between zones (ms).
+    /// One-way network delay between zones.
     pub cross_zone_delay: f64,
-    /// One way between a client and a proxy (ms).
+    /// One-way network delay between a client and a proxy.
     pub client_delay: f64,
-    /// Until proxies are notified of a drain or a death, in milliseconds.
+    /// Delay until proxies are notified that a machine drains or that its process has died.
     pub notice_delay: f64,
-    /// Until proxies are notified that a machine is silent, in milliseconds.
+    /// Delay until proxies are notified that a machine is unreachable.
     pub silent_notice_delay: f64,
-    /// Until proxies are notified of a start, in milliseconds.
+    /// Delay until proxies are notified that a machine has started.
     pub start_notice_delay: f64,
-    /// How long a draining machine still accepts requests after the notification, in milliseconds.
+    /// How long a draining machine still accepts requests after the proxies were notified.
     pub drain_grace: f64,
-    /// Until the load balancer avoids proxies that are gone, in milliseconds.
+    /// Delay until the load balancer in front avoids a proxy that is gone.
     pub front_notice_delay: f64,
-    /// The failures.
+    /// The failures, in the order of the file.
     pub failures: Vec<DrawnFailure>,
 }
 
-/// Draws the parameters of a run.
+/// Draws the parameters of a run. The order of the draws is fixed: a seed must give the same run in later
+/// versions.
 #[allow(clippy::too_many_lines, reason = "one parameter after another, in the order of the random stream")]
 pub fn draw(scenario: &Scenario, seed: u64) -> DrawnScenario {
     let rng = &mut stream_rng(seed, Stream::Parameters);
     let tiers: Vec<DrawnTier> = (scenario.tiers.iter().enumerate())
         .map(|(i, tier)| {
-            let (servers, kind) = tier.draw(rng);
+            let (servers, spec) = tier.draw(rng);
             let last = i + 1 == scenario.tiers.len();
             let calls = if last { 0.0 } else { tier.calls.draw(rng) };
-            let places =
-                (0..servers).map(|n| DrawnBackend { zone: n % scenario.zones, speed: kind.speed }).collect();
+            let machines =
+                (0..servers).map(|n| DrawnBackend { zone: n % scenario.zones, speed: spec.speed }).collect();
             DrawnTier {
                 name: tier.name.clone(),
-                machines: places,
-                spec: kind,
+                machines,
+                spec,
                 work_fraction: tier.work_part.draw(rng),
                 requests_below: calls,
             }
@@ -254,7 +259,7 @@
                 from_zone: f.from_zone,
                 to_zone: f.to_zone,
                 mode: f.mode,
-                // Drawn for link faults alone, so that all other draws are the same without them.
+                // Drawn only for link faults, so that scenarios without them keep their draws.
                 delay: if f.kind == FailureKind::Cut { f.delay.0.draw(rng) } else { 0.0 },
             },
         })
@@ -279,7 +284,7 @@
         retries: scenario.clients.retries.draw(rng) as u32,
         retry_wait: scenario.clients.wait.0.draw(rng),
         attempt_timeout_fraction: scenario.clients.try_part.draw(rng).clamp(0.01, 1.0),
-        retry_after_fraction: scenario.clients.honour.draw(rng).min(1.0),
+        honour: scenario.clients.honour.draw(rng).min(1.0),
         same_zone_delay: scenario.net.same_zone.0.draw(rng),
         cross_zone_delay: scenario.net.cross_zone.0.draw(rng),
         client_delay: scenario.net.client.0.draw(rng),
@@ -295,15 +300,15 @@
         (None, part) => part.map_or(0.0, |part| part.draw(rng)) * parameters.capacity_per_s(),
     };
     if let Some(hot) = scenario.hot {
-        // The first ones: zones are assigned in turn, so these are spread over them.
-        let many = hot.proxies.draw(rng).round() as usize;
-        parameters.proxy_traffic.iter_mut().take(many).for_each(|heat| *heat = hot.times.draw(rng));
+        // Zones are assigned round robin, so the first proxies are spread over all zones.
+        let count = hot.proxies.draw(rng).round() as usize;
+        parameters.proxy_traffic.iter_mut().take(count).for_each(|traffic| *traffic = hot.times.draw(rng));
     }
-    let able = parameters.capacity_per_s();
+    let capacity = parameters.capacity_per_s();
     let tenants = scenario.tenants.iter().map(|t| DrawnTenant {
         name: t.name.clone(),
         traffic_share: t.traffic.draw(rng),
-        quota: t.share.draw(rng) * able,
+        quota: t.share.draw(rng) * capacity,
     });
     parameters.tenants = tenants.collect();
     parameters.drain_grace = scenario.discovery.serves_on.0.draw(rng);
@@ -312,62 +317,63 @@
 }
 
 impl DrawnTier {
-    /// Full capacity of its machines, in core milliseconds per millisecond.
+    /// Capacity of all the tier's machines when warm, in core milliseconds per millisecond.
     pub fn full_capacity(&self) -> f64 {
         self.machines.iter().map(|p| p.speed).sum::<f64>() * self.spec.cores as f64
     }
 }
 
 impl DrawnScenario {
-    /// The mean of a value over the requests, weighted by the classes' traffic.
+    /// Mean of a value over the classes, weighted by their shares of the requests.
     fn class_mean(&self, figure: fn(&DrawnClass) -> f64) -> f64 {
         let shares: f64 = self.classes.iter().map(|c| c.share).sum();
         self.classes.iter().map(|c| c.share / shares.max(1e-9) * figure(c)).sum()
     }
 
-    /// An upper bound of the request rate, per millisecond.
+    /// An upper bound of the client request rate, per millisecond.
     pub fn max_rate_per_ms(&self) -> f64 {
         let burst = self.failures.iter().map(|f| f.factor).fold(1.0, f64::max);
         let shape = self.rate_profile.iter().map(|(_, times)| *times).fold(1.0, f64::max);
         self.rate_per_s * (1.0 + self.rate_amplitude) * burst * shape / 1e3
     }
 
-    /// The numbers of a tier's machines, counted over all tiers.
+    /// The numbers of a tier's machines, which are counted over all tiers.
     pub fn machines_of_tier(&self, tier: usize) -> std::ops::Range<usize> {
         let first: usize = self.tiers.iter().take(tier).map(|t| t.machines.len()).sum();
         first..first + self.tiers[tier].machines.len()
     }
 
-    /// Mean work of a request over all tiers, in core milliseconds.
+    /// Mean work of a client request over all tiers, in core milliseconds.
     pub fn mean_work(&self) -> f64 {
         self.class_mean(|c| c.mean_work_ms)
     }
 
-    /// The fleet's capacity in requests per second: that of the tier that saturates first.
+    /// The fleet's capacity in client requests per second: that of the tier that saturates first.
     pub fn capacity_per_s(&self) -> f64 {
         let work = self.mean_work();
-        let able = |tier: &DrawnTier| tier.full_capacity() / (work * tier.work_fraction).max(1e-9);
-        self.tiers.iter().map(able).fold(f64::MAX, f64::min) * 1e3
+        let capacity = |tier: &DrawnTier| tier.full_capacity() / (work * tier.work_fraction).max(1e-9);
+        self.tiers.iter().map(capacity).fold(f64::MAX, f64::min) * 1e3
     }
 
-    /// The tenants' quotas in weight per second, and the part of the weight beyond them that counts.
+    /// The tenants' quotas in weight per second, and the fraction that counts of the weight beyond them.
     pub fn tenant_quotas(&self) -> TenantQuotas {
-        let worth = self.class_mean(|c| c.weight);
+        let mean_weight = self.class_mean(|c| c.weight);
         TenantQuotas {
-            quotas: self.tenants.iter().map(|t| t.quota * worth).collect(),
+            quotas: self.tenants.iter().map(|t| t.quota * mean_weight).collect(),
             over_quota_weight: self.over_quota_weight,
         }
     }
 
-    /// The factor of the rate at a time.
+    /// The load profile's factor at a time; 1 before its first entry.
     pub fn profile_factor(&self, now: f64) -> f64 {
         self.rate_profile.iter().take_while(|(from, _)| *from <= now).last().map_or(1.0, |(_, times)| *times)
     }
 
-    /// The settings of a proxy.
+    /// The decision module's settings for a proxy of a tier, by its rank among the tier's instances and its
+    /// zone.
     #[allow(clippy::too_many_lines, reason = "one field per setting")]
-    pub fn settings(&self, tier: usize, rank: usize, copies: usize, zone: usize) -> Settings {
-        let kind = &self.tiers[tier].spec;
+    pub fn settings(&self, tier: usize, rank: usize, instances: usize, zone: usize) -> Settings {
+        let spec = &self.tiers[tier].spec;
         let class = |c: &DrawnClass| Class {
             name: c.name.clone(),
             latency_objective_ms: c.latency_objective,
@@ -391,7 +397,7 @@
         };
         Settings {
             rank: rank as u32,
-            fleet_size: copies as u32,
+            fleet_size: instances as u32,
             zone: zone as u16,
             tier: tier as u32,
             tier_names: self.tiers.iter().map(|t| t.name.clone()).collect(),
@@ -414,8 +420,8 @@
                 response_grace_ms: 100.0,
                 drain_grace_ms: 2_000.0,
                 poll_interval_ms: 5_000.0,
-                warmup_start_fraction: kind.warmup_start_fraction,
-                warmup_ms: kind.warmup,
+                warmup_start_fraction: spec.warmup_start_fraction,
+                warmup_ms: spec.warmup,
                 overload_multiple: 3.0,
                 overload_window_ms: 2_000.0,
             },
@@ -429,7 +435,7 @@
                 max_open: 100_000,
                 peer_messages: false,
                 idle_close_ms: 60_000.0,
-                connect_timeout_ms: CONNECT_TIMEOUT,
+                connect_timeout_ms: CONNECT_TIMEOUT_MS,
                 streams_per_connection: 1,
                 cpu_us_per_s: 1e6,
                 cpu_us_per_request: 0.0,
@@ -447,5 +453,5 @@
     }
 }
 
-/// Connect timeout to a machine that is cut off, in milliseconds.
-pub const CONNECT_TIMEOUT: f64 = 75.0;
+/// How long a proxy waits for a connection to a machine that does not respond.
+pub const CONNECT_TIMEOUT_MS: f64 = 75.0;
--- a/crates/simulation/src/sim/side_effects.rs
+++ b/crates/simulation/src/sim/side_effects.rs
@@ -1,41 +1,48 @@
-//! Side effects of all proxies together: attempts at failing machines, new connections, load on machines in slow start,
-//! and priority inversions, where one proxy rejects a request while another admits one of less weight.
+//! Side effects that many proxies have on their backends together: attempts at failing machines, new
+//! connections, and load on machines in slow start. Besides, priority inversions, where one proxy rejects a
+//! request while another admits one of less weight.
 
 use super::setup::DrawnScenario;
 use crate::model::slow_start::SlowStartModel;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
-/// Tolerance for the load on a machine in slow start, in requests of mean work.
-const SLACK_REQUESTS: f64 = 3.0;
+/// Tolerance for the load on a machine in slow start, in requests of mean work: a request's work is not known
+/// when it is sent.
+const TOLERANCE_REQUESTS: f64 = 3.0;
 
-/// The side effects of a run.
+/// The side effects of a run. Serialized names are those of stored runs.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct SideEffects {
-    /// Attempts per second at a machine that is down, silent or hangs, of all proxies together.
+    /// Attempts of all proxies per second of machine time spent down, unreachable or hung.
     #[serde(rename = "trials")]
     pub attempts_at_failing: f64,
-    /// New connections per machine and second, where each proxy keeps its idle ones.
+    /// New connections per machine and second, if each proxy keeps its idle connections.
     #[serde(rename = "handshakes")]
     pub new_connections: f64,
-    /// The largest load on a machine in slow start over what it bears; above 1 it falls over.
+    /// The highest load on any machine in slow start, as a multiple of the load it tolerates; above 1 it
+    /// fails.
     #[serde(rename = "overshoot")]
     pub slow_start_load: f64,
-    /// Standard deviation, over the proxies, of the part of client attempts they rejected.
+    /// Standard deviation over the first tier's proxies of the fraction of client attempts that each
+    /// rejected.
     #[serde(rename = "refused_spread")]
     pub rejection_spread: f64,
-    /// Rejected requests of the class with the highest weight, as a part of such requests that arrived.
+    /// Fraction of the client attempts of the classes with the highest weight that were rejected without an
+    /// attempt.
     #[serde(rename = "worthiest_refused")]
     pub top_class_rejected: f64,
-    /// Of these, the part rejected in a second in which another proxy admitted a request of less weight.
+    /// Of these rejections, the fraction in a second in which another proxy admitted a request of less
+    /// weight.
     pub inversions: f64,
 }
 
+/// Which proxies admitted a request below the highest weight within one second.
 #[derive(Clone, Copy, Default)]
 struct AdmittingProxies {
-    /// The first proxy that admitted a request of less weight, in one second.
+    /// The first of them; `None` if there was none.
     first: Option<usize>,
-    /// Whether another proxy did.
+    /// Whether another proxy did, too.
     others: bool,
 }
 
@@ -45,7 +52,7 @@
     in_use: u32,
 }
 
-/// Counts during a run.
+/// Counters during a run.
 #[derive(Default)]
 pub(super) struct SideEffectCounts {
     is_top_class: Vec<bool>,
@@ -66,63 +73,66 @@
         SideEffectCounts { is_top_class: worthiest, ..SideEffectCounts::default() }
     }
 
-    /// A client's attempt reaches a proxy of the first tier.
+    /// Counts a client's attempt that reaches a first-tier proxy.
     pub(super) fn on_arrival(&mut self, class: usize) {
         self.top_class_arrivals += u64::from(self.is_top_class[class]);
     }
 
-    /// Such a proxy admits a request: it sends the first attempt.
+    /// Counts a request that a first-tier proxy admits, that is, for which it sends the first attempt.
     pub(super) fn on_admitted(&mut self, now: f64, proxy: usize, class: usize) {
         if self.is_top_class[class] {
             return;
         }
-        let door = self.admissions.entry((now / 1e3) as u64).or_default();
-        match door.first {
-            None => door.first = Some(proxy),
-            Some(first) => door.others |= first != proxy,
+        let admitting = self.admissions.entry((now / 1e3) as u64).or_default();
+        match admitting.first {
+            None => admitting.first = Some(proxy),
+            Some(first) => admitting.others |= first != proxy,
         }
     }
 
-    /// Such a proxy rejects a request; `unsent`: without an attempt.
+    /// Counts a request that a first-tier proxy rejects; `unsent` if it sent no attempt.
     pub(super) fn on_rejected(&mut self, now: f64, proxy: usize, class: usize, unsent: bool) {
         if unsent && self.is_top_class[class] {
             self.top_class_rejections.push(((now / 1e3) as u64, proxy));
         }
     }
 
-    /// An attempt is sent to a machine. `started`: when the machine started, and how long ago, in milliseconds.
+    /// Counts an attempt from a proxy to a machine (`link`). `started` is when the machine was last started
+    /// and how long ago that is, in milliseconds; `None` for a machine that has run from the start.
     pub(super) fn on_sent(
         &mut self,
-        way: (usize, usize),
+        link: (usize, usize),
         failing: bool,
         started: Option<(f64, f64)>,
         work: f64,
     ) {
         self.sent_to_failing += u64::from(failing);
         if let Some((started, after)) = started {
-            self.sent_after_start.entry((way.1, started.to_bits())).or_default().push((after, work));
+            self.sent_after_start.entry((link.1, started.to_bits())).or_default().push((after, work));
         }
-        let idle = self.connections.entry(way).or_default();
-        match idle.idle {
+        let connections = self.connections.entry(link).or_default();
+        match connections.idle {
             0 => self.connections_opened += 1,
-            _ => idle.idle -= 1,
+            _ => connections.idle -= 1,
         }
-        idle.in_use += 1;
+        connections.in_use += 1;
     }
 
-    /// An attempt has ended; its connection is kept if it ended `well`.
-    pub(super) fn on_ended(&mut self, way: (usize, usize), well: bool) {
-        let idle = self.connections.entry(way).or_default();
-        idle.in_use = idle.in_use.saturating_sub(1);
-        idle.idle += u32::from(well);
+    /// Counts the end of an attempt; with `keeps_connection` its connection becomes idle, otherwise it is
+    /// closed.
+    pub(super) fn on_ended(&mut self, link: (usize, usize), keeps_connection: bool) {
+        let connections = self.connections.entry(link).or_default();
+        connections.in_use = connections.in_use.saturating_sub(1);
+        connections.idle += u32::from(keeps_connection);
     }
 
-    /// Adds machine time spent failing, in milliseconds.
+    /// Adds machine time spent failing, in milliseconds, summed over the machines.
     pub(super) fn add_failing_time(&mut self, ms: f64) {
         self.failing_ms += ms;
     }
 
-    /// Sums up. `by_proxy`: client attempts that reached each proxy, and those it rejected.
+    /// Computes the side effects. `by_proxy` has, for each first-tier proxy, the client attempts that reached
+    /// it and those that it rejected; `start` returns the slow-start model of a machine.
     pub(super) fn into_side_effects(
         self,
         parameters: &DrawnScenario,
@@ -131,16 +141,16 @@
     ) -> SideEffects {
         let machines: usize = parameters.tiers.iter().map(|t| t.machines.len()).sum();
         let inverted = self.top_class_rejections.iter().filter(|(second, proxy)| {
-            let door = self.admissions.get(second).copied().unwrap_or_default();
-            door.others || door.first.is_some_and(|first| first != *proxy)
+            let admitting = self.admissions.get(second).copied().unwrap_or_default();
+            admitting.others || admitting.first.is_some_and(|first| first != *proxy)
         });
         let inversions = inverted.count() as f64 / self.top_class_rejections.len().max(1) as f64;
         let parts: Vec<(f64, f64)> = (by_proxy.iter())
-            .map(|[came, refused]| (*came as f64, *refused as f64 / (*came).max(1) as f64))
+            .map(|[arrived, refused]| (*arrived as f64, *refused as f64 / (*arrived).max(1) as f64))
             .collect();
         let all: f64 = parts.iter().map(|p| p.0).sum::<f64>().max(1.0);
-        let mean = parts.iter().map(|(came, part)| came * part).sum::<f64>() / all;
-        let variance = parts.iter().map(|(came, part)| came * (part - mean).powi(2)).sum::<f64>() / all;
+        let mean = parts.iter().map(|(arrived, part)| arrived * part).sum::<f64>() / all;
+        let variance = parts.iter().map(|(arrived, part)| arrived * (part - mean).powi(2)).sum::<f64>() / all;
         let overshoots =
             self.sent_after_start.iter().map(|((host, _), sent)| start(*host).peak_overload(sent).0);
         SideEffects {
@@ -161,7 +171,7 @@
 }
 
 impl DrawnScenario {
-    /// The slow start of a machine of a tier, by the platform's rules.
+    /// The slow-start model of a machine of a tier, by the platform's rules.
     pub fn slow_start_model(&self, tier: usize, place: usize) -> SlowStartModel {
         let (of, rules) = (&self.tiers[tier], self.settings(tier, 0, 1, 0).rules);
         SlowStartModel {
@@ -170,11 +180,11 @@
             warmup_ms: of.spec.warmup,
             overload_multiple: rules.overload_multiple,
             window_ms: rules.overload_window_ms,
-            tolerance: SLACK_REQUESTS * self.mean_work_at(tier),
+            tolerance: TOLERANCE_REQUESTS * self.mean_work_at(tier),
         }
     }
 
-    /// Mean work of a request at a tier, in core milliseconds.
+    /// Mean work of one request at a tier, in core milliseconds.
     pub fn mean_work_at(&self, tier: usize) -> f64 {
         let calls_above: f64 = self.tiers.iter().take(tier).map(|t| t.requests_below.max(1.0)).product();
         self.mean_work() * self.tiers[tier].work_fraction / calls_above
--- a/crates/simulation/src/site.rs
+++ b/crates/simulation/src/site.rs
@@ -1,19 +1,20 @@
-//! A small deployment: the platform file of a proxy in front of stand-in backends on loopback.
+//! The platform file of a proxy in front of stand-in backends on loopback, for benchmarks and the demo.
 
 use crate::discovery::endpoint_list;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Limits of a proxy process.
+/// Resource limits that the platform file gives a proxy process.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessLimits {
-    /// Descriptors.
+    /// Maximum number of open sockets.
     pub sockets: usize,
-    /// Memory in MB.
+    /// Memory limit in MB.
     pub memory_mb: usize,
 }
 
-/// The proxy's configuration: two classes, one idempotent and one with an idempotency key; no tenants.
+/// The platform file of one proxy: an idempotent class `browse`, a class `purchase` that needs an idempotency
+/// key, and no tenants.
 pub fn config(
     listen: SocketAddr,
     discovery: SocketAddr,
--- a/crates/simulation/src/stability.rs
+++ b/crates/simulation/src/stability.rs
@@ -1,35 +1,36 @@
-//! The stability map of metastable overload, over load and the part of the machines that is lost. A point is stable
-//! where service recovers by itself soon after the loss has ended; elsewhere the overload outlives its cause.
+//! The stability map of metastable overload, over the load and the fraction of machines that is lost for a
+//! while. A point is stable if service recovers by itself soon after the loss has ended; elsewhere the
+//! overload outlasts its cause.
 
-use crate::experiment::{by_cell, grid, Axis, Mean, SweepError, LOAD};
+use crate::experiment::{by_cell, grid, Axis, Mean, SweepError, LOAD_KEY};
 use crate::policy::PolicyName;
 use crate::report::{by_load, lines, markdown, page, PlotError};
 use crate::sim::{self, setup, RunSummary, Second};
 
-/// The scenario's key of the part that is lost, in the first failure.
-const LOST: &str = "failure.0.part";
-/// Seconds at the start that are left out of the baseline.
-const WARM: usize = 2;
-/// The part of the baseline service that counts as recovered ...
-const RETURNED: f64 = 0.95;
-/// ... once it is reached over so many seconds on end.
-const OVER: usize = 2;
-/// Tolerance for a cell that is worse, in percentage points.
-const WORSE: f64 = 2.0;
-
-/// The course of one run around the loss.
+/// Key of the fraction of machines that is lost, in the scenario's first failure.
+const LOST_KEY: &str = "failure.0.part";
+/// Seconds at the start of a run that are left out of the baseline.
+const WARMUP_SECONDS: usize = 2;
+/// Service counts as recovered from this fraction of the baseline on.
+const RECOVERED_FRACTION: f64 = 0.95;
+/// Service counts as recovered once it has been so over this many consecutive seconds.
+const RECOVERED_SECONDS: usize = 2;
+/// A cell counts as worse if its service has dropped by more than this many percentage points.
+const WORSE_POINTS: f64 = 2.0;
+
+/// The course of service in one run: before, during and after the loss of machines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceCourse {
-    /// Service before the loss, as a part.
+    /// Service before the loss, from 0 to 1.
     pub baseline: f64,
-    /// Service while it lasts.
+    /// Service while the loss lasts, from 0 to 1.
     pub during_loss: f64,
-    /// Seconds from its end until service has recovered; `None` if it never does.
+    /// Seconds from the end of the loss until service has recovered; `None` if it does not within the run.
     pub recovery_seconds: Option<f64>,
 }
 
 impl ServiceCourse {
-    /// Measures a run with a loss at a time and of a duration, both in seconds.
+    /// Measures a run by its seconds. The loss begins at `from` and lasts for `lasts`, both in seconds.
     pub fn of(seconds: &[Second], from: f64, lasts: f64) -> ServiceCourse {
         let service = |range: std::ops::Range<usize>| {
             let range = range.start.min(seconds.len())..range.end.min(seconds.len());
@@ -42,11 +43,11 @@
             }
         };
         let (begins, ends) = (from as usize, (from + lasts).ceil() as usize);
-        // Requests of the second before may still be in flight when it begins.
+        // Requests of the last second before the loss may still be in flight when it begins.
         let usual = begins.saturating_sub(1);
-        let before = service(WARM.min(usual)..usual);
-        let back = (ends..(seconds.len() + 1).saturating_sub(OVER))
-            .find(|s| service(*s..s + OVER) >= RETURNED * before);
+        let before = service(WARMUP_SECONDS.min(usual)..usual);
+        let back = (ends..(seconds.len() + 1).saturating_sub(RECOVERED_SECONDS))
+            .find(|s| service(*s..s + RECOVERED_SECONDS) >= RECOVERED_FRACTION * before);
         ServiceCourse {
             baseline: before,
             during_loss: service(begins..ends),
@@ -57,9 +58,9 @@
 
 /// Runs with one load and one loss.
 pub struct StabilityCell {
-    /// The load, as a part of the capacity.
+    /// The load, as a fraction of the capacity.
     pub load: f64,
-    /// The part of the machines that is lost.
+    /// The fraction of machines that is lost.
     pub lost_fraction: f64,
     /// One run for each seed.
     pub runs: Vec<RunSummary>,
@@ -68,22 +69,22 @@
 }
 
 impl StabilityCell {
-    /// The part of the load that the remaining machines can serve.
+    /// The fraction of the load that the remaining machines can serve; at most 1.
     pub fn servable_fraction(&self) -> f64 {
         ((1.0 - self.lost_fraction) / self.load).min(1.0)
     }
 
-    /// A figure's mean over the seeds.
+    /// The mean of a figure over the seeds.
     fn mean(&self, figure: impl Fn(&ServiceCourse) -> f64) -> Mean {
         Mean::of(&self.courses.iter().map(figure).collect::<Vec<_>>())
     }
 
-    /// Number of seeds that never recovered.
+    /// Number of seeds with which service did not recover.
     pub fn unrecovered_seeds(&self) -> usize {
         self.courses.iter().filter(|c| c.recovery_seconds.is_none()).count()
     }
 
-    /// The longest recovery among the seeds that recovered, in seconds.
+    /// The longest recovery among the seeds with which service recovered, in seconds.
     fn longest_recovery(&self) -> f64 {
         self.courses.iter().filter_map(|c| c.recovery_seconds).fold(0.0, f64::max)
     }
@@ -97,24 +98,25 @@
     }
 }
 
-/// The map, by load and then by loss.
+/// A stability map.
 pub struct StabilityMap {
-    /// The cells; those of one load follow each other.
+    /// The cells, by load and then by fraction lost.
     pub cells: Vec<StabilityCell>,
 }
 
-/// Why there is no map.
+/// Why a map can't be computed.
 #[derive(Debug, thiserror::Error)]
 pub enum MapError {
-    /// The grid can't be made.
+    /// The grid of scenarios can't be built.
     #[error(transparent)]
     Grid(#[from] SweepError),
-    /// Nothing is lost in the scenario.
+    /// The scenario has no failure.
     #[error("failure.0: the scenario has no failure whose part could be varied")]
     NoFailure,
 }
 
-/// Runs a scenario, whose first failure is the loss, with each load and part lost. `ended` is called after each run.
+/// Runs a scenario, whose first failure is the loss of machines, with each load, fraction lost and seed.
+/// `ended` is called after each run.
 pub fn map(
     text: &str,
     (loads, lost): (&[f64], &[f64]),
@@ -122,7 +124,7 @@
     seeds: &[u64],
     ended: impl Fn() + Sync,
 ) -> Result<StabilityMap, MapError> {
-    let scenarios = grid(text, &[Axis::of_numbers(LOAD, loads), Axis::of_numbers(LOST, lost)])?;
+    let scenarios = grid(text, &[Axis::of_numbers(LOAD_KEY, loads), Axis::of_numbers(LOST_KEY, lost)])?;
     if scenarios.iter().any(|(_, scenario)| scenario.failures.is_empty()) {
         return Err(MapError::NoFailure);
     }
@@ -131,7 +133,8 @@
     let runs = by_cell(&places, seeds, |((_, lost), scenario), seed| {
         let mut scenario = scenario.clone();
         let loss = setup::draw(&scenario, seed).failures[0].clone();
-        // At least one server is meant by any part: where none is, there is no failure.
+        // A failure affects at least one machine whatever its fraction, so a cell without loss has no
+        // failure.
         if *lost <= 0.0 {
             scenario.failures.remove(0);
         }
@@ -157,10 +160,10 @@
             "lost",
             "service before",
             "during",
-            "of what is left to serve %",
-            "back after s, mean",
+            "of the servable load %",
+            "recovered after s, mean",
             "longest",
-            "never back",
+            "not recovered",
             "choked",
         ];
         let row = |cell: &StabilityCell| {
@@ -187,8 +190,9 @@
         markdown(&self.rows())
     }
 
-    /// Compares the cells with an earlier map, seed by seed: service of the whole run, in percentage points.
-    /// The second part counts the cells that are significantly worse.
+    /// Compares the cells with the runs of an earlier map, paired by seed, by the service of the whole run.
+    /// Returns a table in percentage points, and the number of cells that are worse by more than the
+    /// tolerance.
     pub fn compare_with(&self, earlier: &[RunSummary]) -> (String, usize) {
         let heading = ["load", "lost", "service before the change", "now", "gain", ""].map(String::from);
         let (mut rows, mut worse) = (vec![heading.to_vec()], 0);
@@ -203,7 +207,7 @@
             }
             let mean = |of: fn(&(f64, f64)) -> f64| Mean::of(&pairs.iter().map(of).collect::<Vec<_>>());
             let gain = mean(|p| p.1 - p.0);
-            let is_worse = gain.mean < -WORSE;
+            let is_worse = gain.mean < -WORSE_POINTS;
             worse += usize::from(is_worse);
             rows.push(vec![
                 format!("{:.2}", cell.load),
@@ -217,7 +221,7 @@
         (markdown(&rows), worse)
     }
 
-    /// One self-contained page: the table, and plots over the part that is lost, a curve for each load.
+    /// One self-contained HTML page: the table, and plots over the fraction lost with a curve for each load.
     pub fn html(&self, title: &str) -> Result<String, PlotError> {
         let curves = |figure: &dyn Fn(&StabilityCell) -> f64| {
             by_load(self.cells.iter().map(|cell| (cell.load, (cell.lost_fraction, figure(cell)))))
@@ -225,23 +229,23 @@
         let part =
             |cell: &StabilityCell| 100.0 * cell.unrecovered_seeds() as f64 / cell.courses.len().max(1) as f64;
         let during = |cell: &StabilityCell| cell.mean(|c| 100.0 * c.during_loss).mean;
-        let axis = "part of the servers that is lost";
+        let axis = "fraction of servers lost";
         let plots = [
             lines("Service while the loss lasts", axis, "%", &curves(&during))?,
             lines(
-                "... of what is left to serve",
+                "Service while the loss lasts, of the servable load",
                 axis,
                 "%",
                 &curves(&|c| during(c) / c.servable_fraction()),
             )?,
             lines(
-                "Longest time until service is back",
+                "Longest time until service has recovered",
                 axis,
                 "s",
                 &curves(&StabilityCell::longest_recovery),
             )?,
-            lines("Seeds that never come back", axis, "%", &curves(&part))?,
-            lines("Servers that turned slow", axis, "servers", &curves(&StabilityCell::chokes))?,
+            lines("Seeds without recovery", axis, "%", &curves(&part))?,
+            lines("Servers that became choked", axis, "servers", &curves(&StabilityCell::chokes))?,
         ];
         Ok(page(title, &self.rows(), &plots))
     }
--- a/crates/simulation/src/stand_in_thread.rs
+++ b/crates/simulation/src/stand_in_thread.rs
@@ -1,4 +1,4 @@
-//! Stand-in backends and discovery, on a thread of their own until the program ends.
+//! Stand-in backends and their discovery service, on a thread of their own that runs until the process exits.
 
 use crate::discovery;
 use crate::servers::{self, ConnectionCounts, ResponseBody};
@@ -9,17 +9,17 @@
 use tokio::runtime::Builder;
 use tokio::task::{spawn_local, LocalSet};
 
-/// Addresses of the stand-ins.
+/// The addresses of running stand-ins, and the backends' connection counts.
 pub struct StandInThread {
-    /// The servers.
+    /// Address of each backend, by its number.
     pub servers: Vec<SocketAddr>,
-    /// Their discovery service.
+    /// Address of the discovery service that lists the backends.
     pub discovery: SocketAddr,
-    /// The servers' connections.
+    /// Connection counts of all backends together, updated while they run.
     pub connections: Arc<ConnectionCounts>,
 }
 
-/// A listener at a port of the system's choice, and its address.
+/// Binds a non-blocking listener to a free loopback port, and returns it with its address.
 pub fn listener() -> Result<(TcpListener, SocketAddr)> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     listener.set_nonblocking(true)?;
@@ -28,7 +28,8 @@
 }
 
 impl StandInThread {
-    /// Starts a number of backends; `answers` makes the responses of each, by its number.
+    /// Starts `count` backends and their discovery service. `answers` returns the response body function of
+    /// each backend, by its number.
     pub fn start(
         count: usize,
         answers: impl Fn(usize) -> Rc<ResponseBody> + Send + 'static,
