--- a/crates/simulation/src/access_log_report.rs
+++ b/crates/simulation/src/access_log_report.rs
@@ -45,7 +45,7 @@
 /// Outcomes of a group of requests.
 #[derive(Clone, Debug, Default)]
 struct OutcomeCounts {
-    calls: u64,
+    requests: u64,
     served: u64,
     /// Number of requests not served, by the proxy's reason, or else by the outcome of the last attempt.
     unserved: BTreeMap<String, u64>,
@@ -55,7 +55,7 @@
 
 impl OutcomeCounts {
     fn count(&mut self, record: &Record) {
-        self.calls += 1;
+        self.requests += 1;
         if record.end == "served" {
             self.served += 1;
             return self.latencies.push(record.earlier_ms + record.last_ms);
@@ -65,7 +65,7 @@
     }
 
     fn add(&mut self, other: &OutcomeCounts) {
-        self.calls += other.calls;
+        self.requests += other.requests;
         self.served += other.served;
         self.latencies.extend(&other.latencies);
         for (why, count) in &other.unserved {
@@ -76,10 +76,10 @@
     /// A table row: number of requests, percentage not served, percentage for each reason, and median latency
     /// of the served requests.
     fn row(&self, reasons: &BTreeSet<&String>) -> String {
-        let part = |count: u64| 100.0 * count as f64 / self.calls.max(1) as f64;
-        let mut row = format!(" {} | {:.1} |", self.calls, part(self.calls - self.served));
+        let percentage = |count: u64| 100.0 * count as f64 / self.requests.max(1) as f64;
+        let mut row = format!(" {} | {:.1} |", self.requests, percentage(self.requests - self.served));
         for reason in reasons {
-            let _ = write!(row, " {:.1} |", part(self.unserved.get(*reason).copied().unwrap_or(0)));
+            let _ = write!(row, " {:.1} |", percentage(self.unserved.get(*reason).copied().unwrap_or(0)));
         }
         let mut latencies = self.latencies.clone();
         latencies.sort_by(f64::total_cmp);
@@ -99,7 +99,8 @@
 #[derive(Debug, Default)]
 pub struct AccessLogReport {
     tiers: BTreeMap<String, Tier>,
-    from: u64,
+    /// The first second with a request, as Unix time.
+    first_second: u64,
 }
 
 impl AccessLogReport {
@@ -107,7 +108,7 @@
     pub fn read(folder: &Path) -> Result<AccessLogReport, ReadLogError> {
         let failed = |path: &Path, why| ReadLogError::File { path: path.to_path_buf(), why };
         let entries = std::fs::read_dir(folder).map_err(|why| failed(folder, why))?;
-        let mut fleet = AccessLogReport { from: u64::MAX, ..AccessLogReport::default() };
+        let mut fleet = AccessLogReport { first_second: u64::MAX, ..AccessLogReport::default() };
         for entry in entries {
             let path = entry.map_err(|why| failed(folder, why))?.path();
             if path.is_file() {
@@ -131,7 +132,7 @@
         for record in records {
             let Ok(at) = humantime::parse_rfc3339(&record.timestamp) else { continue };
             let second = at.duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
-            self.from = self.from.min(second);
+            self.first_second = self.first_second.min(second);
             let tier = self.tiers.entry(record.tier.clone()).or_default();
             tier.proxies.entry(proxy.to_path_buf()).or_default().count(&record);
             tier.seconds.entry(second).or_default().count(&record);
@@ -142,9 +143,9 @@
     pub fn tables(&self) -> String {
         let mut text = String::new();
         for (name, tier) in &self.tiers {
-            let mut whole = OutcomeCounts::default();
-            tier.proxies.values().for_each(|counts| whole.add(counts));
-            let reasons: BTreeSet<&String> = whole.unserved.keys().collect();
+            let mut total = OutcomeCounts::default();
+            tier.proxies.values().for_each(|counts| total.add(counts));
+            let reasons: BTreeSet<&String> = total.unserved.keys().collect();
             let names: String = reasons.iter().map(|reason| format!(" {reason} % |")).collect();
             let rule = "---: |".repeat(reasons.len());
             let name = if name.is_empty() { "tier not told" } else { name };
@@ -158,10 +159,10 @@
             for (quarter, counts) in ["least", "second", "third", "most"].iter().zip(tier.quarters()) {
                 let _ = write!(text, "| {quarter} loaded quarter |{}", counts.row(&reasons));
             }
-            let _ = writeln!(text, "| all |{}", whole.row(&reasons));
+            let _ = writeln!(text, "| all |{}", total.row(&reasons));
             text += &head("second");
             for (second, counts) in &tier.seconds {
-                let _ = write!(text, "| {} |{}", second - self.from, counts.row(&reasons));
+                let _ = write!(text, "| {} |{}", second - self.first_second, counts.row(&reasons));
             }
             text.push('\n');
         }
@@ -173,7 +174,7 @@
     /// Totals of the proxies in four quarters, from least to most traffic.
     fn quarters(&self) -> [OutcomeCounts; 4] {
         let mut by_load: Vec<&OutcomeCounts> = self.proxies.values().collect();
-        by_load.sort_by_key(|counts| counts.calls);
+        by_load.sort_by_key(|counts| counts.requests);
         let mut quarters: [OutcomeCounts; 4] = std::array::from_fn(|_| OutcomeCounts::default());
         for (place, counts) in by_load.iter().enumerate() {
             quarters[place * 4 / by_load.len()].add(counts);
@@ -195,7 +196,7 @@
 
     #[test]
     fn requests_are_counted_by_load_reason_tier_and_second() {
-        let mut fleet = AccessLogReport { from: u64::MAX, ..AccessLogReport::default() };
+        let mut fleet = AccessLogReport { first_second: u64::MAX, ..AccessLogReport::default() };
         for proxy in 0..3 {
             let log = record(0, "front", "served", "") + "noise {\n" + &record(1, "front", "served", "");
             fleet.add(Path::new(&format!("cool-{proxy}")), &log);
--- a/crates/simulation/src/sim/accounting.rs
+++ b/crates/simulation/src/sim/accounting.rs
@@ -96,9 +96,9 @@
     /// The cell of a sweep that the run belongs to; empty outside of a sweep.
     #[serde(default)]
     pub cell: String,
-    /// The policy's name.
+    /// Name of the policy.
     pub policy: String,
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
     /// Service: the weight answered within the latency objective, as a fraction of the weight requested.
     pub service: f64,
@@ -115,13 +115,11 @@
     /// Fraction of the requests that failed or timed out at the client.
     pub failed: f64,
     /// Fraction of client attempts rejected by the quarter of the first tier's proxies with the most traffic.
-    #[serde(default)]
-    #[serde(rename = "refused_hot")]
+    #[serde(default, rename = "refused_hot")]
     pub rejected_hot: f64,
     /// Fraction of client attempts rejected by the quarter of the first tier's proxies with the least
     /// traffic.
-    #[serde(default)]
-    #[serde(rename = "refused_cool")]
+    #[serde(default, rename = "refused_cool")]
     pub rejected_cool: f64,
     /// Client attempts per client request.
     #[serde(rename = "tries")]
@@ -142,8 +140,7 @@
     #[serde(rename = "wrong_answers")]
     pub response_errors: u64,
     /// Side effects of all proxies together; zero where they were not counted.
-    #[serde(default)]
-    #[serde(rename = "harm")]
+    #[serde(default, rename = "harm")]
     pub side_effects: SideEffects,
     /// The results of each second.
     pub seconds: Vec<Second>,
@@ -253,12 +250,12 @@
         self.by_proxy.retain(|[arrived, _]| *arrived > 0);
         self.by_proxy.sort_unstable();
         let quarter = (self.by_proxy.len() / 4).max(1).min(self.by_proxy.len());
-        let part = |proxies: &[[u64; 2]]| {
-            let [arrived, refused] = [0, 1].map(|of| proxies.iter().map(|p| p[of]).sum::<u64>() as f64);
-            refused / arrived.max(1.0)
+        let rejected_fraction = |proxies: &[[u64; 2]]| {
+            let [arrived, rejected] = [0, 1].map(|of| proxies.iter().map(|p| p[of]).sum::<u64>() as f64);
+            rejected / arrived.max(1.0)
         };
-        self.rejected_cool = part(&self.by_proxy[..quarter]);
-        self.rejected_hot = part(&self.by_proxy[self.by_proxy.len() - quarter..]);
+        self.rejected_cool = rejected_fraction(&self.by_proxy[..quarter]);
+        self.rejected_hot = rejected_fraction(&self.by_proxy[self.by_proxy.len() - quarter..]);
     }
 
     /// Records that a proxy in front of a tier sends an attempt.
@@ -281,12 +278,12 @@
     /// Records how a client request ended, in the second of its intended start.
     pub fn record_outcome(
         &mut self,
-        first_at_ms: f64,
+        started_at_ms: f64,
         (tenant, weight): (usize, f64),
-        ended: RequestOutcome,
+        outcome: RequestOutcome,
     ) {
-        let second = self.second(first_at_ms);
-        match ended {
+        let second = self.second(started_at_ms);
+        match outcome {
             RequestOutcome::Answered { latency_ms, within_objective } => {
                 if within_objective {
                     second.within_objective += 1;
@@ -310,13 +307,13 @@
         let quotas = std::mem::take(&mut self.tenant_quotas);
         for window in self.seconds.chunks_mut(QUOTA_WINDOW_SECONDS) {
             for tenant in 0..quotas.quotas.len().max(1) {
-                let part = [0, 1].map(|of| {
-                    let worth: f64 = window.iter().map(|s| s.tenants[tenant][of]).sum();
-                    quotas.counted_weight(tenant, worth, window.len() as f64) / worth.max(1e-9)
+                let counted = [0, 1].map(|of| {
+                    let weight: f64 = window.iter().map(|s| s.tenants[tenant][of]).sum();
+                    quotas.counted_weight(tenant, weight, window.len() as f64) / weight.max(1e-9)
                 });
                 for second in window.iter_mut() {
-                    second.offered_weight += part[0] * second.tenants[tenant][0];
-                    second.served_weight += part[1] * second.tenants[tenant][1];
+                    second.offered_weight += counted[0] * second.tenants[tenant][0];
+                    second.served_weight += counted[1] * second.tenants[tenant][1];
                 }
             }
         }
--- a/crates/simulation/src/sim/attempts.rs
+++ b/crates/simulation/src/sim/attempts.rs
@@ -29,7 +29,7 @@
     ) {
         let id = self.requests.len();
         // Clients mark their retries: the settings have `marks_retry`.
-        let is_retry = matches!(source, RequestSource::Client { no, .. } if no > 0);
+        let is_retry = matches!(source, RequestSource::Client { attempt_number, .. } if attempt_number > 0);
         self.requests.push(ProxyRequest {
             proxy,
             source,
@@ -79,15 +79,15 @@
         if self.hosts[machine].away_notified_at.is_some_and(|notified_at| self.now > notified_at + 2_000.0) {
             self.totals.late_sends += 1;
         }
-        let of = &self.parameters.tiers[tier];
-        let whole_requests = of.requests_below.floor();
-        let calls_below = whole_requests as usize
-            + usize::from(uniform(&mut self.network_rng) < of.requests_below - whole_requests);
-        let phases = calls_below + 1;
+        let tier_parameters = &self.parameters.tiers[tier];
+        let whole_requests = tier_parameters.requests_below.floor();
+        let request_count = whole_requests as usize
+            + usize::from(uniform(&mut self.network_rng) < tier_parameters.requests_below - whole_requests);
+        let phases = request_count + 1;
         let attempt = self.attempts.len();
         let noise = self.parameters.classes[self.requests[request].class].attempt_noise_cv;
         let noise_factor = work::draw(WorkDistribution::Lognormal, 1.0, noise, &mut self.network_rng);
-        let (class, work_fraction) = (self.requests[request].class, of.work_fraction);
+        let (class, work_fraction) = (self.requests[request].class, tier_parameters.work_fraction);
         if tier == 0 && self.requests[request].attempts == 0 {
             self.side_effects.on_admitted(self.now, proxy, class);
         }
@@ -189,21 +189,22 @@
     }
 
     fn phase_done(&mut self, attempt: usize) {
-        let a = &mut self.attempts[attempt];
-        a.phases_left -= 1;
-        if a.phases_left == 0 || a.cancelled {
+        let state = &mut self.attempts[attempt];
+        state.phases_left -= 1;
+        if state.phases_left == 0 || state.cancelled {
             return self.finish_attempt(attempt, Outcome::Ok);
         }
-        let (machine, request) = (a.machine, a.request);
-        let of = &self.requests[request];
-        let (class_and_tenant, work, ttl) = ((of.class, of.tenant), of.work, of.deadline_at - self.now);
-        let calls_left = a.phases_left as f64;
+        let (machine, request) = (state.machine, state.request);
+        let parent = &self.requests[request];
+        let (class_and_tenant, work, ttl) =
+            ((parent.class, parent.tenant), parent.work, parent.deadline_at - self.now);
+        let requests_left = state.phases_left as f64;
         let Some(proxy) = self.hosts[machine].proxy else {
             return self.finish_attempt(attempt, Outcome::Ok);
         };
         // The work at the tiers below is divided by the number of requests sent there.
         let tier = self.hosts[machine].tier;
-        let requests_below = self.parameters.tiers[tier].requests_below.max(1.0).max(calls_left);
+        let requests_below = self.parameters.tiers[tier].requests_below.max(1.0).max(requests_left);
         self.attempts[attempt].request_below = Some(self.requests.len());
         let work = if self.parameters.independent_tier_work {
             let class = &self.parameters.classes[class_and_tenant.0];
@@ -255,30 +256,33 @@
     /// Sends a proxy's final response to the source of the request. A second response to a request is counted
     /// as an error.
     pub(super) fn respond(&mut self, request: usize, end: ResponseKind, retry_after: f64) {
-        let a = &mut self.requests[request];
-        if a.abandoned {
+        let state = &mut self.requests[request];
+        if state.abandoned {
             return;
         }
-        if std::mem::replace(&mut a.answered, true) {
+        if std::mem::replace(&mut state.answered, true) {
             self.totals.response_errors += 1;
             return;
         }
-        match a.source {
-            RequestSource::Client { client_request, no } => {
+        match state.source {
+            RequestSource::Client { client_request, attempt_number } => {
                 if end == ResponseKind::Rejected {
-                    self.totals.record_rejection_by(a.proxy);
-                    self.side_effects.on_rejected(self.now, a.proxy, a.class, a.attempts == 0);
+                    self.totals.record_rejection_by(state.proxy);
+                    self.side_effects.on_rejected(self.now, state.proxy, state.class, state.attempts == 0);
                 }
                 let at = self.now + self.parameters.client_delay;
-                self.queue.schedule(at, SimEvent::ResponseArrival { client_request, no, end, retry_after });
+                self.queue.schedule(
+                    at,
+                    SimEvent::ResponseArrival { client_request, attempt_number, end, retry_after },
+                );
             }
             RequestSource::Machine { attempt } => {
-                let of = &mut self.attempts[attempt];
-                of.request_below = None;
-                let (machine, work) = (of.machine, of.phase_work);
+                let parent = &mut self.attempts[attempt];
+                parent.request_below = None;
+                let (machine, work) = (parent.machine, parent.phase_work);
                 if end != ResponseKind::Served {
                     self.finish_attempt(attempt, Outcome::Error);
-                } else if of.on_machine {
+                } else if parent.on_machine {
                     let now = self.now;
                     self.hosts[machine].machine.resume(now, attempt as u64, work, &mut self.completed_jobs);
                     self.continue_completed_work(machine);
@@ -312,12 +316,12 @@
     /// A cancellation reaches the machine: queued work is dropped, running work continues to the end of its
     /// phase.
     pub(super) fn cancel_at_machine(&mut self, attempt: usize) {
-        let a = &mut self.attempts[attempt];
-        if !a.on_machine || self.hosts[a.machine].unreachable {
+        let state = &mut self.attempts[attempt];
+        if !state.on_machine || self.hosts[state.machine].unreachable {
             return;
         }
-        a.cancelled = true;
-        let (machine, below) = (a.machine, a.request_below.take());
+        state.cancelled = true;
+        let (machine, below) = (state.machine, state.request_below.take());
         if let Some(request_below) = below {
             self.client_gone(request_below);
             return self.finish_attempt(attempt, Outcome::Cancelled);
@@ -331,11 +335,12 @@
 
     /// Ends an attempt at its proxy. Only the first outcome counts; later ones are ignored.
     pub(super) fn end_attempt(&mut self, attempt: usize, outcome: Outcome) {
-        let a = &mut self.attempts[attempt];
-        if std::mem::replace(&mut a.ended, true) {
+        let state = &mut self.attempts[attempt];
+        if std::mem::replace(&mut state.ended, true) {
             return;
         }
-        let (request, no, machine, took) = (a.request, a.number, a.machine, self.now - a.sent_at);
+        let (request, attempt_number, machine, took) =
+            (state.request, state.number, state.machine, self.now - state.sent_at);
         self.requests[request].in_flight = None;
         let proxy = self.requests[request].proxy;
         let keeps_connection = matches!(outcome, Outcome::Ok | Outcome::Rejected | Outcome::Error);
@@ -351,7 +356,7 @@
         let late = self.now >= self.requests[request].deadline_at;
         let event = Event::Outcome {
             request: request as u64,
-            attempt: no as u8,
+            attempt: attempt_number as u8,
             backend: machine as u32,
             outcome,
             took_ms: took,
@@ -359,8 +364,8 @@
             report: LoadReport::default(),
         };
         self.pass_event(proxy, event);
-        let a = &self.requests[request];
-        if late && !a.answered && !a.abandoned && a.in_flight.is_none() {
+        let state = &self.requests[request];
+        if late && !state.answered && !state.abandoned && state.in_flight.is_none() {
             self.respond(request, ResponseKind::Failed, 0.0);
         }
     }
@@ -369,11 +374,11 @@
     /// otherwise the proxies get no sign of it.
     pub(super) fn lose_attempts_on(&mut self, machine: usize, reset: bool) {
         for attempt in 0..self.attempts.len() {
-            let a = &mut self.attempts[attempt];
-            if a.machine != machine || !std::mem::take(&mut a.on_machine) {
+            let state = &mut self.attempts[attempt];
+            if state.machine != machine || !std::mem::take(&mut state.on_machine) {
                 continue;
             }
-            if let Some(below) = a.request_below.take() {
+            if let Some(below) = state.request_below.take() {
                 self.client_gone(below);
             }
             if reset {
--- a/crates/simulation/src/sim/clients.rs
+++ b/crates/simulation/src/sim/clients.rs
@@ -41,13 +41,15 @@
 
     /// Schedules a client's attempt after a wait. The attempt's timeout counts from its start.
     fn start_client_attempt(&mut self, client_request: usize, wait: f64) {
-        let of = &self.client_requests[client_request];
-        let (no, at) = (of.attempt_number, self.now + wait);
-        let timeout_at = (at + self.attempt_timeout(of.class)).min(of.deadline_at);
+        let state = &self.client_requests[client_request];
+        let (attempt_number, at) = (state.attempt_number, self.now + wait);
+        let timeout_at = (at + self.attempt_timeout(state.class)).min(state.deadline_at);
         self.totals.record_client_attempt(at);
-        self.queue
-            .schedule(at + self.parameters.client_delay, SimEvent::ClientAttempt { client_request, no });
-        self.queue.schedule(timeout_at, SimEvent::ClientAttemptTimeout { client_request, no });
+        self.queue.schedule(
+            at + self.parameters.client_delay,
+            SimEvent::ClientAttempt { client_request, attempt_number },
+        );
+        self.queue.schedule(timeout_at, SimEvent::ClientAttemptTimeout { client_request, attempt_number });
     }
 
     /// How long a client of a class waits for the response to one attempt, in milliseconds.
@@ -74,25 +76,27 @@
     }
 
     /// A client's attempt reaches the load balancer in front of the first tier's proxies.
-    pub(super) fn client_attempt_arrives(&mut self, client_request: usize, no: u32) {
-        let of = &self.client_requests[client_request];
-        if of.closed || of.attempt_number != no {
+    pub(super) fn client_attempt_arrives(&mut self, client_request: usize, attempt_number: u32) {
+        let state = &self.client_requests[client_request];
+        if state.closed || state.attempt_number != attempt_number {
             return;
         }
-        let (class, tenant, work) = (of.class, of.tenant, of.work);
-        let (zone, deadline) = (of.zone, of.deadline_at);
+        let (class, tenant, work) = (state.class, state.tenant, state.work);
+        let (zone, deadline) = (state.zone, state.deadline_at);
         let Some(proxy) = self.choose_proxy(zone) else { return };
         if !self.proxies[proxy].alive {
             // If the proxy's machine is gone too, nothing refuses the connection, and the attempt times out.
             if !self.proxies[proxy].silent {
-                self.fail_client_attempt(client_request, no);
+                self.fail_client_attempt(client_request, attempt_number);
             }
             return;
         }
         match self.link_from_clients(proxy) {
             LinkState::Open(_) => {}
             LinkState::Blocked(_) => return,
-            LinkState::Refused | LinkState::Broken => return self.fail_client_attempt(client_request, no),
+            LinkState::Refused | LinkState::Broken => {
+                return self.fail_client_attempt(client_request, attempt_number)
+            }
         }
         self.totals.record_arrival_at(proxy);
         self.side_effects.on_arrival(class);
@@ -103,7 +107,7 @@
         self.client_requests[client_request].proxy_request = Some(self.requests.len());
         self.receive_request(
             proxy,
-            RequestSource::Client { client_request, no },
+            RequestSource::Client { client_request, attempt_number },
             (class, tenant),
             work,
             ttl.max(0.0),
@@ -111,9 +115,9 @@
     }
 
     /// A client's attempt times out: the client closes it, and may retry.
-    pub(super) fn client_attempt_timed_out(&mut self, client_request: usize, no: u32) {
+    pub(super) fn client_attempt_timed_out(&mut self, client_request: usize, attempt_number: u32) {
         if self.client_requests[client_request].closed
-            || self.client_requests[client_request].attempt_number != no
+            || self.client_requests[client_request].attempt_number != attempt_number
         {
             return;
         }
@@ -125,12 +129,12 @@
 
     /// The client of a request at a proxy has disconnected, and needs no response.
     pub(super) fn client_gone(&mut self, request: usize) {
-        let of = &mut self.requests[request];
-        if of.answered || of.abandoned {
+        let state = &mut self.requests[request];
+        if state.answered || state.abandoned {
             return;
         }
-        of.abandoned = true;
-        let proxy = of.proxy;
+        state.abandoned = true;
+        let proxy = state.proxy;
         if self.proxies[proxy].alive {
             self.pass_event(proxy, Event::ClientGone { request: request as u64 });
         }
@@ -139,22 +143,22 @@
     pub(super) fn response_arrives(
         &mut self,
         client_request: usize,
-        no: u32,
+        attempt_number: u32,
         end: ResponseKind,
         retry_after: f64,
     ) {
         if self.client_requests[client_request].closed
-            || self.client_requests[client_request].attempt_number != no
+            || self.client_requests[client_request].attempt_number != attempt_number
         {
             return;
         }
         match end {
             ResponseKind::Served => {
-                let of = &mut self.client_requests[client_request];
-                of.closed = true;
-                let latency_ms = self.now - of.started_at;
-                let (first_at, tenant, weight) = (of.started_at, of.tenant, of.weight);
-                let within_objective = latency_ms <= self.parameters.classes[of.class].latency_objective;
+                let state = &mut self.client_requests[client_request];
+                state.closed = true;
+                let latency_ms = self.now - state.started_at;
+                let (first_at, tenant, weight) = (state.started_at, state.tenant, state.weight);
+                let within_objective = latency_ms <= self.parameters.classes[state.class].latency_objective;
                 self.totals.record_outcome(
                     first_at,
                     (tenant, weight),
@@ -175,12 +179,12 @@
         } else {
             self.parameters.retry_wait
         };
-        let of = &mut self.client_requests[client_request];
-        of.attempt_number += 1;
-        of.proxy_request = None;
-        if of.attempt_number > self.parameters.retries || self.now + wait >= of.deadline_at {
-            of.closed = true;
-            let first_at = of.started_at;
+        let state = &mut self.client_requests[client_request];
+        state.attempt_number += 1;
+        state.proxy_request = None;
+        if state.attempt_number > self.parameters.retries || self.now + wait >= state.deadline_at {
+            state.closed = true;
+            let first_at = state.started_at;
             return self.totals.record_outcome(first_at, (0, 0.0), ended);
         }
         self.start_client_attempt(client_request, wait);
--- a/crates/simulation/src/sim/failures.rs
+++ b/crates/simulation/src/sim/failures.rs
@@ -8,7 +8,7 @@
 use hillstall_decision::{BackendInfo, BackendState, Event, ListKind};
 
 /// Time from the stop of a drained machine to its start.
-const RESTART_MS: f64 = 500.0;
+const MACHINE_RESTART_MS: f64 = 500.0;
 
 impl World {
     /// The machines that a failure affects: those that it names, or else a fraction of its tier in order,
@@ -165,7 +165,7 @@
             // A machine that another failure has taken down is not restarted by the release.
             Step::Stop if self.hosts[machine].state == BackendState::Draining => {
                 self.kill_machine(machine, true);
-                let at = self.now + RESTART_MS;
+                let at = self.now + MACHINE_RESTART_MS;
                 self.queue.schedule(at, SimEvent::Release { machine, step: Step::Start });
             }
             Step::Stop => {}
--- a/crates/simulation/src/sim/mod.rs
+++ b/crates/simulation/src/sim/mod.rs
@@ -72,7 +72,7 @@
 /// Who sent a request to a proxy.
 #[derive(Clone, Copy)]
 enum RequestSource {
-    Client { client_request: usize, no: u32 },
+    Client { client_request: usize, attempt_number: u32 },
     Machine { attempt: usize },
 }
 
@@ -347,12 +347,14 @@
     fn handle_event(&mut self, what: SimEvent) {
         match what {
             SimEvent::Arrival => self.start_next_request(),
-            SimEvent::ClientAttempt { client_request, no } => self.client_attempt_arrives(client_request, no),
-            SimEvent::ClientAttemptTimeout { client_request, no } => {
-                self.client_attempt_timed_out(client_request, no)
+            SimEvent::ClientAttempt { client_request, attempt_number } => {
+                self.client_attempt_arrives(client_request, attempt_number)
             }
-            SimEvent::ResponseArrival { client_request, no, end, retry_after } => {
-                self.response_arrives(client_request, no, end, retry_after)
+            SimEvent::ClientAttemptTimeout { client_request, attempt_number } => {
+                self.client_attempt_timed_out(client_request, attempt_number)
+            }
+            SimEvent::ResponseArrival { client_request, attempt_number, end, retry_after } => {
+                self.response_arrives(client_request, attempt_number, end, retry_after)
             }
             SimEvent::AttemptArrival { attempt } => self.attempt_arrives(attempt),
             SimEvent::MachineChange { machine, stamp } => {
--- a/crates/simulation/src/sim/proxy_restarts.rs
+++ b/crates/simulation/src/sim/proxy_restarts.rs
@@ -6,7 +6,7 @@
 use rand_xoshiro::rand_core::RngCore;
 
 /// Time that a new proxy process takes to start.
-const START_MS: f64 = 100.0;
+const PROXY_START_MS: f64 = 100.0;
 
 impl World {
     /// A fraction of the first tier's proxies, rounded to at least one, in the order of their ranks.
@@ -31,18 +31,23 @@
             if let Some(attempt) = self.requests[request].in_flight {
                 self.queue.schedule(self.now, SimEvent::CancelArrival { attempt });
             }
-            if let RequestSource::Client { client_request: call, no } = self.requests[request].source {
-                self.fail_client_attempt(call, no);
+            if let RequestSource::Client { client_request, attempt_number } = self.requests[request].source {
+                self.fail_client_attempt(client_request, attempt_number);
             }
         }
     }
 
     /// Fails a client's attempt at once, because its connection was reset or refused.
-    pub(super) fn fail_client_attempt(&mut self, client_request: usize, no: u32) {
+    pub(super) fn fail_client_attempt(&mut self, client_request: usize, attempt_number: u32) {
         let at = self.now + self.parameters.client_delay;
         self.queue.schedule(
             at,
-            SimEvent::ResponseArrival { client_request, no, end: ResponseKind::Failed, retry_after: 0.0 },
+            SimEvent::ResponseArrival {
+                client_request,
+                attempt_number,
+                end: ResponseKind::Failed,
+                retry_after: 0.0,
+            },
         );
     }
 
@@ -72,7 +77,7 @@
     }
 
     /// Restarts a proxy gracefully: it completes its open requests, while a new process starts in its place.
-    /// The first call begins the drain; the second, [`START_MS`] later, puts the new process in place.
+    /// The first call begins the drain; the second, [`PROXY_START_MS`] later, puts the new process in place.
     pub(super) fn restart_gracefully(&mut self, proxy: usize) {
         if self.proxies[proxy].draining {
             // Second step: the new process is up.
@@ -86,7 +91,7 @@
         }
         if self.proxies[proxy].alive {
             self.proxies[proxy].draining = true;
-            self.queue.schedule(self.now + START_MS, SimEvent::GracefulRestart { proxy });
+            self.queue.schedule(self.now + PROXY_START_MS, SimEvent::GracefulRestart { proxy });
         }
     }
 }
--- a/crates/simulation/src/sim/queue.rs
+++ b/crates/simulation/src/sim/queue.rs
@@ -10,11 +10,11 @@
     /// The next client request starts.
     Arrival,
     /// A client's attempt reaches the load balancer in front of the proxies.
-    ClientAttempt { client_request: usize, no: u32 },
+    ClientAttempt { client_request: usize, attempt_number: u32 },
     /// A client's attempt times out.
-    ClientAttemptTimeout { client_request: usize, no: u32 },
+    ClientAttemptTimeout { client_request: usize, attempt_number: u32 },
     /// The final response to a client's attempt reaches the client.
-    ResponseArrival { client_request: usize, no: u32, end: ResponseKind, retry_after: f64 },
+    ResponseArrival { client_request: usize, attempt_number: u32, end: ResponseKind, retry_after: f64 },
     /// A proxy's attempt reaches its machine.
     AttemptArrival { attempt: usize },
     /// A machine completes work or its speed changes. The event is stale unless `stamp` is the machine's
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -32,10 +32,10 @@
     Xoshiro256PlusPlus::seed_from_u64(seed ^ number.wrapping_mul(0x9E37_79B9_7F4A_7C15))
 }
 
-/// A class of requests, as drawn for one run.
+/// A class of requests, as drawn for one run. Times are in milliseconds.
 #[derive(Clone)]
 pub struct DrawnClass {
-    /// For people.
+    /// The class's name.
     pub name: String,
     /// Share of the requests, relative to the other classes.
     pub share: f64,
@@ -69,7 +69,7 @@
 /// A tenant, as drawn for one run.
 #[derive(Clone)]
 pub struct DrawnTenant {
-    /// For people.
+    /// The tenant's name.
     pub name: String,
     /// Share of the requests, relative to the other tenants.
     pub traffic_share: f64,
@@ -80,7 +80,7 @@
 /// A tier of machines, as drawn for one run.
 #[derive(Clone)]
 pub struct DrawnTier {
-    /// For people.
+    /// The tier's name.
     pub name: String,
     /// The machines of the tier.
     pub machines: Vec<DrawnBackend>,
@@ -93,7 +93,7 @@
     pub requests_below: f64,
 }
 
-/// A failure, as drawn for one run.
+/// A failure, as drawn for one run. Times are in milliseconds.
 #[derive(Clone)]
 pub struct DrawnFailure {
     /// Kind of the failure.
@@ -127,7 +127,7 @@
     pub to_zone: Option<usize>,
     /// Kind of the fault.
     pub mode: LinkFaultMode,
-    /// Additional one-way delay, for [`LinkFaultMode::Delay`].
+    /// Additional one-way delay in milliseconds, for [`LinkFaultMode::Delay`].
     pub delay: f64,
 }
 
@@ -149,7 +149,7 @@
     }
 }
 
-/// The parameters of one run.
+/// The parameters of one run. Times, durations and delays are in milliseconds.
 #[derive(Clone)]
 pub struct DrawnScenario {
     /// How long client requests arrive.
--- a/crates/simulation/src/stability.rs
+++ b/crates/simulation/src/stability.rs
@@ -35,23 +35,23 @@
         let service = |range: std::ops::Range<usize>| {
             let range = range.start.min(seconds.len())..range.end.min(seconds.len());
             let sum = |of: fn(&Second) -> f64| seconds[range.clone()].iter().map(of).sum::<f64>();
-            let worth = sum(|s| s.offered_weight);
-            if worth > 0.0 {
-                sum(|s| s.served_weight) / worth
+            let offered = sum(|s| s.offered_weight);
+            if offered > 0.0 {
+                sum(|s| s.served_weight) / offered
             } else {
                 0.0
             }
         };
         let (begins, ends) = (from as usize, (from + lasts).ceil() as usize);
         // Requests of the last second before the loss may still be in flight when it begins.
-        let usual = begins.saturating_sub(1);
-        let before = service(WARMUP_SECONDS.min(usual)..usual);
-        let back = (ends..(seconds.len() + 1).saturating_sub(RECOVERED_SECONDS))
-            .find(|s| service(*s..s + RECOVERED_SECONDS) >= RECOVERED_FRACTION * before);
+        let baseline_end = begins.saturating_sub(1);
+        let baseline = service(WARMUP_SECONDS.min(baseline_end)..baseline_end);
+        let recovered_at = (ends..(seconds.len() + 1).saturating_sub(RECOVERED_SECONDS))
+            .find(|s| service(*s..s + RECOVERED_SECONDS) >= RECOVERED_FRACTION * baseline);
         ServiceCourse {
-            baseline: before,
+            baseline,
             during_loss: service(begins..ends),
-            recovery_seconds: back.map(|s| (s - ends) as f64),
+            recovery_seconds: recovered_at.map(|s| (s - ends) as f64),
         }
     }
 }
@@ -128,9 +128,9 @@
     if scenarios.iter().any(|(_, scenario)| scenario.failures.is_empty()) {
         return Err(MapError::NoFailure);
     }
-    let places = loads.iter().flat_map(|load| lost.iter().map(move |lost| (*load, *lost)));
-    let places: Vec<_> = places.zip(scenarios).map(|(place, (_, scenario))| (place, scenario)).collect();
-    let runs = by_cell(&places, seeds, |((_, lost), scenario), seed| {
+    let cells = loads.iter().flat_map(|load| lost.iter().map(move |lost| (*load, *lost)));
+    let cells: Vec<_> = cells.zip(scenarios).map(|(place, (_, scenario))| (place, scenario)).collect();
+    let runs = by_cell(&cells, seeds, |((_, lost), scenario), seed| {
         let mut scenario = scenario.clone();
         let loss = setup::draw(&scenario, seed).failures[0].clone();
         // A failure affects at least one machine whatever its fraction, so a cell without loss has no
@@ -143,7 +143,7 @@
         let course = ServiceCourse::of(&summary.seconds, loss.at / 1e3, loss.duration / 1e3);
         (summary, course)
     });
-    let cells = places.iter().zip(runs).map(|(((load, lost), _), runs)| {
+    let cells = cells.iter().zip(runs).map(|(((load, lost), _), runs)| {
         let (runs, courses) = runs.into_iter().unzip();
         let mut cell = StabilityCell { load: *load, lost_fraction: *lost, runs, courses };
         let name = cell.name();
@@ -168,14 +168,14 @@
         ];
         let row = |cell: &StabilityCell| {
             let during = cell.mean(|c| 100.0 * c.during_loss);
-            let back: Vec<f64> = cell.courses.iter().filter_map(|c| c.recovery_seconds).collect();
+            let recoveries: Vec<f64> = cell.courses.iter().filter_map(|c| c.recovery_seconds).collect();
             vec![
                 format!("{:.2}", cell.load),
                 format!("{:.2}", cell.lost_fraction),
                 format!("{:.1}", cell.mean(|c| 100.0 * c.baseline).mean),
                 format!("{:.1} ± {:.1}", during.mean, during.half_width),
                 format!("{:.0}", during.mean / cell.servable_fraction()),
-                format!("{:.1}", Mean::of(&back).mean),
+                format!("{:.1}", Mean::of(&recoveries).mean),
                 format!("{:.0}", cell.longest_recovery()),
                 format!("{} of {}", cell.unrecovered_seeds(), cell.courses.len()),
                 format!("{:.1}", cell.chokes()),
