--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,7 +1,7 @@
 //! The format of scenario files (TOML): tiers, load, clients, discovery, and failures with their times. Any
 //! time or number may be a range `[low, high]`, from which each seed draws one value. Errors name the line of
-//! an unknown key or a bad value. Except for renamed fields, the names of fields and values are the keys and
-//! values of the file.
+//! an unknown key or a bad value. The key of a field is its name or the one in its `rename` attribute; keys
+//! stay, as scenario files of users have them.
 
 use crate::model::machine::{Choke, MachineSpec};
 use crate::model::work::WorkDistribution;
@@ -119,12 +119,18 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChokeSpec {
-    at: Number,
-    over: Span,
-    slower: Number,
-    below: Number,
-    rest: Span,
-    most: Span,
+    #[serde(rename = "at")]
+    queued_per_core: Number,
+    #[serde(rename = "over")]
+    saturated_for: Span,
+    #[serde(rename = "slower")]
+    slowdown: Number,
+    #[serde(rename = "below")]
+    idle_below: Number,
+    #[serde(rename = "rest")]
+    idle_for: Span,
+    #[serde(rename = "most")]
+    max_duration: Span,
 }
 
 /// A tier of equal machines. Each tier has proxies in front of it.
@@ -134,7 +140,8 @@
     /// The tier's name, for reports.
     pub name: String,
     /// Number of machines.
-    pub servers: Number,
+    #[serde(rename = "servers")]
+    pub machines: Number,
     /// Cores per machine.
     #[serde(default = "one")]
     pub cores: Number,
@@ -145,52 +152,52 @@
     #[serde(default = "unlimited")]
     pub slots_per_core: Number,
     /// Maximum number of queued requests, per core.
-    #[serde(default = "unlimited")]
-    pub room_per_core: Number,
+    #[serde(rename = "room_per_core", default = "unlimited")]
+    pub queue_per_core: Number,
     /// Requests per core above which a machine thrashes.
-    #[serde(default = "unlimited")]
-    pub thrash_at: Number,
+    #[serde(rename = "thrash_at", default = "unlimited")]
+    pub thrash_per_core: Number,
     /// Fraction of the speed that is left to a machine that thrashes.
-    #[serde(default = "one")]
-    pub thrash_to: Number,
+    #[serde(rename = "thrash_to", default = "one")]
+    pub thrash_fraction: Number,
     /// Fraction of the speed right after a start.
-    #[serde(default = "one")]
-    pub cold_from: Number,
+    #[serde(rename = "cold_from", default = "one")]
+    pub warmup_start_fraction: Number,
     /// Duration of the slow start.
-    #[serde(default = "zero_duration")]
-    pub cold: Span,
+    #[serde(rename = "cold", default = "zero_duration")]
+    pub warmup: Span,
     /// The slowdown after saturation; none if absent.
     pub choke: Option<ChokeSpec>,
     /// This tier's fraction of a client request's work.
-    #[serde(default = "one")]
-    pub work_part: Number,
+    #[serde(rename = "work_part", default = "one")]
+    pub work_fraction: Number,
     /// Mean number of requests to the next tier per request; they are sent one after another.
-    #[serde(default = "one")]
-    pub calls: Number,
+    #[serde(rename = "calls", default = "one")]
+    pub requests_below: Number,
 }
 
 impl Tier {
     /// Draws the number of machines and the parameters of each.
     pub fn draw(&self, rng: &mut Xoshiro256PlusPlus) -> (usize, MachineSpec) {
-        let servers = self.servers.draw(rng).round().max(1.0) as usize;
+        let servers = self.machines.draw(rng).round().max(1.0) as usize;
         let cores = self.cores.draw(rng).round().max(1.0);
         let choke = self.choke.map(|c| Choke {
-            queued_per_core: c.at.draw(rng),
-            saturated_for: c.over.0.draw(rng),
-            slowdown: c.slower.draw(rng).max(1.0),
-            idle_below: c.below.draw(rng),
-            idle_for: c.rest.0.draw(rng),
-            max_duration: c.most.0.draw(rng),
+            queued_per_core: c.queued_per_core.draw(rng),
+            saturated_for: c.saturated_for.0.draw(rng),
+            slowdown: c.slowdown.draw(rng).max(1.0),
+            idle_below: c.idle_below.draw(rng),
+            idle_for: c.idle_for.0.draw(rng),
+            max_duration: c.max_duration.0.draw(rng),
         });
         let spec = MachineSpec {
             cores: cores as usize,
             speed: self.speed.draw(rng).max(1e-3),
             slots: (self.slots_per_core.draw(rng) * cores).round().max(1.0) as usize,
-            queue_capacity: (self.room_per_core.draw(rng) * cores).round() as usize,
-            thrash_per_core: self.thrash_at.draw(rng),
-            thrash_fraction: self.thrash_to.draw(rng).clamp(1e-3, 1.0),
-            warmup_start_fraction: self.cold_from.draw(rng).clamp(1e-3, 1.0),
-            warmup: self.cold.0.draw(rng),
+            queue_capacity: (self.queue_per_core.draw(rng) * cores).round() as usize,
+            thrash_per_core: self.thrash_per_core.draw(rng),
+            thrash_fraction: self.thrash_fraction.draw(rng).clamp(1e-3, 1.0),
+            warmup_start_fraction: self.warmup_start_fraction.draw(rng).clamp(1e-3, 1.0),
+            warmup: self.warmup.0.draw(rng),
             choke,
         };
         (servers, spec)
@@ -220,23 +227,25 @@
     #[serde(default = "one")]
     pub share: Number,
     /// Mean work of a client request over all tiers, as time of one core at speed 1.
-    pub work: Span,
+    #[serde(rename = "work")]
+    pub mean_work: Span,
     /// Distribution of the work.
-    #[serde(default)]
-    pub shape: WorkDistribution,
+    #[serde(rename = "shape", default)]
+    pub work_distribution: WorkDistribution,
     /// Coefficient of variation of the work, for `lognormal`.
-    #[serde(default = "one")]
-    pub cv: Number,
+    #[serde(rename = "cv", default = "one")]
+    pub work_cv: Number,
     /// The latency objective: later responses do not count as service.
-    pub aim: Span,
+    #[serde(rename = "aim")]
+    pub latency_objective: Span,
     /// The deadline, from the start of the client's first attempt.
     pub deadline: Span,
     /// Priority weight of a request of mean work.
-    #[serde(default = "one")]
-    pub worth: Number,
+    #[serde(rename = "worth", default = "one")]
+    pub weight: Number,
     /// Whether requests may be retried.
-    #[serde(default)]
-    pub repeats: ClassRetrySafety,
+    #[serde(rename = "repeats", default)]
+    pub retry_safety: ClassRetrySafety,
 }
 
 /// The load: an open-loop Poisson process. Exactly one of `rate` and `of_capacity` is given.
@@ -246,13 +255,14 @@
     /// Mean rate of client requests, per second.
     pub rate: Option<Number>,
     /// Mean rate of client requests, as a fraction of the fleet's capacity.
-    pub of_capacity: Option<Number>,
+    #[serde(rename = "of_capacity")]
+    pub capacity_fraction: Option<Number>,
     /// Amplitude of the rate's sine wave, as a fraction of the mean rate.
-    #[serde(default = "zero")]
-    pub swing: Number,
+    #[serde(rename = "swing", default = "zero")]
+    pub rate_amplitude: Number,
     /// Period of the rate's sine wave.
-    #[serde(default = "default_rate_period")]
-    pub period: Span,
+    #[serde(rename = "period", default = "default_rate_period")]
+    pub rate_period: Span,
 }
 
 fn zero() -> Number {
@@ -270,9 +280,11 @@
     /// Maximum number of retries of a client.
     pub retries: Number,
     /// Minimum wait of a client before a retry.
-    pub wait: Span,
+    #[serde(rename = "wait")]
+    pub retry_wait: Span,
     /// Timeout of a client's attempt, as a fraction of the class's deadline.
-    pub try_part: Number,
+    #[serde(rename = "try_part")]
+    pub attempt_timeout_fraction: Number,
     /// Fraction of the clients that wait as long as `Retry-After` says.
     pub honour: Number,
 }
@@ -281,8 +293,8 @@
     fn default() -> Clients {
         Clients {
             retries: Number::of(0.0),
-            wait: Span::ms(0.0),
-            try_part: Number::of(1.0),
+            retry_wait: Span::ms(0.0),
+            attempt_timeout_fraction: Number::of(1.0),
             honour: Number::of(1.0),
         }
     }
@@ -311,14 +323,16 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
     /// Delay until the proxies are notified that a machine drains, is gone or has started.
-    pub notice: Span,
+    #[serde(rename = "notice")]
+    pub notice_delay: Span,
     /// How long a draining machine still accepts requests after the proxies were notified.
-    pub serves_on: Span,
+    #[serde(rename = "serves_on")]
+    pub drain_grace: Span,
 }
 
 impl Default for Discovery {
     fn default() -> Discovery {
-        Discovery { notice: Span::ms(1_500.0), serves_on: Span::ms(1_200.0) }
+        Discovery { notice_delay: Span::ms(1_500.0), drain_grace: Span::ms(1_200.0) }
     }
 }
 
@@ -327,12 +341,13 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Front {
     /// Delay until the load balancer avoids a proxy that is gone.
-    pub notice: Span,
+    #[serde(rename = "notice")]
+    pub notice_delay: Span,
 }
 
 impl Default for Front {
     fn default() -> Front {
-        Front { notice: Span::ms(0.0) }
+        Front { notice_delay: Span::ms(0.0) }
     }
 }
 
@@ -422,11 +437,11 @@
     #[serde(default)]
     pub tier: usize,
     /// Fraction of the tier's machines, or of its proxies, that is affected; at least one of them is.
-    #[serde(default = "one")]
-    pub part: Number,
+    #[serde(rename = "part", default = "one")]
+    pub fraction: Number,
     /// Factor of the slowdown, for [`FailureKind::Slow`], or of the load, for [`FailureKind::Burst`].
-    #[serde(default = "one")]
-    pub times: Number,
+    #[serde(rename = "times", default = "one")]
+    pub factor: Number,
     /// Kind of the affected links, for [`FailureKind::Cut`]: those of the fraction `part` of the proxies.
     #[serde(default)]
     pub link: LinkKind,
@@ -449,10 +464,11 @@
     /// The tenant's name.
     pub name: String,
     /// Share of the requests, relative to the other tenants.
-    #[serde(default = "one")]
-    pub traffic: Number,
+    #[serde(rename = "traffic", default = "one")]
+    pub traffic_share: Number,
     /// Quota, as a fraction of the fleet's capacity.
-    pub share: Number,
+    #[serde(rename = "share")]
+    pub quota_fraction: Number,
 }
 
 /// Proxies in front of the first tier that get more traffic than the others.
@@ -462,7 +478,8 @@
     /// Number of these proxies.
     pub proxies: Number,
     /// Traffic of each, as a multiple of an ordinary proxy's; drawn for each of them.
-    pub times: Number,
+    #[serde(rename = "times")]
+    pub traffic_factor: Number,
 }
 
 fn one_zone() -> usize {
@@ -483,13 +500,14 @@
     /// Number of proxies in front of the first tier.
     pub proxies: Number,
     /// Proxies among these that get more traffic than the others; none if absent.
-    pub hot: Option<DemandSkewSpec>,
+    #[serde(rename = "hot")]
+    pub demand_skew: Option<DemandSkewSpec>,
     /// The tenants; there are no quotas if this is empty.
     #[serde(rename = "tenant", default)]
     pub tenants: Vec<TenantSpec>,
     /// Fraction that counts of the weight beyond a tenant's quota.
-    #[serde(default = "one")]
-    pub over_share_worth: Number,
+    #[serde(rename = "over_share_worth", default = "one")]
+    pub over_quota_weight: Number,
     /// The tiers, from the one that clients call down. Each machine has its own proxy in front of the next
     /// tier.
     #[serde(rename = "tier")]
@@ -536,25 +554,30 @@
         if !(1..=64).contains(&self.zones) {
             return invalid("one_zone".into(), "must be from 1 to 64");
         }
-        if self.load.rate.is_some() == self.load.of_capacity.is_some() {
+        if self.load.rate.is_some() == self.load.capacity_fraction.is_some() {
             return invalid("load".into(), "give either rate or of_capacity, and not both");
         }
         // With larger values a run would not end or not fit into memory. The likely cause is a wrong unit.
         let mut bounds = vec![
             ("length".to_string(), self.length.0.max() / 1e3, 86_400.0, "s"),
             ("proxies".to_string(), self.proxies.max(), 10_000.0, ""),
-            ("hot.times".to_string(), self.hot.map_or(0.0, |hot| hot.times.max()), 1_000.0, ""),
+            (
+                "hot.times".to_string(),
+                self.demand_skew.map_or(0.0, |hot| hot.traffic_factor.max()),
+                1_000.0,
+                "",
+            ),
             ("tenant".to_string(), self.tenants.len() as f64, 1_000.0, "tenants"),
             ("load.rate".to_string(), self.load.rate.map_or(0.0, Number::max), 1e6, "calls/s"),
-            ("load.of_capacity".to_string(), self.load.of_capacity.map_or(0.0, Number::max), 100.0, ""),
+            ("load.of_capacity".to_string(), self.load.capacity_fraction.map_or(0.0, Number::max), 100.0, ""),
         ];
         for (i, tier) in self.tiers.iter().enumerate() {
-            bounds.push((format!("tier[{i}].servers"), tier.servers.max(), 10_000.0, ""));
+            bounds.push((format!("tier[{i}].servers"), tier.machines.max(), 10_000.0, ""));
             bounds.push((format!("tier[{i}].cores"), tier.cores.max(), 1_024.0, ""));
-            bounds.push((format!("tier[{i}].calls"), tier.calls.max(), 100.0, ""));
+            bounds.push((format!("tier[{i}].calls"), tier.requests_below.max(), 100.0, ""));
         }
         for (i, failure) in self.failures.iter().enumerate() {
-            bounds.push((format!("failure[{i}].times"), failure.times.max(), 1_000.0, ""));
+            bounds.push((format!("failure[{i}].times"), failure.factor.max(), 1_000.0, ""));
         }
         if let Some((key, value, limit, unit)) = bounds.into_iter().find(|b| b.1 > b.2) {
             return invalid(key, &format!("{value} {unit} is more than the {limit} that can be run"));
--- a/crates/simulation/src/sim/recorded_day.rs
+++ b/crates/simulation/src/sim/recorded_day.rs
@@ -1,7 +1,7 @@
 //! Parses a recorded day of the platform's simulator (JSON): the machines with their speeds, the load and the
 //! failures. Parts that this simulation does not model are ignored (see `docs/measurements/simulation.md`); a
-//! missing part is an error. The names of fields and values are those of the file. Times in the file are in
-//! microseconds, except for those of the load profile (`traffic.shape`), which are in seconds.
+//! missing part is an error. The key of a field is its name or the one in its `rename` attribute. Times in the
+//! file are in microseconds, except for those of the load profile, which are in seconds.
 
 use super::setup::{
     DrawnBackend, DrawnClass, DrawnFailure, DrawnScenario, DrawnTenant, DrawnTier, LinkFault,
@@ -37,26 +37,32 @@
     tenants: Vec<Tenant>,
     tiers: Vec<Tier>,
     servers: Vec<Server>,
-    balancers: Vec<Balancer>,
-    #[serde(default)]
-    troubles: Vec<Trouble>,
+    #[serde(rename = "balancers")]
+    proxies: Vec<Proxy>,
+    #[serde(rename = "troubles", default)]
+    failures: Vec<Failure>,
 }
 
 /// One-way network delays, in microseconds.
 #[derive(Deserialize)]
 struct Net {
-    same: f64,
-    cross: f64,
+    #[serde(rename = "same")]
+    same_zone: f64,
+    #[serde(rename = "cross")]
+    cross_zone: f64,
     client: f64,
 }
 
 #[derive(Deserialize)]
 struct Traffic {
     load: f64,
-    shape: Vec<(f64, f64)>,
-    zone_share: Vec<f64>,
-    #[serde(default = "one")]
-    over_share_worth: f64,
+    /// Times in seconds, and the factor of the rate from each time on.
+    #[serde(rename = "shape")]
+    profile: Vec<(f64, f64)>,
+    #[serde(rename = "zone_share")]
+    zone_traffic: Vec<f64>,
+    #[serde(rename = "over_share_worth", default = "one")]
+    over_quota_weight: f64,
 }
 
 fn one() -> f64 {
@@ -66,7 +72,8 @@
 #[derive(Deserialize)]
 struct Clients {
     retries: u32,
-    try_share: f64,
+    #[serde(rename = "try_share")]
+    attempt_timeout_fraction: f64,
     backoff: String,
     #[serde(default)]
     backoff_us: f64,
@@ -77,22 +84,29 @@
 struct Discovery {
     notice: f64,
     silent_notice: f64,
-    add: f64,
+    #[serde(rename = "add")]
+    start_notice: f64,
 }
 
 #[derive(Deserialize)]
 struct Class {
     name: String,
     share: f64,
-    work: f64,
-    dist: String,
-    cv: f64,
-    #[serde(default)]
-    attempt_noise: f64,
-    aim: f64,
+    #[serde(rename = "work")]
+    mean_work: f64,
+    #[serde(rename = "dist")]
+    work_distribution: String,
+    #[serde(rename = "cv")]
+    work_cv: f64,
+    #[serde(rename = "attempt_noise", default)]
+    attempt_noise_cv: f64,
+    #[serde(rename = "aim")]
+    latency_objective: f64,
     deadline: f64,
-    worth: f64,
-    effect: String,
+    #[serde(rename = "worth")]
+    weight: f64,
+    #[serde(rename = "effect")]
+    retry_safety: String,
 }
 
 #[derive(Deserialize)]
@@ -105,7 +119,10 @@
 #[derive(Deserialize)]
 struct Tier {
     name: String,
-    calls: f64,
+    /// Mean number of requests to this tier per request to the tier above.
+    #[serde(rename = "calls")]
+    requests_per_parent: f64,
+    /// Work of one request to this tier, as a fraction of the client request's work.
     work: f64,
     kinds: Vec<MachineKind>,
     choke: Option<Choking>,
@@ -115,21 +132,34 @@
 struct MachineKind {
     cores: usize,
     slots: usize,
-    queue: usize,
-    thrash: f64,
-    knee: f64,
-    cold_from: f64,
-    cold: f64,
+    #[serde(rename = "queue")]
+    queue_capacity: usize,
+    /// Fraction of the speed that a thrashing machine loses.
+    #[serde(rename = "thrash")]
+    thrash_loss: f64,
+    /// Number of requests at a machine above which it thrashes.
+    #[serde(rename = "knee")]
+    thrash_requests: f64,
+    #[serde(rename = "cold_from")]
+    warmup_start_fraction: f64,
+    #[serde(rename = "cold")]
+    warmup: f64,
 }
 
 #[derive(Deserialize)]
 struct Choking {
-    at: f64,
-    over: f64,
-    slower: f64,
-    rest: f64,
-    below: f64,
-    most: f64,
+    #[serde(rename = "at")]
+    queued_per_core: f64,
+    #[serde(rename = "over")]
+    saturated_for: f64,
+    #[serde(rename = "slower")]
+    slowdown: f64,
+    #[serde(rename = "rest")]
+    idle_for: f64,
+    #[serde(rename = "below")]
+    idle_below: f64,
+    #[serde(rename = "most")]
+    max_duration: f64,
 }
 
 #[derive(Deserialize)]
@@ -140,24 +170,25 @@
 }
 
 #[derive(Deserialize)]
-struct Balancer {
+struct Proxy {
     tier: usize,
     zone: usize,
 }
 
 #[derive(Deserialize)]
-struct Trouble {
+struct Failure {
     kind: String,
     at: f64,
-    len: f64,
+    #[serde(rename = "len")]
+    duration: f64,
     #[serde(default)]
     tier: usize,
-    #[serde(default)]
-    size: f64,
-    #[serde(default)]
-    on: Vec<usize>,
-    #[serde(default)]
-    which: usize,
+    #[serde(rename = "size", default)]
+    factor: f64,
+    #[serde(rename = "on", default)]
+    machines: Vec<usize>,
+    #[serde(rename = "which", default)]
+    zone: usize,
 }
 
 fn ms(us: f64) -> f64 {
@@ -175,7 +206,7 @@
     if !(0.0..=86_400e6).contains(&day.length) || day.classes.len() > 200 {
         return invalid("length must be within a day, and classes at most 200");
     }
-    if day.tiers.iter().any(|t| !(0.0..=100.0).contains(&t.calls)) {
+    if day.tiers.iter().any(|t| !(0.0..=100.0).contains(&t.requests_per_parent)) {
         return invalid("tiers: calls must be from 0 to 100");
     }
     if day.servers.iter().any(|s| s.tier >= day.tiers.len() || s.zone >= day.zones.len()) {
@@ -197,25 +228,26 @@
         .map(|(i, tier)| {
             // The file gives the work of one request to a tier; `work_fraction` is that of all requests that
             // a client request causes there.
-            let calls: f64 = day.tiers[..=i].iter().map(|t| t.calls).product();
+            let requests_per_client_request: f64 =
+                day.tiers[..=i].iter().map(|t| t.requests_per_parent).product();
             let kind =
                 tier.kinds.first().ok_or_else(|| DayError::Invalid(format!("{}: no kinds", tier.name)))?;
             Ok(DrawnTier {
                 name: tier.name.clone(),
                 spec: machine_spec(kind, tier.choke.as_ref()),
                 machines: std::mem::take(&mut machines[i]),
-                work_fraction: tier.work * calls,
+                work_fraction: tier.work * requests_per_client_request,
                 // The file gives, with each tier, the number of requests that the tier above sends to it.
-                requests_below: day.tiers.get(i + 1).map_or(0.0, |below| below.calls),
+                requests_below: day.tiers.get(i + 1).map_or(0.0, |below| below.requests_per_parent),
             })
         })
         .collect::<Result<_, DayError>>()?;
     let classes: Vec<DrawnClass> = day.classes.iter().map(class).collect();
-    let proxies = day.balancers.iter().filter(|b| b.tier == 0).map(|b| b.zone % day.zones.len()).collect();
+    let proxies = day.proxies.iter().filter(|b| b.tier == 0).map(|b| b.zone % day.zones.len()).collect();
     let mut unsupported = Vec::new();
     let mut failures = Vec::new();
-    for trouble in &day.troubles {
-        let what = match trouble.kind.as_str() {
+    for failure in &day.failures {
+        let kind = match failure.kind.as_str() {
             "shared_slow" => FailureKind::Slow,
             "crash" => FailureKind::Crash,
             "zone_loss" => FailureKind::LoseZone,
@@ -225,49 +257,49 @@
                 continue;
             }
         };
-        let machines_hit = trouble
-            .on
+        let machines = failure
+            .machines
             .iter()
             .filter_map(|s| tier_and_index.get(*s))
             .map(|(tier, n)| starts[*tier] + n)
             .collect();
         failures.push(DrawnFailure {
-            kind: what,
-            at: ms(trouble.at),
-            duration: ms(trouble.len),
-            zone: trouble.which % day.zones.len(),
-            tier: trouble.tier.min(day.tiers.len() - 1),
+            kind,
+            at: ms(failure.at),
+            duration: ms(failure.duration),
+            zone: failure.zone % day.zones.len(),
+            tier: failure.tier.min(day.tiers.len() - 1),
             fraction: 1.0,
-            factor: trouble.size,
-            machines: machines_hit,
+            factor: failure.factor,
+            machines,
             link_fault: LinkFault::default(),
         });
     }
     let mut parameters = DrawnScenario {
         length: ms(day.length),
         zones: day.zones.len(),
-        zone_traffic: day.traffic.zone_share,
+        zone_traffic: day.traffic.zone_traffic,
         proxy_zones: proxies,
         tiers,
         classes,
         proxy_traffic: Vec::new(),
         tenants: Vec::new(),
-        over_quota_weight: day.traffic.over_share_worth,
+        over_quota_weight: day.traffic.over_quota_weight,
         independent_tier_work: true,
         rate_per_s: 0.0,
         rate_amplitude: 0.0,
         rate_period: 1.0,
-        rate_profile: day.traffic.shape.iter().map(|(from_s, times)| (from_s * 1e3, *times)).collect(),
+        rate_profile: day.traffic.profile.iter().map(|(from_s, times)| (from_s * 1e3, *times)).collect(),
         retries: day.clients.retries,
         retry_wait: if day.clients.backoff == "none" { 0.0 } else { ms(day.clients.backoff_us) },
-        attempt_timeout_fraction: day.clients.try_share,
+        attempt_timeout_fraction: day.clients.attempt_timeout_fraction,
         honour: day.clients.honour,
-        same_zone_delay: ms(day.net.same),
-        cross_zone_delay: ms(day.net.cross),
+        same_zone_delay: ms(day.net.same_zone),
+        cross_zone_delay: ms(day.net.cross_zone),
         client_delay: ms(day.net.client),
         notice_delay: ms(day.discovery.notice),
         silent_notice_delay: ms(day.discovery.silent_notice),
-        start_notice_delay: ms(day.discovery.add),
+        start_notice_delay: ms(day.discovery.start_notice),
         drain_grace: 1_200.0,
         front_notice_delay: ms(day.front_notice),
         failures,
@@ -285,18 +317,18 @@
         cores: kind.cores.max(1),
         speed: 1.0,
         slots: kind.slots.max(1),
-        queue_capacity: kind.queue,
-        thrash_per_core: kind.knee / kind.cores.max(1) as f64,
-        thrash_fraction: (1.0 - kind.thrash).clamp(1e-3, 1.0),
-        warmup_start_fraction: kind.cold_from.clamp(1e-3, 1.0),
-        warmup: ms(kind.cold),
+        queue_capacity: kind.queue_capacity,
+        thrash_per_core: kind.thrash_requests / kind.cores.max(1) as f64,
+        thrash_fraction: (1.0 - kind.thrash_loss).clamp(1e-3, 1.0),
+        warmup_start_fraction: kind.warmup_start_fraction.clamp(1e-3, 1.0),
+        warmup: ms(kind.warmup),
         choke: choke.map(|c| Choke {
-            queued_per_core: c.at,
-            saturated_for: ms(c.over),
-            slowdown: c.slower,
-            idle_below: c.below,
-            idle_for: ms(c.rest),
-            max_duration: ms(c.most),
+            queued_per_core: c.queued_per_core,
+            saturated_for: ms(c.saturated_for),
+            slowdown: c.slowdown,
+            idle_below: c.idle_below,
+            idle_for: ms(c.idle_for),
+            max_duration: ms(c.max_duration),
         }),
     }
 }
@@ -305,18 +337,18 @@
     DrawnClass {
         name: class.name.clone(),
         share: class.share,
-        mean_work_ms: ms(class.work),
-        work_distribution: match class.dist.as_str() {
+        mean_work_ms: ms(class.mean_work),
+        work_distribution: match class.work_distribution.as_str() {
             "fixed" => WorkDistribution::Fixed,
             "lognormal" => WorkDistribution::Lognormal,
             _ => WorkDistribution::Exp,
         },
-        work_cv: class.cv,
-        attempt_noise_cv: class.attempt_noise,
-        latency_objective: ms(class.aim),
+        work_cv: class.work_cv,
+        attempt_noise_cv: class.attempt_noise_cv,
+        latency_objective: ms(class.latency_objective),
         deadline: ms(class.deadline),
-        weight: class.worth,
-        retry_safety: match class.effect.as_str() {
+        weight: class.weight,
+        retry_safety: match class.retry_safety.as_str() {
             "safe" => ClassRetrySafety::Safe,
             "keyed" => ClassRetrySafety::Keyed,
             _ => ClassRetrySafety::Once,
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -218,15 +218,15 @@
         .map(|(i, tier)| {
             let (servers, spec) = tier.draw(rng);
             let last = i + 1 == scenario.tiers.len();
-            let calls = if last { 0.0 } else { tier.calls.draw(rng) };
+            let requests_below = if last { 0.0 } else { tier.requests_below.draw(rng) };
             let machines =
                 (0..servers).map(|n| DrawnBackend { zone: n % scenario.zones, speed: spec.speed }).collect();
             DrawnTier {
                 name: tier.name.clone(),
                 machines,
                 spec,
-                work_fraction: tier.work_part.draw(rng),
-                requests_below: calls,
+                work_fraction: tier.work_fraction.draw(rng),
+                requests_below,
             }
         })
         .collect();
@@ -234,14 +234,14 @@
         .map(|class| DrawnClass {
             name: class.name.clone(),
             share: class.share.draw(rng),
-            mean_work_ms: class.work.0.draw(rng),
-            work_distribution: class.shape,
-            work_cv: class.cv.draw(rng),
+            mean_work_ms: class.mean_work.0.draw(rng),
+            work_distribution: class.work_distribution,
+            work_cv: class.work_cv.draw(rng),
             attempt_noise_cv: 0.0,
-            latency_objective: class.aim.0.draw(rng),
+            latency_objective: class.latency_objective.0.draw(rng),
             deadline: class.deadline.0.draw(rng),
-            weight: class.worth.draw(rng),
-            retry_safety: class.repeats,
+            weight: class.weight.draw(rng),
+            retry_safety: class.retry_safety,
         })
         .collect();
     let failures = (scenario.failures.iter())
@@ -251,8 +251,8 @@
             duration: f.duration.0.draw(rng),
             zone: f.zone,
             tier: f.tier,
-            fraction: f.part.draw(rng).min(1.0),
-            factor: f.times.draw(rng),
+            fraction: f.fraction.draw(rng).min(1.0),
+            factor: f.factor.draw(rng),
             machines: Vec::new(),
             link_fault: LinkFault {
                 link: f.link,
@@ -264,7 +264,7 @@
             },
         })
         .collect();
-    let notice = scenario.discovery.notice.0.draw(rng);
+    let notice = scenario.discovery.notice_delay.0.draw(rng);
     let proxies = scenario.proxies.draw(rng).round().max(1.0) as usize;
     let mut parameters = DrawnScenario {
         length: scenario.length.0.draw(rng),
@@ -275,15 +275,15 @@
         tiers,
         classes,
         tenants: Vec::new(),
-        over_quota_weight: scenario.over_share_worth.draw(rng).min(1.0),
+        over_quota_weight: scenario.over_quota_weight.draw(rng).min(1.0),
         independent_tier_work: false,
         rate_per_s: 0.0,
-        rate_amplitude: scenario.load.swing.draw(rng).min(1.0),
-        rate_period: scenario.load.period.0.draw(rng).max(1.0),
+        rate_amplitude: scenario.load.rate_amplitude.draw(rng).min(1.0),
+        rate_period: scenario.load.rate_period.0.draw(rng).max(1.0),
         rate_profile: Vec::new(),
         retries: scenario.clients.retries.draw(rng) as u32,
-        retry_wait: scenario.clients.wait.0.draw(rng),
-        attempt_timeout_fraction: scenario.clients.try_part.draw(rng).clamp(0.01, 1.0),
+        retry_wait: scenario.clients.retry_wait.0.draw(rng),
+        attempt_timeout_fraction: scenario.clients.attempt_timeout_fraction.draw(rng).clamp(0.01, 1.0),
         honour: scenario.clients.honour.draw(rng).min(1.0),
         same_zone_delay: scenario.net.same_zone.0.draw(rng),
         cross_zone_delay: scenario.net.cross_zone.0.draw(rng),
@@ -295,24 +295,28 @@
         front_notice_delay: 0.0,
         failures,
     };
-    parameters.rate_per_s = match (scenario.load.rate, scenario.load.of_capacity) {
+    parameters.rate_per_s = match (scenario.load.rate, scenario.load.capacity_fraction) {
         (Some(rate), _) => rate.draw(rng),
         (None, part) => part.map_or(0.0, |part| part.draw(rng)) * parameters.capacity_per_s(),
     };
-    if let Some(hot) = scenario.hot {
+    if let Some(hot) = scenario.demand_skew {
         // Zones are assigned round robin, so the first proxies are spread over all zones.
         let count = hot.proxies.draw(rng).round() as usize;
-        parameters.proxy_traffic.iter_mut().take(count).for_each(|traffic| *traffic = hot.times.draw(rng));
+        parameters
+            .proxy_traffic
+            .iter_mut()
+            .take(count)
+            .for_each(|traffic| *traffic = hot.traffic_factor.draw(rng));
     }
     let capacity = parameters.capacity_per_s();
     let tenants = scenario.tenants.iter().map(|t| DrawnTenant {
         name: t.name.clone(),
-        traffic_share: t.traffic.draw(rng),
-        quota: t.share.draw(rng) * capacity,
+        traffic_share: t.traffic_share.draw(rng),
+        quota: t.quota_fraction.draw(rng) * capacity,
     });
     parameters.tenants = tenants.collect();
-    parameters.drain_grace = scenario.discovery.serves_on.0.draw(rng);
-    parameters.front_notice_delay = scenario.front.notice.0.draw(rng);
+    parameters.drain_grace = scenario.discovery.drain_grace.0.draw(rng);
+    parameters.front_notice_delay = scenario.front.notice_delay.0.draw(rng);
     parameters
 }
 
