--- a/crates/simulation/src/access_log_report.rs
+++ b/crates/simulation/src/access_log_report.rs
@@ -148,6 +148,7 @@
             let reasons: BTreeSet<&String> = total.unserved.keys().collect();
             let names: String = reasons.iter().map(|reason| format!(" {reason} % |")).collect();
             let rule = "---: |".repeat(reasons.len());
+            // The texts of the tables stay, as operators read and compare them.
             let name = if name.is_empty() { "tier not told" } else { name };
             let head = |of: &str| {
                 format!(
--- a/crates/simulation/src/fleet_ratio.rs
+++ b/crates/simulation/src/fleet_ratio.rs
@@ -61,6 +61,8 @@
         Mean::of(&pairs.map(|(many, one)| many.service / one.service.max(1e-9)).collect::<Vec<_>>())
     }
 
+    /// The rows of the table. The headings `copies` and `tries` stay, as operators know them: instances, and
+    /// client attempts per request.
     fn rows(&self) -> Vec<Vec<String>> {
         let mut rows: Vec<Vec<String>> = vec![[
             "load",
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -9,11 +9,11 @@
 #[error("plot: {0}")]
 pub struct PlotError(String);
 
-type Figure = (&'static str, fn(&RunSummary) -> f64, usize);
+type Column = (&'static str, fn(&RunSummary) -> f64, usize);
 
 /// The columns of the table: heading, figure and decimals. The headings stay, as operators know them from
 /// stored reports.
-const COLUMNS: [Figure; 12] = [
+const COLUMNS: [Column; 12] = [
     ("service", |t| 100.0 * t.service, 2),
     ("worst 10 s", |t| 100.0 * t.worst_window, 1),
     ("late %", |t| 100.0 * t.late, 2),
@@ -105,7 +105,7 @@
 
 /// A plot of curves as an SVG; `axis` and `unit` label the axes.
 pub(crate) fn lines(title: &str, axis: &str, unit: &str, curves: &[Points]) -> Result<String, PlotError> {
-    let wrong = |why: &dyn std::fmt::Display| PlotError(why.to_string());
+    let plot_error = |why: &dyn std::fmt::Display| PlotError(why.to_string());
     let points = || curves.iter().flat_map(|c| c.1.iter());
     let max_x = points().map(|p| p.0).fold(0.0, f64::max).max(1e-9);
     let max_value = points().map(|p| p.1).fold(0.0, f64::max).max(1e-9) * 1.05;
@@ -118,19 +118,19 @@
             .x_label_area_size(28)
             .y_label_area_size(56)
             .build_cartesian_2d(0.0..max_x, 0.0..max_value)
-            .map_err(|e| wrong(&e))?;
+            .map_err(|e| plot_error(&e))?;
         let mut mesh = chart.configure_mesh();
-        mesh.x_desc(axis).y_desc(unit).draw().map_err(|e| wrong(&e))?;
+        mesh.x_desc(axis).y_desc(unit).draw().map_err(|e| plot_error(&e))?;
         for (i, (name, points)) in curves.iter().enumerate() {
             let color = Palette99::pick(i).to_rgba();
             let series = LineSeries::new(points.iter().copied(), color.stroke_width(2));
-            let line = chart.draw_series(series).map_err(|e| wrong(&e))?;
+            let line = chart.draw_series(series).map_err(|e| plot_error(&e))?;
             line.label(name.as_str())
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color.stroke_width(2)));
         }
         let mut labels = chart.configure_series_labels();
-        labels.background_style(WHITE.mix(0.8)).draw().map_err(|e| wrong(&e))?;
-        root.present().map_err(|e| wrong(&e))?;
+        labels.background_style(WHITE.mix(0.8)).draw().map_err(|e| plot_error(&e))?;
+        root.present().map_err(|e| plot_error(&e))?;
     }
     Ok(svg)
 }
--- a/crates/simulation/src/servers.rs
+++ b/crates/simulation/src/servers.rs
@@ -52,9 +52,9 @@
         let mut body_left = used.saturating_sub(read.len());
         read.drain(..used.min(read.len()));
         while body_left > 0 {
-            let mut rest = [0; 4096];
-            let most = body_left.min(rest.len());
-            match stream.read(&mut rest[..most]).await? {
+            let mut buffer = [0; 4096];
+            let chunk = body_left.min(buffer.len());
+            match stream.read(&mut buffer[..chunk]).await? {
                 0 => return Ok(()),
                 n => body_left -= n,
             }
--- a/crates/simulation/src/sim/clients.rs
+++ b/crates/simulation/src/sim/clients.rs
@@ -22,13 +22,13 @@
     }
 
     fn start_client_request(&mut self, arrival: Arrival) {
-        let Arrival { class, tenant, zone, work_ms: work, weight: worth, .. } = arrival;
-        self.totals.record_request(self.now, tenant, worth);
+        let Arrival { class, tenant, zone, work_ms: work, weight, .. } = arrival;
+        self.totals.record_request(self.now, tenant, weight);
         self.client_requests.push(ClientRequest {
             class,
             tenant,
             work,
-            weight: worth,
+            weight,
             started_at: self.now,
             deadline_at: self.now + self.parameters.classes[class].deadline,
             zone,
--- a/crates/simulation/src/sim/failures.rs
+++ b/crates/simulation/src/sim/failures.rs
@@ -13,20 +13,20 @@
 impl World {
     /// The machines that a failure affects: those that it names, or else a fraction of its tier in order,
     /// rounded to at least one.
-    fn affected_machines(&self, index: usize, part: f64) -> Vec<usize> {
+    fn affected_machines(&self, index: usize, fraction: f64) -> Vec<usize> {
         let failure = &self.parameters.failures[index];
         if !failure.machines.is_empty() {
             return failure.machines.clone();
         }
         let all = &self.tiers[failure.tier];
-        all[..count_of_fraction(part, all.len())].to_vec()
+        all[..count_of_fraction(fraction, all.len())].to_vec()
     }
 
     #[allow(clippy::too_many_lines, reason = "one arm per kind of failure")]
     pub(super) fn switch_failure(&mut self, index: usize, begins: bool) {
         let failure = &self.parameters.failures[index];
-        let (what, zone, part, times) = (failure.kind, failure.zone, failure.fraction, failure.factor);
-        match what {
+        let (kind, zone, fraction, factor) = (failure.kind, failure.zone, failure.fraction, failure.factor);
+        match kind {
             // Bursts are applied by the arrival process.
             FailureKind::Burst => {}
             FailureKind::DiscoveryDown => {
@@ -40,28 +40,28 @@
             FailureKind::Slow => {
                 // A shared dependency affects the whole tier, whatever fraction the failure has.
                 for machine in self.affected_machines(index, 1.0) {
-                    let times = if begins { times.max(1e-3) } else { 1.0 };
+                    let factor = if begins { factor.max(1e-3) } else { 1.0 };
                     self.hosts[machine].machine.set_dependency_slowdown(
                         self.now,
-                        times,
+                        factor,
                         &mut self.completed_jobs,
                     );
                     self.continue_completed_work(machine);
                 }
             }
             FailureKind::Hang => {
-                for machine in self.affected_machines(index, part) {
+                for machine in self.affected_machines(index, fraction) {
                     self.hosts[machine].machine.set_hung(self.now, begins, &mut self.completed_jobs);
                     self.continue_completed_work(machine);
                 }
             }
             FailureKind::TurnAway => {
-                for machine in self.affected_machines(index, part) {
+                for machine in self.affected_machines(index, fraction) {
                     self.hosts[machine].rejects_new = begins;
                 }
             }
             FailureKind::Crash => {
-                for machine in self.affected_machines(index, part) {
+                for machine in self.affected_machines(index, fraction) {
                     if begins {
                         self.kill_machine(machine, true)
                     } else {
@@ -70,7 +70,7 @@
                 }
             }
             FailureKind::Lose => {
-                self.affected_machines(index, part)
+                self.affected_machines(index, fraction)
                     .into_iter()
                     .for_each(|machine| self.set_unreachable(machine, begins));
             }
@@ -90,7 +90,7 @@
                 }
             }
             FailureKind::Release if begins => {
-                let machines = self.affected_machines(index, part);
+                let machines = self.affected_machines(index, fraction);
                 let interval = self.parameters.failures[index].duration / machines.len() as f64;
                 for (i, machine) in machines.into_iter().enumerate() {
                     let at = self.now + i as f64 * interval;
@@ -100,7 +100,7 @@
             }
             FailureKind::Release => {}
             FailureKind::KillProxies => {
-                for proxy in self.first_tier_proxies(part) {
+                for proxy in self.first_tier_proxies(fraction) {
                     if begins {
                         self.kill_proxy(proxy)
                     } else {
@@ -109,7 +109,7 @@
                 }
             }
             FailureKind::RollProxies if begins => {
-                let proxies = self.first_tier_proxies(part);
+                let proxies = self.first_tier_proxies(fraction);
                 let interval = self.parameters.failures[index].duration / proxies.len() as f64;
                 for (i, proxy) in proxies.into_iter().enumerate() {
                     self.queue.schedule(self.now + i as f64 * interval, SimEvent::GracefulRestart { proxy });
--- a/crates/simulation/src/sim/link_faults.rs
+++ b/crates/simulation/src/sim/link_faults.rs
@@ -33,20 +33,20 @@
     /// The state of a proxy's link of a kind. `to` is the zone of the machine at the other end, if that is a
     /// machine. Where several faults affect the link, the one that began first counts.
     fn link_state(&self, link: LinkKind, proxy: usize, to: Option<usize>) -> LinkState {
-        let of = &self.proxies[proxy];
-        let place = (of.rank, self.proxies_of_tier[of.tier].len());
+        let proxy_state = &self.proxies[proxy];
+        let rank_and_count = (proxy_state.rank, self.proxies_of_tier[proxy_state.tier].len());
         for index in &self.active_link_faults {
             let failure = &self.parameters.failures[*index];
-            let cut = &failure.link_fault;
-            let affects_link = cut.link == link
-                && (link == LinkKind::ClientFront || failure.tier == of.tier)
-                && cut.affects_proxy(failure.fraction, place, of.zone)
-                && to.is_none_or(|zone| cut.affects_zone(zone));
+            let fault = &failure.link_fault;
+            let affects_link = fault.link == link
+                && (link == LinkKind::ClientFront || failure.tier == proxy_state.tier)
+                && fault.affects_proxy(failure.fraction, rank_and_count, proxy_state.zone)
+                && to.is_none_or(|zone| fault.affects_zone(zone));
             if !affects_link {
                 continue;
             }
-            return match cut.mode {
-                LinkFaultMode::Delay => LinkState::Open(cut.delay),
+            return match fault.mode {
+                LinkFaultMode::Delay => LinkState::Open(fault.delay),
                 LinkFaultMode::Refuse => LinkState::Refused,
                 LinkFaultMode::Reset => LinkState::Broken,
                 LinkFaultMode::Silent | LinkFaultMode::LoseForth | LinkFaultMode::LoseBack => {
--- a/crates/simulation/src/sim/mod.rs
+++ b/crates/simulation/src/sim/mod.rs
@@ -187,9 +187,9 @@
 
 fn run_drawn(parameters: DrawnScenario, policy: PolicyName, seed: u64) -> RunSummary {
     let mut world = World::new(parameters, policy, seed);
-    while let Some((at, what)) = world.queue.pop() {
+    while let Some((at, event)) = world.queue.pop() {
         world.now = at;
-        world.handle_event(what);
+        world.handle_event(event);
         world.sample_capacity();
     }
     let open = world.requests.iter().filter(|r| !r.answered && !r.abandoned).count() as u64;
@@ -344,8 +344,8 @@
         }
     }
 
-    fn handle_event(&mut self, what: SimEvent) {
-        match what {
+    fn handle_event(&mut self, event: SimEvent) {
+        match event {
             SimEvent::Arrival => self.start_next_request(),
             SimEvent::ClientAttempt { client_request, attempt_number } => {
                 self.client_attempt_arrives(client_request, attempt_number)
--- a/crates/simulation/src/sim/proxy_restarts.rs
+++ b/crates/simulation/src/sim/proxy_restarts.rs
@@ -10,9 +10,9 @@
 
 impl World {
     /// A fraction of the first tier's proxies, rounded to at least one, in the order of their ranks.
-    pub(super) fn first_tier_proxies(&self, part: f64) -> Vec<usize> {
+    pub(super) fn first_tier_proxies(&self, fraction: f64) -> Vec<usize> {
         let all = &self.proxies_of_tier[0];
-        all[..count_of_fraction(part, all.len())].to_vec()
+        all[..count_of_fraction(fraction, all.len())].to_vec()
     }
 
     /// Kills a proxy's process: its connections are reset, and new ones are refused.
--- a/crates/simulation/src/sim/queue.rs
+++ b/crates/simulation/src/sim/queue.rs
@@ -87,9 +87,9 @@
 }
 
 impl Queue {
-    pub(super) fn schedule(&mut self, at: f64, what: SimEvent) {
+    pub(super) fn schedule(&mut self, at: f64, event: SimEvent) {
         self.last_sequence += 1;
-        self.heap.push(Reverse(Entry { at, sequence: self.last_sequence, event: what }));
+        self.heap.push(Reverse(Entry { at, sequence: self.last_sequence, event }));
     }
 
     pub(super) fn pop(&mut self) -> Option<(f64, SimEvent)> {
--- a/crates/simulation/src/sim/recorded_day.rs
+++ b/crates/simulation/src/sim/recorded_day.rs
@@ -1,7 +1,7 @@
 //! Parses a recorded day of the platform's simulator (JSON): the machines with their speeds, the load and the
 //! failures. Parts that this simulation does not model are ignored (see `docs/measurements/simulation.md`); a
-//! missing part is an error. The key of a field is its name or the one in its `rename` attribute. Times in the
-//! file are in microseconds, except for those of the load profile, which are in seconds.
+//! missing part is an error. The key of a field is its name or the one in its `rename` attribute. Times in
+//! the file are in microseconds, except for those of the load profile, which are in seconds.
 
 use super::setup::{
     DrawnBackend, DrawnClass, DrawnFailure, DrawnScenario, DrawnTenant, DrawnTier, LinkFault,
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -297,7 +297,7 @@
     };
     parameters.rate_per_s = match (scenario.load.rate, scenario.load.capacity_fraction) {
         (Some(rate), _) => rate.draw(rng),
-        (None, part) => part.map_or(0.0, |part| part.draw(rng)) * parameters.capacity_per_s(),
+        (None, fraction) => fraction.map_or(0.0, |fraction| fraction.draw(rng)) * parameters.capacity_per_s(),
     };
     if let Some(hot) = scenario.demand_skew {
         // Zones are assigned round robin, so the first proxies are spread over all zones.
--- a/crates/simulation/src/sim/side_effects.rs
+++ b/crates/simulation/src/sim/side_effects.rs
@@ -145,12 +145,17 @@
             admitting.others || admitting.first.is_some_and(|first| first != *proxy)
         });
         let inversions = inverted.count() as f64 / self.top_class_rejections.len().max(1) as f64;
-        let parts: Vec<(f64, f64)> = (by_proxy.iter())
+        let rejected_fractions: Vec<(f64, f64)> = (by_proxy.iter())
             .map(|[arrived, refused]| (*arrived as f64, *refused as f64 / (*arrived).max(1) as f64))
             .collect();
-        let all: f64 = parts.iter().map(|p| p.0).sum::<f64>().max(1.0);
-        let mean = parts.iter().map(|(arrived, part)| arrived * part).sum::<f64>() / all;
-        let variance = parts.iter().map(|(arrived, part)| arrived * (part - mean).powi(2)).sum::<f64>() / all;
+        let arrivals: f64 = rejected_fractions.iter().map(|p| p.0).sum::<f64>().max(1.0);
+        let mean =
+            rejected_fractions.iter().map(|(arrived, fraction)| arrived * fraction).sum::<f64>() / arrivals;
+        let variance = rejected_fractions
+            .iter()
+            .map(|(arrived, fraction)| arrived * (fraction - mean).powi(2))
+            .sum::<f64>()
+            / arrivals;
         let overshoots =
             self.sent_after_start.iter().map(|((host, _), sent)| start(*host).peak_overload(sent).0);
         SideEffects {
--- a/crates/simulation/src/stability.rs
+++ b/crates/simulation/src/stability.rs
@@ -93,6 +93,8 @@
         self.runs.iter().map(|t| t.chokes as f64).sum::<f64>() / self.runs.len().max(1) as f64
     }
 
+    /// The cell's name in stored runs, by which [`StabilityMap::compare_with`] finds the earlier runs of the
+    /// cell.
     fn name(&self) -> String {
         format!("load={} lost={}", self.load, self.lost_fraction)
     }
