--- a/crates/simulation/src/fleet_ratio.rs
+++ b/crates/simulation/src/fleet_ratio.rs
@@ -140,12 +140,7 @@
                 "",
                 &curves(&mean(|t| t.side_effects.rejection_spread)),
             )?,
-            lines(
-                "Priority inversions",
-                "copies",
-                "%",
-                &curves(&mean(|t| 100.0 * t.side_effects.inversions)),
-            )?,
+            lines("Inversions", "copies", "%", &curves(&mean(|t| 100.0 * t.side_effects.inversions)))?,
         ];
         Ok(page(title, &self.rows(), &plots))
     }
