--- a/crates/hillstall/src/fault_injection.rs
+++ b/crates/hillstall/src/fault_injection.rs
@@ -160,7 +160,7 @@
     let _ = writeln!(
         text,
         "real processes minus simulation: {:+.2} ± {:.2} percentage points\n",
-        difference.mean, difference.half
+        difference.mean, difference.half_width
     );
     text
 }
--- a/crates/hillstall/src/simulation.rs
+++ b/crates/hillstall/src/simulation.rs
@@ -122,7 +122,7 @@
     for path in days {
         let text = std::fs::read_to_string(path).map_err(FileError::at(path))?;
         let name = path.file_stem().map(|stem| stem.to_string_lossy().into_owned()).unwrap_or_default();
-        let (runs, unknown_kinds) = experiment::days(&text, policies, &options.seeds())
+        let (runs, unknown_kinds) = experiment::run_recorded_day(&text, policies, &options.seeds())
             .map_err(SimulationError::invalid(path.display()))?;
         for kind in unknown_kinds {
             print_message(format!(
@@ -174,7 +174,7 @@
     progress.finish_and_clear();
     let mut table = map.table();
     if let Some(earlier_runs) = earlier_runs {
-        let (comparison, worse) = map.beside(&earlier_runs);
+        let (comparison, worse) = map.compare_with(&earlier_runs);
         table += &format!("\n{comparison}\n{worse} cells are worse by more than two percentage points\n");
     }
     let runs = map.cells.iter().flat_map(|cell| &cell.runs);
@@ -244,7 +244,7 @@
 
 const COMPARED_METRICS: [ComparedMetric; 4] = [
     ComparedMetric { name: "service, %", scale: 100.0, value: |run| run.service },
-    ComparedMetric { name: "service in the worst 10 s, %", scale: 100.0, value: |run| run.worst },
+    ComparedMetric { name: "service in the worst 10 s, %", scale: 100.0, value: |run| run.worst_window },
     ComparedMetric { name: "99th percentile, ms", scale: 1.0, value: |run| run.p99_ms },
     ComparedMetric { name: "attempts per request", scale: 1.0, value: |run| run.attempts },
 ];
@@ -253,8 +253,8 @@
 fn format_gains(baseline: &[RunSummary], candidate: &[RunSummary]) -> String {
     let line = |metric: ComparedMetric| {
         let gain = experiment::gain(baseline, candidate, metric.value);
-        let note = if gain.is_apart() { "" } else { "   (not significant)" };
-        let (mean, half_width) = (metric.scale * gain.mean, metric.scale * gain.half);
+        let note = if gain.excludes_zero() { "" } else { "   (not significant)" };
+        let (mean, half_width) = (metric.scale * gain.mean, metric.scale * gain.half_width);
         format!("  {}: {mean:+.2} ± {half_width:.2}{note}", metric.name)
     };
     COMPARED_METRICS.map(line).join("\n")
--- a/crates/hillstall/tests/fault_injection/main.rs
+++ b/crates/hillstall/tests/fault_injection/main.rs
@@ -109,7 +109,7 @@
     let final_service = |run: &ValidRun| {
         let last = &run.0.tally.seconds[6..];
         let sum = |of: fn(&hillstall_simulation::sim::Second) -> f64| last.iter().map(of).sum::<f64>();
-        100.0 * sum(|s| s.earned) / sum(|s| s.worth)
+        100.0 * sum(|s| s.served_weight) / sum(|s| s.offered_weight)
     };
     assert!(final_service(&normal) > 85.0, "service is {:.1} after the restarts", final_service(&normal));
     // A process that ends without a request to do so counts as crashed.
@@ -127,9 +127,9 @@
     let ended = normal.0.seen.lives.iter().filter(|l| matches!(l.what, ProcessEvent::Ended(Some(0)))).count();
     assert_eq!(ended, 5, "all five entry proxies shut down gracefully");
     assert!(
-        normal.0.tally.refused > 0.02,
+        normal.0.tally.rejected > 0.02,
         "the tier is not overloaded: {:.3} rejected",
-        normal.0.tally.refused
+        normal.0.tally.rejected
     );
     // A process that is killed instead of shut down gracefully loses the requests that it had accepted.
     let violating = run_with_script("drill-roll", 1, |fleet| async move {
@@ -222,7 +222,7 @@
     normal.assert_invariants_hold();
     let course = |run: &ValidRun| ServiceCourse::of(&run.0.tally.seconds, 4.0, 8.0);
     // Of a load of 85% of the capacity, the remaining half of the servers can serve 50 / 85.
-    let served_of_possible = |course: ServiceCourse| course.during / (0.5 / 0.85);
+    let served_of_possible = |course: ServiceCourse| course.during_loss / (0.5 / 0.85);
     let killed = normal.0.seen.lives.iter().filter(|l| l.what == ProcessEvent::Killed).count();
     assert_eq!(killed, 3, "the proxies on the machines of three lost servers are killed too");
     let without = run_with_settings_fault("drill-half", 1, disable_load_shedding);
@@ -233,7 +233,7 @@
     );
     assert_eq!(normal.0.tally.chokes, 0, "a remaining server was overloaded");
     assert!(served_of_possible(course(&normal)) >= 0.75, "{:?}", course(&normal));
-    assert!(course(&normal).back_after.is_some_and(|after| after <= 8.0), "{:?}", course(&normal));
+    assert!(course(&normal).recovery_seconds.is_some_and(|after| after <= 8.0), "{:?}", course(&normal));
     assert!(
         served_of_possible(course(&without)) < served_of_possible(course(&normal)) - 0.2,
         "load shedding has no effect: {:?}",
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -1,4 +1,5 @@
-//! The policies of an experiment: the decision module, and textbook policies to compare it with.
+//! The load-balancing policies of an experiment: the decision module, and textbook policies to compare it
+//! with.
 
 use hillstall_decision::Balancer;
 use hillstall_decision::{
@@ -22,13 +23,13 @@
     LeastOutstanding,
     /// The less loaded of two random ready backends (power of two choices).
     TwoChoices,
-    /// The backend with the least true load, by its queue and capacity at this moment: an upper bound for the
-    /// selection that no real proxy can reach. It rejects nothing.
+    /// The ready backend with the least true load, that is, requests over capacity at this moment. It is an
+    /// upper bound of backend selection, as no real proxy knows the true load. It rejects nothing.
     Oracle,
 }
 
 impl PolicyName {
-    /// All of them, in the order of tables.
+    /// All policies, in the order of the tables.
     pub const ALL: [PolicyName; 6] = [
         PolicyName::Hillstall,
         PolicyName::Random,
@@ -38,7 +39,7 @@
         PolicyName::Oracle,
     ];
 
-    /// The name in tables and on the command line.
+    /// The policy's name in tables, in stored runs and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             PolicyName::Hillstall => "hillstall",
@@ -50,10 +51,10 @@
         }
     }
 
-    /// A policy for one proxy.
+    /// Creates the policy of one proxy.
     pub fn start(self, settings: Settings, seed: u64) -> Box<dyn Policy> {
         match self {
-            PolicyName::Hillstall => Box::new(Module(Balancer::new(settings, seed))),
+            PolicyName::Hillstall => Box::new(DecisionModule(Balancer::new(settings, seed))),
             _ => Box::new(Textbook::new(self, &settings, seed)),
         }
     }
@@ -78,90 +79,104 @@
 
 /// The policy of one proxy.
 pub trait Policy {
-    /// Handles an event and appends the actions.
+    /// Handles an event and appends the resulting actions; see [`Balancer::handle`].
     fn handle(&mut self, now: Millis, event: Event<'_>, actions: &mut Vec<Action>);
 
-    /// Whether it needs the true load before each request.
-    fn sees(&self) -> bool {
+    /// Whether the policy needs [`Policy::set_true_load`] before each request.
+    fn needs_true_load(&self) -> bool {
         false
     }
 
-    /// Sets the true load of each backend: requests on it over its capacity now; infinite when it is down or silent.
-    fn show(&mut self, _truth: &[(BackendId, f64)]) {}
+    /// Sets the true load of each backend: its requests over its capacity at this moment, and `f64::MAX` for
+    /// a backend that is down, unreachable or hung.
+    fn set_true_load(&mut self, _truth: &[(BackendId, f64)]) {}
 }
 
-struct Module(Balancer);
+/// The decision module as a [`Policy`].
+struct DecisionModule(Balancer);
 
-impl Policy for Module {
+impl Policy for DecisionModule {
     fn handle(&mut self, now: Millis, event: Event<'_>, actions: &mut Vec<Action>) {
         self.0.handle(now, event, actions);
     }
 }
 
-struct Open {
-    at: usize,
+/// A request with an attempt in flight.
+struct OpenRequest {
+    server_index: usize,
     attempts: u32,
     tried: Vec<BackendId>,
 }
 
-/// The textbook policies: a backend by the rule, and another at once where the first never ran the request.
+/// A textbook policy. It retries at once at another backend if an attempt never ran, and does not retry
+/// otherwise.
 struct Textbook {
-    rule: PolicyName,
+    policy: PolicyName,
     rng: Xoshiro256PlusPlus,
+    /// The backends, each with the number of this proxy's requests in flight.
     servers: Vec<(BackendInfo, f64)>,
-    truth: HashMap<BackendId, f64>,
-    open: HashMap<RequestId, Open>,
-    turn: usize,
-    most_attempts: u32,
+    true_loads: HashMap<BackendId, f64>,
+    open: HashMap<RequestId, OpenRequest>,
+    next_in_turn: usize,
+    max_attempts: u32,
 }
 
 impl Textbook {
     fn new(rule: PolicyName, settings: &Settings, seed: u64) -> Textbook {
         Textbook {
-            rule,
+            policy: rule,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             servers: Vec::new(),
-            truth: HashMap::new(),
+            true_loads: HashMap::new(),
             open: HashMap::new(),
-            turn: settings.rank as usize,
-            most_attempts: settings.permissions.max_attempts,
+            next_in_turn: settings.rank as usize,
+            max_attempts: settings.permissions.max_attempts,
         }
     }
 
-    fn below(&mut self, bound: usize) -> usize {
+    fn random_index(&mut self, bound: usize) -> usize {
         ((u128::from(self.rng.next_u64()) * bound as u128) >> 64) as usize
     }
 
     fn pick(&mut self, tried: &[BackendId]) -> Option<usize> {
         let ready = |s: &(BackendInfo, f64)| s.0.state == BackendState::Ready;
-        let mut able: Vec<usize> = (0..self.servers.len())
+        let mut candidates: Vec<usize> = (0..self.servers.len())
             .filter(|&i| ready(&self.servers[i]) && !tried.contains(&self.servers[i].0.id))
             .collect();
-        if able.is_empty() {
-            able = (0..self.servers.len()).filter(|&i| ready(&self.servers[i])).collect();
+        if candidates.is_empty() {
+            candidates = (0..self.servers.len()).filter(|&i| ready(&self.servers[i])).collect();
         }
-        if able.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        let out = |i: &usize| self.servers[*i].1;
-        let true_load = |i: &usize| self.truth.get(&self.servers[*i].0.id).copied().unwrap_or(f64::MAX);
-        match self.rule {
+        let in_flight = |i: &usize| self.servers[*i].1;
+        let true_load = |i: &usize| self.true_loads.get(&self.servers[*i].0.id).copied().unwrap_or(f64::MAX);
+        match self.policy {
             PolicyName::RoundRobin => {
-                self.turn += 1;
-                Some(able[self.turn % able.len()])
+                self.next_in_turn += 1;
+                Some(candidates[self.next_in_turn % candidates.len()])
+            }
+            PolicyName::LeastOutstanding => {
+                candidates.iter().copied().min_by(|a, b| in_flight(a).total_cmp(&in_flight(b)))
+            }
+            PolicyName::Oracle => {
+                candidates.iter().copied().min_by(|a, b| true_load(a).total_cmp(&true_load(b)))
             }
-            PolicyName::LeastOutstanding => able.iter().copied().min_by(|a, b| out(a).total_cmp(&out(b))),
-            PolicyName::Oracle => able.iter().copied().min_by(|a, b| true_load(a).total_cmp(&true_load(b))),
             PolicyName::TwoChoices => {
-                let (a, b) = (able[self.below(able.len())], able[self.below(able.len())]);
+                let (a, b) = (
+                    candidates[self.random_index(candidates.len())],
+                    candidates[self.random_index(candidates.len())],
+                );
                 Some(if self.servers[a].1 <= self.servers[b].1 { a } else { b })
             }
-            PolicyName::Random | PolicyName::Hillstall => Some(able[self.below(able.len())]),
+            PolicyName::Random | PolicyName::Hillstall => {
+                Some(candidates[self.random_index(candidates.len())])
+            }
         }
     }
 
     fn send(&mut self, id: RequestId, attempts: u32, tried: Vec<BackendId>, actions: &mut Vec<Action>) {
-        let picked = if attempts < self.most_attempts { self.pick(&tried) } else { None };
+        let picked = if attempts < self.max_attempts { self.pick(&tried) } else { None };
         let Some(at) = picked else {
             return actions.push(Action::Reject {
                 request: id,
@@ -173,7 +188,7 @@
         let backend = self.servers[at].0.id;
         let mut tried = tried;
         tried.push(backend);
-        self.open.insert(id, Open { at, attempts: attempts + 1, tried });
+        self.open.insert(id, OpenRequest { server_index: at, attempts: attempts + 1, tried });
         actions.push(Action::Send { request: id, backend, timeout_ms: 0.0 });
     }
 
@@ -181,7 +196,7 @@
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             self.servers.iter_mut().for_each(|s| s.0.state = BackendState::Gone);
         }
-        // Places stay, as open requests refer to them.
+        // Backends are never removed, as open requests refer to them by index.
         for info in list {
             match self.servers.iter_mut().find(|s| s.0.id == info.id) {
                 Some(known) => known.0 = *info,
@@ -199,7 +214,7 @@
             Event::Request { id, .. } => self.send(id, 0, Vec::new(), actions),
             Event::Outcome { request, outcome, ended, .. } => {
                 let Some(open) = self.open.remove(&request) else { return };
-                self.servers[open.at].1 = (self.servers[open.at].1 - 1.0).max(0.0);
+                self.servers[open.server_index].1 = (self.servers[open.server_index].1 - 1.0).max(0.0);
                 if ended {
                 } else if outcome.never_ran() && outcome != Outcome::NotSent {
                     self.send(request, open.attempts, open.tried, actions);
@@ -211,12 +226,12 @@
         }
     }
 
-    fn sees(&self) -> bool {
-        self.rule == PolicyName::Oracle
+    fn needs_true_load(&self) -> bool {
+        self.policy == PolicyName::Oracle
     }
 
-    fn show(&mut self, truth: &[(BackendId, f64)]) {
-        self.truth.clear();
-        self.truth.extend(truth.iter().copied());
+    fn set_true_load(&mut self, truth: &[(BackendId, f64)]) {
+        self.true_loads.clear();
+        self.true_loads.extend(truth.iter().copied());
     }
 }
--- a/crates/simulation/src/sim/attempts.rs
+++ b/crates/simulation/src/sim/attempts.rs
@@ -1,23 +1,24 @@
-//! Requests at proxies, their attempts, and the machines that these reach.
+//! Requests at proxies, their attempts, and the work of the machines that serve them.
 
-use super::link_faults::Way;
+use super::link_faults::LinkState;
 use super::queue::{ResponseKind, SimEvent};
-use super::setup::CONNECT_TIMEOUT;
+use super::setup::CONNECT_TIMEOUT_MS;
 use super::{Attempt, ProxyRequest, RequestSource, World};
 use crate::model::machine::Admission;
-use crate::model::work::{self, Shape};
-use crate::random::part;
+use crate::model::work::{self, WorkDistribution};
+use crate::random::uniform;
 use hillstall_decision::{BackendId, Event, LoadReport, Outcome};
 
 impl World {
-    fn way(&self, proxy: usize, host: usize) -> f64 {
+    fn link_delay(&self, proxy: usize, host: usize) -> f64 {
         match self.proxies[proxy].zone == self.hosts[host].zone {
-            true => self.figures.same_zone,
-            false => self.figures.cross_zone,
+            true => self.parameters.same_zone_delay,
+            false => self.parameters.cross_zone_delay,
         }
     }
 
-    /// A request reaches a proxy.
+    /// A request reaches a proxy. `work` is in core milliseconds over this tier and those below; `ttl` is the
+    /// time to the deadline, in milliseconds.
     pub(super) fn receive_request(
         &mut self,
         proxy: usize,
@@ -27,8 +28,8 @@
         ttl: f64,
     ) {
         let id = self.requests.len();
-        // Clients mark their retries, as the settings say.
-        let is_retry = matches!(source, RequestSource::Client { no, .. } if no > 0);
+        // Clients mark their retries: the settings have `marks_retry`.
+        let is_retry = matches!(source, RequestSource::Client { attempt_number, .. } if attempt_number > 0);
         self.requests.push(ProxyRequest {
             proxy,
             source,
@@ -39,12 +40,14 @@
             attempts: 0,
             in_flight: None,
             answered: false,
-            gone: false,
+            abandoned: false,
         });
-        if self.proxies[proxy].policy.sees() {
-            let truth: Vec<(BackendId, f64)> =
-                self.tiers[self.proxies[proxy].tier].iter().map(|h| (*h as u32, self.load(*h))).collect();
-            self.proxies[proxy].policy.show(&truth);
+        if self.proxies[proxy].policy.needs_true_load() {
+            let truth: Vec<(BackendId, f64)> = self.tiers[self.proxies[proxy].tier]
+                .iter()
+                .map(|h| (*h as u32, self.true_load(*h)))
+                .collect();
+            self.proxies[proxy].policy.set_true_load(&truth);
         }
         let event = Event::Request {
             id: id as u64,
@@ -56,58 +59,59 @@
             is_write: false,
             timeout_ms: ttl,
         };
-        self.notify(proxy, event);
+        self.pass_event(proxy, event);
     }
 
-    fn load(&self, host: usize) -> f64 {
+    fn true_load(&self, host: usize) -> f64 {
         let h = &self.hosts[host];
-        let able = h.machine.capacity(self.now);
-        match able > 0.0 && !h.lost {
-            true => (h.machine.holds() + 1) as f64 / able,
+        let capacity = h.machine.capacity(self.now);
+        match capacity > 0.0 && !h.unreachable {
+            true => (h.machine.requests() + 1) as f64 / capacity,
             false => f64::MAX,
         }
     }
 
     #[allow(clippy::too_many_lines, reason = "one attempt, in the order of its random draws")]
-    pub(super) fn send(&mut self, request: usize, machine: usize, timeout: f64) {
+    pub(super) fn send_attempt(&mut self, request: usize, machine: usize, timeout: f64) {
         let proxy = self.requests[request].proxy;
         let tier = self.proxies[proxy].tier;
-        self.totals.sent(self.now, tier);
+        self.totals.record_attempt(self.now, tier);
         if self.hosts[machine].away_notified_at.is_some_and(|notified_at| self.now > notified_at + 2_000.0) {
             self.totals.late_sends += 1;
         }
-        let of = &self.figures.tiers[tier];
-        let whole = of.calls.floor();
-        let calls_below = whole as usize + usize::from(part(&mut self.network) < of.calls - whole);
-        let phases = calls_below + 1;
+        let tier_parameters = &self.parameters.tiers[tier];
+        let whole_requests = tier_parameters.requests_below.floor();
+        let request_count = whole_requests as usize
+            + usize::from(uniform(&mut self.network_rng) < tier_parameters.requests_below - whole_requests);
+        let phases = request_count + 1;
         let attempt = self.attempts.len();
-        let noise = self.figures.classes[self.requests[request].class].noise;
-        let off = work::draw(Shape::Lognormal, 1.0, noise, &mut self.network);
-        let (class, part) = (self.requests[request].class, of.part);
+        let noise = self.parameters.classes[self.requests[request].class].attempt_noise_cv;
+        let noise_factor = work::draw(WorkDistribution::Lognormal, 1.0, noise, &mut self.network_rng);
+        let (class, work_fraction) = (self.requests[request].class, tier_parameters.work_fraction);
         if tier == 0 && self.requests[request].attempts == 0 {
             self.side_effects.on_admitted(self.now, proxy, class);
         }
         let host = &self.hosts[machine];
         let started = host.started_at.map(|at| (at, self.now - at));
-        let failing = host.lost || !host.machine.works();
+        let failing = host.unreachable || !host.machine.is_responsive();
         self.side_effects.on_sent(
             (proxy, machine),
             failing,
             started,
-            self.requests[request].work * off * part,
+            self.requests[request].work * noise_factor * work_fraction,
         );
         let proxy_request = &mut self.requests[request];
         self.attempts.push(Attempt {
             request,
-            no: proxy_request.attempts,
+            number: proxy_request.attempts,
             machine,
             sent_at: self.now,
-            over: false,
+            ended: false,
             on_machine: false,
-            dropped: false,
+            cancelled: false,
             phases_left: phases,
-            phase_work: proxy_request.work * off * part / phases as f64,
-            below: None,
+            phase_work: proxy_request.work * noise_factor * work_fraction / phases as f64,
+            request_below: None,
         });
         proxy_request.attempts += 1;
         proxy_request.in_flight = Some(attempt);
@@ -116,163 +120,186 @@
         } else {
             proxy_request.deadline_at
         };
-        let way = self.way(proxy, machine);
-        match self.way_to(proxy, machine) {
-            Way::Open(more) => self.queue.put(self.now + way + more, SimEvent::Reach { attempt }),
-            Way::Blocked(_) => {
+        let delay = self.link_delay(proxy, machine);
+        match self.link_to_machine(proxy, machine) {
+            LinkState::Open(extra_delay) => {
+                self.queue.schedule(self.now + delay + extra_delay, SimEvent::AttemptArrival { attempt })
+            }
+            LinkState::Blocked(_) => {
                 let outcome = Outcome::ConnectFailed;
-                self.queue.put(self.now + CONNECT_TIMEOUT, SimEvent::Back { attempt, outcome });
+                self.queue
+                    .schedule(self.now + CONNECT_TIMEOUT_MS, SimEvent::AttemptOutcome { attempt, outcome });
             }
-            Way::Refused => {
+            LinkState::Refused => {
                 let outcome = Outcome::ConnectFailed;
-                self.queue.put(self.now + 2.0 * way, SimEvent::Back { attempt, outcome });
+                self.queue.schedule(self.now + 2.0 * delay, SimEvent::AttemptOutcome { attempt, outcome });
             }
-            Way::Broken => {
+            LinkState::Broken => {
                 let outcome = Outcome::Reset;
-                self.queue.put(self.now + 2.0 * way, SimEvent::Back { attempt, outcome });
+                self.queue.schedule(self.now + 2.0 * delay, SimEvent::AttemptOutcome { attempt, outcome });
             }
         }
-        self.queue.put(end, SimEvent::TimeUp { attempt });
+        self.queue.schedule(end, SimEvent::AttemptTimeout { attempt });
     }
 
-    pub(super) fn reach(&mut self, attempt: usize) {
+    pub(super) fn attempt_arrives(&mut self, attempt: usize) {
         let (machine, work) = (self.attempts[attempt].machine, self.attempts[attempt].phase_work);
-        if self.attempts[attempt].over {
+        if self.attempts[attempt].ended {
             return;
         }
-        let way = self.way(self.requests[self.attempts[attempt].request].proxy, machine);
+        let delay = self.link_delay(self.requests[self.attempts[attempt].request].proxy, machine);
         let host = &mut self.hosts[machine];
-        if host.lost {
+        if host.unreachable {
             let outcome = Outcome::ConnectFailed;
-            return self.queue.put(self.now + CONNECT_TIMEOUT, SimEvent::Back { attempt, outcome });
+            return self
+                .queue
+                .schedule(self.now + CONNECT_TIMEOUT_MS, SimEvent::AttemptOutcome { attempt, outcome });
         }
         if !host.machine.is_up() {
             let outcome = Outcome::ConnectFailed;
-            return self.queue.put(self.now + way, SimEvent::Back { attempt, outcome });
+            return self.queue.schedule(self.now + delay, SimEvent::AttemptOutcome { attempt, outcome });
         }
         if host.rejects_new {
             let outcome = Outcome::Rejected;
-            return self.queue.put(self.now + way, SimEvent::Back { attempt, outcome });
+            return self.queue.schedule(self.now + delay, SimEvent::AttemptOutcome { attempt, outcome });
         }
-        match host.machine.offer(self.now, attempt as u64, work, &mut self.done) {
-            Admission::Yes => self.attempts[attempt].on_machine = true,
-            Admission::Full => {
+        match host.machine.offer(self.now, attempt as u64, work, &mut self.completed_jobs) {
+            Admission::Accepted => self.attempts[attempt].on_machine = true,
+            Admission::QueueFull => {
                 let outcome = Outcome::Rejected;
-                self.queue.put(self.now + way, SimEvent::Back { attempt, outcome });
+                self.queue.schedule(self.now + delay, SimEvent::AttemptOutcome { attempt, outcome });
             }
         }
-        self.worked(machine);
+        self.continue_completed_work(machine);
     }
 
-    /// Continues with the work a machine has completed, and schedules its next completion.
-    pub(super) fn worked(&mut self, machine: usize) {
-        while !self.done.is_empty() {
-            for job in std::mem::take(&mut self.done) {
+    /// Processes the jobs that have completed a phase, and schedules the machine's next change.
+    pub(super) fn continue_completed_work(&mut self, machine: usize) {
+        while !self.completed_jobs.is_empty() {
+            for job in std::mem::take(&mut self.completed_jobs) {
                 self.phase_done(job as usize);
             }
         }
         let host = &mut self.hosts[machine];
-        host.stamp += 1;
-        let stamp = host.stamp;
-        if let Some(due) = host.machine.due() {
-            self.queue.put(due.max(self.now), SimEvent::Due { machine, stamp });
+        host.change_stamp += 1;
+        let stamp = host.change_stamp;
+        if let Some(due) = host.machine.next_change() {
+            self.queue.schedule(due.max(self.now), SimEvent::MachineChange { machine, stamp });
         }
     }
 
     fn phase_done(&mut self, attempt: usize) {
-        let a = &mut self.attempts[attempt];
-        a.phases_left -= 1;
-        if a.phases_left == 0 || a.dropped {
-            return self.finish(attempt, Outcome::Ok);
+        let state = &mut self.attempts[attempt];
+        state.phases_left -= 1;
+        if state.phases_left == 0 || state.cancelled {
+            return self.finish_attempt(attempt, Outcome::Ok);
         }
-        let (machine, request) = (a.machine, a.request);
-        let of = &self.requests[request];
-        let (whose, work, ttl) = ((of.class, of.tenant), of.work, of.deadline_at - self.now);
-        let calls_left = a.phases_left as f64;
+        let (machine, request) = (state.machine, state.request);
+        let parent = &self.requests[request];
+        let (class_and_tenant, work, ttl) =
+            ((parent.class, parent.tenant), parent.work, parent.deadline_at - self.now);
+        let requests_left = state.phases_left as f64;
         let Some(proxy) = self.hosts[machine].proxy else {
-            return self.finish(attempt, Outcome::Ok);
+            return self.finish_attempt(attempt, Outcome::Ok);
         };
-        // The work of the tiers below is spread over the requests that are left of this one.
+        // The work at the tiers below is divided by the number of requests sent there.
         let tier = self.hosts[machine].tier;
-        let all = self.figures.tiers[tier].calls.max(1.0).max(calls_left);
-        self.attempts[attempt].below = Some(self.requests.len());
-        let work = if self.figures.own_work {
-            let class = &self.figures.classes[whose.0];
-            work::draw(class.shape, class.work, class.cv, &mut self.network)
+        let requests_below = self.parameters.tiers[tier].requests_below.max(1.0).max(requests_left);
+        self.attempts[attempt].request_below = Some(self.requests.len());
+        let work = if self.parameters.independent_tier_work {
+            let class = &self.parameters.classes[class_and_tenant.0];
+            work::draw(class.work_distribution, class.mean_work_ms, class.work_cv, &mut self.network_rng)
         } else {
             work
         };
-        self.receive_request(proxy, RequestSource::Machine { attempt }, whose, work / all, ttl.max(0.0));
+        self.receive_request(
+            proxy,
+            RequestSource::Machine { attempt },
+            class_and_tenant,
+            work / requests_below,
+            ttl.max(0.0),
+        );
     }
 
-    /// A machine has finished an attempt.
-    fn finish(&mut self, attempt: usize, outcome: Outcome) {
+    /// Ends an attempt at its machine and sends the outcome to the proxy, unless the machine has already lost
+    /// it.
+    fn finish_attempt(&mut self, attempt: usize, outcome: Outcome) {
         let machine = self.attempts[attempt].machine;
         if !std::mem::take(&mut self.attempts[attempt].on_machine) {
             return;
         }
         let now = self.now;
-        self.hosts[machine].machine.release(now, &mut self.done);
+        self.hosts[machine].machine.release(now, &mut self.completed_jobs);
         let proxy = self.requests[self.attempts[attempt].request].proxy;
-        let way = self.way(proxy, machine);
-        if !self.hosts[machine].lost {
-            match self.way_to(proxy, machine) {
-                Way::Open(more) => self.queue.put(now + way + more, SimEvent::Back { attempt, outcome }),
-                // It is retransmitted, and arrives when the link is back.
-                Way::Blocked(until) => self.queue.put(until + way, SimEvent::Back { attempt, outcome }),
-                Way::Refused => self.queue.put(now + way, SimEvent::Back { attempt, outcome }),
-                Way::Broken => {
+        let delay = self.link_delay(proxy, machine);
+        if !self.hosts[machine].unreachable {
+            match self.link_to_machine(proxy, machine) {
+                LinkState::Open(extra_delay) => self
+                    .queue
+                    .schedule(now + delay + extra_delay, SimEvent::AttemptOutcome { attempt, outcome }),
+                // TCP retransmits the response, so it arrives once the link is back.
+                LinkState::Blocked(until) => {
+                    self.queue.schedule(until + delay, SimEvent::AttemptOutcome { attempt, outcome })
+                }
+                LinkState::Refused => {
+                    self.queue.schedule(now + delay, SimEvent::AttemptOutcome { attempt, outcome })
+                }
+                LinkState::Broken => {
                     let outcome = Outcome::Reset;
-                    self.queue.put(now + way, SimEvent::Back { attempt, outcome });
+                    self.queue.schedule(now + delay, SimEvent::AttemptOutcome { attempt, outcome });
                 }
             }
         }
-        self.worked(machine);
+        self.continue_completed_work(machine);
     }
 
-    /// The final response of a proxy, to the source of the request.
-    pub(super) fn answer(&mut self, request: usize, end: ResponseKind, retry_after: f64) {
-        let a = &mut self.requests[request];
-        if a.gone {
+    /// Sends a proxy's final response to the source of the request. A second response to a request is counted
+    /// as an error.
+    pub(super) fn respond(&mut self, request: usize, end: ResponseKind, retry_after: f64) {
+        let state = &mut self.requests[request];
+        if state.abandoned {
             return;
         }
-        if std::mem::replace(&mut a.answered, true) {
-            self.totals.wrong_answers += 1;
+        if std::mem::replace(&mut state.answered, true) {
+            self.totals.response_errors += 1;
             return;
         }
-        match a.source {
-            RequestSource::Client { client_request: call, no } => {
+        match state.source {
+            RequestSource::Client { client_request, attempt_number } => {
                 if end == ResponseKind::Rejected {
-                    self.totals.refused_by(a.proxy);
-                    self.side_effects.on_rejected(self.now, a.proxy, a.class, a.attempts == 0);
+                    self.totals.record_rejection_by(state.proxy);
+                    self.side_effects.on_rejected(self.now, state.proxy, state.class, state.attempts == 0);
                 }
-                let at = self.now + self.figures.client;
-                self.queue.put(at, SimEvent::Final { client_request: call, no, end, retry_after });
+                let at = self.now + self.parameters.client_delay;
+                self.queue.schedule(
+                    at,
+                    SimEvent::ResponseArrival { client_request, attempt_number, end, retry_after },
+                );
             }
             RequestSource::Machine { attempt } => {
-                let of = &mut self.attempts[attempt];
-                of.below = None;
-                let (machine, work) = (of.machine, of.phase_work);
+                let parent = &mut self.attempts[attempt];
+                parent.request_below = None;
+                let (machine, work) = (parent.machine, parent.phase_work);
                 if end != ResponseKind::Served {
-                    self.finish(attempt, Outcome::Error);
-                } else if of.on_machine {
+                    self.finish_attempt(attempt, Outcome::Error);
+                } else if parent.on_machine {
                     let now = self.now;
-                    self.hosts[machine].machine.resume(now, attempt as u64, work, &mut self.done);
-                    self.worked(machine);
+                    self.hosts[machine].machine.resume(now, attempt as u64, work, &mut self.completed_jobs);
+                    self.continue_completed_work(machine);
                 }
             }
         }
     }
 
-    pub(super) fn time_up(&mut self, attempt: usize) {
-        if self.attempts[attempt].over {
+    pub(super) fn attempt_timed_out(&mut self, attempt: usize) {
+        if self.attempts[attempt].ended {
             return;
         }
         self.drop_at_machine(attempt);
         self.end_attempt(attempt, Outcome::Timeout);
     }
 
-    /// The policy cancels an attempt.
+    /// Cancels a request's attempt in flight, on behalf of the policy.
     pub(super) fn cancel_attempt(&mut self, request: usize) {
         if let Some(attempt) = self.requests[request].in_flight {
             self.drop_at_machine(attempt);
@@ -281,37 +308,39 @@
     }
 
     fn drop_at_machine(&mut self, attempt: usize) {
-        let way =
-            self.way(self.requests[self.attempts[attempt].request].proxy, self.attempts[attempt].machine);
-        self.queue.put(self.now + way, SimEvent::Cancel { attempt });
+        let delay = self
+            .link_delay(self.requests[self.attempts[attempt].request].proxy, self.attempts[attempt].machine);
+        self.queue.schedule(self.now + delay, SimEvent::CancelArrival { attempt });
     }
 
-    /// Queued work is dropped; running work goes on to the end of its phase.
+    /// A cancellation reaches the machine: queued work is dropped, running work continues to the end of its
+    /// phase.
     pub(super) fn cancel_at_machine(&mut self, attempt: usize) {
-        let a = &mut self.attempts[attempt];
-        if !a.on_machine || self.hosts[a.machine].lost {
+        let state = &mut self.attempts[attempt];
+        if !state.on_machine || self.hosts[state.machine].unreachable {
             return;
         }
-        a.dropped = true;
-        let (machine, below) = (a.machine, a.below.take());
+        state.cancelled = true;
+        let (machine, below) = (state.machine, state.request_below.take());
         if let Some(request_below) = below {
-            self.client_leaves(request_below);
-            return self.finish(attempt, Outcome::Cancelled);
+            self.client_gone(request_below);
+            return self.finish_attempt(attempt, Outcome::Cancelled);
         }
         let now = self.now;
-        if self.hosts[machine].machine.cancel(now, attempt as u64, &mut self.done) {
+        if self.hosts[machine].machine.cancel(now, attempt as u64, &mut self.completed_jobs) {
             self.attempts[attempt].on_machine = false;
         }
-        self.worked(machine);
+        self.continue_completed_work(machine);
     }
 
-    /// An attempt ends for its proxy, once; later outcomes are ignored.
+    /// Ends an attempt at its proxy. Only the first outcome counts; later ones are ignored.
     pub(super) fn end_attempt(&mut self, attempt: usize, outcome: Outcome) {
-        let a = &mut self.attempts[attempt];
-        if std::mem::replace(&mut a.over, true) {
+        let state = &mut self.attempts[attempt];
+        if std::mem::replace(&mut state.ended, true) {
             return;
         }
-        let (request, no, machine, took) = (a.request, a.no, a.machine, self.now - a.sent_at);
+        let (request, attempt_number, machine, took) =
+            (state.request, state.number, state.machine, self.now - state.sent_at);
         self.requests[request].in_flight = None;
         let proxy = self.requests[request].proxy;
         let keeps_connection = matches!(outcome, Outcome::Ok | Outcome::Rejected | Outcome::Error);
@@ -319,42 +348,43 @@
         if !self.proxies[proxy].alive {
             return;
         }
-        let served = outcome == Outcome::Ok && !self.requests[request].gone;
+        let served = outcome == Outcome::Ok && !self.requests[request].abandoned;
         if served {
-            self.answer(request, ResponseKind::Served, 0.0);
+            self.respond(request, ResponseKind::Served, 0.0);
         }
-        // At the deadline the request fails, whatever the policy would still do.
+        // At the deadline the request fails even if the policy has not given it up.
         let late = self.now >= self.requests[request].deadline_at;
         let event = Event::Outcome {
             request: request as u64,
-            attempt: no as u8,
+            attempt: attempt_number as u8,
             backend: machine as u32,
             outcome,
             took_ms: took,
-            ended: served || self.requests[request].gone,
+            ended: served || self.requests[request].abandoned,
             report: LoadReport::default(),
         };
-        self.notify(proxy, event);
-        let a = &self.requests[request];
-        if late && !a.answered && !a.gone && a.in_flight.is_none() {
-            self.answer(request, ResponseKind::Failed, 0.0);
+        self.pass_event(proxy, event);
+        let state = &self.requests[request];
+        if late && !state.answered && !state.abandoned && state.in_flight.is_none() {
+            self.respond(request, ResponseKind::Failed, 0.0);
         }
     }
 
-    /// The attempts on a machine are lost with its process; `reset`: their connections are reset.
+    /// Loses all attempts on a machine whose process has died. With `reset` their connections are reset;
+    /// otherwise the proxies get no sign of it.
     pub(super) fn lose_attempts_on(&mut self, machine: usize, reset: bool) {
         for attempt in 0..self.attempts.len() {
-            let a = &mut self.attempts[attempt];
-            if a.machine != machine || !std::mem::take(&mut a.on_machine) {
+            let state = &mut self.attempts[attempt];
+            if state.machine != machine || !std::mem::take(&mut state.on_machine) {
                 continue;
             }
-            if let Some(below) = a.below.take() {
-                self.client_leaves(below);
+            if let Some(below) = state.request_below.take() {
+                self.client_gone(below);
             }
             if reset {
-                let way = self.way(self.requests[self.attempts[attempt].request].proxy, machine);
+                let delay = self.link_delay(self.requests[self.attempts[attempt].request].proxy, machine);
                 let outcome = Outcome::Reset;
-                self.queue.put(self.now + way, SimEvent::Back { attempt, outcome });
+                self.queue.schedule(self.now + delay, SimEvent::AttemptOutcome { attempt, outcome });
             }
         }
     }
--- a/crates/simulation/src/sim/queue.rs
+++ b/crates/simulation/src/sim/queue.rs
@@ -1,43 +1,44 @@
-//! Future events in the order of time. Events of one moment keep the order in which they were added, so that equal
-//! seeds give equal runs.
+//! The queue of future events, ordered by time. Events of the same time keep the order in which they were
+//! scheduled, so that equal seeds give equal runs.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// A future event.
+/// An event in simulated time.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum SimEvent {
     /// The next client request starts.
     Arrival,
-    /// A client's attempt reaches its proxy.
-    ClientAttempt { client_request: usize, no: u32 },
+    /// A client's attempt reaches the load balancer in front of the proxies.
+    ClientAttempt { client_request: usize, attempt_number: u32 },
     /// A client's attempt times out.
-    ClientAttemptTimeout { client_request: usize, no: u32 },
-    /// The final response to an attempt reaches its client.
-    Final { client_request: usize, no: u32, end: ResponseKind, retry_after: f64 },
-    /// An attempt reaches its machine.
-    Reach { attempt: usize },
-    /// A machine completes work; the event is stale unless its stamp is the machine's.
-    Due { machine: usize, stamp: u64 },
-    /// The outcome of an attempt reaches its proxy.
-    Back { attempt: usize, outcome: hillstall_decision::Outcome },
-    /// An attempt times out at its proxy.
-    TimeUp { attempt: usize },
-    /// A cancellation reaches the machine.
-    Cancel { attempt: usize },
-    /// A timer of a policy.
+    ClientAttemptTimeout { client_request: usize, attempt_number: u32 },
+    /// The final response to a client's attempt reaches the client.
+    ResponseArrival { client_request: usize, attempt_number: u32, end: ResponseKind, retry_after: f64 },
+    /// A proxy's attempt reaches its machine.
+    AttemptArrival { attempt: usize },
+    /// A machine completes work or its speed changes. The event is stale unless `stamp` is the machine's
+    /// current one.
+    MachineChange { machine: usize, stamp: u64 },
+    /// The outcome of an attempt reaches the proxy that sent it.
+    AttemptOutcome { attempt: usize, outcome: hillstall_decision::Outcome },
+    /// An attempt times out at the proxy that sent it.
+    AttemptTimeout { attempt: usize },
+    /// The cancellation of an attempt reaches its machine.
+    CancelArrival { attempt: usize },
+    /// A timer that a proxy's policy has set.
     Timer { proxy: usize, token: u64 },
     /// A failure begins or ends.
     Failure { index: usize, begins: bool },
-    /// A step in the release of a machine.
+    /// A step in the release of a machine: it drains, stops and starts again.
     Release { machine: usize, step: Step },
-    /// A proxy of the first tier is restarted gracefully.
-    Roll { proxy: usize },
-    /// The proxies of a tier are notified of a machine's state.
+    /// A step in the graceful restart of a first-tier proxy: it begins to drain, or the new process is up.
+    GracefulRestart { proxy: usize },
+    /// The proxies in front of a machine are notified of its state.
     EndpointNotice { machine: usize },
 }
 
-/// Steps of a machine's release.
+/// The steps of a machine's release, in order.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Step {
     Drain,
@@ -45,7 +46,7 @@
     Start,
 }
 
-/// Kind of a proxy's final response.
+/// How a proxy answers a request in the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ResponseKind {
     Served,
@@ -55,13 +56,13 @@
 
 struct Entry {
     at: f64,
-    order: u64,
-    what: SimEvent,
+    sequence: u64,
+    event: SimEvent,
 }
 
 impl Ord for Entry {
     fn cmp(&self, other: &Entry) -> Ordering {
-        self.at.total_cmp(&other.at).then(self.order.cmp(&other.order))
+        self.at.total_cmp(&other.at).then(self.sequence.cmp(&other.sequence))
     }
 }
 
@@ -79,20 +80,19 @@
 
 impl Eq for Entry {}
 
-/// The event queue.
 #[derive(Default)]
 pub(super) struct Queue {
     heap: BinaryHeap<Reverse<Entry>>,
-    order: u64,
+    last_sequence: u64,
 }
 
 impl Queue {
-    pub(super) fn put(&mut self, at: f64, what: SimEvent) {
-        self.order += 1;
-        self.heap.push(Reverse(Entry { at, order: self.order, what }));
+    pub(super) fn schedule(&mut self, at: f64, event: SimEvent) {
+        self.last_sequence += 1;
+        self.heap.push(Reverse(Entry { at, sequence: self.last_sequence, event }));
     }
 
-    pub(super) fn next(&mut self) -> Option<(f64, SimEvent)> {
-        self.heap.pop().map(|Reverse(entry)| (entry.at, entry.what))
+    pub(super) fn pop(&mut self) -> Option<(f64, SimEvent)> {
+        self.heap.pop().map(|Reverse(entry)| (entry.at, entry.event))
     }
 }
--- a/crates/simulation/src/site.rs
+++ b/crates/simulation/src/site.rs
@@ -1,29 +1,30 @@
-//! A small deployment: the platform file of a proxy in front of stand-in backends on loopback.
+//! The platform file of a proxy in front of stand-in backends on loopback, for benchmarks and the demo.
 
-use crate::discovery::list;
+use crate::discovery::endpoint_list;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Limits of a proxy process.
+/// Resource limits that the platform file gives a proxy process.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessLimits {
-    /// Descriptors.
+    /// Maximum number of open sockets.
     pub sockets: usize,
-    /// Memory in MB.
+    /// Memory limit in MB.
     pub memory_mb: usize,
 }
 
-/// The proxy's configuration: two classes, one idempotent and one with an idempotency key; no tenants.
+/// The platform file of one proxy: an idempotent class `browse`, a class `purchase` that needs an idempotency
+/// key, and no tenants.
 pub fn config(
     listen: SocketAddr,
     discovery: SocketAddr,
     servers: &[SocketAddr],
-    holds: ProcessLimits,
+    limits: ProcessLimits,
 ) -> Value {
     json!({
         "name": "n1", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": holds.memory_mb, "sockets": holds.sockets},
-        "known": list(servers),
+        "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
+        "known": endpoint_list(servers),
         "settings": {
             "Allowed": {"MaxAttempts": 4, "Cancelling": true, "RetryAfter": true, "MaxRetryAfter": 5000,
                 "IdleClose": 20000, "ConnectTimeout": 300},
--- a/crates/simulation/src/stability.rs
+++ b/crates/simulation/src/stability.rs
@@ -1,62 +1,67 @@
-//! The stability map of metastable overload, over load and the part of the machines that is lost. A point is stable
-//! where service recovers by itself soon after the loss has ended; elsewhere the overload outlives its cause.
+//! The stability map of metastable overload, over the load and the fraction of machines that is lost for a
+//! while. A point is stable if service recovers by itself soon after the loss has ended; elsewhere the
+//! overload outlasts its cause.
 
-use crate::experiment::{by_cell, grid, Axis, Mean, SweepError, LOAD};
+use crate::experiment::{by_cell, grid, Axis, Mean, SweepError, LOAD_KEY};
 use crate::policy::PolicyName;
 use crate::report::{by_load, lines, markdown, page, PlotError};
 use crate::sim::{self, setup, RunSummary, Second};
 
-/// The scenario's key of the part that is lost, in the first failure.
-const LOST: &str = "failure.0.part";
-/// Seconds at the start that are left out of the baseline.
-const WARM: usize = 2;
-/// The part of the baseline service that counts as recovered ...
-const RETURNED: f64 = 0.95;
-/// ... once it is reached over so many seconds on end.
-const OVER: usize = 2;
-/// Tolerance for a cell that is worse, in percentage points.
-const WORSE: f64 = 2.0;
-
-/// The course of one run around the loss.
+/// Key of the fraction of machines that is lost, in the scenario's first failure.
+const LOST_KEY: &str = "failure.0.part";
+/// Seconds at the start of a run that are left out of the baseline.
+const WARMUP_SECONDS: usize = 2;
+/// Service counts as recovered from this fraction of the baseline on.
+const RECOVERED_FRACTION: f64 = 0.95;
+/// Service counts as recovered once it has been so over this many consecutive seconds.
+const RECOVERED_SECONDS: usize = 2;
+/// A cell counts as worse if its service has dropped by more than this many percentage points.
+const WORSE_POINTS: f64 = 2.0;
+
+/// The course of service in one run: before, during and after the loss of machines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceCourse {
-    /// Service before the loss, as a part.
-    pub before: f64,
-    /// Service while it lasts.
-    pub during: f64,
-    /// Seconds from its end until service has recovered; `None` if it never does.
-    pub back_after: Option<f64>,
+    /// Service before the loss, from 0 to 1.
+    pub baseline: f64,
+    /// Service while the loss lasts, from 0 to 1.
+    pub during_loss: f64,
+    /// Seconds from the end of the loss until service has recovered; `None` if it does not within the run.
+    pub recovery_seconds: Option<f64>,
 }
 
 impl ServiceCourse {
-    /// Measures a run with a loss at a time and of a duration, both in seconds.
+    /// Measures a run by its seconds. The loss begins at `from` and lasts for `lasts`, both in seconds.
     pub fn of(seconds: &[Second], from: f64, lasts: f64) -> ServiceCourse {
         let service = |range: std::ops::Range<usize>| {
             let range = range.start.min(seconds.len())..range.end.min(seconds.len());
             let sum = |of: fn(&Second) -> f64| seconds[range.clone()].iter().map(of).sum::<f64>();
-            let worth = sum(|s| s.worth);
-            if worth > 0.0 {
-                sum(|s| s.earned) / worth
+            let offered = sum(|s| s.offered_weight);
+            if offered > 0.0 {
+                sum(|s| s.served_weight) / offered
             } else {
                 0.0
             }
         };
         let (begins, ends) = (from as usize, (from + lasts).ceil() as usize);
-        // Requests of the second before may still be in flight when it begins.
-        let usual = begins.saturating_sub(1);
-        let before = service(WARM.min(usual)..usual);
-        let back = (ends..(seconds.len() + 1).saturating_sub(OVER))
-            .find(|s| service(*s..s + OVER) >= RETURNED * before);
-        ServiceCourse { before, during: service(begins..ends), back_after: back.map(|s| (s - ends) as f64) }
+        // Requests of the last second before the loss may still be in flight when it begins.
+        let baseline_end = begins.saturating_sub(1);
+        let baseline = service(WARMUP_SECONDS.min(baseline_end)..baseline_end);
+        let recovered_at = (ends..(seconds.len() + 1).saturating_sub(RECOVERED_SECONDS))
+            .find(|s| service(*s..s + RECOVERED_SECONDS) >= RECOVERED_FRACTION * baseline);
+        ServiceCourse {
+            baseline,
+            during_loss: service(begins..ends),
+            recovery_seconds: recovered_at.map(|s| (s - ends) as f64),
+        }
     }
 }
 
 /// Runs with one load and one loss.
 pub struct StabilityCell {
-    /// The load, as a part of the capacity.
+    /// The load, as a fraction of the capacity.
     pub load: f64,
-    /// The part of the machines that is lost.
-    pub lost: f64,
+    /// The fraction of machines that is lost.
+    pub lost_fraction: f64,
     /// One run for each seed.
     pub runs: Vec<RunSummary>,
     /// The course of each run.
@@ -64,53 +69,56 @@
 }
 
 impl StabilityCell {
-    /// The part of the load that the remaining machines can serve.
-    pub fn bearable(&self) -> f64 {
-        ((1.0 - self.lost) / self.load).min(1.0)
+    /// The fraction of the load that the remaining machines can serve; at most 1.
+    pub fn servable_fraction(&self) -> f64 {
+        ((1.0 - self.lost_fraction) / self.load).min(1.0)
     }
 
-    /// A figure's mean over the seeds.
+    /// The mean of a figure over the seeds.
     fn mean(&self, figure: impl Fn(&ServiceCourse) -> f64) -> Mean {
         Mean::of(&self.courses.iter().map(figure).collect::<Vec<_>>())
     }
 
-    /// Number of seeds that never recovered.
-    pub fn stuck(&self) -> usize {
-        self.courses.iter().filter(|c| c.back_after.is_none()).count()
+    /// Number of seeds with which service did not recover.
+    pub fn unrecovered_seeds(&self) -> usize {
+        self.courses.iter().filter(|c| c.recovery_seconds.is_none()).count()
     }
 
-    /// The longest recovery among the seeds that recovered, in seconds.
-    fn slowest(&self) -> f64 {
-        self.courses.iter().filter_map(|c| c.back_after).fold(0.0, f64::max)
+    /// The longest recovery among the seeds with which service recovered, in seconds.
+    fn longest_recovery(&self) -> f64 {
+        self.courses.iter().filter_map(|c| c.recovery_seconds).fold(0.0, f64::max)
     }
 
     fn chokes(&self) -> f64 {
         self.runs.iter().map(|t| t.chokes as f64).sum::<f64>() / self.runs.len().max(1) as f64
     }
 
+    /// The cell's name in stored runs, by which [`StabilityMap::compare_with`] finds the earlier runs of the
+    /// cell.
     fn name(&self) -> String {
-        format!("load={} lost={}", self.load, self.lost)
+        format!("load={} lost={}", self.load, self.lost_fraction)
     }
 }
 
-/// The map, by load and then by loss.
+/// A stability map.
 pub struct StabilityMap {
-    /// The cells; those of one load follow each other.
+    /// The cells, by load and then by fraction lost.
     pub cells: Vec<StabilityCell>,
 }
 
-/// Why there is no map.
+/// Why a map can't be computed.
 #[derive(Debug, thiserror::Error)]
 pub enum MapError {
-    /// The grid can't be made.
+    /// The grid of scenarios can't be built.
     #[error(transparent)]
     Grid(#[from] SweepError),
-    /// Nothing is lost in the scenario.
+    /// The scenario has no failure.
     #[error("failure.0: the scenario has no failure whose part could be varied")]
     NoFailure,
 }
 
-/// Runs a scenario, whose first failure is the loss, with each load and part lost. `ended` is called after each run.
+/// Runs a scenario, whose first failure is the loss of machines, with each load, fraction lost and seed.
+/// `ended` is called after each run.
 pub fn map(
     text: &str,
     (loads, lost): (&[f64], &[f64]),
@@ -118,29 +126,30 @@
     seeds: &[u64],
     ended: impl Fn() + Sync,
 ) -> Result<StabilityMap, MapError> {
-    let scenarios = grid(text, &[Axis::of_numbers(LOAD, loads), Axis::of_numbers(LOST, lost)])?;
+    let scenarios = grid(text, &[Axis::of_numbers(LOAD_KEY, loads), Axis::of_numbers(LOST_KEY, lost)])?;
     if scenarios.iter().any(|(_, scenario)| scenario.failures.is_empty()) {
         return Err(MapError::NoFailure);
     }
-    let places = loads.iter().flat_map(|load| lost.iter().map(move |lost| (*load, *lost)));
-    let places: Vec<_> = places.zip(scenarios).map(|(place, (_, scenario))| (place, scenario)).collect();
-    let runs = by_cell(&places, seeds, |((_, lost), scenario), seed| {
+    let cells = loads.iter().flat_map(|load| lost.iter().map(move |lost| (*load, *lost)));
+    let cells: Vec<_> = cells.zip(scenarios).map(|(place, (_, scenario))| (place, scenario)).collect();
+    let runs = by_cell(&cells, seeds, |((_, lost), scenario), seed| {
         let mut scenario = scenario.clone();
         let loss = setup::draw(&scenario, seed).failures[0].clone();
-        // At least one server is meant by any part: where none is, there is no failure.
+        // A failure affects at least one machine whatever its fraction, so a cell without loss has no
+        // failure.
         if *lost <= 0.0 {
             scenario.failures.remove(0);
         }
-        let tally = sim::run(&scenario, policy, seed);
+        let summary = sim::run(&scenario, policy, seed);
         ended();
-        let course = ServiceCourse::of(&tally.seconds, loss.at / 1e3, loss.lasts / 1e3);
-        (tally, course)
+        let course = ServiceCourse::of(&summary.seconds, loss.at / 1e3, loss.duration / 1e3);
+        (summary, course)
     });
-    let cells = places.iter().zip(runs).map(|(((load, lost), _), runs)| {
+    let cells = cells.iter().zip(runs).map(|(((load, lost), _), runs)| {
         let (runs, courses) = runs.into_iter().unzip();
-        let mut cell = StabilityCell { load: *load, lost: *lost, runs, courses };
+        let mut cell = StabilityCell { load: *load, lost_fraction: *lost, runs, courses };
         let name = cell.name();
-        cell.runs.iter_mut().for_each(|tally| tally.cell.clone_from(&name));
+        cell.runs.iter_mut().for_each(|summary| summary.cell.clone_from(&name));
         cell
     });
     Ok(StabilityMap { cells: cells.collect() })
@@ -153,24 +162,24 @@
             "lost",
             "service before",
             "during",
-            "of what is left to serve %",
-            "back after s, mean",
+            "of the servable load %",
+            "recovered after s, mean",
             "longest",
-            "never back",
+            "not recovered",
             "choked",
         ];
         let row = |cell: &StabilityCell| {
-            let during = cell.mean(|c| 100.0 * c.during);
-            let back: Vec<f64> = cell.courses.iter().filter_map(|c| c.back_after).collect();
+            let during = cell.mean(|c| 100.0 * c.during_loss);
+            let recoveries: Vec<f64> = cell.courses.iter().filter_map(|c| c.recovery_seconds).collect();
             vec![
                 format!("{:.2}", cell.load),
-                format!("{:.2}", cell.lost),
-                format!("{:.1}", cell.mean(|c| 100.0 * c.before).mean),
-                format!("{:.1} ± {:.1}", during.mean, during.half),
-                format!("{:.0}", during.mean / cell.bearable()),
-                format!("{:.1}", Mean::of(&back).mean),
-                format!("{:.0}", cell.slowest()),
-                format!("{} of {}", cell.stuck(), cell.courses.len()),
+                format!("{:.2}", cell.lost_fraction),
+                format!("{:.1}", cell.mean(|c| 100.0 * c.baseline).mean),
+                format!("{:.1} ± {:.1}", during.mean, during.half_width),
+                format!("{:.0}", during.mean / cell.servable_fraction()),
+                format!("{:.1}", Mean::of(&recoveries).mean),
+                format!("{:.0}", cell.longest_recovery()),
+                format!("{} of {}", cell.unrecovered_seeds(), cell.courses.len()),
                 format!("{:.1}", cell.chokes()),
             ]
         };
@@ -183,9 +192,10 @@
         markdown(&self.rows())
     }
 
-    /// Compares the cells with an earlier map, seed by seed: service of the whole run, in percentage points.
-    /// The second part counts the cells that are significantly worse.
-    pub fn beside(&self, earlier: &[RunSummary]) -> (String, usize) {
+    /// Compares the cells with the runs of an earlier map, paired by seed, by the service of the whole run.
+    /// Returns a table in percentage points, and the number of cells that are worse by more than the
+    /// tolerance.
+    pub fn compare_with(&self, earlier: &[RunSummary]) -> (String, usize) {
         let heading = ["load", "lost", "service before the change", "now", "gain", ""].map(String::from);
         let (mut rows, mut worse) = (vec![heading.to_vec()], 0);
         for cell in &self.cells {
@@ -199,34 +209,45 @@
             }
             let mean = |of: fn(&(f64, f64)) -> f64| Mean::of(&pairs.iter().map(of).collect::<Vec<_>>());
             let gain = mean(|p| p.1 - p.0);
-            let is_worse = gain.mean < -WORSE;
+            let is_worse = gain.mean < -WORSE_POINTS;
             worse += usize::from(is_worse);
             rows.push(vec![
                 format!("{:.2}", cell.load),
-                format!("{:.2}", cell.lost),
+                format!("{:.2}", cell.lost_fraction),
                 format!("{:.1}", mean(|p| p.0).mean),
                 format!("{:.1}", mean(|p| p.1).mean),
-                format!("{:+.1} ± {:.1}", gain.mean, gain.half),
+                format!("{:+.1} ± {:.1}", gain.mean, gain.half_width),
                 if is_worse { "worse" } else { "" }.to_string(),
             ]);
         }
         (markdown(&rows), worse)
     }
 
-    /// One self-contained page: the table, and plots over the part that is lost, a curve for each load.
+    /// One self-contained HTML page: the table, and plots over the fraction lost with a curve for each load.
     pub fn html(&self, title: &str) -> Result<String, PlotError> {
         let curves = |figure: &dyn Fn(&StabilityCell) -> f64| {
-            by_load(self.cells.iter().map(|cell| (cell.load, (cell.lost, figure(cell)))))
+            by_load(self.cells.iter().map(|cell| (cell.load, (cell.lost_fraction, figure(cell)))))
         };
-        let part = |cell: &StabilityCell| 100.0 * cell.stuck() as f64 / cell.courses.len().max(1) as f64;
-        let during = |cell: &StabilityCell| cell.mean(|c| 100.0 * c.during).mean;
-        let axis = "part of the servers that is lost";
+        let part =
+            |cell: &StabilityCell| 100.0 * cell.unrecovered_seeds() as f64 / cell.courses.len().max(1) as f64;
+        let during = |cell: &StabilityCell| cell.mean(|c| 100.0 * c.during_loss).mean;
+        let axis = "fraction of servers lost";
         let plots = [
             lines("Service while the loss lasts", axis, "%", &curves(&during))?,
-            lines("... of what is left to serve", axis, "%", &curves(&|c| during(c) / c.bearable()))?,
-            lines("Longest time until service is back", axis, "s", &curves(&StabilityCell::slowest))?,
-            lines("Seeds that never come back", axis, "%", &curves(&part))?,
-            lines("Servers that turned slow", axis, "servers", &curves(&StabilityCell::chokes))?,
+            lines(
+                "Service while the loss lasts, of the servable load",
+                axis,
+                "%",
+                &curves(&|c| during(c) / c.servable_fraction()),
+            )?,
+            lines(
+                "Longest time until service has recovered",
+                axis,
+                "s",
+                &curves(&StabilityCell::longest_recovery),
+            )?,
+            lines("Seeds without recovery", axis, "%", &curves(&part))?,
+            lines("Servers that became choked", axis, "servers", &curves(&StabilityCell::chokes))?,
         ];
         Ok(page(title, &self.rows(), &plots))
     }
--- a/crates/simulation/src/stand_in_thread.rs
+++ b/crates/simulation/src/stand_in_thread.rs
@@ -1,7 +1,7 @@
-//! Stand-in backends and discovery, on a thread of their own until the program ends.
+//! Stand-in backends and their discovery service, on a thread of their own that runs until the process exits.
 
 use crate::discovery;
-use crate::servers::{self, Answers, Connections};
+use crate::servers::{self, ConnectionCounts, ResponseBody};
 use std::io::Result;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -9,17 +9,17 @@
 use tokio::runtime::Builder;
 use tokio::task::{spawn_local, LocalSet};
 
-/// Addresses of the stand-ins.
+/// The addresses of running stand-ins, and the backends' connection counts.
 pub struct StandInThread {
-    /// The servers.
+    /// Address of each backend, by its number.
     pub servers: Vec<SocketAddr>,
-    /// Their discovery service.
+    /// Address of the discovery service that lists the backends.
     pub discovery: SocketAddr,
-    /// The servers' connections.
-    pub connections: Arc<Connections>,
+    /// Connection counts of all backends together, updated while they run.
+    pub connections: Arc<ConnectionCounts>,
 }
 
-/// A listener at a port of the system's choice, and its address.
+/// Binds a non-blocking listener to a free loopback port, and returns it with its address.
 pub fn listener() -> Result<(TcpListener, SocketAddr)> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     listener.set_nonblocking(true)?;
@@ -28,16 +28,17 @@
 }
 
 impl StandInThread {
-    /// Starts a number of backends; `answers` makes the responses of each, by its number.
+    /// Starts `count` backends and their discovery service. `answers` returns the response body function of
+    /// each backend, by its number.
     pub fn start(
         count: usize,
-        answers: impl Fn(usize) -> Rc<Answers> + Send + 'static,
+        answers: impl Fn(usize) -> Rc<ResponseBody> + Send + 'static,
     ) -> Result<StandInThread> {
         let bound: Vec<_> = (0..count).map(|_| listener()).collect::<Result<_>>()?;
         let (list, discovery) = listener()?;
         let servers: Vec<SocketAddr> = bound.iter().map(|(_, address)| *address).collect();
-        let known = discovery::list(&servers);
-        let connections = Arc::new(Connections::default());
+        let known = discovery::endpoint_list(&servers);
+        let connections = Arc::new(ConnectionCounts::default());
         let counted = connections.clone();
         let runtime = Builder::new_current_thread().enable_all().build()?;
         std::thread::Builder::new().name("stand-ins".into()).spawn(move || {
--- a/crates/simulation/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -1,26 +1,28 @@
-//! The model against theory where it is exact, and against the failures it is there to cause.
+//! The machine model: compared with queueing theory where that is exact, and with the failure modes it has to
+//! show.
 
 use hillstall_simulation::experiment::{runs, Mean};
-use hillstall_simulation::model::machine::{Admission, Choke, Kind, Machine};
+use hillstall_simulation::model::machine::{Admission, Choke, Machine, MachineSpec};
 use hillstall_simulation::policy::PolicyName;
 use hillstall_simulation::scenario::Scenario;
 
-fn kind() -> Kind {
-    Kind {
+fn machine_spec() -> MachineSpec {
+    MachineSpec {
         cores: 2,
         speed: 1.0,
         slots: 1_000,
-        room: 1_000,
-        thrash_at: 1e9,
-        thrash_to: 1.0,
-        cold_from: 0.25,
-        cold: 0.0,
+        queue_capacity: 1_000,
+        thrash_per_core: 1e9,
+        thrash_fraction: 1.0,
+        warmup_start_fraction: 0.25,
+        warmup: 0.0,
         choke: None,
     }
 }
 
-/// Mean latency over ten seeds of a queue with so many cores at a utilisation, work exponential with mean 10 ms.
-fn queue(cores: u32, utilisation: f64) -> Mean {
+/// Mean latency over ten seeds of one machine with `cores` cores at a utilisation. The work is exponentially
+/// distributed with mean 10 ms.
+fn simulated_latency(cores: u32, utilisation: f64) -> Mean {
     let text = format!(
         r#"
         name = "queue"
@@ -41,11 +43,11 @@
         rate = utilisation * f64::from(cores) * 100.0,
     );
     let scenario = Scenario::parse(&text).expect("a scenario");
-    let tallies = runs(&scenario, &[PolicyName::Random], &Vec::from_iter(1..=10), || {});
-    Mean::of(&tallies.iter().map(|tally| tally.mean_ms).collect::<Vec<_>>())
+    let summaries = runs(&scenario, &[PolicyName::Random], &Vec::from_iter(1..=10), || {});
+    Mean::of(&summaries.iter().map(|summary| summary.mean_ms).collect::<Vec<_>>())
 }
 
-/// Mean time in an M/M/c queue (Erlang C), for mean work 10 ms.
+/// Mean time in an M/M/c queue by the Erlang C formula, for mean work 10 ms.
 fn erlang_c(cores: u32, utilisation: f64) -> f64 {
     let offered = utilisation * f64::from(cores);
     let mut term = 1.0;
@@ -55,42 +57,50 @@
         sum += term;
     }
     let last = term * offered / f64::from(cores) / (1.0 - utilisation);
-    let waits = last / (sum + last);
-    10.0 + waits * 10.0 / (f64::from(cores) * (1.0 - utilisation))
+    let waiting_probability = last / (sum + last);
+    10.0 + waiting_probability * 10.0 / (f64::from(cores) * (1.0 - utilisation))
 }
 
 #[test]
-fn waiting_times_are_those_of_queueing_theory() {
+fn mean_latency_matches_queueing_theory() {
     // M/M/1 at 0.7: 10 / (1 - 0.7).
     assert!((erlang_c(1, 0.7) - 100.0 / 3.0).abs() < 1e-9);
     for (cores, utilisation) in [(1, 0.5), (1, 0.7), (4, 0.8)] {
-        let (measured, theory) = (queue(cores, utilisation), erlang_c(cores, utilisation));
-        // Twice the half-width at 95% is beyond 99.9% for ten seeds; the seeds are fixed.
-        assert!(measured.half < 0.03 * theory, "{cores} cores: too wide: {measured:?}");
+        let (measured, theory) = (simulated_latency(cores, utilisation), erlang_c(cores, utilisation));
+        // For ten seeds, twice the half-width of the 95% interval covers more than 99.9%. The seeds are
+        // fixed.
+        assert!(measured.half_width < 0.03 * theory, "{cores} cores: interval too wide: {measured:?}");
         assert!(
-            (measured.mean - theory).abs() < 2.0 * measured.half,
+            (measured.mean - theory).abs() < 2.0 * measured.half_width,
             "{cores} at {utilisation}: {measured:?}, {theory}"
         );
     }
 }
 
 #[test]
-fn a_crowd_chokes_a_machine_and_only_idleness_frees_it() {
-    let choke = Choke { at: 4.0, over: 1_500.0, slower: 3.0, below: 0.3, rest: 3_000.0, most: 60_000.0 };
-    let mut machine = Machine::new(Kind { choke: Some(choke), ..kind() });
+fn saturation_chokes_a_machine_and_only_idleness_ends_it() {
+    let choke = Choke {
+        queued_per_core: 4.0,
+        saturated_for: 1_500.0,
+        slowdown: 3.0,
+        idle_below: 0.3,
+        idle_for: 3_000.0,
+        max_duration: 60_000.0,
+    };
+    let mut machine = Machine::new(MachineSpec { choke: Some(choke), ..machine_spec() });
     let mut done = Vec::new();
-    // Ten jobs of a second each on two cores: eight wait, for as long as it takes to choke.
+    // Eleven jobs of two seconds each on two cores: nine wait, for longer than it takes to choke.
     for job in 0..11 {
-        assert_eq!(machine.offer(0.0, job, 2_000.0, &mut done), Admission::Yes);
+        assert_eq!(machine.offer(0.0, job, 2_000.0, &mut done), Admission::Accepted);
     }
     machine.advance(1_400.0, &mut done);
     assert!(!machine.is_choked());
     machine.advance(1_600.0, &mut done);
     assert!(machine.is_choked());
-    // What it still does is three times slower.
+    // A choked machine is three times slower.
     assert!((machine.capacity(1_600.0) - 2.0 / 3.0).abs() < 1e-9);
-    // A trickle that keeps one core of two busy keeps it slow, long after the crowd has gone.
-    let mut machine = Machine::new(Kind { choke: Some(choke), ..kind() });
+    // A light load that keeps one core of two busy keeps the machine choked, long after the queue is empty.
+    let mut machine = Machine::new(MachineSpec { choke: Some(choke), ..machine_spec() });
     let mut now = 0.0;
     for job in 0..12 {
         machine.offer(now, job, 1_000.0, &mut done);
@@ -100,63 +110,63 @@
         machine.advance(now, &mut done);
         machine.offer(now, job, 200.0, &mut done);
     }
-    assert!(machine.is_choked(), "a trickle must keep it slow");
+    assert!(machine.is_choked(), "a light load must keep the machine choked");
     machine.advance(now + 30_000.0, &mut done);
-    assert!(!machine.is_choked(), "idleness frees it");
+    assert!(!machine.is_choked(), "an idle machine must recover");
     assert_eq!(machine.chokes(), 1);
 }
 
 #[test]
-fn a_full_machine_turns_away_and_a_dead_one_loses_all() {
-    let mut machine = Machine::new(Kind { slots: 2, room: 1, ..kind() });
+fn a_full_machine_rejects_and_a_killed_one_loses_all_requests() {
+    let mut machine = Machine::new(MachineSpec { slots: 2, queue_capacity: 1, ..machine_spec() });
     let mut done = Vec::new();
     for job in 0..3 {
-        assert_eq!(machine.offer(0.0, job, 10.0, &mut done), Admission::Yes);
+        assert_eq!(machine.offer(0.0, job, 10.0, &mut done), Admission::Accepted);
     }
-    assert_eq!(machine.offer(0.0, 3, 10.0, &mut done), Admission::Full);
+    assert_eq!(machine.offer(0.0, 3, 10.0, &mut done), Admission::QueueFull);
     machine.kill(5.0, &mut done);
     machine.advance(100.0, &mut done);
-    assert!(done.is_empty(), "what a dead machine held never ends: {done:?}");
-    assert_eq!((machine.holds(), machine.due()), (0, None));
+    assert!(done.is_empty(), "requests of a killed machine must not end: {done:?}");
+    assert_eq!((machine.requests(), machine.next_change()), (0, None));
 }
 
 #[test]
-fn a_silent_machine_goes_on_where_it_was() {
-    let mut machine = Machine::new(kind());
+fn a_hung_machine_continues_where_it_stopped() {
+    let mut machine = Machine::new(machine_spec());
     let mut done = Vec::new();
     machine.offer(0.0, 1, 10.0, &mut done);
-    machine.hang(5.0, true, &mut done);
+    machine.set_hung(5.0, true, &mut done);
     machine.advance(1_000.0, &mut done);
     assert!(done.is_empty());
-    machine.hang(1_000.0, false, &mut done);
+    machine.set_hung(1_000.0, false, &mut done);
     machine.advance(1_005.0 + 1e-6, &mut done);
     assert_eq!(done, [1]);
 }
 
 #[test]
-fn a_fresh_machine_gets_faster_until_it_is_warm() {
-    let mut machine = Machine::new(Kind { cold: 1_000.0, ..kind() });
+fn a_started_machine_gets_faster_until_it_is_warm() {
+    let mut machine = Machine::new(MachineSpec { warmup: 1_000.0, ..machine_spec() });
     machine.start(0.0);
     assert!((machine.capacity(0.0) - 0.5).abs() < 1e-9);
     assert!((machine.capacity(500.0) - 1.25).abs() < 1e-9);
     assert!((machine.capacity(1_000.0) - 2.0).abs() < 1e-9);
-    // The work of a whole second while it warms: the mean of 0.25 and 1, on one core.
+    // Work of one core in the second of the slow start: its speed rises from 0.25 to 1, so 0.625 on average.
     let mut done = Vec::new();
     machine.offer(0.0, 1, 10_000.0, &mut done);
     machine.advance(1_000.0, &mut done);
-    assert!((machine.worked() - 625.0).abs() < 15.0, "{}", machine.worked());
+    assert!((machine.work_done() - 625.0).abs() < 15.0, "{}", machine.work_done());
 }
 
 #[test]
-fn a_cancel_drops_what_waits_and_leaves_what_runs() {
-    let mut machine = Machine::new(Kind { cores: 1, slots: 2, ..kind() });
+fn a_cancel_drops_waiting_requests_and_leaves_running_ones() {
+    let mut machine = Machine::new(MachineSpec { cores: 1, slots: 2, ..machine_spec() });
     let mut done = Vec::new();
     for job in 0..3 {
         machine.offer(0.0, job, 10.0, &mut done);
     }
-    assert!(!machine.cancel(1.0, 0, &mut done), "it runs");
-    assert!(machine.cancel(1.0, 1, &mut done), "it has a slot and waits for a core");
-    assert!(machine.cancel(1.0, 2, &mut done), "it waits, now for a core");
+    assert!(!machine.cancel(1.0, 0, &mut done), "the request is running");
+    assert!(machine.cancel(1.0, 1, &mut done), "the request has a slot and waits for a core");
+    assert!(machine.cancel(1.0, 2, &mut done), "the request has got the free slot and waits for a core");
     machine.advance(100.0, &mut done);
     assert_eq!(done, [0]);
 }
