--- a/crates/decision/src/admission.rs
+++ b/crates/decision/src/admission.rs
@@ -19,9 +19,9 @@
 /// Requests added to [`SPARSE_INITIAL_LIMIT_PER_BACKEND`] to absorb random fluctuation, times the squared
 /// number of backends per instance.
 const MIN_INITIAL_LIMIT: f64 = 4.0;
-/// Initial limit for requests beyond their quotas. Capacity beyond the quotas must first be observed;
-/// otherwise all new instances together would flood a tier that is just large enough for the quotas before
-/// the first answer arrives.
+/// Initial limit of an instance for requests in flight beyond their quotas, times the number of backends per
+/// instance (at most 1). Capacity beyond the quotas must first show in answers; otherwise all new instances
+/// together would flood a tier that is just large enough for the quotas before the first answer arrives.
 const INITIAL_BURST_LIMIT: f64 = 1.0;
 /// Smoothed latency ratio (duration divided by latency objective) above which a limit is reduced at the top
 /// tier.
--- a/crates/decision/src/attempt_sample.rs
+++ b/crates/decision/src/attempt_sample.rs
@@ -37,9 +37,9 @@
     let objective = settings.classes[request.class].latency_objective_ms;
     let took = completion.took;
     match completion.outcome {
-        // The client disconnected: the ratio is the fraction of its time that it waited, so that an early
-        // disconnect counts little. It is at most 1, as a higher value would close the limiters of a tier
-        // that is too slow even when idle.
+        // The client disconnected: the ratio is the fraction of its time that it waited. An early disconnect
+        // counts little, because the client has reasons of its own for it. The ratio is at most 1, as a
+        // higher value would close the limiters of a tier that is too slow even when idle.
         Outcome::Cancelled | Outcome::NotSent => {
             let client_wait = objective.min(request.deadline - attempt.sent_at).max(MIN_CLIENT_WAIT_MS);
             let is_client_late = request.client_gone && settings.tier == 0;
--- a/crates/decision/src/backend.rs
+++ b/crates/decision/src/backend.rs
@@ -59,7 +59,8 @@
     }
 
     /// Applies a new list entry; `previous` is the state before it. If updates may have been missed, the
-    /// drain may have begun long ago, so the backend gets no requests for the rest of its grace period.
+    /// drain may have begun long ago, and it is unknown how long the backend still serves, so it gets no more
+    /// requests.
     pub(crate) fn update(
         &mut self,
         info: BackendInfo,
--- a/crates/decision/src/balancer.rs
+++ b/crates/decision/src/balancer.rs
@@ -176,7 +176,8 @@
         };
         self.admission.on_request(self.now, class);
         // Below the top tier, if deadlines are not propagated, `timeout` is the full deadline although the
-        // client has less time left. If late answers earn nothing, the latency objective bounds it instead.
+        // client has less time left. If answers after the latency objective earn nothing, nobody waits for
+        // them, so the objective bounds the timeout.
         let is_timeout_unknown =
             !self.settings.passes_deadline && self.settings.tier > 0 && rules.late_weight_fraction == 0.0;
         let timeout = if is_timeout_unknown { timeout.min(rules.latency_objective_ms) } else { timeout };
--- a/crates/decision/src/event.rs
+++ b/crates/decision/src/event.rs
@@ -31,7 +31,8 @@
         is_retry: bool,
         /// Whether the request writes data. No decision reads it.
         is_write: bool,
-        /// How long the client waits for the answer, in milliseconds.
+        /// How long the client waits for the answer to this request, in milliseconds. If it retries after
+        /// that, the retry is a request of its own.
         timeout_ms: Millis,
     },
     /// The first byte of a streamed response was forwarded, so the request can't be retried any more. No
--- a/crates/decision/src/health.rs
+++ b/crates/decision/src/health.rs
@@ -1,6 +1,6 @@
 //! The health of a backend: outlier ejection and half-open probing. As in the platform's reference design,
-//! the weight of a backend falls on errors and timeouts, rises on success, and never falls below a small
-//! floor, so that some requests still probe the backend.
+//! the weight of a backend falls on errors and timeouts, rises on timely success, and never falls below a
+//! small floor, so that some requests still probe the backend.
 
 use crate::Millis;
 
--- a/crates/decision/src/limiter.rs
+++ b/crates/decision/src/limiter.rs
@@ -30,8 +30,8 @@
 /// Additional weight that a sample may have if instances far outnumber the backends: with only a few requests
 /// a second each, they would otherwise detect an overload only after it has slowed the backends down.
 const SPARSE_SAMPLE_WEIGHT: f64 = 0.2;
-/// Minimum rise of a limit for each round of timely answers, as a fraction of the limit, so that large limits
-/// rise as fast as small ones.
+/// Minimum rise of a limit for each round of timely answers in the steady state (after the first reduction),
+/// as a fraction of the limit, so that large limits rise as fast as small ones.
 const RISE_PER_ROUND: f64 = 0.1;
 /// A limit that was never reduced rises faster by a factor of the initial limit divided by this number of
 /// requests: with many answers in each round, an overload shows soon enough.
@@ -186,9 +186,9 @@
     }
 
     /// Updates the recent peak of the requests in flight and returns the time since the last sample.
-    /// Utilization is measured by the peak, because an instance with few requests has almost none in flight
-    /// most of the time: a reduction to that value would close its limiter, and the limit could hardly rise
-    /// again.
+    /// The peak counts as the number in use, because an instance with few requests has almost none in flight
+    /// most of the time. With the number at such a moment, a reduction would close its limiter, and a timely
+    /// answer would not raise an open one.
     fn update_peak(&mut self, now: Millis) -> Millis {
         let elapsed = (now - self.updated_at).max(0.0);
         self.peak_in_flight =
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -115,7 +115,7 @@
 pub struct Rules {
     /// How long after the client's deadline a final answer may still be sent. No decision reads it.
     pub response_grace_ms: Millis,
-    /// The time within which sends to a draining backend must stop.
+    /// The time within which sends to a draining or gone backend must stop.
     pub drain_grace_ms: Millis,
     /// The time after which an instance without a subscription counts as notified of a list change.
     pub poll_interval_ms: Millis,
@@ -185,7 +185,7 @@
     pub endpoint_list_entries: f64,
     /// For backends running or ordered, as a fraction of the backends at the start.
     pub backends: f64,
-    /// For data moved between backends, per first attempt.
+    /// For moves of data, per first attempt.
     pub data_moves: f64,
     /// For fetches from the origin, per first attempt.
     pub origin_fetches: f64,
--- a/crates/decision/src/types.rs
+++ b/crates/decision/src/types.rs
@@ -26,7 +26,7 @@
     Ready,
     /// Finishes the requests it has; new requests must stop within the drain grace period.
     Draining,
-    /// Removed; must get no requests.
+    /// Removed from the list; this module sends it no requests.
     Gone,
 }
 
--- a/crates/decision/tests/admission.rs
+++ b/crates/decision/tests/admission.rs
@@ -122,7 +122,7 @@
         });
         let mut p = Proxy::new(Settings { tier: 0, classes: classes.to_vec(), ..settings() }, &backends(40));
         let mut served = [0.0, 0.0];
-        // The baseline latency ratio must be known first.
+        // The baseline latency ratio must be known first, because lateness is judged against it.
         p.run_rounds(20, 4, 200.0, Outcome::Ok);
         for round in 0..40 {
             let send = |p: &mut Proxy, class: u8| p.send_request(class, 0, 4_000.0).map(|sent| (class, sent));
@@ -181,7 +181,7 @@
     let mut p = Proxy::new(Settings { tenants, ..settings() }, &backends(40));
     p.now += 10_000.0;
     for cluster in 0..10 {
-        // The other tenant exceeds its quota and uses up the burst capacity.
+        // Four requests of the other tenant beyond its quota use up the burst capacity.
         let others: Vec<Sent> = (0..40).filter_map(|_| p.send_request(0, 1, 4_000.0)).collect();
         let sent: Vec<Sent> = (0..8).filter_map(|_| p.send_request(0, 0, 4_000.0)).collect();
         assert_eq!(sent.len(), 8, "cluster {cluster}");
@@ -202,7 +202,8 @@
 
 #[test]
 fn a_new_limit_rises_less_than_threefold_in_five_rounds() {
-    // Guards against a fivefold load on the tier before the first late answers arrive.
+    // Guards against a fivefold load on the front tier within three seconds, before the first late answers
+    // arrive.
     let mut p = Proxy::new(Settings { fleet_size: 40, ..settings() }, &backends(40));
     let before = p.admitted(10_000);
     p.run_rounds(4, 10_000, 100.0, Outcome::Ok);
@@ -312,11 +313,11 @@
 
 #[test]
 fn the_initial_limit_is_eight_per_backend_with_at_least_one_backend_per_instance() {
-    // With five per backend, a single instance rejected a fifth of the requests in the first seconds at low
-    // load; with eight and no allowance for random fluctuation, instances with little traffic rejected their
-    // bursts. Before the first answer, twice the limit is admitted. `sparse_instances.rs` covers instances
-    // that outnumber the backends: there, four requests at each of 400 instances were forty for each of 40
-    // backends, all of which became slow.
+    // Five per backend are too few: a single instance would reject a fifth of its requests in the first
+    // seconds, even at low load. Without an allowance for random fluctuation, instances with little traffic
+    // would reject their bursts. Before the first answer there is no evidence of an overload, so twice the
+    // limit is admitted. `sparse_instances.rs` covers instances that outnumber the backends: there, four
+    // requests at each of 400 instances are forty for each of 40 backends, all of which become slow.
     for (fleet_size, first) in [(1, 320), (40, 9)] {
         let mut p = Proxy::new(Settings { fleet_size, ..settings() }, &backends(40));
         let sent = p.admitted(1_000);
--- a/crates/decision/tests/reduced_capacity.rs
+++ b/crates/decision/tests/reduced_capacity.rs
@@ -40,7 +40,7 @@
 #[test]
 fn admission_follows_unanswered_requests_before_the_list_changes() {
     let (mut p, all) = instance_of_complete_tier();
-    // Six of ten backends do not accept connections.
+    // Six of ten backends do not accept connections; each of them is tried twice.
     for _ in 0..40 {
         let Some(sent) = p.send_request(0, 0, 4_000.0) else { break };
         p.now += 2.0;
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -202,7 +202,8 @@
         in_slow_start <= 1,
         "{in_slow_start} requests to the backend in slow start at first, {past_slow_start} to the others"
     );
-    // At most 0.7 times the rate that would make the backend fail at half of its capacity.
+    // The budget is half of what makes the backend fail in any one window, at its least capacity. The bound
+    // has some tolerance: 0.7 times the rate that makes a backend with half of its full capacity fail.
     let (in_slow_start, past_slow_start) = count_by_backend(&mut p, 2_900.0);
     let capacity = f64::from(past_slow_start) / 4.0 * 0.5;
     assert!(
--- a/crates/decision/tests/sparse_instances.rs
+++ b/crates/decision/tests/sparse_instances.rs
@@ -71,7 +71,8 @@
     let mut fleet = fleet();
     serve_sequentially(&mut fleet, 20, 150.0);
     let before = admitted_per_backend(&mut fleet, 1);
-    // Later than the latency objective of 1 s.
+    // Later than the latency objective of 1 s. An instance with few requests a second gets few answers, so a
+    // few late ones must be enough.
     serve_sequentially(&mut fleet, 4, 1_300.0);
     let after = admitted_per_backend(&mut fleet, 1);
     assert!(
--- a/crates/http1/src/client/attempt.rs
+++ b/crates/http1/src/client/attempt.rs
@@ -43,7 +43,8 @@
     type Response = BackendResponse;
     type InvalidRequest = StatusCode;
 
-    /// Makes one attempt, which ends at the latest at its deadline or after its timeout.
+    /// Makes one attempt, which ends at the latest at its deadline or after its timeout. When this returns,
+    /// no open connection carries the request any more, except one on which the response is still streamed.
     async fn attempt(self: Rc<Self>, attempt: Attempt<HttpClient>) -> AttemptResult<HttpClient> {
         let Attempt { payload: request, backend, address, deadline, timeout, sent_counter, permit } = attempt;
         let target = Target { backend, address, permit: Rc::new(permit) };
@@ -102,7 +103,8 @@
         target: &Target,
         connection: &mut BackendConnection,
     ) -> Result<ReceivedResponse, AttemptError> {
-        // The backend may have begun to drain during the connect.
+        // The backend may have begun to drain during the connect, and no new attempt may start there after
+        // its drain grace period.
         if !target.permit.may_send() {
             return Err(AttemptError::NotStarted(Outcome::ConnectFailed));
         }
--- a/crates/http1/src/client/connect.rs
+++ b/crates/http1/src/client/connect.rs
@@ -17,8 +17,8 @@
 type ConnectResult = Result<BackendConnection, Outcome>;
 
 impl HttpClient {
-    /// Opens a connection for an attempt. If the connect is slow, a second one is started as a hedge. The
-    /// connection that is established first is returned, and the other one goes into the pool.
+    /// Opens a connection for an attempt. If the connect is slow, a second one is started as a hedge. Nothing
+    /// is written before one of them is established. That one is returned, and the other goes into the pool.
     pub(super) async fn connect_hedged(self: &Rc<Self>, target: &Target, until: Instant) -> ConnectResult {
         let hedge_delay = self.connect_hedging.borrow_mut().hedge_delay(&target.backend);
         let (sender, mut results) = mpsc::unbounded_channel();
--- a/crates/http1/src/framing.rs
+++ b/crates/http1/src/framing.rs
@@ -1,7 +1,6 @@
 //! Tracks the framing of the requests on a client connection, to detect what hyper does not report: a head
-//! with both a `Content-Length` and a `Transfer-Encoding`. Another
-//! implementation, such as a backend, could read the body of such a request as further requests (request
-//! smuggling).
+//! with both a `Content-Length` and a `Transfer-Encoding`. Another implementation, such as a backend, could
+//! read the body of such a request as further requests (request smuggling).
 
 /// Number of bytes kept of a line. The header names and chunk sizes of interest are shorter.
 const MAX_LINE_BYTES: usize = 64;
@@ -20,7 +19,8 @@
     ChunkData(u64),
     /// In the lines after the last chunk.
     Trailer,
-    /// Parsing has failed. Either hyper rejects the request as well, or the two disagree about its framing.
+    /// Parsing has failed. Either hyper rejects the request as well, or the two disagree about its framing,
+    /// and nothing that follows on the connection can be trusted.
     Unparseable,
 }
 
--- a/crates/http1/src/server/connection_task.rs
+++ b/crates/http1/src/server/connection_task.rs
@@ -60,7 +60,8 @@
                     CloseMode::Immediate if !connection.request_in_progress.get() => {
                         return ConnectionState::Closed;
                     }
-                    // More has arrived, which hyper would drop if it had been read: the close is cancelled.
+                    // The connection is no longer idle. When hyper shuts down, it drops what it has read
+                    // after the request in progress, so the close is cancelled.
                     CloseMode::Graceful if connection.has_waiting_request() => {
                         connection.close_mode.set(CloseMode::Open);
                     }
--- a/crates/http1/src/server/maintenance.rs
+++ b/crates/http1/src/server/maintenance.rs
@@ -69,7 +69,8 @@
         oldest.inspect(|connection| connection.close(CloseMode::Graceful)).is_some()
     }
 
-    /// Closes client connections that have been idle for `idle_timeout`.
+    /// Closes client connections that have been idle for `idle_timeout`, except those with a request that has
+    /// not been read yet.
     fn close_idle(&self, idle_timeout: Duration) {
         for connection in self.connections.borrow().values() {
             if connection.last_used_at.get().elapsed() >= idle_timeout && connection.is_idle() {
--- a/crates/http1/src/server/request.rs
+++ b/crates/http1/src/server/request.rs
@@ -84,7 +84,8 @@
         let is_streaming = result.as_ref().is_ok_and(|response| response.body().busy_connection.is_some());
         let discards_body = !is_streaming && finish_request(connection);
         // Bytes after an invalid request may belong to it, so its connection is closed. When idle connections
-        // are to be closed, a connection with a pipelined request stays open, as the request would be lost.
+        // are to be closed, a connection with a pipelined request stays open until the last such request has
+        // its response, as it would be lost with the connection.
         let should_close_idle = self.lifecycle.should_close_idle(self.limits.tuning().drain_close_delay);
         let must_close =
             result.is_err() || discards_body || (should_close_idle && !connection.has_waiting_request());
--- a/crates/overload/src/zone_traffic.rs
+++ b/crates/overload/src/zone_traffic.rs
@@ -18,7 +18,7 @@
 /// The advice in force for each zone.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneFractions {
-    /// By zone index; empty while all zones get all of their traffic, which is nearly always.
+    /// By zone index; empty while all zones get all of their traffic, as in all but a few hours of a year.
     advice: Vec<Option<Advice>>,
 }
 
--- a/crates/proxy-core/src/endpoints.rs
+++ b/crates/proxy-core/src/endpoints.rs
@@ -87,7 +87,7 @@
     /// Index of the zone in the settings; `u16::MAX` if the settings don't have it.
     pub zone: u16,
     started_at_ms: Option<f64>,
-    /// When a list first showed the backend as draining; `None` if this process was never seen ready.
+    /// When a list first showed this process as draining after one had shown it as ready; `None` if none did.
     draining_since: Option<Instant>,
 }
 
--- a/crates/proxy-core/src/response.rs
+++ b/crates/proxy-core/src/response.rs
@@ -8,7 +8,7 @@
 pub enum FinalResponse<C: Transport> {
     /// The response of a backend.
     Served(C::Response),
-    /// The request was not processed and is safe to retry. Above 0, the value is the suggested delay in
+    /// The request was not served and is safe to retry. Above 0, the value is the suggested delay in
     /// milliseconds.
     Rejected(Millis),
     /// The request failed; a backend may or may not have processed it.
--- a/crates/proxy-core/src/tuning.rs
+++ b/crates/proxy-core/src/tuning.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-/// Timeouts and sizes, with the defaults of the operator file. Most changes also take effect on open
+/// Timeouts and sizes. Their defaults are those of the platform. Most changes also take effect on open
 /// connections, at their next periodic check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
--- a/crates/proxy-core/tests/sockets.rs
+++ b/crates/proxy-core/tests/sockets.rs
@@ -13,6 +13,7 @@
 const ROUNDS: usize = 30;
 /// Far longer than an accepted connection takes to get its response.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// A connection that is not established within this time was ignored by the listener.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 /// How long connections are accepted before the listener is closed.
 const ACCEPT_DURATION: Duration = Duration::from_millis(10);
