--- a/crates/change-freeze/src/detection.rs
+++ b/crates/change-freeze/src/detection.rs
@@ -1,7 +1,8 @@
 //! How a coordinator derives incidents from the instances' reports.
 //!
 //! An incident opens once a symptom's level has been high for a minimum time, and is resolved once the level
-//! has been low for a minimum time. The detector only proposes commands; the replicated state decides.
+//! has been low for a minimum time, which is longer by default. The detector only proposes commands; the
+//! replicated state decides.
 
 use crate::rules::Severity;
 use crate::scope::Scope;
--- a/crates/change-freeze/src/state/command.rs
+++ b/crates/change-freeze/src/state/command.rs
@@ -49,14 +49,14 @@
     },
     /// A person takes responsibility for an incident.
     AssignIncident {
-        /// The incident.
+        /// The incident's number.
         incident: SequenceNumber,
-        /// The person.
+        /// The main name of the person who takes responsibility.
         person: String,
     },
     /// An incident is over. It still blocks changes until its cooldown has elapsed.
     ResolveIncident {
-        /// The incident.
+        /// The incident's number.
         incident: SequenceNumber,
         /// Who resolves the incident. The coordinator may resolve only incidents that it has opened and that
         /// have no assignee.
@@ -64,18 +64,18 @@
     },
     /// An incident's cooldown has elapsed, as measured by a replica.
     CooldownElapsed {
-        /// The incident.
+        /// The incident's number.
         incident: SequenceNumber,
         /// The incident's version when the timer started.
         version: u64,
     },
     /// Links a change to an incident as its remedy, so that the incident does not block the change.
     LinkRemedy {
-        /// The incident.
+        /// The incident's number.
         incident: SequenceNumber,
-        /// The change.
+        /// The change's number.
         change: SequenceNumber,
-        /// Who links them.
+        /// The main name of the person who links them.
         person: String,
     },
     /// Requests a permit for a change.
@@ -85,21 +85,21 @@
     RequestEmergencyChange(ChangeRequest),
     /// A change is complete, was rolled back, or is no longer wanted.
     FinishChange {
-        /// The change.
+        /// The change's number.
         change: SequenceNumber,
     },
     /// A change has stayed in its status for the maximum time, as measured by a replica.
     ExpireChange {
-        /// The change.
+        /// The change's number.
         change: SequenceNumber,
         /// The change's version when the timer started.
         version: u64,
     },
     /// A person has checked that an overdue change is over.
     ClearOverdueChange {
-        /// The change.
+        /// The change's number.
         change: SequenceNumber,
-        /// The person.
+        /// The main name of the person who has checked the change.
         person: String,
     },
     /// The platform has sent an instance a signal. This needs no permit and is only recorded in the audit
@@ -121,7 +121,7 @@
     Queued {
         /// The change's number.
         change: SequenceNumber,
-        /// The change that it waits for.
+        /// The number of the change that it waits for.
         behind: SequenceNumber,
     },
     /// The emergency change with this number waits for a second person.
@@ -130,7 +130,7 @@
     Blocked {
         /// The change's number, under which it can be linked as a remedy.
         change: SequenceNumber,
-        /// The incident.
+        /// The number of the incident that blocks the change.
         incident: SequenceNumber,
         /// After how many milliseconds to request again.
         retry_after: Millis,
--- a/crates/consensus/src/frame.rs
+++ b/crates/consensus/src/frame.rs
@@ -81,7 +81,8 @@
     },
     /// A follower acknowledges the stream up to this index; 0 requests the whole state.
     Ack(u64),
-    /// A replica has sent a follower all items up to this index; 0 if some are still to be sent.
+    /// A replica shows a follower that it is alive and has sent all items up to this index; 0 if some are
+    /// still to be sent.
     Heartbeat(u64),
     /// A fenced command of a lease holder, which replicas relay to their followers.
     FencedCommand(FencedCommand<TrafficFraction>),
--- a/crates/consensus/src/replica/membership.rs
+++ b/crates/consensus/src/replica/membership.rs
@@ -125,8 +125,8 @@
         if is_newer && !self.save(WriteBatch { known_boots, ..WriteBatch::default() }) {
             return;
         }
-        // A new replica learns by an announcement that there is a fleet, and who its founders are. Without
-        // founders there is nothing to tell it.
+        // A new replica learns by an announcement that there is a fleet, and who its founders are. If this
+        // replica is new as well, no answer is needed, as both announce themselves at intervals anyway.
         let needs_founders = peer.founders.is_empty() && !self.persistent.founders.is_empty();
         self.known_peers.insert(slot, peer);
         self.send_membership(slot, MembershipMessage::Acknowledge { incarnation });
--- a/crates/consensus/tests/handover.rs
+++ b/crates/consensus/tests/handover.rs
@@ -10,8 +10,8 @@
 /// and one for the renewals of each of the two new holders.
 const MAX_WRITES: usize = 3;
 
-// Guards against a time without a lease holder that grows with the number of leases, or that lasts until a
-// tick.
+// Guards against a time without a lease holder that grows with the number of leases, or that includes a wait
+// for a tick or for further writes to a disk.
 #[test]
 fn a_handover_of_all_leases_takes_no_tick_and_three_writes() {
     for slot in 0..REPLICAS {
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,6 +1,7 @@
-//! Model checking of the replicated state: every order of the commands that two coordinators and a person may
-//! propose, up to a number of steps. No change is in flight that an active incident blocks, two conflicting
-//! changes are never in flight at once, and the command of a coordinator whose grant has ended has no effect.
+//! Model checking of the replicated state: every order of the commands that two coordinators, a person and a
+//! change may propose, and of the timers that may run out, up to [`MAX_STEPS`] steps. No change is in flight
+//! that an active incident blocks, two conflicting changes are never in flight at once, and the command of a
+//! coordinator whose grant has ended has no effect.
 
 use hillstall_change_freeze::rules::{ChangeKind, Reaction, Severity};
 use hillstall_change_freeze::scope::Scope;
--- a/crates/coordination/src/runtime/audit.rs
+++ b/crates/coordination/src/runtime/audit.rs
@@ -1,5 +1,5 @@
-//! Log lines of the runtime: audit lines that record which instance held a lease when, and rate-limited
-//! warnings.
+//! Log lines of the runtime: audit lines on leases and fenced commands, by which it is checked afterwards
+//! whether lease holders have kept the rules, and rate-limited warnings.
 
 use hillstall_consensus::node::AuditEvent;
 use hillstall_lease::Instance;
--- a/crates/coordination/src/runtime/handle.rs
+++ b/crates/coordination/src/runtime/handle.rs
@@ -27,7 +27,7 @@
 pub enum Advisory {
     /// From now on, this instance should send a site this fraction of its usual load.
     SiteFraction {
-        /// The site.
+        /// The name of the site.
         site: String,
         /// The fraction, from 0 (no load) to 1 (the usual load).
         fraction: f64,
@@ -42,7 +42,8 @@
     LoadReport(LoadReport),
     /// A line from the admin address.
     AdminCommand { line: String, response: oneshot::Sender<String> },
-    /// The process shuts down. `released` is notified once other instances hold the leases of this one.
+    /// The process shuts down. `released` is notified once the replicas have acknowledged the release of all
+    /// leases, by which each lease is granted to its next candidate.
     ReleaseLeases { released: oneshot::Sender<()> },
 }
 
--- a/crates/coordination/src/settings/mod.rs
+++ b/crates/coordination/src/settings/mod.rs
@@ -43,7 +43,7 @@
     pub site: Option<String>,
     /// Term, safety margin and maximum clock drift of leases.
     pub lease_timing: LeaseTiming,
-    /// How long a fenced command stays valid if the lease holder does not renew it.
+    /// How long a fenced command stays valid if the lease holder does not repeat it.
     pub command_ttl: Duration,
     /// Steps of a traffic shift, and the ramp with which each instance restores a site's traffic.
     pub pacing: ShiftPacing,
--- a/crates/coordination/tests/audit_log.rs
+++ b/crates/coordination/tests/audit_log.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Maximum wait for a log line, long enough for a busy machine.
+/// Maximum wait for a log line, long enough for a busy machine; only a failing test waits this long.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 const REPLICAS: usize = 3;
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -12,7 +12,7 @@
 pub const RANK: u32 = 7;
 /// The log index of [`SNAPSHOT`].
 pub const INDEX: u64 = 136;
-/// Maximum wait for a frame, long enough for a busy machine.
+/// Maximum wait for a frame, long enough for a busy machine; only a failing test waits this long.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
 /// Shorter than the time without frames after which a follower chooses another replica.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
--- a/crates/maintenance/src/shift/admission.rs
+++ b/crates/maintenance/src/shift/admission.rs
@@ -28,7 +28,7 @@
     /// Another site does not serve its own traffic well enough.
     #[error("{site} serves only {:.0}% of its calls", 100.0 * success_ratio)]
     OtherSiteFailing {
-        /// The other site.
+        /// The name of the other site.
         site: String,
         /// The other site's [`super::SiteLoad::success_ratio`].
         success_ratio: f64,
--- a/crates/maintenance/src/shift/mod.rs
+++ b/crates/maintenance/src/shift/mod.rs
@@ -26,7 +26,8 @@
 /// The reason of a window that is postponed or aborted as late. It is replicated, so all versions must write
 /// the same bytes.
 const LATE_REASON: &str = "it could not begin in time";
-/// By how much a reported traffic fraction may differ from the commanded one and still count as equal.
+/// By how much a reported traffic fraction may exceed the commanded one while traffic is reduced, and fall
+/// short of the expected one while it is restored.
 const FRACTION_TOLERANCE: f64 = 0.001;
 /// [`Window::baseline_rate`] is in requests per this many seconds.
 const BASELINE_RATE_SECONDS: f64 = 1_000.0;
@@ -207,8 +208,8 @@
 
     /// Whether the instances apply the commanded fraction and the other sites serve their traffic.
     ///
-    /// The site's request rate is not compared here, as it also changes with each instance that is lost or
-    /// returns.
+    /// The site's request rate is compared only once no traffic is commanded, by [`Decision::is_empty`].
+    /// Before that it says little, as it also changes with each instance that is lost or returns.
     fn last_step_took_effect(&self) -> bool {
         let site = &self.window.plan.site;
         let commanded = f64::from(self.window.fraction) / f64::from(FULL_TRAFFIC);
--- a/crates/maintenance/src/windows/command.rs
+++ b/crates/maintenance/src/windows/command.rs
@@ -69,7 +69,8 @@
         /// stored.
         reason: Option<String>,
     },
-    /// The lease holder ends the window, as the site has all of its traffic again.
+    /// The lease holder ends the window, as full traffic is commanded and the site is restored, or its return
+    /// is overdue.
     Finish {
         /// The window's number.
         window: SequenceNumber,
--- a/crates/maintenance/src/windows/window.rs
+++ b/crates/maintenance/src/windows/window.rs
@@ -26,7 +26,7 @@
     Running,
     /// The site's traffic is being restored.
     Returning,
-    /// The window is over, and the site's traffic is restored.
+    /// The window is over, and full traffic is commanded; if the return was overdue, the site may get less.
     Done,
     /// The window could not begin in time.
     Postponed,
