--- a/crates/hillstall/src/admin.rs
+++ b/crates/hillstall/src/admin.rs
@@ -15,7 +15,8 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, timeout};
 
-/// Longest time for a whole connection: reading the command, executing it, and sending the answer.
+/// Longest time for a whole connection: reading the command, executing it, sending the answer, and waiting
+/// until the client has read the answer and closed its side.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause after a failed accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
--- a/crates/hillstall/src/config.rs
+++ b/crates/hillstall/src/config.rs
@@ -27,8 +27,8 @@
     pub sockets: usize,
     /// Memory that the process may use, in MiB.
     pub memory_mb: usize,
-    /// The last endpoint list that this proxy received before it was started; used until discovery sends a
-    /// newer one.
+    /// The last endpoint list that this proxy had before the present process was started; used until
+    /// discovery sends a newer one.
     pub known_endpoints: EndpointList,
     /// The settings of the decision module.
     pub settings: Settings,
@@ -68,7 +68,7 @@
     #[error(transparent)]
     Key(#[from] serde_path_to_error::Error<serde_json::Error>),
     /// Neither the file nor the environment has a required key.
-    #[error("{key}: missing from the file and from the environment")]
+    #[error("{key}: missing")]
     Missing {
         /// The key.
         key: &'static str,
--- a/crates/hillstall/src/coordination.rs
+++ b/crates/hillstall/src/coordination.rs
@@ -19,8 +19,8 @@
 
 /// Time between two load reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// How much later than the tier above it each tier lowers a site's traffic fraction, so that requests that the
-/// upper tiers have already sent still find the old fraction in force below.
+/// How much later than the tier above it each tier lowers a site's traffic fraction, so that requests that
+/// the upper tiers have already sent still find the old fraction in force below.
 const TIER_DELAY: Duration = Duration::from_millis(300);
 /// Time between two refreshes of the fractions in the decision module, where they expire otherwise.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/hillstall/src/demo.rs
+++ b/crates/hillstall/src/demo.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Resource limits of the demo's proxy.
+/// Resource limits of the demo's proxy: file descriptors, and memory in MiB.
 const DEMO_LIMITS: site::ProcessLimits = site::ProcessLimits { sockets: 1_024, memory_mb: 192 };
 
 /// Why the demo can't start.
--- a/crates/hillstall/src/logs.rs
+++ b/crates/hillstall/src/logs.rs
@@ -42,6 +42,10 @@
 }
 
 /// Logs at an interval how many lines were dropped since the last report. Never returns.
+///
+/// A report goes through the same queue, so it appears only once standard error is read again and the queue
+/// has room. A report that finds the queue full is dropped too: the next one counts it as one line, and the
+/// number that it stated is lost.
 pub async fn report_dropped_lines(dropped: ErrorCounter) {
     let mut reported = 0;
     loop {
--- a/crates/hillstall/src/operator/file.rs
+++ b/crates/hillstall/src/operator/file.rs
@@ -47,7 +47,7 @@
     let mut parser = FileParser { path, text: &text, file: OperatorFile::default() };
     if !errors.is_empty() {
         // The parser recovers something from a broken line, which could cause a second problem for the same
-        // line.
+        // line. So the entries of a file with syntax errors are not read.
         parser.file.problems = errors.iter().map(|error| parser.syntax_problem(error)).collect();
         return parser.file;
     }
--- a/crates/hillstall/src/operator/keys.rs
+++ b/crates/hillstall/src/operator/keys.rs
@@ -21,7 +21,8 @@
 }
 
 impl SettingKey {
-    /// The environment variable that sets this key, as in `HILLSTALL_POOL_REST` for `pool.rest`.
+    /// The environment variable that sets this key, as in `HILLSTALL_POOL_REST` for `pool.rest`. It takes
+    /// precedence over the file.
     pub fn variable(&self) -> String {
         format!("HILLSTALL_{}", self.name.replace('.', "_").to_uppercase())
     }
--- a/crates/hillstall/src/operator/problem.rs
+++ b/crates/hillstall/src/operator/problem.rs
@@ -42,7 +42,7 @@
     /// The text of the file is not TOML.
     #[error("{origin}: {message}")]
     Syntax {
-        /// The source of the key.
+        /// The file and line of the error.
         origin: ValueOrigin,
         /// The message of the TOML parser.
         message: String,
--- a/crates/hillstall/src/platform.rs
+++ b/crates/hillstall/src/platform.rs
@@ -16,7 +16,8 @@
 const ADDRESS_KEYS: [&str; 3] = ["listen", "admin_addr", "discovery"];
 /// Keys under `limits` whose values are whole numbers.
 const LIMIT_KEYS: [&str; 2] = ["sockets", "memory_mb"];
-/// Resource limits of the valid configuration into which single settings are put to check them.
+/// Resource limits (file descriptors, and memory in MiB) of the valid configuration into which single
+/// settings are put to check them.
 const VALID_LIMITS: site::ProcessLimits = site::ProcessLimits { sockets: 64, memory_mb: 64 };
 
 /// A problem, and the path of the value that has it.
--- a/crates/hillstall/src/simulation.rs
+++ b/crates/hillstall/src/simulation.rs
@@ -235,7 +235,7 @@
     ProgressBar::new(cells as u64 * options.seed_count)
 }
 
-/// A metric by which two policies are compared. `scale` converts it to the unit in `name`.
+/// A metric by which two policies are compared. `scale` converts a difference to the unit in `name`.
 struct ComparedMetric {
     name: &'static str,
     scale: f64,
@@ -243,8 +243,12 @@
 }
 
 const COMPARED_METRICS: [ComparedMetric; 4] = [
-    ComparedMetric { name: "service, %", scale: 100.0, value: |run| run.service },
-    ComparedMetric { name: "service in the worst 10 s, %", scale: 100.0, value: |run| run.worst },
+    ComparedMetric { name: "service, percentage points", scale: 100.0, value: |run| run.service },
+    ComparedMetric {
+        name: "service in the worst 10 s, percentage points",
+        scale: 100.0,
+        value: |run| run.worst,
+    },
     ComparedMetric { name: "99th percentile, ms", scale: 1.0, value: |run| run.p99_ms },
     ComparedMetric { name: "attempts per request", scale: 1.0, value: |run| run.attempts },
 ];
--- a/crates/hillstall/tests/coordination/figures.rs
+++ b/crates/hillstall/tests/coordination/figures.rs
@@ -1,4 +1,5 @@
-//! Measures takeover times and service during maintenance windows. Takes minutes, so it is run on demand:
+//! Measures takeover times and service during maintenance windows, for the page of measurements. Takes
+//! minutes, so it is run on demand:
 //! `cargo test -p hillstall --test coordination figures -- --ignored --nocapture --test-threads 1`.
 
 use crate::harness::service_percent;
--- a/crates/hillstall/tests/fault_injection/soak.rs
+++ b/crates/hillstall/tests/fault_injection/soak.rs
@@ -5,7 +5,7 @@
 use hillstall_fault_injection::soak::{SoakPlan, TERM_AT_MS};
 use std::thread;
 
-/// The seeds that are run.
+/// The seeds that CI runs.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=12;
 /// The seeds whose plans are checked without running them.
 const DRAWN_SEEDS: std::ops::RangeInclusive<u64> = 1..=300;
--- a/crates/hillstall/tests/proxy/commands.rs
+++ b/crates/hillstall/tests/proxy/commands.rs
@@ -52,7 +52,7 @@
     platform_config(discovery.address, &endpoint_list(0, true, &[]))
 }
 
-/// Runs the program without its environment variables.
+/// Runs the program with `NODE_CONFIG` and `HILLSTALL_OPERATOR_FILE` unset.
 fn hillstall(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hillstall"));
     command.args(arguments).env_remove("NODE_CONFIG").env_remove("HILLSTALL_OPERATOR_FILE");
--- a/crates/hillstall/tests/proxy/harness.rs
+++ b/crates/hillstall/tests/proxy/harness.rs
@@ -152,7 +152,8 @@
 }
 
 /// A discovery service. It sends the current list, if there is one, to each new watch, and keeps the watch
-/// open for further lines. Without a list it accepts requests and never answers.
+/// open for further lines. Without a list it accepts requests and sends nothing but heartbeats, which without
+/// a response head are not a valid response.
 pub struct Discovery {
     pub address: SocketAddr,
     /// The request lines received.
--- a/crates/hillstall/tests/proxy/main.rs
+++ b/crates/hillstall/tests/proxy/main.rs
@@ -1,4 +1,5 @@
-//! Tests of the proxy process over loopback sockets.
+//! Tests of the proxy process over loopback sockets: one for each guarantee that a fault has broken or could
+//! break.
 
 mod access_log;
 mod admin_commands;
--- a/crates/hillstall/tests/proxy/shutdown.rs
+++ b/crates/hillstall/tests/proxy/shutdown.rs
@@ -99,7 +99,8 @@
     assert!(proxy.wait().success());
 }
 
-// Guards against a connection that counts as idle between two pipelined requests, and is closed with the second unread.
+// Guards against a connection that counts as idle between two pipelined requests, and is closed with the
+// second unread.
 #[test]
 fn pipelined_requests_behind_one_that_hangs_to_the_end_are_answered() {
     let backend = Backend::start(|_, _| {
