--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -552,7 +552,7 @@
             return invalid("class".into(), "1 to 200 are needed");
         }
         if !(1..=64).contains(&self.zones) {
-            return invalid("one_zone".into(), "must be from 1 to 64");
+            return invalid("zones".into(), "must be from 1 to 64");
         }
         if self.load.rate.is_some() == self.load.capacity_fraction.is_some() {
             return invalid("load".into(), "give either rate or of_capacity, and not both");
