--- a/crates/fault-injection/src/coordination_fleet.rs
+++ b/crates/fault-injection/src/coordination_fleet.rs
@@ -56,7 +56,7 @@
     /// The process.
     pub process: usize,
     /// Its incarnation.
-    pub life: u64,
+    pub incarnation: u64,
     /// Unix time in milliseconds.
     pub at: u64,
     /// What: holds, lost or carried out.
@@ -193,7 +193,7 @@
     let number = |name: &str| fields.get(name).and_then(serde_json::Value::as_u64);
     Some(AuditLine {
         process,
-        life: number("life")?,
+        incarnation: number("life")?,
         at: number("at")?,
         what: what.to_owned(),
         duty: fields.get("duty")?.as_str()?.to_owned(),
@@ -213,19 +213,19 @@
     for act in acts {
         match act.what.as_str() {
             "carried out" => {
-                let known = highest.entry((act.process, act.life, &act.duty)).or_default();
+                let known = highest.entry((act.process, act.incarnation, &act.duty)).or_default();
                 if act.token < *known {
                     wrong.push(format!("tokens fell from {known} at {act:?}"));
                 }
                 *known = (*known).max(act.token);
-                let parts = away.entry((act.process, act.life)).or_default();
+                let parts = away.entry((act.process, act.incarnation)).or_default();
                 parts.insert(&act.duty, act.part.unwrap_or(1_000));
                 if parts.values().filter(|part| **part < 1_000).count() > 1 {
                     wrong.push(format!("two sites away: {parts:?} at {act:?}"));
                 }
             }
             "holds" => {
-                let own = (act.process, act.life);
+                let own = (act.process, act.incarnation);
                 if *holders.entry((&act.duty, act.token)).or_insert(own) != own {
                     wrong.push(format!("one token, two holders: {act:?}"));
                 }
@@ -260,7 +260,7 @@
 
     fn act(at: u64, process: usize, what: &str, duty: &str, token: u64, part: u64) -> AuditLine {
         let (what, duty) = (what.to_owned(), duty.to_owned());
-        AuditLine { process, life: 1, at, what, duty, token, part: Some(part) }
+        AuditLine { process, incarnation: 1, at, what, duty, token, part: Some(part) }
     }
 
     #[test]
--- a/crates/fault-injection/src/discovery_server.rs
+++ b/crates/fault-injection/src/discovery_server.rs
@@ -188,7 +188,7 @@
     #[allow(clippy::too_many_lines, reason = "one request from its arrival to its last line")]
     async fn connection(&self, wire: &mut Wire, peer: SocketAddr) -> std::io::Result<()> {
         let Some(message) = wire.message(true).await? else { return Ok(()) };
-        self.history.note(|seen| seen.list_calls += 1);
+        self.history.record(|seen| seen.discovery_requests += 1);
         let own = wire.stream.local_addr()?;
         let Some(link) = self.connections.borrow().get(&(peer, own)).copied() else { return Ok(()) };
         let who = (self.who)(link);
@@ -229,11 +229,12 @@
         }
     }
 
-    fn record_notifications(&self, (process, life): (usize, u32), entries: &[Entry]) {
+    fn record_notifications(&self, (process, incarnation): (usize, u32), entries: &[Entry]) {
         let at = self.history.now();
-        self.history.note(|seen| {
-            let told = |e: &Entry| Notification { process, life, server: e.server, status: e.status, at };
-            seen.told.extend(entries.iter().map(told));
+        self.history.record(|seen| {
+            let told =
+                |e: &Entry| Notification { process, incarnation, server: e.server, status: e.status, at };
+            seen.notifications.extend(entries.iter().map(told));
         });
     }
 }
--- a/crates/fault-injection/src/faults.rs
+++ b/crates/fault-injection/src/faults.rs
@@ -3,7 +3,7 @@
 
 use crate::discovery_server::{unix_ms, BackendStarted};
 use crate::fleet::{Fleet, FleetError, LinkEnds};
-use crate::history::LinkCut as CutSeen;
+use crate::history::ClientLinkFault;
 use crate::platform_rules::earliest_kill_ms;
 use crate::process_supervisor::ProcessSignal;
 use crate::tcp_proxy::Fault;
@@ -334,7 +334,9 @@
             let (from, to) = (failure.at, failure.at + failure.lasts);
             let doors = self.fleet.links.iter().map(|(ends, _)| *ends).filter(|ends| meant(*ends));
             for process in doors.map(LinkEnds::process) {
-                self.fleet.history.note(|seen| seen.cuts.push(CutSeen { process, from, to }));
+                self.fleet
+                    .history
+                    .record(|seen| seen.client_link_faults.push(ClientLinkFault { process, from, to }));
             }
         }
     }
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination_fleet::CoordinationOptions;
 use crate::discovery_server::{DiscoveryServer, Entry};
-use crate::history::{History, ProcessEvent, ProcessLifetime};
+use crate::history::{History, ProcessEvent, ProcessEventRecord};
 use crate::invariant_checker::{GroundTruth, Server as TrueServer};
 use crate::platform;
 use crate::process_supervisor::{ProcessSignal, ProcessSupervisor, StartProcess, SupervisorEvent};
@@ -178,7 +178,7 @@
     /// The coordination of its instances, if any.
     pub talk: Option<CoordinationOptions>,
     by_ends: HashMap<LinkEnds, usize>,
-    lives: Rc<RefCell<Vec<u32>>>,
+    incarnations: Rc<RefCell<Vec<u32>>>,
     supervisor: RefCell<ProcessSupervisor>,
     program: PathBuf,
     seeds: RefCell<Xoshiro256PlusPlus>,
@@ -261,12 +261,12 @@
         let callers = Callers::default();
         let owners: Rc<RefCell<Vec<usize>>> = Rc::default();
         let sketches = plan_processes(&figures).map_err(system("ports"))?;
-        let lives = Rc::new(RefCell::new(vec![0u32; sketches.len()]));
+        let incarnations = Rc::new(RefCell::new(vec![0u32; sketches.len()]));
         let who: WhoCalls = {
-            let (owners, lives) = (owners.clone(), lives.clone());
+            let (owners, incarnations) = (owners.clone(), incarnations.clone());
             Rc::new(move |link| {
                 let process = owners.borrow()[link];
-                (process, lives.borrow()[process])
+                (process, incarnations.borrow()[process])
             })
         };
         let servers = servers(&figures, &sketches, &history, (&callers, &who)).map_err(system("servers"))?;
@@ -366,7 +366,7 @@
             talk,
             by_ends: links.iter().enumerate().map(|(place, (ends, _))| (*ends, place)).collect(),
             links,
-            lives,
+            incarnations,
             supervisor: RefCell::new(keeper.map_err(system("the keeper"))?),
             program: program.to_path_buf(),
             seeds: RefCell::new(chance(seed, Stream::Policies)),
@@ -427,9 +427,9 @@
         }
     }
 
-    fn note(&self, process: usize, what: ProcessEvent) {
+    fn record_event(&self, process: usize, event: ProcessEvent) {
         let at = self.history.now();
-        self.history.note(|seen| seen.lives.push(ProcessLifetime { process, at, what }));
+        self.history.record(|seen| seen.process_events.push(ProcessEventRecord { process, at, event }));
     }
 
     #[allow(clippy::too_many_lines, reason = "writes a process's files and starts it")]
@@ -475,8 +475,8 @@
             ],
             log: process.log(),
         };
-        self.lives.borrow_mut()[number] += 1;
-        self.note(number, ProcessEvent::Started);
+        self.incarnations.borrow_mut()[number] += 1;
+        self.record_event(number, ProcessEvent::Started);
         process.runs.set(true);
         self.supervisor.borrow_mut().run(start).map_err(system("the keeper"))
     }
@@ -510,7 +510,7 @@
         if number < self.fronts {
             self.link(LinkEnds::Door { process: number }).set_up(true);
         }
-        self.note(number, ProcessEvent::Up);
+        self.record_event(number, ProcessEvent::Ready);
         Ok(())
     }
 
@@ -518,14 +518,14 @@
     pub fn signal(&self, number: usize, sign: ProcessSignal) -> Result<(), FleetError> {
         match sign {
             ProcessSignal::Kill => {
-                self.note(number, ProcessEvent::Killed);
+                self.record_event(number, ProcessEvent::Killed);
                 if number < self.fronts {
                     self.link(LinkEnds::Door { process: number }).set_up(false);
                 }
             }
-            ProcessSignal::Term => self.note(number, ProcessEvent::Asked),
-            ProcessSignal::Stop => self.note(number, ProcessEvent::Stopped),
-            ProcessSignal::Go => self.note(number, ProcessEvent::Went),
+            ProcessSignal::Term => self.record_event(number, ProcessEvent::SigtermSent),
+            ProcessSignal::Stop => self.record_event(number, ProcessEvent::Stopped),
+            ProcessSignal::Go => self.record_event(number, ProcessEvent::Continued),
             ProcessSignal::Reload => {}
         }
         self.supervisor.borrow_mut().signal(number, sign).map_err(system("the keeper"))
@@ -549,7 +549,7 @@
                 if number < self.fronts {
                     self.link(LinkEnds::Door { process: number }).set_up(false);
                 }
-                self.note(number, ProcessEvent::Ended(code));
+                self.record_event(number, ProcessEvent::Exited(code));
             }
         }
     }
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -15,15 +15,15 @@
     /// Any other response.
     Failed(u16),
     /// Its connection never came up, or was refused, or closed before the request was written.
-    NotTaken,
+    NotAccepted,
     /// Its connection ended after the request was written, before a complete response.
     Broken,
     /// No response until well after its timeout.
     Unanswered,
     /// Its client left before the timeout.
-    Left,
+    Abandoned,
     /// An invalid response, and why.
-    Wrong(String),
+    Invalid(String),
 }
 
 /// An attempt of a client at a proxy.
@@ -42,28 +42,28 @@
     /// When its last byte was written, if it was.
     pub written_at: Option<f64>,
     /// Its timeout as sent to the proxy, in milliseconds.
-    pub ttl: f64,
+    pub timeout_ms: f64,
     /// When it ended.
     pub ended_at: f64,
     /// How.
-    pub ended: ClientResult,
+    pub result: ClientResult,
     /// The Retry-After of a rejection, in milliseconds.
-    pub come_back: Option<f64>,
+    pub retry_after_ms: Option<f64>,
 }
 
 /// How an attempt of a proxy ended at a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendResult {
     /// In progress.
-    Held,
+    InProgress,
     /// Answered with 200.
     Served,
     /// Rejected before it began.
-    TurnedAway,
+    Rejected,
     /// Answered with 500: a request to the next tier failed.
     Error,
     /// Its sender left.
-    Dropped,
+    Cancelled,
     /// The backend's process died.
     Lost,
 }
@@ -78,7 +78,7 @@
     /// The proxy that sent it.
     pub process: usize,
     /// The number of times that the proxy had been started by then.
-    pub life: u32,
+    pub incarnation: u32,
     /// When it arrived.
     pub at: f64,
     /// Its own work at this tier, in core milliseconds.
@@ -86,7 +86,7 @@
     /// When it ended.
     pub ended_at: f64,
     /// How.
-    pub done: BackendResult,
+    pub result: BackendResult,
 }
 
 /// A line of the endpoint list that was written to a proxy.
@@ -95,7 +95,7 @@
     /// The proxy.
     pub process: usize,
     /// The number of times that the proxy had been started by then.
-    pub life: u32,
+    pub incarnation: u32,
     /// The backend that it names.
     pub server: usize,
     /// The backend's state.
@@ -110,28 +110,28 @@
     /// It was started.
     Started,
     /// It is ready.
-    Up,
+    Ready,
     /// It received SIGTERM.
-    Asked,
+    SigtermSent,
     /// It was killed.
     Killed,
     /// It was stopped by SIGSTOP.
     Stopped,
     /// It continued after SIGCONT.
-    Went,
+    Continued,
     /// It ended by itself, or after SIGTERM, with this exit code.
-    Ended(Option<i32>),
+    Exited(Option<i32>),
 }
 
 /// A change in a process's life.
 #[derive(Clone, Copy, Debug)]
-pub struct ProcessLifetime {
+pub struct ProcessEventRecord {
     /// To which.
     pub process: usize,
     /// When.
     pub at: f64,
     /// What.
-    pub what: ProcessEvent,
+    pub event: ProcessEvent,
 }
 
 /// A restart of a backend, which begins its slow start.
@@ -145,7 +145,7 @@
 
 /// A time span in which the link from the clients to a proxy was faulty.
 #[derive(Clone, Copy, Debug)]
-pub struct LinkCut {
+pub struct ClientLinkFault {
     /// The proxy.
     pub process: usize,
     /// From when.
@@ -158,25 +158,25 @@
 #[derive(Debug, Default)]
 pub struct Observations {
     /// Client attempts at proxies.
-    pub tries: Vec<ClientAttempt>,
+    pub client_attempts: Vec<ClientAttempt>,
     /// Proxies' attempts at backends.
-    pub hops: Vec<BackendAttempt>,
+    pub backend_attempts: Vec<BackendAttempt>,
     /// Endpoint states sent to proxies.
-    pub told: Vec<Notification>,
+    pub notifications: Vec<Notification>,
     /// What happened to processes.
-    pub lives: Vec<ProcessLifetime>,
+    pub process_events: Vec<ProcessEventRecord>,
     /// Restarts of backends.
-    pub starts: Vec<BackendStart>,
+    pub backend_starts: Vec<BackendStart>,
     /// Faulty links from clients to proxies.
-    pub cuts: Vec<LinkCut>,
+    pub client_link_faults: Vec<ClientLinkFault>,
     /// Connections accepted, by backend.
     pub handshakes: Vec<u64>,
     /// Requests to discovery.
-    pub list_calls: u64,
+    pub discovery_requests: u64,
     /// How late each client request started, in milliseconds.
-    pub lateness: Vec<f64>,
+    pub start_delays_ms: Vec<f64>,
     /// Stalls: who was ready to run and got no processor time.
-    pub stood: Vec<HostStall>,
+    pub stalls: Vec<HostStall>,
 }
 
 /// A stall: somebody got no processor time.
@@ -227,7 +227,7 @@
     }
 
     /// Changes the record.
-    pub fn note<T>(&self, what: impl FnOnce(&mut Observations) -> T) -> T {
+    pub fn record<T>(&self, what: impl FnOnce(&mut Observations) -> T) -> T {
         what(&mut self.seen.borrow_mut())
     }
 
--- a/crates/fault-injection/src/host_load_monitor.rs
+++ b/crates/fault-injection/src/host_load_monitor.rs
@@ -44,7 +44,7 @@
         let stood = |process, waited: f64| HostStall { process, from: now - waited, to: now };
         let late = now - last - CLOCK_SAMPLE_INTERVAL.as_secs_f64() * 1e3;
         if late > MIN_STALL_MS {
-            fleet.history.note(|seen| seen.stood.push(stood(None, now - last)));
+            fleet.history.record(|seen| seen.stalls.push(stood(None, now - last)));
         }
         last = now;
         if look % CLOCK_SAMPLES_PER_PROCESS_SAMPLE > 0 {
@@ -58,7 +58,7 @@
             });
             let longest = waits.fold(0.0, f64::max);
             if longest > MIN_STALL_MS {
-                fleet.history.note(|seen| seen.stood.push(stood(Some(process.number), longest)));
+                fleet.history.record(|seen| seen.stalls.push(stood(Some(process.number), longest)));
             }
         }
     }
--- a/crates/fault-injection/src/invariant_checker.rs
+++ b/crates/fault-injection/src/invariant_checker.rs
@@ -146,7 +146,7 @@
 
 /// Checks a record.
 pub fn check(truth: &GroundTruth, seen: &Observations) -> Verdict {
-    if let Some(why) = late(&seen.lateness).or_else(|| stood(&seen.stood)) {
+    if let Some(why) = late(&seen.start_delays_ms).or_else(|| stood(&seen.stalls)) {
         return Verdict::Void(why);
     }
     let court = Checker::new(truth, seen);
@@ -185,7 +185,7 @@
 /// How many requests without an answer were excused, by the reason.
 pub fn excuses(truth: &GroundTruth, seen: &Observations) -> BTreeMap<Excuse, usize> {
     let checker = Checker::new(truth, seen);
-    let written = seen.tries.iter().filter_map(|a_try| Some((a_try, a_try.written_at?)));
+    let written = seen.client_attempts.iter().filter_map(|a_try| Some((a_try, a_try.written_at?)));
     let excuses = written.filter_map(|(a_try, written)| checker.excuse(a_try, written));
     let mut counts = BTreeMap::new();
     excuses.for_each(|excuse| *counts.entry(excuse).or_default() += 1);
@@ -200,22 +200,22 @@
 struct Checker<'a> {
     truth: &'a GroundTruth,
     observations: &'a Observations,
-    attempts: BTreeMap<&'a str, &'a ClientAttempt>,
-    hops: BTreeMap<&'a str, Vec<&'a BackendAttempt>>,
+    client_attempts_by_id: BTreeMap<&'a str, &'a ClientAttempt>,
+    backend_attempts_by_id: BTreeMap<&'a str, Vec<&'a BackendAttempt>>,
 }
 
 impl<'a> Checker<'a> {
     fn new(truth: &'a GroundTruth, seen: &'a Observations) -> Checker<'a> {
         let mut hops: BTreeMap<&str, Vec<&BackendAttempt>> = BTreeMap::new();
-        for hop in &seen.hops {
+        for hop in &seen.backend_attempts {
             hops.entry(&hop.id).or_default().push(hop);
         }
         hops.values_mut().for_each(|hops| hops.sort_by(|a, b| a.at.total_cmp(&b.at)));
         Checker {
             truth,
             observations: seen,
-            attempts: seen.tries.iter().map(|t| (t.id.as_str(), t)).collect(),
-            hops,
+            client_attempts_by_id: seen.client_attempts.iter().map(|t| (t.id.as_str(), t)).collect(),
+            backend_attempts_by_id: hops,
         }
     }
 
@@ -224,15 +224,18 @@
     fn was_healthy(&self, process: usize, from: f64, to: f64) -> bool {
         let mut well = true;
         let mut asked_at = None;
-        for life in
-            self.observations.lives.iter().filter(|l| l.process == process && l.at < to + CAUSE_WINDOW_MS)
+        for life in self
+            .observations
+            .process_events
+            .iter()
+            .filter(|l| l.process == process && l.at < to + CAUSE_WINDOW_MS)
         {
-            match life.what {
+            match life.event {
                 ProcessEvent::Started => asked_at = None,
                 // One that shuts down still has to answer what it has accepted. A second SIGTERM changes nothing.
-                ProcessEvent::Asked => asked_at = asked_at.or(Some(life.at)),
+                ProcessEvent::SigtermSent => asked_at = asked_at.or(Some(life.at)),
                 ProcessEvent::Killed if asked_at.is_some_and(|at| from - at > SHUTDOWN_GRACE_MS) => {}
-                ProcessEvent::Up | ProcessEvent::Went => {
+                ProcessEvent::Ready | ProcessEvent::Continued => {
                     // What arrived while it was stopped is late through no fault of its own.
                     if !well && life.at + CAUSE_WINDOW_MS > from {
                         return false;
@@ -240,25 +243,25 @@
                     well = true;
                 }
                 // An exit without SIGKILL is no excuse.
-                ProcessEvent::Ended(_) => {}
+                ProcessEvent::Exited(_) => {}
                 ProcessEvent::Killed | ProcessEvent::Stopped => well = false,
             }
         }
-        let cut = |c: &&crate::history::LinkCut| {
+        let cut = |c: &&crate::history::ClientLinkFault| {
             c.process == process && c.from < to + CAUSE_WINDOW_MS && c.to + CAUSE_WINDOW_MS > from
         };
-        well && !self.observations.cuts.iter().any(|c| cut(&c))
+        well && !self.observations.client_link_faults.iter().any(|c| cut(&c))
     }
 
     /// Whether the harness or a proxy got no processor time in a time span: what waited in it is late through no fault of
     /// the program.
     fn was_starved(&self, process: usize, from: f64, to: f64) -> bool {
         let meant = |stood: &&HostStall| stood.process.is_none_or(|of| of == process);
-        self.observations.stood.iter().filter(meant).any(|stood| stood.from < to && stood.to > from)
+        self.observations.stalls.iter().filter(meant).any(|stood| stood.from < to && stood.to > from)
     }
 
     fn check_responses(&self, broken: &mut Vec<Violation>) {
-        for a_try in &self.observations.tries {
+        for a_try in &self.observations.client_attempts {
             let how = match a_try.written_at {
                 Some(written) => self.response_fault(a_try, written),
                 None => self.unread_fault(a_try),
@@ -272,12 +275,15 @@
 
     /// What is wrong with the end of a request that was written, if anything.
     fn response_fault(&self, a_try: &ClientAttempt, written: f64) -> Option<String> {
-        match &a_try.ended {
-            ClientResult::Wrong(how) => Some(how.clone()),
+        match &a_try.result {
+            ClientResult::Invalid(how) => Some(how.clone()),
             ClientResult::Served => {
                 // Some backend must have made it, for this request.
-                let served = |h: &&BackendAttempt| h.done == BackendResult::Served;
-                let is_made = self.hops.get(a_try.id.as_str()).is_some_and(|hops| hops.iter().any(served));
+                let served = |h: &&BackendAttempt| h.result == BackendResult::Served;
+                let is_made = self
+                    .backend_attempts_by_id
+                    .get(a_try.id.as_str())
+                    .is_some_and(|hops| hops.iter().any(served));
                 (!is_made).then(|| "served with something that no server made for it".to_string())
             }
             ClientResult::Broken => Some("its connection ended without an answer".to_string()),
@@ -288,29 +294,29 @@
 
     /// Why a request without an answer is owed none, if it isn't. A wrong answer has no excuse.
     fn excuse(&self, a_try: &ClientAttempt, written: f64) -> Option<Excuse> {
-        if !matches!(a_try.ended, ClientResult::Broken | ClientResult::Unanswered) {
+        if !matches!(a_try.result, ClientResult::Broken | ClientResult::Unanswered) {
             return None;
         }
         if !self.was_healthy(a_try.process, written, a_try.ended_at) {
             return Some(Excuse::ProxyOrLinkGone);
         }
-        let was_late = a_try.ended == ClientResult::Unanswered
+        let was_late = a_try.result == ClientResult::Unanswered
             && self.was_starved(a_try.process, written, a_try.ended_at);
         was_late.then_some(Excuse::NoProcessorTime)
     }
 
     /// What is wrong with a request that was not read, as far as its client could see: it was forwarded all the same.
     fn unread_fault(&self, a_try: &ClientAttempt) -> Option<String> {
-        let was_forwarded = self.hops.contains_key(a_try.id.as_str());
-        (a_try.ended == ClientResult::NotTaken && was_forwarded)
+        let was_forwarded = self.backend_attempts_by_id.contains_key(a_try.id.as_str());
+        (a_try.result == ClientResult::NotAccepted && was_forwarded)
             .then(|| "forwarded, and its connection ended without an answer".to_string())
     }
 
     fn check_retries(&self, broken: &mut Vec<Violation>) {
         let settings = &self.truth.settings;
-        for (id, hops) in &self.hops {
+        for (id, hops) in &self.backend_attempts_by_id {
             let mut found = |rule, how| broken.push(Violation { rule, how, id: Some((*id).to_string()) });
-            let Some(a_try) = self.attempts.get(id) else {
+            let Some(a_try) = self.client_attempts_by_id.get(id) else {
                 found(Rule::Unasked, "a server got a request that nobody made".into());
                 continue;
             };
@@ -319,7 +325,7 @@
                 found(Rule::Attempts, format!("{} attempts of {most}", hops.len()));
             }
             let class = &settings.classes[a_try.class];
-            let Some(ran) = hops.iter().find(|h| h.done != BackendResult::TurnedAway) else { continue };
+            let Some(ran) = hops.iter().find(|h| h.result != BackendResult::Rejected) else { continue };
             let permitted = |at: f64| match class.retry_safety {
                 RetrySafety::Idempotent => true,
                 RetrySafety::IdempotencyKey => at - ran.at <= class.dedup_window_ms + TOLERANCE_MS,
@@ -330,7 +336,7 @@
                 let after = again.at - ran.at;
                 found(Rule::BarredRepeat, format!("sent again {after:.0} ms after it may have run"));
             }
-            if a_try.ended == ClientResult::Refused && !permitted(a_try.ended_at) {
+            if a_try.result == ClientResult::Refused && !permitted(a_try.ended_at) {
                 found(Rule::Refusal, "refused although it may have run".into());
             }
         }
@@ -340,12 +346,12 @@
         let grace = self.truth.settings.rules.drain_grace_ms + TOLERANCE_MS + self.truth.delay;
         // By incarnation of a proxy and by backend: the notifications, and whether each excludes the backend.
         let mut away: BTreeMap<(usize, u32, usize), Vec<(f64, bool)>> = BTreeMap::new();
-        for told in &self.observations.told {
-            let place = (told.process, told.life, told.server);
+        for told in &self.observations.notifications {
+            let place = (told.process, told.incarnation, told.server);
             away.entry(place).or_default().push((told.at, told.status != BackendState::Ready));
         }
-        for hop in &self.observations.hops {
-            let Some(said) = away.get(&(hop.process, hop.life, hop.server)) else { continue };
+        for hop in &self.observations.backend_attempts {
+            let Some(said) = away.get(&(hop.process, hop.incarnation, hop.server)) else { continue };
             let mut since = None;
             for (at, is_away) in said.iter().filter(|(at, _)| *at <= hop.at) {
                 since = if *is_away { since.or(Some(*at)) } else { None };
@@ -360,10 +366,15 @@
 
     /// For each restart: the backend, its largest load over what it bears, and when that was.
     fn overshoots(&self) -> Vec<(usize, f64, f64)> {
-        let each = self.observations.starts.iter().map(|start| {
+        let each = self.observations.backend_starts.iter().map(|start| {
             let of = |h: &&BackendAttempt| h.server == start.server && h.at >= start.at;
-            let sent: Vec<(f64, f64)> =
-                self.observations.hops.iter().filter(of).map(|h| (h.at - start.at, h.work)).collect();
+            let sent: Vec<(f64, f64)> = self
+                .observations
+                .backend_attempts
+                .iter()
+                .filter(of)
+                .map(|h| (h.at - start.at, h.work))
+                .collect();
             let (most, when) = self.truth.servers[start.server].cold.overshoot(&sent);
             (start.server, most, start.at + when)
         });
@@ -382,11 +393,11 @@
 
     fn check_crashes(&self, broken: &mut Vec<Violation>) {
         let mut told = vec![false; self.truth.processes.len()];
-        for life in &self.observations.lives {
-            match life.what {
+        for life in &self.observations.process_events {
+            match life.event {
                 ProcessEvent::Started => told[life.process] = false,
-                ProcessEvent::Asked | ProcessEvent::Killed => told[life.process] = true,
-                ProcessEvent::Ended(code) if !told[life.process] => {
+                ProcessEvent::SigtermSent | ProcessEvent::Killed => told[life.process] = true,
+                ProcessEvent::Exited(code) if !told[life.process] => {
                     let name = &self.truth.processes[life.process];
                     let how = format!("{name} ended by itself at {:.0} ms with {code:?}", life.at);
                     broken.push(Violation { rule: Rule::Crash, how, id: None });
@@ -402,17 +413,17 @@
     let root = id.split('.').next().unwrap_or(id);
     let of = |other: &str| other == root || other.starts_with(&format!("{root}."));
     let mut lines: Vec<(f64, String)> = Vec::new();
-    for t in seen.tries.iter().filter(|t| of(&t.id)) {
+    for t in seen.client_attempts.iter().filter(|t| of(&t.id)) {
         let (process, class) = (&truth.processes[t.process], &truth.settings.classes[t.class].name);
         if let Some(at) = t.written_at {
-            lines.push((at, format!("{} asks {process}: {class}, {:.0} ms", t.id, t.ttl)));
+            lines.push((at, format!("{} asks {process}: {class}, {:.0} ms", t.id, t.timeout_ms)));
         }
-        lines.push((t.ended_at, format!("{} ends at {process}: {:?}", t.id, t.ended)));
+        lines.push((t.ended_at, format!("{} ends at {process}: {:?}", t.id, t.result)));
     }
-    for h in seen.hops.iter().filter(|h| of(&h.id)) {
+    for h in seen.backend_attempts.iter().filter(|h| of(&h.id)) {
         let (process, server) = (&truth.processes[h.process], &truth.servers[h.server].name);
         lines.push((h.at, format!("{} {process} -> {server}", h.id)));
-        lines.push((h.ended_at, format!("{} {server} ends it: {:?}", h.id, h.done)));
+        lines.push((h.ended_at, format!("{} {server} ends it: {:?}", h.id, h.result)));
     }
     lines.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut text = String::new();
--- a/crates/fault-injection/src/open_loop_clients.rs
+++ b/crates/fault-injection/src/open_loop_clients.rs
@@ -68,7 +68,7 @@
         for (number, arrival) in Arrivals::new(&self.fleet.figures, seed).enumerate() {
             sleep_until(history.instant(arrival.at)).await;
             let late = history.now() - arrival.at;
-            history.note(|seen| seen.lateness.push(late));
+            history.record(|seen| seen.start_delays_ms.push(late));
             self.open.set(self.open.get() + 1);
             let clients = self.clone();
             spawn_local(async move {
@@ -125,7 +125,7 @@
         loop {
             self.fleet.tally.borrow_mut().tried(at);
             let over = (at + figures.try_part * class.deadline).min(deadline_at);
-            let (ended, come_back) = self.run_attempt(number, no, &arrival, over).await;
+            let (ended, retry_after_ms) = self.run_attempt(number, no, &arrival, over).await;
             let now = history.now();
             if ended == ClientResult::Served && now <= over {
                 let latency_ms = now - arrival.at;
@@ -135,9 +135,10 @@
                 });
             }
             let refused = ended == ClientResult::Refused;
-            let follows = come_back.is_some_and(|wait| wait > 0.0) && self.next_fraction() < figures.honour;
+            let follows =
+                retry_after_ms.is_some_and(|wait| wait > 0.0) && self.next_fraction() < figures.honour;
             let wait = match follows {
-                true => come_back.unwrap_or(0.0).max(figures.wait),
+                true => retry_after_ms.unwrap_or(0.0).max(figures.wait),
                 false => figures.wait,
             };
             no += 1;
@@ -165,11 +166,11 @@
         let history = self.fleet.history.clone();
         let Some(front) = self.choose_proxy(arrival.zone) else {
             sleep_until(history.instant(over)).await;
-            return (ClientResult::NotTaken, None);
+            return (ClientResult::NotAccepted, None);
         };
         let process = &self.fleet.processes[front];
         let of = &process.settings.classes[arrival.class];
-        let ttl = (over - history.now()).max(1.0);
+        let timeout_ms = (over - history.now()).max(1.0);
         let id = format!("c{number}-{no}");
         let key = (of.retry_safety == RetrySafety::IdempotencyKey).then(|| format!("key-{number}"));
         let made = Rc::new(RecordedAttempt::new(
@@ -181,10 +182,10 @@
                 key: key.clone(),
                 process: front,
                 written_at: None,
-                ttl,
+                timeout_ms,
                 ended_at: 0.0,
-                ended: ClientResult::Left,
-                come_back: None,
+                result: ClientResult::Abandoned,
+                retry_after_ms: None,
             },
         ));
         let (clients, noted) = (self.clone(), made.clone());
@@ -196,7 +197,7 @@
                 id: &id,
                 class: &class,
                 tenant: tenant.as_deref(),
-                timeout_ms: ttl as u64,
+                timeout_ms: timeout_ms as u64,
                 key: key.as_deref(),
                 safe,
                 target: &target,
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -60,9 +60,15 @@
 
     /// Attempts at a tier per attempt sent to the proxies before it.
     pub fn attempts_a_try(&self, tier: usize) -> f64 {
-        let hops = self.seen.hops.iter().filter(|h| self.truth.servers[h.server].tier == tier).count();
+        let hops =
+            self.seen.backend_attempts.iter().filter(|h| self.truth.servers[h.server].tier == tier).count();
         let dots = |id: &str| id.matches('.').count();
-        let tries = self.seen.tries.iter().filter(|t| t.written_at.is_some() && dots(&t.id) == tier).count();
+        let tries = self
+            .seen
+            .client_attempts
+            .iter()
+            .filter(|t| t.written_at.is_some() && dots(&t.id) == tier)
+            .count();
         hops as f64 / tries.max(1) as f64
     }
 }
@@ -130,12 +136,12 @@
     let chokes = fleet.servers.iter().map(|server| u64::from(server.chokes())).sum();
     let empty = RunSummary::new("drill", seed, 1.0, fleet.figures.shares());
     let mut tally = fleet.tally.replace(empty);
-    for hop in &seen.hops {
+    for hop in &seen.backend_attempts {
         tally.sent(hop.at, truth.servers[hop.server].tier);
     }
-    for a_try in seen.tries.iter().filter(|t| t.process < fleet.fronts && t.written_at.is_some()) {
+    for a_try in seen.client_attempts.iter().filter(|t| t.process < fleet.fronts && t.written_at.is_some()) {
         tally.came_to(a_try.process);
-        if a_try.ended == crate::history::ClientResult::Refused {
+        if a_try.result == crate::history::ClientResult::Refused {
             tally.refused_by(a_try.process);
         }
     }
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -80,7 +80,7 @@
     changed: Notify,
     next: Cell<u64>,
     /// Its incarnation: connections of an older one end.
-    life: watch::Sender<u64>,
+    incarnation: watch::Sender<u64>,
     draining: Cell<bool>,
     listening: RefCell<Option<JoinHandle<()>>>,
     random: Cell<u64>,
@@ -133,7 +133,7 @@
             waiters: RefCell::default(),
             changed: Notify::new(),
             next: Cell::new(0),
-            life: watch::Sender::new(0),
+            incarnation: watch::Sender::new(0),
             draining: Cell::new(false),
             listening: RefCell::default(),
         });
@@ -199,7 +199,7 @@
         if let Some(below) = &self.below {
             below.idle.borrow_mut().clear();
         }
-        self.life.send_modify(|life| *life += 1);
+        self.incarnation.send_modify(|incarnation| *incarnation += 1);
     }
 
     /// Restarts, in slow start; [`Server::listen`] has to follow.
@@ -207,7 +207,7 @@
         let now = self.history.now();
         self.act(|machine, _| machine.start(now));
         let server = self.figures.number;
-        self.history.note(|seen| seen.starts.push(BackendStart { server, at: now }));
+        self.history.record(|seen| seen.backend_starts.push(BackendStart { server, at: now }));
         // Connections that wait for the machine are reset, as it is back.
         self.links.borrow().iter().for_each(|link| link.reset());
     }
@@ -267,7 +267,7 @@
     async fn accept(self: Rc<Server>, listener: TcpListener) {
         while let Ok((stream, peer)) = listener.accept().await {
             let number = self.figures.number;
-            self.history.note(|seen| {
+            self.history.record(|seen| {
                 let most = seen.handshakes.len().max(number + 1);
                 seen.handshakes.resize(most, 0);
                 seen.handshakes[number] += 1;
@@ -277,11 +277,11 @@
     }
 
     async fn connection(self: Rc<Server>, stream: TcpStream, peer: SocketAddr) {
-        let mut life = self.life.subscribe();
+        let mut incarnation = self.incarnation.subscribe();
         let mut wire = Wire::new(stream);
         let clean = tokio::select! {
             biased;
-            _ = life.changed() => false,
+            _ = incarnation.changed() => false,
             ended = self.clone().serve_requests(&mut wire, peer) => ended.is_ok(),
         };
         if !clean {
@@ -301,45 +301,45 @@
             let timeout = message.header("request-timeout-ms").and_then(|t| t.parse::<f64>().ok());
             let hop = self.record_arrival(id, link, wish.work * self.figures.part);
             // Completes the record also when this future is dropped with its process.
-            let mut guard = HopGuard { history: self.history.clone(), hop, done: BackendResult::Lost };
+            let mut guard = HopGuard { history: self.history.clone(), hop, result: BackendResult::Lost };
             if self.draining.get() {
-                guard.done = BackendResult::TurnedAway;
+                guard.result = BackendResult::Rejected;
                 drop(guard);
                 wire.answer("503 Service Unavailable", NOT_STARTED, "").await?;
                 continue;
             }
             let until = self.history.now() + timeout.unwrap_or(f64::MAX).min(1e7);
-            guard.done = self.serve_request(wire, id, &wish, until, &mut guard).await;
-            let done = guard.done;
+            guard.result = self.serve_request(wire, id, &wish, until, &mut guard).await;
+            let done = guard.result;
             drop(guard);
             match done {
                 BackendResult::Served => {
                     wire.answer("200 OK", "", &format!("{id} s{}", self.figures.number)).await?;
                 }
-                BackendResult::TurnedAway => wire.answer("503 Service Unavailable", NOT_STARTED, "").await?,
+                BackendResult::Rejected => wire.answer("503 Service Unavailable", NOT_STARTED, "").await?,
                 BackendResult::Error => wire.answer("500 Internal Server Error", "", "").await?,
-                BackendResult::Dropped | BackendResult::Lost | BackendResult::Held => return Ok(()),
+                BackendResult::Cancelled | BackendResult::Lost | BackendResult::InProgress => return Ok(()),
             }
         }
         Ok(())
     }
 
     fn record_arrival(&self, id: &str, link: usize, work: f64) -> usize {
-        let (process, life) = (self.who)(link);
+        let (process, incarnation) = (self.who)(link);
         let at = self.history.now();
         let hop = BackendAttempt {
             id: id.to_string(),
             server: self.figures.number,
             process,
-            life,
+            incarnation,
             at,
             work,
             ended_at: at,
-            done: BackendResult::Held,
+            result: BackendResult::InProgress,
         };
-        self.history.note(|seen| {
-            seen.hops.push(hop);
-            seen.hops.len() - 1
+        self.history.record(|seen| {
+            seen.backend_attempts.push(hop);
+            seen.backend_attempts.len() - 1
         })
     }
 
@@ -369,18 +369,18 @@
         let now = self.history.now();
         if self.act(|machine, ended| machine.offer(now, job, work, ended)) == Admission::Full {
             self.waiters.borrow_mut().remove(&job);
-            return BackendResult::TurnedAway;
+            return BackendResult::Rejected;
         }
         for phase in 0..=below {
             let worked = tokio::select! {
                 worked = &mut done => worked.is_ok(),
                 () = wire.gone() => {
-                    guard.done = BackendResult::Dropped;
+                    guard.result = BackendResult::Cancelled;
                     self.waiters.borrow_mut().remove(&job);
                     let now = self.history.now();
                     // Running work goes on to the end of its phase, and releases its slot then.
                     self.act(|machine, ended| machine.cancel(now, job, ended));
-                    return BackendResult::Dropped;
+                    return BackendResult::Cancelled;
                 }
             };
             if !worked {
@@ -393,7 +393,7 @@
                 answered = self.request_below(id, phase, below, wish, until) => answered,
                 () = wire.gone() => {
                     self.release_slot();
-                    return BackendResult::Dropped;
+                    return BackendResult::Cancelled;
                 }
             };
             if !answered {
@@ -428,7 +428,7 @@
         let Some(below) = &self.below else { return true };
         let id = format!("{id}.{}-{phase}", self.random.get() % 100_000);
         let (class, safe, keyed) = &below.classes[wish.class];
-        let ttl = (until - self.history.now()).max(0.0);
+        let timeout_ms = (until - self.history.now()).max(0.0);
         let key = keyed.then(|| wish.key.as_ref().map(|key| format!("{key}.{phase}"))).flatten();
         let all = self.figures.calls.max(1.0).max((calls - phase) as f64);
         let made = RecordedAttempt::new(
@@ -440,24 +440,24 @@
                 key: key.clone(),
                 process: below.process,
                 written_at: None,
-                ttl,
+                timeout_ms,
                 ended_at: 0.0,
-                ended: ClientResult::Left,
-                come_back: None,
+                result: ClientResult::Abandoned,
+                retry_after_ms: None,
             },
         );
         let call = OutgoingRequest {
             id: &id,
             class,
             tenant: below.tenants.get(wish.tenant).map(String::as_str),
-            timeout_ms: ttl as u64,
+            timeout_ms: timeout_ms as u64,
             key: key.as_deref(),
             safe: *safe,
             target: &target(wish.class, wish.tenant, wish.work / all),
             retry: false,
         };
         let taken = below.idle.borrow_mut().pop();
-        let most = Duration::from_secs_f64((ttl + RESPONSE_MARGIN_MS) / 1e3);
+        let most = Duration::from_secs_f64((timeout_ms + RESPONSE_MARGIN_MS) / 1e3);
         let asked = send_request(taken, below.address, &call, &made, |_| false);
         let (ended, wire) = match timeout(most, asked).await {
             Ok((ended, _, wire)) => (ended, wire),
@@ -497,7 +497,7 @@
             Some(wire) => wire,
             None => match TcpStream::connect(address).await {
                 Ok(stream) => Wire::new(stream),
-                Err(_) => return (ClientResult::NotTaken, None, None),
+                Err(_) => return (ClientResult::NotAccepted, None, None),
             },
         };
         let own = wire.stream.local_addr();
@@ -505,7 +505,7 @@
             if was_kept {
                 continue;
             }
-            return (ClientResult::NotTaken, None, None);
+            return (ClientResult::NotAccepted, None, None);
         }
         made.written(true);
         let message = match wire.message(false).await {
@@ -517,14 +517,14 @@
                 }
                 if own.is_ok_and(&untaken) {
                     made.written(false);
-                    return (ClientResult::NotTaken, None, None);
+                    return (ClientResult::NotAccepted, None, None);
                 }
                 return (ClientResult::Broken, None, None);
             }
         };
         let wait = message.header("retry-after").and_then(|t| t.parse::<f64>().ok()).map(|s| s * 1e3);
         let ended = match wire.has_more() {
-            true => ClientResult::Wrong("more than one answer".into()),
+            true => ClientResult::Invalid("more than one answer".into()),
             false => result_of(&message, call.id),
         };
         return (ended, wait, Some(wire).filter(|_| !closes(&message)));
@@ -538,7 +538,7 @@
             let body = String::from_utf8_lossy(&answer.body).into_owned();
             match body.split_once(' ') {
                 Some((served, _)) if served == id => ClientResult::Served,
-                _ => ClientResult::Wrong(format!("an answer to another request: {body}")),
+                _ => ClientResult::Invalid(format!("an answer to another request: {body}")),
             }
         }
         429 | 503 => ClientResult::Refused,
@@ -560,9 +560,9 @@
 
 impl RecordedAttempt {
     pub(crate) fn new(history: Rc<History>, a_try: ClientAttempt) -> RecordedAttempt {
-        let index = history.note(|seen| {
-            seen.tries.push(a_try);
-            seen.tries.len() - 1
+        let index = history.record(|seen| {
+            seen.client_attempts.push(a_try);
+            seen.client_attempts.len() - 1
         });
         RecordedAttempt { history, index, ended: Cell::new(false) }
     }
@@ -570,20 +570,20 @@
     /// Its last byte was written; false takes that back.
     pub(crate) fn written(&self, written: bool) {
         let at = written.then(|| self.history.now());
-        self.history.note(|seen| seen.tries[self.index].written_at = at);
+        self.history.record(|seen| seen.client_attempts[self.index].written_at = at);
     }
 
     pub(crate) fn since_written(&self) -> f64 {
-        let written = self.history.note(|seen| seen.tries[self.index].written_at);
+        let written = self.history.record(|seen| seen.client_attempts[self.index].written_at);
         self.history.now() - written.unwrap_or(f64::MIN)
     }
 
-    pub(crate) fn ended(&self, ended: ClientResult, come_back: Option<f64>) {
+    pub(crate) fn ended(&self, result: ClientResult, retry_after_ms: Option<f64>) {
         let now = self.history.now();
         self.ended.set(true);
-        self.history.note(|seen| {
-            let a_try = &mut seen.tries[self.index];
-            (a_try.ended, a_try.ended_at, a_try.come_back) = (ended, now, come_back);
+        self.history.record(|seen| {
+            let a_try = &mut seen.client_attempts[self.index];
+            (a_try.result, a_try.ended_at, a_try.retry_after_ms) = (result, now, retry_after_ms);
         });
     }
 }
@@ -591,7 +591,7 @@
 impl Drop for RecordedAttempt {
     fn drop(&mut self) {
         if !self.ended.get() {
-            self.ended(ClientResult::Left, None);
+            self.ended(ClientResult::Abandoned, None);
         }
     }
 }
@@ -600,15 +600,15 @@
 struct HopGuard {
     history: Rc<History>,
     hop: usize,
-    done: BackendResult,
+    result: BackendResult,
 }
 
 impl Drop for HopGuard {
     fn drop(&mut self) {
-        let (now, done) = (self.history.now(), self.done);
-        self.history.note(|seen| {
-            if let Some(hop) = seen.hops.get_mut(self.hop) {
-                (hop.done, hop.ended_at) = (done, now);
+        let (now, done) = (self.history.now(), self.result);
+        self.history.record(|seen| {
+            if let Some(hop) = seen.backend_attempts.get_mut(self.hop) {
+                (hop.result, hop.ended_at) = (done, now);
             }
         });
     }
--- a/crates/fault-injection/src/soak/clients.rs
+++ b/crates/fault-injection/src/soak/clients.rs
@@ -74,7 +74,7 @@
 struct PreparedRequest {
     id: String,
     text: String,
-    ttl_ms: f64,
+    timeout_ms: f64,
     attempt: RecordedAttempt,
 }
 
@@ -187,12 +187,12 @@
         let of = &classes[class];
         let id = format!("s{}-{number}", self.number);
         let key = (of.retry_safety == RetrySafety::IdempotencyKey).then(|| format!("key-{id}"));
-        let ttl_ms = of.deadline_ms;
+        let timeout_ms = of.deadline_ms;
         let call = OutgoingRequest {
             id: &id,
             class: &of.name,
             tenant: None,
-            timeout_ms: ttl_ms as u64,
+            timeout_ms: timeout_ms as u64,
             key: key.as_deref(),
             safe: of.retry_safety == RetrySafety::Idempotent,
             target: &target(class, 0, WORK_MS),
@@ -206,13 +206,13 @@
             key,
             process: TARGET,
             written_at: None,
-            ttl: ttl_ms,
+            timeout_ms: timeout_ms,
             ended_at: 0.0,
-            ended: ClientResult::Left,
-            come_back: None,
+            result: ClientResult::Abandoned,
+            retry_after_ms: None,
         };
         let attempt = RecordedAttempt::new(self.fleet.history.clone(), attempt);
-        PreparedRequest { id, text, ttl_ms, attempt }
+        PreparedRequest { id, text, timeout_ms, attempt }
     }
 
     /// Sends the first half of a request, and waits for the end of the connection.
@@ -221,7 +221,7 @@
         if wire.stream.write_all(&request.text.as_bytes()[..half]).await.is_ok() {
             wire.gone().await;
         }
-        request.attempt.ended(ClientResult::NotTaken, None);
+        request.attempt.ended(ClientResult::NotAccepted, None);
     }
 
     /// Writes requests at once or, on a connection that has brought an answer, in pieces; false if the connection has
@@ -231,7 +231,7 @@
         let pieces = if self.habit == Habit::Pieces && is_kept { PIECES } else { 1 };
         for piece in text.as_bytes().chunks(text.len().div_ceil(pieces)) {
             if wire.stream.write_all(piece).await.is_err() {
-                requests.iter().for_each(|request| request.attempt.ended(ClientResult::NotTaken, None));
+                requests.iter().for_each(|request| request.attempt.ended(ClientResult::NotAccepted, None));
                 return false;
             }
             if pieces > 1 {
@@ -244,8 +244,8 @@
 
     /// Waits for the answer of a request and records it.
     async fn take_answer(&self, wire: &mut Wire, request: PreparedRequest, may_cross: MayCross) -> Answered {
-        let PreparedRequest { id, ttl_ms, attempt, .. } = request;
-        let longest = Duration::from_secs_f64((ttl_ms + LATE_ANSWER_MS) / 1e3);
+        let PreparedRequest { id, timeout_ms, attempt, .. } = request;
+        let longest = Duration::from_secs_f64((timeout_ms + LATE_ANSWER_MS) / 1e3);
         match timeout(longest, wire.message(false)).await {
             Err(_) => attempt.ended(ClientResult::Unanswered, None),
             Ok(Ok(Some(answer))) => {
@@ -262,7 +262,7 @@
                 };
                 if has_crossed {
                     attempt.written(false);
-                    attempt.ended(ClientResult::NotTaken, None);
+                    attempt.ended(ClientResult::NotAccepted, None);
                 } else {
                     attempt.ended(ClientResult::Broken, None);
                 }
--- a/crates/fault-injection/src/soak/summary.rs
+++ b/crates/fault-injection/src/soak/summary.rs
@@ -23,23 +23,29 @@
 impl SoakSummary {
     /// The counts of a run.
     pub fn of(run: &ScenarioRun) -> SoakSummary {
-        let killed = |life: &&crate::history::ProcessLifetime| {
-            life.process == TARGET && life.what == ProcessEvent::Killed
+        let killed = |life: &&crate::history::ProcessEventRecord| {
+            life.process == TARGET && life.event == ProcessEvent::Killed
         };
-        let mut summary =
-            SoakSummary { was_killed: run.seen.lives.iter().any(|life| killed(&life)), ..Self::default() };
-        run.seen.tries.iter().filter(|attempt| attempt.process == TARGET).for_each(|a| summary.add(a));
+        let mut summary = SoakSummary {
+            was_killed: run.seen.process_events.iter().any(|life| killed(&life)),
+            ..Self::default()
+        };
+        run.seen
+            .client_attempts
+            .iter()
+            .filter(|attempt| attempt.process == TARGET)
+            .for_each(|a| summary.add(a));
         summary
     }
 
     fn add(&mut self, attempt: &ClientAttempt) {
-        let count = match attempt.ended {
+        let count = match attempt.result {
             ClientResult::Served
             | ClientResult::Refused
             | ClientResult::Failed(_)
-            | ClientResult::Wrong(_) => &mut self.answered,
-            ClientResult::NotTaken => &mut self.unread,
-            ClientResult::Left => &mut self.left,
+            | ClientResult::Invalid(_) => &mut self.answered,
+            ClientResult::NotAccepted => &mut self.unread,
+            ClientResult::Abandoned => &mut self.left,
             ClientResult::Broken | ClientResult::Unanswered => &mut self.unanswered,
         };
         *count += 1;
--- a/crates/fault-injection/tests/referee.rs
+++ b/crates/fault-injection/tests/referee.rs
@@ -2,8 +2,8 @@
 
 use hillstall_decision::BackendState;
 use hillstall_fault_injection::history::{
-    BackendAttempt, BackendResult, BackendStart, ClientAttempt, ClientResult, HostStall, LinkCut,
-    Notification, Observations, ProcessEvent, ProcessLifetime,
+    BackendAttempt, BackendResult, BackendStart, ClientAttempt, ClientLinkFault, ClientResult, HostStall,
+    Notification, Observations, ProcessEvent, ProcessEventRecord,
 };
 use hillstall_fault_injection::host_load_monitor::waited_ns;
 use hillstall_fault_injection::invariant_checker::{check, late, story, GroundTruth, Rule, Server, Verdict};
@@ -34,7 +34,7 @@
     }
 }
 
-fn a_try(id: &str, class: usize, ended_at: f64, ended: ClientResult) -> ClientAttempt {
+fn a_try(id: &str, class: usize, ended_at: f64, result: ClientResult) -> ClientAttempt {
     ClientAttempt {
         id: id.into(),
         class,
@@ -42,30 +42,39 @@
         key: None,
         process: 0,
         written_at: Some(1_000.0),
-        ttl: 600.0,
+        timeout_ms: 600.0,
         ended_at,
-        ended,
-        come_back: None,
+        result,
+        retry_after_ms: None,
     }
 }
 
-fn hop(id: &str, server: usize, at: f64, done: BackendResult) -> BackendAttempt {
-    BackendAttempt { id: id.into(), server, process: 0, life: 1, at, work: 50.0, ended_at: at + 50.0, done }
+fn hop(id: &str, server: usize, at: f64, result: BackendResult) -> BackendAttempt {
+    BackendAttempt {
+        id: id.into(),
+        server,
+        process: 0,
+        incarnation: 1,
+        at,
+        work: 50.0,
+        ended_at: at + 50.0,
+        result,
+    }
 }
 
 fn broken(seen: &Observations) -> Vec<Rule> {
     check(&truth(), seen).broken().iter().map(|b| b.rule).collect()
 }
 
-fn life(at: f64, what: ProcessEvent) -> ProcessLifetime {
-    ProcessLifetime { process: 0, at, what }
+fn life(at: f64, what: ProcessEvent) -> ProcessEventRecord {
+    ProcessEventRecord { process: 0, at, event: what }
 }
 
 #[test]
 fn a_call_that_was_served_keeps_all_rules() {
     let seen = Observations {
-        tries: vec![a_try("c1-0", BROWSE, 1_100.0, ClientResult::Served)],
-        hops: vec![hop("c1-0", 0, 1_010.0, BackendResult::Served)],
+        client_attempts: vec![a_try("c1-0", BROWSE, 1_100.0, ClientResult::Served)],
+        backend_attempts: vec![hop("c1-0", 0, 1_010.0, BackendResult::Served)],
         ..Observations::default()
     };
     assert!(matches!(check(&truth(), &seen), Verdict::Kept));
@@ -73,30 +82,34 @@
 
 #[test]
 fn an_answer_is_owed_unless_the_proxy_or_its_link_was_gone() {
-    for ended in [ClientResult::Broken, ClientResult::Unanswered, ClientResult::Wrong("two".into())] {
+    for ended in [ClientResult::Broken, ClientResult::Unanswered, ClientResult::Invalid("two".into())] {
         let tries = vec![a_try("c1-0", BROWSE, 1_700.0, ended.clone())];
-        let seen = Observations { tries: tries.clone(), ..Observations::default() };
+        let seen = Observations { client_attempts: tries.clone(), ..Observations::default() };
         assert_eq!(broken(&seen), [Rule::OneAnswer], "{ended:?}");
-        if matches!(ended, ClientResult::Wrong(_)) {
+        if matches!(ended, ClientResult::Invalid(_)) {
             continue;
         }
         for what in [ProcessEvent::Killed, ProcessEvent::Stopped] {
             let seen = Observations {
-                tries: tries.clone(),
-                lives: vec![life(1_500.0, what)],
+                client_attempts: tries.clone(),
+                process_events: vec![life(1_500.0, what)],
                 ..Observations::default()
             };
             assert_eq!(broken(&seen), [], "{what:?} excuses {ended:?}");
         }
-        let cut = LinkCut { process: 0, from: 1_200.0, to: 1_300.0 };
+        let cut = ClientLinkFault { process: 0, from: 1_200.0, to: 1_300.0 };
         assert_eq!(
-            broken(&Observations { tries: tries.clone(), cuts: vec![cut], ..Observations::default() }),
+            broken(&Observations {
+                client_attempts: tries.clone(),
+                client_link_faults: vec![cut],
+                ..Observations::default()
+            }),
             []
         );
     }
     // Served with something that no server made.
     let seen = Observations {
-        tries: vec![a_try("c1-0", BROWSE, 1_100.0, ClientResult::Served)],
+        client_attempts: vec![a_try("c1-0", BROWSE, 1_100.0, ClientResult::Served)],
         ..Observations::default()
     };
     assert_eq!(broken(&seen), [Rule::OneAnswer]);
@@ -106,31 +119,38 @@
 fn a_proxy_that_ends_in_order_owes_all_that_it_has_taken() {
     for ended in [ClientResult::Broken, ClientResult::Unanswered] {
         let tries = vec![a_try("c1-0", BROWSE, 1_700.0, ended)];
-        let asked = |at, more: &[ProcessLifetime]| Observations {
-            tries: tries.clone(),
-            lives: [&[life(at, ProcessEvent::Asked)], more].concat(),
+        let asked = |at, more: &[ProcessEventRecord]| Observations {
+            client_attempts: tries.clone(),
+            process_events: [&[life(at, ProcessEvent::SigtermSent)], more].concat(),
             ..Observations::default()
         };
         for at in [900.0, 200.0] {
             assert_eq!(broken(&asked(at, &[])), [Rule::OneAnswer]);
-            let ended = [life(1_500.0, ProcessEvent::Ended(Some(0)))];
+            let ended = [life(1_500.0, ProcessEvent::Exited(Some(0)))];
             assert_eq!(broken(&asked(at, &ended)), [Rule::OneAnswer]);
         }
         // The kill at the end excuses what came up to 0.7 s after SIGTERM, and nothing later, however often that came.
         let killed = life(1_500.0, ProcessEvent::Killed);
         assert_eq!(broken(&asked(301.0, &[killed])), []);
         assert_eq!(broken(&asked(299.0, &[killed])), [Rule::OneAnswer]);
-        assert_eq!(broken(&asked(299.0, &[life(900.0, ProcessEvent::Asked), killed])), [Rule::OneAnswer]);
+        assert_eq!(
+            broken(&asked(299.0, &[life(900.0, ProcessEvent::SigtermSent), killed])),
+            [Rule::OneAnswer]
+        );
     }
 }
 
 #[test]
 fn what_was_forwarded_is_owed_though_its_client_takes_it_for_unread() {
-    let unread = ClientAttempt { written_at: None, ..a_try("c1-0", BROWSE, 1_100.0, ClientResult::NotTaken) };
-    assert_eq!(broken(&Observations { tries: vec![unread.clone()], ..Observations::default() }), []);
+    let unread =
+        ClientAttempt { written_at: None, ..a_try("c1-0", BROWSE, 1_100.0, ClientResult::NotAccepted) };
+    assert_eq!(
+        broken(&Observations { client_attempts: vec![unread.clone()], ..Observations::default() }),
+        []
+    );
     let seen = Observations {
-        tries: vec![unread],
-        hops: vec![hop("c1-0", 0, 1_010.0, BackendResult::Served)],
+        client_attempts: vec![unread],
+        backend_attempts: vec![hop("c1-0", 0, 1_010.0, BackendResult::Served)],
         ..Observations::default()
     };
     assert_eq!(broken(&seen), [Rule::OneAnswer]);
@@ -139,19 +159,22 @@
 #[test]
 fn what_may_have_run_is_repeated_only_where_its_class_permits() {
     let twice = |class, after: f64, first: BackendResult| Observations {
-        tries: vec![a_try("c1-0", class, 9_000.0, ClientResult::Failed(502))],
-        hops: vec![hop("c1-0", 0, 1_000.0, first), hop("c1-0", 1, 1_000.0 + after, BackendResult::Served)],
+        client_attempts: vec![a_try("c1-0", class, 9_000.0, ClientResult::Failed(502))],
+        backend_attempts: vec![
+            hop("c1-0", 0, 1_000.0, first),
+            hop("c1-0", 1, 1_000.0 + after, BackendResult::Served),
+        ],
         ..Observations::default()
     };
     assert_eq!(broken(&twice(BROWSE, 5_000.0, BackendResult::Lost)), []);
     assert_eq!(broken(&twice(PURCHASE, 2_540.0, BackendResult::Lost)), []);
     assert_eq!(broken(&twice(PURCHASE, 2_560.0, BackendResult::Lost)), [Rule::BarredRepeat]);
-    assert_eq!(broken(&twice(REFUND, 100.0, BackendResult::Dropped)), [Rule::BarredRepeat]);
+    assert_eq!(broken(&twice(REFUND, 100.0, BackendResult::Cancelled)), [Rule::BarredRepeat]);
     // Turned away unseen, it never ran.
-    assert_eq!(broken(&twice(REFUND, 100.0, BackendResult::TurnedAway)), []);
+    assert_eq!(broken(&twice(REFUND, 100.0, BackendResult::Rejected)), []);
     let refused = Observations {
-        tries: vec![a_try("c1-0", REFUND, 1_100.0, ClientResult::Refused)],
-        hops: vec![hop("c1-0", 0, 1_000.0, BackendResult::Error)],
+        client_attempts: vec![a_try("c1-0", REFUND, 1_100.0, ClientResult::Refused)],
+        backend_attempts: vec![hop("c1-0", 0, 1_000.0, BackendResult::Error)],
         ..Observations::default()
     };
     assert_eq!(broken(&refused), [Rule::Refusal]);
@@ -160,26 +183,30 @@
 #[test]
 fn attempts_are_bounded_and_nothing_comes_unasked() {
     let many = |count: usize| Observations {
-        tries: vec![a_try("c1-0", BROWSE, 1_500.0, ClientResult::Refused)],
-        hops: (0..count).map(|n| hop("c1-0", n % 3, 1_010.0 + n as f64, BackendResult::TurnedAway)).collect(),
+        client_attempts: vec![a_try("c1-0", BROWSE, 1_500.0, ClientResult::Refused)],
+        backend_attempts: (0..count)
+            .map(|n| hop("c1-0", n % 3, 1_010.0 + n as f64, BackendResult::Rejected))
+            .collect(),
         ..Observations::default()
     };
     assert_eq!(broken(&many(6)), []);
     assert_eq!(broken(&many(7)), [Rule::Attempts]);
-    let seen =
-        Observations { hops: vec![hop("nobody", 0, 10.0, BackendResult::Served)], ..Observations::default() };
+    let seen = Observations {
+        backend_attempts: vec![hop("nobody", 0, 10.0, BackendResult::Served)],
+        ..Observations::default()
+    };
     assert_eq!(broken(&seen), [Rule::Unasked]);
 }
 
 #[test]
 fn a_drain_binds_from_its_telling_and_each_proxy_by_itself() {
     let at = |at: f64, told: &[(f64, BackendState, u32)]| Observations {
-        tries: vec![a_try("c1-0", BROWSE, at + 100.0, ClientResult::Served)],
-        hops: vec![hop("c1-0", 0, at, BackendResult::Served)],
-        told: (told.iter())
+        client_attempts: vec![a_try("c1-0", BROWSE, at + 100.0, ClientResult::Served)],
+        backend_attempts: vec![hop("c1-0", 0, at, BackendResult::Served)],
+        notifications: (told.iter())
             .map(|(at, status, life)| Notification {
                 process: 0,
-                life: *life,
+                incarnation: *life,
                 server: 0,
                 status: *status,
                 at: *at,
@@ -202,14 +229,16 @@
 #[test]
 fn a_cold_server_bears_a_stretch_of_work_and_no_more() {
     let sent = |each: f64| Observations {
-        tries: (0..100).map(|n| a_try(&format!("c{n}-0"), BROWSE, 4_000.0, ClientResult::Served)).collect(),
-        hops: (0..100)
+        client_attempts: (0..100)
+            .map(|n| a_try(&format!("c{n}-0"), BROWSE, 4_000.0, ClientResult::Served))
+            .collect(),
+        backend_attempts: (0..100)
             .map(|n| BackendAttempt {
                 work: each,
                 ..hop(&format!("c{n}-0"), 0, 1_000.0 + 10.0 * f64::from(n), BackendResult::Served)
             })
             .collect(),
-        starts: vec![BackendStart { server: 0, at: 1_000.0 }],
+        backend_starts: vec![BackendStart { server: 0, at: 1_000.0 }],
         ..Observations::default()
     };
     // Over its first two seconds it does 2 * (660 + 335) core milliseconds, bears three times that, and 100 more.
@@ -221,19 +250,23 @@
 #[test]
 fn a_process_that_ends_untold_has_crashed_and_a_late_rig_says_nothing() {
     let ends = |before: &[ProcessEvent]| Observations {
-        lives: before.iter().chain([&ProcessEvent::Ended(None)]).map(|what| life(500.0, *what)).collect(),
+        process_events: before
+            .iter()
+            .chain([&ProcessEvent::Exited(None)])
+            .map(|what| life(500.0, *what))
+            .collect(),
         ..Observations::default()
     };
-    assert_eq!(broken(&ends(&[ProcessEvent::Started, ProcessEvent::Up])), [Rule::Crash]);
-    assert_eq!(broken(&ends(&[ProcessEvent::Started, ProcessEvent::Asked])), []);
+    assert_eq!(broken(&ends(&[ProcessEvent::Started, ProcessEvent::Ready])), [Rule::Crash]);
+    assert_eq!(broken(&ends(&[ProcessEvent::Started, ProcessEvent::SigtermSent])), []);
     assert_eq!(
         broken(&ends(&[ProcessEvent::Killed, ProcessEvent::Started])),
         [Rule::Crash],
         "what was told to an earlier one"
     );
     let mut seen = ends(&[ProcessEvent::Started]);
-    seen.lateness = vec![1.0; 100];
-    seen.lateness.extend([90.0, 90.0]);
+    seen.start_delays_ms = vec![1.0; 100];
+    seen.start_delays_ms.extend([90.0, 90.0]);
     assert!(check(&truth(), &seen).is_void(), "two of a hundred calls were late");
     assert_eq!(late(&[1.0, 2.0]), None);
 }
@@ -241,8 +274,8 @@
 #[test]
 fn a_proxy_that_got_no_processor_time_is_not_blamed_for_a_late_answer_and_a_long_standstill_says_nothing() {
     let missing = |process, from, to| Observations {
-        tries: vec![a_try("c1-0", BROWSE, 1_700.0, ClientResult::Unanswered)],
-        stood: vec![HostStall { process, from, to }],
+        client_attempts: vec![a_try("c1-0", BROWSE, 1_700.0, ClientResult::Unanswered)],
+        stalls: vec![HostStall { process, from, to }],
         ..Observations::default()
     };
     assert_eq!(broken(&missing(Some(0), 1_100.0, 1_200.0)), []);
@@ -259,12 +292,12 @@
     let mut below = a_try("c1-0.7-0", BROWSE, 1_080.0, ClientResult::Served);
     (below.written_at, below.process) = (Some(1_030.0), 1);
     let seen = Observations {
-        tries: vec![
+        client_attempts: vec![
             a_try("c1-0", BROWSE, 1_100.0, ClientResult::Served),
             below,
-            a_try("c10-0", BROWSE, 2.0, ClientResult::Left),
+            a_try("c10-0", BROWSE, 2.0, ClientResult::Abandoned),
         ],
-        hops: vec![
+        backend_attempts: vec![
             BackendAttempt { process: 1, ..hop("c1-0.7-0", 2, 1_040.0, BackendResult::Served) },
             hop("c1-0", 0, 1_010.0, BackendResult::Served),
         ],
--- a/crates/hillstall/src/fault_injection.rs
+++ b/crates/hillstall/src/fault_injection.rs
@@ -162,7 +162,7 @@
     let observed = &drilled.seen;
     let [first, second] = [0, 1].map(|tier| drilled.attempts_a_try(tier));
     let handshakes: u64 = observed.handshakes.iter().sum();
-    let mut lateness = observed.lateness.clone();
+    let mut lateness = observed.start_delays_ms.clone();
     lateness.sort_by(f64::total_cmp);
     let p99 = lateness.get((lateness.len() as f64 * 0.99) as usize).copied().unwrap_or(0.0);
     format!(
@@ -171,9 +171,9 @@
          over {p99:.1} ms late\n",
         drilled.processes,
         drilled.tally.offered,
-        observed.tries.len(),
-        observed.hops.len(),
-        observed.list_calls,
+        observed.client_attempts.len(),
+        observed.backend_attempts.len(),
+        observed.discovery_requests,
         overshoot(&drilled.truth, observed),
     )
 }
--- a/crates/hillstall/tests/coordination/windows.rs
+++ b/crates/hillstall/tests/coordination/windows.rs
@@ -59,7 +59,7 @@
 
 /// Attempts that reached some servers, from one time to another (ms since requests began).
 fn attempts_at(run: &ScenarioRun, servers: &[usize], from: f64, to: f64) -> usize {
-    let hops = run.played.0.seen.hops.iter();
+    let hops = run.played.0.seen.backend_attempts.iter();
     hops.filter(|h| servers.contains(&h.server) && h.at >= from && h.at < to).count()
 }
 
