--- a/crates/fault-injection/src/coordination_fleet.rs
+++ b/crates/fault-injection/src/coordination_fleet.rs
@@ -19,15 +19,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct CoordinationOptions {
     /// This many proxies, from the first on, are voters.
-    pub keepers: usize,
+    pub voters: usize,
     /// Lines of the section `[fleet]` beside those that name addresses, then whole tables.
-    pub section: String,
+    pub fleet_section: String,
 }
 
 impl CoordinationOptions {
     /// Whether a proxy is a voter.
-    pub fn is_keeper(&self, process: usize) -> bool {
-        process < self.keepers
+    pub fn is_voter(&self, process: usize) -> bool {
+        process < self.voters
     }
 
     /// The operator file of a proxy. `keepers`: the addresses by which it reaches the voters.
@@ -46,7 +46,7 @@
                 disk.display().to_string()
             );
         }
-        text + &self.section
+        text + &self.fleet_section
     }
 }
 
@@ -58,24 +58,24 @@
     /// Its incarnation.
     pub incarnation: u64,
     /// Unix time in milliseconds.
-    pub at: u64,
+    pub unix_ms: u64,
     /// What: holds, lost or carried out.
-    pub what: String,
+    pub action: String,
     /// The lease.
-    pub duty: String,
+    pub lease: String,
     /// The fencing token.
     pub token: u64,
     /// The commanded traffic fraction, in thousandths.
-    pub part: Option<u64>,
+    pub traffic_permille: Option<u64>,
 }
 
 impl Fleet {
     /// Sends a line to an instance's admin address; `None` if it does not answer.
-    pub async fn line(&self, process: usize, line: &str) -> Option<String> {
-        self.line_within(process, line, ANSWER).await
+    pub async fn admin_command(&self, process: usize, line: &str) -> Option<String> {
+        self.admin_command_within(process, line, ANSWER).await
     }
 
-    async fn line_within(&self, process: usize, line: &str, within: Duration) -> Option<String> {
+    async fn admin_command_within(&self, process: usize, line: &str, within: Duration) -> Option<String> {
         let asked = async {
             let mut stream = TcpStream::connect(self.processes[process].admin()).await?;
             stream.write_all(format!("{line}\n").as_bytes()).await?;
@@ -87,7 +87,7 @@
     }
 
     /// Waits until an instance's answer to a line is as wanted, and returns it; after `within`, the last one as an error.
-    pub async fn until(
+    pub async fn wait_for_answer(
         &self,
         process: usize,
         line: &str,
@@ -96,7 +96,7 @@
     ) -> Result<String, String> {
         let end = Instant::now() + within;
         loop {
-            let text = self.line(process, line).await.unwrap_or_default();
+            let text = self.admin_command(process, line).await.unwrap_or_default();
             if wanted(&text) {
                 return Ok(text);
             }
@@ -108,14 +108,14 @@
     }
 
     /// The holder of a lease and its token, by the voters' own answers; `None` if there are none or several.
-    pub async fn owner(&self, duty: &str) -> Option<(usize, u64)> {
+    pub async fn lease_holder(&self, lease: &str) -> Option<(usize, u64)> {
         let mut found = None;
         for process in 0..self.processes.len() {
-            if !self.processes[process].runs.get() || !self.is_voter(process) {
+            if !self.processes[process].is_running.get() || !self.is_voter(process) {
                 continue;
             }
-            let text = self.line_within(process, "FLEET", OWN_ANSWER).await.unwrap_or_default();
-            let prefix = format!("holds {duty} token ");
+            let text = self.admin_command_within(process, "FLEET", OWN_ANSWER).await.unwrap_or_default();
+            let prefix = format!("holds {lease} token ");
             let token = text.lines().find_map(|line| line.strip_prefix(&prefix)?.parse().ok());
             match (token, found) {
                 (Some(token), None) => found = Some((process, token)),
@@ -127,26 +127,27 @@
     }
 
     /// Waits until an instance other than those named holds a lease.
-    pub async fn new_owner(
+    pub async fn wait_for_lease_holder(
         &self,
-        duty: &str,
+        lease: &str,
         not: &[usize],
         within: Duration,
     ) -> Result<(usize, u64), String> {
         let end = Instant::now() + within;
         loop {
-            if let Some(owner) = self.owner(duty).await.filter(|(process, _)| !not.contains(process)) {
+            if let Some(owner) = self.lease_holder(lease).await.filter(|(process, _)| !not.contains(process))
+            {
                 return Ok(owner);
             }
             if Instant::now() > end {
-                return Err(format!("nobody but {not:?} owns {duty} after {within:?}"));
+                return Err(format!("nobody but {not:?} owns {lease} after {within:?}"));
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
     fn is_voter(&self, process: usize) -> bool {
-        self.talk.as_ref().is_some_and(|talk| talk.is_keeper(process))
+        self.coordination.as_ref().is_some_and(|coordination| coordination.is_voter(process))
     }
 
     /// The folder of a voter's disk.
@@ -155,7 +156,7 @@
     }
 
     /// Removes a voter's disk file and returns its bytes.
-    pub fn take_disk(&self, process: usize) -> Result<Vec<u8>, FleetError> {
+    pub fn remove_disk_file(&self, process: usize) -> Result<Vec<u8>, FleetError> {
         let path = self.disk(process).join(format!("keeper-{process}.redb"));
         let bytes = std::fs::read(&path).map_err(system(path.display().to_string()))?;
         std::fs::remove_file(&path).map_err(system(path.display().to_string()))?;
@@ -163,25 +164,25 @@
     }
 
     /// The bytes of a voter's disk file now, whether it runs or not.
-    pub fn read_disk(&self, process: usize) -> Result<Vec<u8>, FleetError> {
+    pub fn read_disk_file(&self, process: usize) -> Result<Vec<u8>, FleetError> {
         let path = self.disk(process).join(format!("keeper-{process}.redb"));
         std::fs::read(&path).map_err(system(path.display().to_string()))
     }
 
     /// Writes a voter's disk file.
-    pub fn put_disk(&self, process: usize, bytes: &[u8]) -> Result<(), FleetError> {
+    pub fn write_disk_file(&self, process: usize, bytes: &[u8]) -> Result<(), FleetError> {
         let path = self.disk(process).join(format!("keeper-{process}.redb"));
         std::fs::write(&path, bytes).map_err(system(path.display().to_string()))
     }
 
     /// All audit lines of the instances, by the host's clock.
-    pub fn acts(&self) -> Vec<AuditLine> {
+    pub fn audit_lines(&self) -> Vec<AuditLine> {
         let mut acts = Vec::new();
         for process in &self.processes {
             let text = std::fs::read_to_string(process.log()).unwrap_or_default();
             acts.extend(text.lines().filter_map(|line| act(process.number, line)));
         }
-        acts.sort_by_key(|act| act.at);
+        acts.sort_by_key(|act| act.unix_ms);
         acts
     }
 }
@@ -194,39 +195,39 @@
     Some(AuditLine {
         process,
         incarnation: number("life")?,
-        at: number("at")?,
-        what: what.to_owned(),
-        duty: fields.get("duty")?.as_str()?.to_owned(),
+        unix_ms: number("at")?,
+        action: what.to_owned(),
+        lease: fields.get("duty")?.as_str()?.to_owned(),
         token: number("token")?,
-        part: number("part"),
+        traffic_permille: number("part"),
     })
 }
 
 /// The violations in a fleet's audit lines: tokens of a lease that decrease at one incarnation of an executor, two
 /// holders of one token, and two sites drained at once.
-pub fn judge(acts: &[AuditLine]) -> Vec<String> {
+pub fn check_audit_lines(acts: &[AuditLine]) -> Vec<String> {
     use std::collections::BTreeMap;
     let mut wrong = Vec::new();
     let mut highest: BTreeMap<(usize, u64, &str), u64> = BTreeMap::new();
     let mut holders: BTreeMap<(&str, u64), (usize, u64)> = BTreeMap::new();
     let mut away: BTreeMap<(usize, u64), BTreeMap<&str, u64>> = BTreeMap::new();
     for act in acts {
-        match act.what.as_str() {
+        match act.action.as_str() {
             "carried out" => {
-                let known = highest.entry((act.process, act.incarnation, &act.duty)).or_default();
+                let known = highest.entry((act.process, act.incarnation, &act.lease)).or_default();
                 if act.token < *known {
                     wrong.push(format!("tokens fell from {known} at {act:?}"));
                 }
                 *known = (*known).max(act.token);
                 let parts = away.entry((act.process, act.incarnation)).or_default();
-                parts.insert(&act.duty, act.part.unwrap_or(1_000));
+                parts.insert(&act.lease, act.traffic_permille.unwrap_or(1_000));
                 if parts.values().filter(|part| **part < 1_000).count() > 1 {
                     wrong.push(format!("two sites away: {parts:?} at {act:?}"));
                 }
             }
             "holds" => {
                 let own = (act.process, act.incarnation);
-                if *holders.entry((&act.duty, act.token)).or_insert(own) != own {
+                if *holders.entry((&act.lease, act.token)).or_insert(own) != own {
                     wrong.push(format!("one token, two holders: {act:?}"));
                 }
             }
@@ -237,19 +238,19 @@
 }
 
 /// Selects the links from a process to all voters.
-pub fn from_process(of: usize) -> impl Fn(LinkEnds) -> bool + Copy {
-    move |ends| matches!(ends, LinkEnds::Keeper { process, .. } if process == of)
+pub fn links_from(of: usize) -> impl Fn(LinkEnds) -> bool + Copy {
+    move |ends| matches!(ends, LinkEnds::ProxyToVoter { process, .. } if process == of)
 }
 
 /// Selects the links from all processes to one voter.
-pub fn to_keeper(of: usize) -> impl Fn(LinkEnds) -> bool + Copy {
-    move |ends| matches!(ends, LinkEnds::Keeper { slot, .. } if slot == of)
+pub fn links_to_voter(of: usize) -> impl Fn(LinkEnds) -> bool + Copy {
+    move |ends| matches!(ends, LinkEnds::ProxyToVoter { slot, .. } if slot == of)
 }
 
 impl Fleet {
     /// The backends in a zone, over all tiers.
     pub fn servers_of_zone(&self, zone: usize) -> Vec<usize> {
-        let places = self.figures.tiers.iter().flat_map(|tier| tier.places.iter());
+        let places = self.parameters.tiers.iter().flat_map(|tier| tier.places.iter());
         places.enumerate().filter(|(_, place)| place.zone == zone).map(|(number, _)| number).collect()
     }
 }
@@ -258,9 +259,9 @@
 mod tests {
     use super::*;
 
-    fn act(at: u64, process: usize, what: &str, duty: &str, token: u64, part: u64) -> AuditLine {
-        let (what, duty) = (what.to_owned(), duty.to_owned());
-        AuditLine { process, incarnation: 1, at, what, duty, token, part: Some(part) }
+    fn act(unix_ms: u64, process: usize, action: &str, lease: &str, token: u64, permille: u64) -> AuditLine {
+        let (action, lease) = (action.to_owned(), lease.to_owned());
+        AuditLine { process, incarnation: 1, unix_ms, action, lease, token, traffic_permille: Some(permille) }
     }
 
     #[test]
@@ -271,15 +272,15 @@
             act(3, 3, "carried out", "shift/a", 2, 1_000),
             act(4, 3, "carried out", "shift/b", 3, 500),
         ];
-        assert!(judge(&good).is_empty());
+        assert!(check_audit_lines(&good).is_empty());
         let mut old = good.to_vec();
         old.push(act(5, 3, "carried out", "shift/a", 1, 500));
-        assert!(judge(&old).iter().any(|wrong| wrong.contains("tokens fell")));
+        assert!(check_audit_lines(&old).iter().any(|wrong| wrong.contains("tokens fell")));
         let mut two = good.to_vec();
         two.push(act(5, 1, "holds", "shift/a", 1, 0));
-        assert!(judge(&two).iter().any(|wrong| wrong.contains("two holders")));
+        assert!(check_audit_lines(&two).iter().any(|wrong| wrong.contains("two holders")));
         let mut away = good.to_vec();
         away.push(act(5, 3, "carried out", "shift/a", 4, 0));
-        assert!(judge(&away).iter().any(|wrong| wrong.contains("two sites away")));
+        assert!(check_audit_lines(&away).iter().any(|wrong| wrong.contains("two sites away")));
     }
 }
--- a/crates/fault-injection/src/discovery_server.rs
+++ b/crates/fault-injection/src/discovery_server.rs
@@ -3,8 +3,8 @@
 
 use crate::history::{History, Notification};
 use crate::http::Wire;
-use crate::server::WhoCalls;
-use crate::tcp_proxy::Callers;
+use crate::server::IdentifySender;
+use crate::tcp_proxy::ConnectionLinks;
 use hillstall_decision::BackendState;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -54,8 +54,8 @@
 /// The discovery service of a tier.
 pub struct DiscoveryServer {
     history: Rc<History>,
-    connections: Callers,
-    who: WhoCalls,
+    connections: ConnectionLinks,
+    identify_sender: IdentifySender,
     places: Places,
     entries: RefCell<Vec<Entry>>,
     index: Cell<u64>,
@@ -66,7 +66,7 @@
     time_per_request: Cell<Duration>,
     queue: Mutex<()>,
     /// Truncates each watch within its next line.
-    cut_short: Cell<bool>,
+    truncate_watches: Cell<bool>,
 }
 
 /// Unix time in milliseconds.
@@ -86,14 +86,14 @@
     /// A service that [`DiscoveryServer::serve`] runs.
     pub fn new(
         history: Rc<History>,
-        (callers, who): (Callers, WhoCalls),
+        (callers, identify_sender): (ConnectionLinks, IdentifySender),
         places: Places,
         entries: Vec<Entry>,
     ) -> Rc<DiscoveryServer> {
         Rc::new(DiscoveryServer {
             history,
             connections: callers,
-            who,
+            identify_sender,
             places,
             entries: RefCell::new(entries),
             index: Cell::new(1),
@@ -102,7 +102,7 @@
             missed: RefCell::default(),
             time_per_request: Cell::new(Duration::ZERO),
             queue: Mutex::new(()),
-            cut_short: Cell::new(false),
+            truncate_watches: Cell::new(false),
         })
     }
 
@@ -157,13 +157,13 @@
     }
 
     /// Sets the time to handle one request; requests are handled one after another.
-    pub fn set_pace(&self, pace: Duration) {
+    pub fn set_time_per_request(&self, pace: Duration) {
         self.time_per_request.set(pace);
     }
 
     /// Truncates each watch within its next line.
-    pub fn cut_short(&self) {
-        self.cut_short.set(true);
+    pub fn truncate_watches(&self) {
+        self.truncate_watches.set(true);
     }
 
     /// Answers requests.
@@ -188,10 +188,10 @@
     #[allow(clippy::too_many_lines, reason = "one request from its arrival to its last line")]
     async fn connection(&self, wire: &mut Wire, peer: SocketAddr) -> std::io::Result<()> {
         let Some(message) = wire.message(true).await? else { return Ok(()) };
-        self.history.record(|seen| seen.discovery_requests += 1);
+        self.history.record(|observations| observations.discovery_requests += 1);
         let own = wire.stream.local_addr()?;
         let Some(link) = self.connections.borrow().get(&(peer, own)).copied() else { return Ok(()) };
-        let who = (self.who)(link);
+        let sender = (self.identify_sender)(link);
         {
             let _turn = self.queue.lock().await;
             sleep(self.time_per_request.get()).await;
@@ -200,10 +200,10 @@
             return wire.answer("503 Service Unavailable", "Connection: close\r\n", "").await;
         }
         let (index, entries) = (self.index.get(), self.entries.borrow().clone());
-        let whole = self.text(who.0, index, true, &entries);
+        let whole = self.text(sender.0, index, true, &entries);
         if !message.target.contains("stream=1") {
             wire.answer("200 OK", "Connection: close\r\n", &whole.to_string()).await?;
-            self.record_notifications(who, &entries);
+            self.record_notifications(sender, &entries);
             return Ok(());
         }
         let (tell, mut news) = mpsc::unbounded_channel();
@@ -211,19 +211,19 @@
         let stream = &mut wire.stream;
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
         chunk(stream, &whole.to_string()).await?;
-        self.record_notifications(who, &entries);
+        self.record_notifications(sender, &entries);
         loop {
             match timeout(HEARTBEAT, news.recv()).await {
                 Err(_) => chunk(stream, "").await?,
                 Ok(None) => return Ok(()),
                 Ok(Some((index, entries))) => {
-                    let line = self.text(who.0, index, false, &entries).to_string();
-                    if self.cut_short.get() {
+                    let line = self.text(sender.0, index, false, &entries).to_string();
+                    if self.truncate_watches.get() {
                         let half = &line[..line.len() / 2];
                         return stream.write_all(format!("{:x}\r\n{half}", line.len() + 1).as_bytes()).await;
                     }
                     chunk(stream, &line).await?;
-                    self.record_notifications(who, &entries);
+                    self.record_notifications(sender, &entries);
                 }
             }
         }
@@ -231,10 +231,10 @@
 
     fn record_notifications(&self, (process, incarnation): (usize, u32), entries: &[Entry]) {
         let at = self.history.now();
-        self.history.record(|seen| {
+        self.history.record(|observations| {
             let told =
                 |e: &Entry| Notification { process, incarnation, server: e.server, status: e.status, at };
-            seen.notifications.extend(entries.iter().map(told));
+            observations.notifications.extend(entries.iter().map(told));
         });
     }
 }
--- a/crates/fault-injection/src/faults.rs
+++ b/crates/fault-injection/src/faults.rs
@@ -38,7 +38,7 @@
 
     /// Schedules all failures.
     pub fn play(self: &Rc<Faults>) {
-        for failure in self.fleet.figures.failures.iter().cloned() {
+        for failure in self.fleet.parameters.failures.iter().cloned() {
             let faults = self.clone();
             spawn_local(async move {
                 let history = faults.fleet.history.clone();
@@ -58,7 +58,7 @@
 
     /// The numbers of a tier's servers.
     fn tier(&self, tier: usize) -> std::ops::Range<usize> {
-        self.fleet.figures.machines_of(tier)
+        self.fleet.parameters.machines_of(tier)
     }
 
     /// The backends that a failure affects, as in the simulation: a part of the tier, from the first on.
@@ -69,14 +69,16 @@
     }
 
     fn first_tier_proxies(&self, part: f64) -> Vec<usize> {
-        (0..count_of(part, self.fleet.fronts)).collect()
+        (0..count_of(part, self.fleet.first_tier_count)).collect()
     }
 
     #[allow(clippy::too_many_lines, reason = "one arm per kind of failure")]
     async fn begin(self: &Rc<Faults>, failure: &DrawnFailure) {
         match failure.what {
             FailureKind::Burst => {}
-            FailureKind::DiscoveryDown => self.fleet.lists.iter().for_each(|list| list.set_down(true)),
+            FailureKind::DiscoveryDown => {
+                self.fleet.discovery_servers.iter().for_each(|discovery| discovery.set_down(true))
+            }
             FailureKind::Slow => {
                 let times = failure.times.max(1e-3);
                 self.tier(failure.tier).for_each(|server| self.fleet.servers[server].slow(times));
@@ -101,8 +103,8 @@
             FailureKind::LoseZone => {
                 let zone = failure.zone;
                 self.lose(&self.servers_of(zone), |ends| self.of_zone(zone, ends));
-                for front in self.first_tier_proxies_in(zone) {
-                    self.record_error(self.fleet.signal(front, ProcessSignal::Kill));
+                for proxy in self.first_tier_proxies_in(zone) {
+                    self.record_error(self.fleet.signal(proxy, ProcessSignal::Kill));
                 }
             }
             FailureKind::Release => self.release(failure),
@@ -116,7 +118,9 @@
 
     fn end(self: &Rc<Faults>, failure: &DrawnFailure) {
         match failure.what {
-            FailureKind::DiscoveryDown => self.fleet.lists.iter().for_each(|list| list.set_down(false)),
+            FailureKind::DiscoveryDown => {
+                self.fleet.discovery_servers.iter().for_each(|discovery| discovery.set_down(false))
+            }
             FailureKind::Slow => {
                 self.tier(failure.tier).for_each(|server| self.fleet.servers[server].slow(1.0))
             }
@@ -140,10 +144,10 @@
             FailureKind::LoseZone => {
                 let zone = failure.zone;
                 self.restore(&self.servers_of(zone), |ends| self.of_zone(zone, ends));
-                self.first_tier_proxies_in(zone).into_iter().for_each(|front| self.start(front));
+                self.first_tier_proxies_in(zone).into_iter().for_each(|proxy| self.start(proxy));
             }
             FailureKind::KillProxies => {
-                self.first_tier_proxies(failure.part).into_iter().for_each(|front| self.start(front))
+                self.first_tier_proxies(failure.part).into_iter().for_each(|proxy| self.start(proxy))
             }
             FailureKind::StopProxies => self.signal_first_tier(failure.part, ProcessSignal::Go),
             FailureKind::Cut => self.cut(failure, false),
@@ -173,11 +177,11 @@
     /// Has discovery announce a backend's state, `notice` milliseconds later.
     fn announce(self: &Rc<Faults>, server: usize, status: BackendState, notice: f64) {
         let fleet = self.fleet.clone();
-        let weight = fleet.weight_again.get();
+        let weight = fleet.restarted_weight.get();
         let since = (status == BackendState::Ready).then(|| BackendStarted { since_ms: unix_ms(), weight });
         spawn_local(async move {
             sleep(Duration::from_secs_f64(notice / 1e3)).await;
-            fleet.lists.iter().for_each(|list| list.change(server, status, since));
+            fleet.discovery_servers.iter().for_each(|discovery| discovery.change(server, status, since));
         });
     }
 
@@ -187,8 +191,8 @@
         if let Some(process) = of.own_proxy() {
             self.record_error(self.fleet.signal(process, ProcessSignal::Kill));
         }
-        let figures = &self.fleet.figures;
-        let notice = if silently { figures.silent_notice } else { figures.notice };
+        let parameters = &self.fleet.parameters;
+        let notice = if silently { parameters.silent_notice } else { parameters.notice };
         self.announce(server, BackendState::Gone, notice);
     }
 
@@ -205,7 +209,7 @@
             if let Err(why) = of.listen() {
                 faults.errors.borrow_mut().push(format!("server {server} can't listen again: {why}"));
             }
-            faults.announce(server, BackendState::Ready, faults.fleet.figures.add_notice);
+            faults.announce(server, BackendState::Ready, faults.fleet.parameters.add_notice);
         });
     }
 
@@ -213,32 +217,34 @@
     fn of_zone(&self, zone: usize, ends: LinkEnds) -> bool {
         let process = &self.fleet.processes[ends.process()];
         match ends {
-            LinkEnds::Server { server, .. } => {
-                self.fleet.servers[server].figures.zone == zone || process.zone == zone
+            LinkEnds::ProxyToBackend { server, .. } => {
+                self.fleet.servers[server].parameters.zone == zone || process.zone == zone
             }
-            LinkEnds::Door { .. } | LinkEnds::List { .. } | LinkEnds::Keeper { .. } => process.zone == zone,
+            LinkEnds::ClientToProxy { .. }
+            | LinkEnds::ProxyToDiscovery { .. }
+            | LinkEnds::ProxyToVoter { .. } => process.zone == zone,
         }
     }
 
     fn servers_of(&self, zone: usize) -> Vec<usize> {
         let all = self.fleet.servers.iter().enumerate();
-        all.filter(|(_, server)| server.figures.zone == zone).map(|(number, _)| number).collect()
+        all.filter(|(_, server)| server.parameters.zone == zone).map(|(number, _)| number).collect()
     }
 
     fn first_tier_proxies_in(&self, zone: usize) -> Vec<usize> {
-        (0..self.fleet.fronts).filter(|front| self.fleet.processes[*front].zone == zone).collect()
+        (0..self.fleet.first_tier_count).filter(|proxy| self.fleet.processes[*proxy].zone == zone).collect()
     }
 
     /// Takes backends off the network, with the proxies beside them and some links.
     fn lose(self: &Rc<Faults>, servers: &[usize], links: impl Fn(LinkEnds) -> bool) {
-        self.fleet.set(Fault::Silent, links);
+        self.fleet.set_fault(Fault::Silent, links);
         servers.iter().for_each(|server| self.die(*server, true));
     }
 
     fn restore(self: &Rc<Faults>, servers: &[usize], links: impl Fn(LinkEnds) -> bool) {
         for (_, link) in self.fleet.links.iter().filter(|(ends, _)| links(*ends)) {
             link.reset();
-            link.set(Fault::None);
+            link.set_fault(Fault::None);
         }
         for server in servers {
             // Until its process listens, connections are refused.
@@ -250,7 +256,7 @@
     /// Whether a link leads to one of some backends, or belongs to the proxy beside one.
     fn touches(&self, servers: &[usize], ends: LinkEnds) -> bool {
         let own = servers.iter().any(|s| self.fleet.servers[*s].own_proxy() == Some(ends.process()));
-        own || matches!(ends, LinkEnds::Server { server, .. } if servers.contains(&server))
+        own || matches!(ends, LinkEnds::ProxyToBackend { server, .. } if servers.contains(&server))
     }
 
     /// Replaces backends one after another: each drains, serves on for a while, ends, and restarts.
@@ -264,11 +270,11 @@
                 let begins = history.now() + i as f64 * each;
                 sleep_until(history.instant(begins)).await;
                 let of = faults.fleet.servers[server].clone();
-                let notice = faults.fleet.figures.notice;
+                let notice = faults.fleet.parameters.notice;
                 faults.announce(server, BackendState::Draining, notice);
                 let stops = begins + 0.8 * each;
                 // Not before all proxies were notified: such a stop would be a crash.
-                let refuses = (begins + notice + faults.fleet.figures.serves_on).min(stops);
+                let refuses = (begins + notice + faults.fleet.parameters.serves_on).min(stops);
                 sleep_until(history.instant(refuses)).await;
                 of.drain(true);
                 sleep_until(history.instant(stops)).await;
@@ -281,27 +287,27 @@
 
     /// Restarts first-tier proxies gracefully, one after another.
     async fn roll(self: &Rc<Faults>, failure: &DrawnFailure) {
-        let fronts = self.first_tier_proxies(failure.part);
-        let each = Duration::from_secs_f64(failure.lasts / fronts.len() as f64 / 1e3);
-        for front in fronts {
+        let proxies = self.first_tier_proxies(failure.part);
+        let each = Duration::from_secs_f64(failure.lasts / proxies.len() as f64 / 1e3);
+        for proxy in proxies {
             let faults = self.clone();
-            spawn_local(async move { faults.restart(front).await });
+            spawn_local(async move { faults.restart(proxy).await });
             sleep(each).await;
         }
     }
 
-    async fn restart(self: Rc<Faults>, front: usize) {
-        self.record_error(self.fleet.signal(front, ProcessSignal::Term));
-        let deadline = self.fleet.figures.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
+    async fn restart(self: Rc<Faults>, proxy: usize) {
+        self.record_error(self.fleet.signal(proxy, ProcessSignal::Term));
+        let deadline = self.fleet.parameters.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
         let until = self.fleet.history.now() + earliest_kill_ms(deadline);
-        while self.fleet.processes[front].runs.get() {
+        while self.fleet.processes[proxy].is_running.get() {
             if self.fleet.history.now() > until {
-                self.record_error(self.fleet.signal(front, ProcessSignal::Kill));
+                self.record_error(self.fleet.signal(proxy, ProcessSignal::Kill));
                 break;
             }
             sleep(Duration::from_millis(10)).await;
         }
-        let started = self.fleet.start_process(front).await;
+        let started = self.fleet.start_process(proxy).await;
         self.record_error(started);
     }
 
@@ -310,8 +316,8 @@
         let fault = match cut.mode {
             _ if !begins => Fault::None,
             CutMode::Silent => Fault::Silent,
-            CutMode::LoseForth => Fault::LoseForth,
-            CutMode::LoseBack => Fault::LoseBack,
+            CutMode::LoseForth => Fault::LoseFromClient,
+            CutMode::LoseBack => Fault::LoseFromTarget,
             CutMode::Reset => Fault::Reset,
             CutMode::Refuse => Fault::Refuse,
             CutMode::Delay => Fault::Delay(Duration::from_secs_f64(cut.delay / 1e3)),
@@ -321,22 +327,22 @@
             let of = &self.fleet.processes[ends.process()];
             let from = cut.is_from(failure.part, (of.rank, copies(of.tier)), of.zone);
             from && match (cut.link, ends) {
-                (LinkKind::ProxyServer, LinkEnds::Server { server, .. }) => {
-                    of.tier == failure.tier && cut.is_to(self.fleet.servers[server].figures.zone)
+                (LinkKind::ProxyServer, LinkEnds::ProxyToBackend { server, .. }) => {
+                    of.tier == failure.tier && cut.is_to(self.fleet.servers[server].parameters.zone)
                 }
-                (LinkKind::ClientFront, LinkEnds::Door { .. }) => true,
-                (LinkKind::ProxyDiscovery, LinkEnds::List { .. }) => of.tier == failure.tier,
+                (LinkKind::ClientFront, LinkEnds::ClientToProxy { .. }) => true,
+                (LinkKind::ProxyDiscovery, LinkEnds::ProxyToDiscovery { .. }) => of.tier == failure.tier,
                 _ => false,
             }
         };
-        self.fleet.set(fault, meant);
+        self.fleet.set_fault(fault, meant);
         if begins && cut.link == LinkKind::ClientFront {
             let (from, to) = (failure.at, failure.at + failure.lasts);
             let doors = self.fleet.links.iter().map(|(ends, _)| *ends).filter(|ends| meant(*ends));
             for process in doors.map(LinkEnds::process) {
-                self.fleet
-                    .history
-                    .record(|seen| seen.client_link_faults.push(ClientLinkFault { process, from, to }));
+                self.fleet.history.record(|observations| {
+                    observations.client_link_faults.push(ClientLinkFault { process, from, to })
+                });
             }
         }
     }
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -7,8 +7,8 @@
 use crate::platform;
 use crate::process_supervisor::{ProcessSignal, ProcessSupervisor, StartProcess, SupervisorEvent};
 use crate::reserved_port::ReservedPort;
-use crate::server::{BackendParameters as ServerFigures, DownstreamTier, Server, WhoCalls};
-use crate::tcp_proxy::{Callers, Fault, TcpProxy, TransferredBytes};
+use crate::server::{BackendParameters, DownstreamTier, IdentifySender, Server};
+use crate::tcp_proxy::{ConnectionLinks, Fault, TcpProxy, TransferredBytes};
 use hillstall_decision::{BackendState, Settings};
 use hillstall_simulation::scenario::ClassRetrySafety;
 use hillstall_simulation::sim::setup::{chance, DrawnScenario, Stream};
@@ -71,24 +71,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LinkEnds {
     /// From clients to a first-tier proxy.
-    Door {
+    ClientToProxy {
         /// The proxy.
         process: usize,
     },
     /// From a proxy to a backend.
-    Server {
+    ProxyToBackend {
         /// The proxy.
         process: usize,
         /// The backend.
         server: usize,
     },
     /// From a proxy to discovery.
-    List {
+    ProxyToDiscovery {
         /// The proxy.
         process: usize,
     },
     /// From a proxy to a voter of the fleet.
-    Keeper {
+    ProxyToVoter {
         /// The proxy.
         process: usize,
         /// The voter's slot.
@@ -100,10 +100,10 @@
     /// The proxy at one of its ends.
     pub fn process(self) -> usize {
         match self {
-            LinkEnds::Door { process }
-            | LinkEnds::Server { process, .. }
-            | LinkEnds::List { process }
-            | LinkEnds::Keeper { process, .. } => process,
+            LinkEnds::ClientToProxy { process }
+            | LinkEnds::ProxyToBackend { process, .. }
+            | LinkEnds::ProxyToDiscovery { process }
+            | LinkEnds::ProxyToVoter { process, .. } => process,
         }
     }
 }
@@ -128,7 +128,7 @@
     coordination_port: ReservedPort,
     folder: PathBuf,
     /// Whether its process runs.
-    pub runs: Cell<bool>,
+    pub is_running: Cell<bool>,
     /// The system's number of its process.
     pub pid: Cell<Option<u32>>,
 }
@@ -158,26 +158,26 @@
 /// A running fleet.
 pub struct Fleet {
     /// Its parameters, drawn from the scenario.
-    pub figures: DrawnScenario,
+    pub parameters: DrawnScenario,
     /// The record of the run.
     pub history: Rc<History>,
     /// What clients received.
-    pub tally: RefCell<RunSummary>,
+    pub summary: RefCell<RunSummary>,
     /// The proxies; those of the first tier come first.
     pub processes: Vec<Process>,
     /// Number of first-tier proxies.
-    pub fronts: usize,
+    pub first_tier_count: usize,
     /// The backends, tier by tier.
     pub servers: Vec<Rc<Server>>,
     /// The discovery service of each tier.
-    pub lists: Vec<Rc<DiscoveryServer>>,
+    pub discovery_servers: Vec<Rc<DiscoveryServer>>,
     /// All links, with their ends.
     pub links: Vec<(LinkEnds, Rc<TcpProxy>)>,
     /// The weight that discovery reports for restarted backends; 1 is correct.
-    pub weight_again: Cell<f64>,
+    pub restarted_weight: Cell<f64>,
     /// The coordination of its instances, if any.
-    pub talk: Option<CoordinationOptions>,
-    by_ends: HashMap<LinkEnds, usize>,
+    pub coordination: Option<CoordinationOptions>,
+    link_by_ends: HashMap<LinkEnds, usize>,
     incarnations: Rc<RefCell<Vec<u32>>>,
     supervisor: RefCell<ProcessSupervisor>,
     program: PathBuf,
@@ -192,13 +192,13 @@
     /// The program: `run` is each proxy, `lab keeper` their supervisor.
     pub program: &'a Path,
     /// Its parameters, drawn from the scenario.
-    pub figures: DrawnScenario,
+    pub parameters: DrawnScenario,
     /// The seed.
     pub seed: u64,
     /// Falsifies the proxies' settings, if given.
-    pub lie: Option<SettingsFault>,
+    pub settings_fault: Option<SettingsFault>,
     /// The coordination of its instances, if any.
-    pub talk: Option<CoordinationOptions>,
+    pub coordination: Option<CoordinationOptions>,
     /// Where files go.
     pub folder: &'a Path,
 }
@@ -214,11 +214,11 @@
     coordination_port: ReservedPort,
 }
 
-fn plan_processes(figures: &DrawnScenario) -> IoResult<Vec<ProcessPlan>> {
+fn plan_processes(parameters: &DrawnScenario) -> IoResult<Vec<ProcessPlan>> {
     let mut all = Vec::new();
-    for (rank, zone) in figures.proxies.iter().enumerate() {
-        let (copies, port) = (figures.proxies.len(), ReservedPort::take()?);
-        let (name, admin_port, talk_port) =
+    for (rank, zone) in parameters.proxies.iter().enumerate() {
+        let (copies, port) = (parameters.proxies.len(), ReservedPort::take()?);
+        let (name, admin_port, coordination_port) =
             (format!("front-{rank}"), ReservedPort::take()?, ReservedPort::take()?);
         all.push(ProcessPlan {
             name,
@@ -228,14 +228,14 @@
             zone: *zone,
             port,
             admin_port,
-            coordination_port: talk_port,
+            coordination_port,
         });
     }
-    for (above, tier) in figures.tiers.iter().take(figures.tiers.len() - 1).enumerate() {
+    for (above, tier) in parameters.tiers.iter().take(parameters.tiers.len() - 1).enumerate() {
         for (rank, place) in tier.places.iter().enumerate() {
             let (copies, port) = (tier.places.len(), ReservedPort::take()?);
             let name = format!("beside-s{above}-{rank}");
-            let (admin_port, talk_port) = (ReservedPort::take()?, ReservedPort::take()?);
+            let (admin_port, coordination_port) = (ReservedPort::take()?, ReservedPort::take()?);
             let (tier, zone) = (above + 1, place.zone);
             all.push(ProcessPlan {
                 name,
@@ -245,7 +245,7 @@
                 zone,
                 port,
                 admin_port,
-                coordination_port: talk_port,
+                coordination_port,
             });
         }
     }
@@ -256,20 +256,21 @@
     /// Starts everything, and waits until all processes are ready.
     #[allow(clippy::too_many_lines, reason = "starts the parts in order of dependency")]
     pub async fn start(plan: FleetPlan<'_>) -> Result<Rc<Fleet>, FleetError> {
-        let FleetPlan { program, figures, seed, lie, talk, folder } = plan;
+        let FleetPlan { program, parameters, seed, settings_fault, coordination, folder } = plan;
         let history = Rc::new(History::default());
-        let callers = Callers::default();
+        let callers = ConnectionLinks::default();
         let owners: Rc<RefCell<Vec<usize>>> = Rc::default();
-        let sketches = plan_processes(&figures).map_err(system("ports"))?;
-        let incarnations = Rc::new(RefCell::new(vec![0u32; sketches.len()]));
-        let who: WhoCalls = {
+        let plans = plan_processes(&parameters).map_err(system("ports"))?;
+        let incarnations = Rc::new(RefCell::new(vec![0u32; plans.len()]));
+        let identify_sender: IdentifySender = {
             let (owners, incarnations) = (owners.clone(), incarnations.clone());
             Rc::new(move |link| {
                 let process = owners.borrow()[link];
                 (process, incarnations.borrow()[process])
             })
         };
-        let servers = servers(&figures, &sketches, &history, (&callers, &who)).map_err(system("servers"))?;
+        let servers = servers(&parameters, &plans, &history, (&callers, &identify_sender))
+            .map_err(system("servers"))?;
         // Links, and the address by which each proxy reaches each backend.
         let places: Rc<RefCell<HashMap<(usize, usize), SocketAddr>>> = Rc::default();
         let mut links: Vec<(LinkEnds, Rc<TcpProxy>)> = Vec::new();
@@ -279,18 +280,18 @@
             links.push((ends, link.clone()));
             Ok::<_, FleetError>(link)
         };
-        for (process, sketch) in sketches.iter().enumerate() {
-            for server in figures.machines_of(sketch.tier) {
+        for (process, plan) in plans.iter().enumerate() {
+            for server in parameters.machines_of(plan.tier) {
                 let of = &servers[server];
-                let link = link(LinkEnds::Server { process, server }, of.address())?;
+                let link = link(LinkEnds::ProxyToBackend { process, server }, of.address())?;
                 places.borrow_mut().insert((process, server), link.address());
                 of.is_reached_by(link);
             }
         }
-        let (mut lists, mut lists_at) = (Vec::new(), Vec::new());
-        for (tier, of) in figures.tiers.iter().enumerate() {
+        let (mut discovery_servers, mut discovery_addresses) = (Vec::new(), Vec::new());
+        for (tier, of) in parameters.tiers.iter().enumerate() {
             let entries = (0..of.places.len()).map(|n| Entry {
-                server: figures.machines_of(tier).start + n,
+                server: parameters.machines_of(tier).start + n,
                 name: format!("s{tier}-{n}"),
                 zone: of.places[n].zone,
                 status: BackendState::Ready,
@@ -299,38 +300,40 @@
             });
             let places = places.clone();
             let places = Rc::new(move |process, server| places.borrow()[&(process, server)]);
-            let roster = DiscoveryServer::new(
+            let discovery_server = DiscoveryServer::new(
                 history.clone(),
-                (callers.clone(), who.clone()),
+                (callers.clone(), identify_sender.clone()),
                 places,
                 entries.collect(),
             );
             let listener = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.map_err(system("a list"))?;
-            lists_at.push(listener.local_addr().map_err(system("a list"))?);
-            spawn_local(roster.clone().serve(listener));
-            lists.push(roster);
+            discovery_addresses.push(listener.local_addr().map_err(system("a list"))?);
+            spawn_local(discovery_server.clone().serve(listener));
+            discovery_servers.push(discovery_server);
         }
-        let mut lists_by = Vec::new();
-        for (process, sketch) in sketches.iter().enumerate() {
-            lists_by.push(link(LinkEnds::List { process }, lists_at[sketch.tier])?.address());
+        let mut discovery_link_addresses = Vec::new();
+        for (process, plan) in plans.iter().enumerate() {
+            discovery_link_addresses.push(
+                link(LinkEnds::ProxyToDiscovery { process }, discovery_addresses[plan.tier])?.address(),
+            );
         }
-        for slot in 0..talk.as_ref().map_or(0, |talk| talk.keepers) {
-            let keeper = sketches[slot].coordination_port.address();
-            for process in 0..sketches.len() {
-                link(LinkEnds::Keeper { process, slot }, keeper)?;
+        for slot in 0..coordination.as_ref().map_or(0, |coordination| coordination.voters) {
+            let keeper = plans[slot].coordination_port.address();
+            for process in 0..plans.len() {
+                link(LinkEnds::ProxyToVoter { process, slot }, keeper)?;
             }
         }
-        for (process, sketch) in sketches.iter().enumerate().take(figures.proxies.len()) {
-            link(LinkEnds::Door { process }, sketch.port.address())?;
+        for (process, plan) in plans.iter().enumerate().take(parameters.proxies.len()) {
+            link(LinkEnds::ClientToProxy { process }, plan.port.address())?;
         }
-        let processes: Vec<Process> = (sketches.into_iter().enumerate())
+        let processes: Vec<Process> = (plans.into_iter().enumerate())
             .map(|(number, s)| {
-                let mut settings = figures.settings(s.tier, s.rank, s.instances, s.zone);
+                let mut settings = parameters.settings(s.tier, s.rank, s.instances, s.zone);
                 // Discovery here answers only requests, as the platform's does.
                 settings.must_subscribe = true;
-                settings.permissions.peer_messages = talk.is_some();
-                if let Some(lie) = &lie {
-                    lie(&mut settings);
+                settings.permissions.peer_messages = coordination.is_some();
+                if let Some(settings_fault) = &settings_fault {
+                    settings_fault(&mut settings);
                 }
                 let folder = folder.join(&s.name);
                 Process {
@@ -344,39 +347,39 @@
                     admin_port: s.admin_port,
                     coordination_port: s.coordination_port,
                     folder,
-                    runs: Cell::new(false),
+                    is_running: Cell::new(false),
                     pid: Cell::new(None),
                 }
             })
             .collect();
-        let (tell, news) = mpsc::unbounded_channel();
-        let keeper = ProcessSupervisor::start(program, &["lab", "keeper"], move |news| {
+        let (tell, event) = mpsc::unbounded_channel();
+        let keeper = ProcessSupervisor::start(program, &["lab", "keeper"], move |event| {
             // Fails only once the run is over.
-            let _ = tell.send(news);
+            let _ = tell.send(event);
         });
-        let tally = RunSummary::new("drill", seed, figures.length, figures.shares());
+        let summary = RunSummary::new("drill", seed, parameters.length, parameters.shares());
         let fleet = Rc::new(Fleet {
-            fronts: figures.proxies.len(),
-            tally: RefCell::new(tally),
+            first_tier_count: parameters.proxies.len(),
+            summary: RefCell::new(summary),
             history,
             processes,
             servers,
-            lists,
-            weight_again: Cell::new(1.0),
-            talk,
-            by_ends: links.iter().enumerate().map(|(place, (ends, _))| (*ends, place)).collect(),
+            discovery_servers,
+            restarted_weight: Cell::new(1.0),
+            coordination,
+            link_by_ends: links.iter().enumerate().map(|(place, (ends, _))| (*ends, place)).collect(),
             links,
             incarnations,
             supervisor: RefCell::new(keeper.map_err(system("the keeper"))?),
             program: program.to_path_buf(),
             seeds: RefCell::new(chance(seed, Stream::Policies)),
-            figures,
+            parameters,
         });
-        spawn_local(forward_supervisor_events(Rc::downgrade(&fleet), news));
-        for (process, list) in fleet.processes.iter().zip(lists_by) {
+        spawn_local(forward_supervisor_events(Rc::downgrade(&fleet), event));
+        for (process, discovery) in fleet.processes.iter().zip(discovery_link_addresses) {
             std::fs::create_dir_all(process.folder.join("tmp")).map_err(system("a folder"))?;
             std::fs::create_dir_all(process.folder.join("disk")).map_err(system("a folder"))?;
-            fleet.launch(process.number, list)?;
+            fleet.launch(process.number, discovery)?;
         }
         for process in 0..fleet.processes.len() {
             fleet.wait_up(process).await?;
@@ -390,36 +393,36 @@
     /// The link between two ends.
     pub fn link(&self, ends: LinkEnds) -> &Rc<TcpProxy> {
         // All links there can be were made at the start.
-        &self.links[self.by_ends[&ends]].1
+        &self.links[self.link_by_ends[&ends]].1
     }
 
     /// Traffic over some links, added up.
-    pub fn passed(&self, which: impl Fn(LinkEnds) -> bool) -> TransferredBytes {
-        let each = self.links.iter().filter(|(ends, _)| which(*ends)).map(|(_, link)| link.passed());
+    pub fn transferred(&self, which: impl Fn(LinkEnds) -> bool) -> TransferredBytes {
+        let each = self.links.iter().filter(|(ends, _)| which(*ends)).map(|(_, link)| link.transferred());
         each.fold(TransferredBytes::default(), |a, b| TransferredBytes {
             connections: a.connections + b.connections,
-            forth: a.forth + b.forth,
-            back: a.back + b.back,
+            to_target: a.to_target + b.to_target,
+            to_client: a.to_client + b.to_client,
         })
     }
 
     /// Sets the fault of some links.
-    pub fn set(&self, fault: Fault, which: impl Fn(LinkEnds) -> bool) {
+    pub fn set_fault(&self, fault: Fault, which: impl Fn(LinkEnds) -> bool) {
         let meant = self.links.iter().filter(|(ends, _)| which(*ends));
-        meant.for_each(|(_, link)| link.set(fault));
+        meant.for_each(|(_, link)| link.set_fault(fault));
     }
 
     /// The true parameters, for the checker.
     pub fn truth(&self) -> GroundTruth {
-        let delays = self.figures.failures.iter().map(|f| f.cut.delay);
+        let delays = self.parameters.failures.iter().map(|f| f.cut.delay);
         GroundTruth {
-            settings: self.figures.settings(0, 0, self.fronts, 0),
-            servers: (self.figures.tiers.iter().enumerate())
+            settings: self.parameters.settings(0, 0, self.first_tier_count, 0),
+            servers: (self.parameters.tiers.iter().enumerate())
                 .flat_map(|(tier, of)| (0..of.places.len()).map(move |n| (tier, n)))
                 .map(|(tier, n)| TrueServer {
                     name: format!("s{tier}-{n}"),
                     tier,
-                    cold: self.figures.cold_start(tier, n),
+                    cold: self.parameters.cold_start(tier, n),
                 })
                 .collect(),
             processes: self.processes.iter().map(|p| p.name.clone()).collect(),
@@ -429,31 +432,34 @@
 
     fn record_event(&self, process: usize, event: ProcessEvent) {
         let at = self.history.now();
-        self.history.record(|seen| seen.process_events.push(ProcessEventRecord { process, at, event }));
+        self.history.record(|observations| {
+            observations.process_events.push(ProcessEventRecord { process, at, event })
+        });
     }
 
     #[allow(clippy::too_many_lines, reason = "writes a process's files and starts it")]
-    fn launch(&self, number: usize, list: SocketAddr) -> Result<(), FleetError> {
+    fn launch(&self, number: usize, discovery: SocketAddr) -> Result<(), FleetError> {
         let process = &self.processes[number];
         let config = process.folder.join("config.json");
         let told = platform::ProxyConfig {
             name: &process.name,
             listen: process.address(),
-            discovery: list,
+            discovery,
             seed: self.seeds.borrow_mut().next_u64(),
-            known: self.lists[process.tier].known(number),
+            known: self.discovery_servers[process.tier].known(number),
             settings: &process.settings,
         };
         let text = platform::file(&told).to_string();
         std::fs::write(&config, text).map_err(system(config.display().to_string()))?;
         let text = |path: &Path| path.display().to_string();
         let mut operator = Vec::new();
-        if let Some(talk) = &self.talk {
+        if let Some(coordination) = &self.coordination {
             let path = process.folder.join("operator.toml");
-            let keepers = (0..talk.keepers).map(|slot| LinkEnds::Keeper { process: number, slot });
+            let keepers =
+                (0..coordination.voters).map(|slot| LinkEnds::ProxyToVoter { process: number, slot });
             let keepers: Vec<SocketAddr> = keepers.map(|ends| self.link(ends).address()).collect();
-            let listen = talk.is_keeper(number).then(|| process.coordination_port.address());
-            let file = talk.file(number, &keepers, listen, &process.folder.join("disk"));
+            let listen = coordination.is_voter(number).then(|| process.coordination_port.address());
+            let file = coordination.file(number, &keepers, listen, &process.folder.join("disk"));
             std::fs::write(&path, file).map_err(system(path.display().to_string()))?;
             operator = vec!["--operator".into(), text(&path)];
         }
@@ -468,7 +474,7 @@
             environment: vec![
                 ("NODE_NAME".into(), process.name.clone()),
                 ("NODE_LISTEN".into(), process.address().to_string()),
-                ("NODE_DISCOVERY".into(), list.to_string()),
+                ("NODE_DISCOVERY".into(), discovery.to_string()),
                 ("NODE_ADMIN_ADDR".into(), process.admin().to_string()),
                 ("NODE_CONFIG".into(), text(&config)),
                 ("TMPDIR".into(), text(&process.folder.join("tmp"))),
@@ -477,7 +483,7 @@
         };
         self.incarnations.borrow_mut()[number] += 1;
         self.record_event(number, ProcessEvent::Started);
-        process.runs.set(true);
+        process.is_running.set(true);
         self.supervisor.borrow_mut().run(start).map_err(system("the keeper"))
     }
 
@@ -485,11 +491,11 @@
     pub async fn start_process(&self, number: usize) -> Result<(), FleetError> {
         let end = Instant::now() + UP_WITHIN;
         // Only once the process before it has been reaped.
-        while self.processes[number].runs.get() && Instant::now() < end {
+        while self.processes[number].is_running.get() && Instant::now() < end {
             sleep(POLL_INTERVAL).await;
         }
-        let list = self.link(LinkEnds::List { process: number }).address();
-        self.launch(number, list)?;
+        let discovery = self.link(LinkEnds::ProxyToDiscovery { process: number }).address();
+        self.launch(number, discovery)?;
         self.wait_up(number).await
     }
 
@@ -507,20 +513,20 @@
             let seconds = UP_WITHIN.as_secs();
             return Err(FleetError::NotUp { name: process.name.clone(), seconds, log: log[from..].into() });
         }
-        if number < self.fronts {
-            self.link(LinkEnds::Door { process: number }).set_up(true);
+        if number < self.first_tier_count {
+            self.link(LinkEnds::ClientToProxy { process: number }).set_target_listening(true);
         }
         self.record_event(number, ProcessEvent::Ready);
         Ok(())
     }
 
     /// Signals a proxy.
-    pub fn signal(&self, number: usize, sign: ProcessSignal) -> Result<(), FleetError> {
-        match sign {
+    pub fn signal(&self, number: usize, signal: ProcessSignal) -> Result<(), FleetError> {
+        match signal {
             ProcessSignal::Kill => {
                 self.record_event(number, ProcessEvent::Killed);
-                if number < self.fronts {
-                    self.link(LinkEnds::Door { process: number }).set_up(false);
+                if number < self.first_tier_count {
+                    self.link(LinkEnds::ClientToProxy { process: number }).set_target_listening(false);
                 }
             }
             ProcessSignal::Term => self.record_event(number, ProcessEvent::SigtermSent),
@@ -528,26 +534,26 @@
             ProcessSignal::Go => self.record_event(number, ProcessEvent::Continued),
             ProcessSignal::Reload => {}
         }
-        self.supervisor.borrow_mut().signal(number, sign).map_err(system("the keeper"))
+        self.supervisor.borrow_mut().signal(number, signal).map_err(system("the keeper"))
     }
 
     /// Kills a proxy without a record: to the checker it is a crash.
-    pub fn strike(&self, number: usize) -> Result<(), FleetError> {
+    pub fn kill_unrecorded(&self, number: usize) -> Result<(), FleetError> {
         self.supervisor.borrow_mut().signal(number, ProcessSignal::Kill).map_err(system("the keeper"))
     }
 
-    fn on_supervisor_event(&self, news: SupervisorEvent) {
-        match news {
+    fn on_supervisor_event(&self, event: SupervisorEvent) {
+        match event {
             SupervisorEvent::Started { number, pid } => self.processes[number].pid.set(Some(pid)),
             SupervisorEvent::Failed { number, why } => {
                 eprintln!("{}: {why}", self.processes[number].name);
-                self.processes[number].runs.set(false);
+                self.processes[number].is_running.set(false);
             }
             SupervisorEvent::Ended { number, code, .. } => {
                 let process = &self.processes[number];
-                process.runs.set(false);
-                if number < self.fronts {
-                    self.link(LinkEnds::Door { process: number }).set_up(false);
+                process.is_running.set(false);
+                if number < self.first_tier_count {
+                    self.link(LinkEnds::ClientToProxy { process: number }).set_target_listening(false);
                 }
                 self.record_event(number, ProcessEvent::Exited(code));
             }
@@ -557,11 +563,11 @@
 
 async fn forward_supervisor_events(
     fleet: std::rc::Weak<Fleet>,
-    mut news: mpsc::UnboundedReceiver<SupervisorEvent>,
+    mut event: mpsc::UnboundedReceiver<SupervisorEvent>,
 ) {
-    while let Some(news) = news.recv().await {
+    while let Some(event) = event.recv().await {
         match fleet.upgrade() {
-            Some(fleet) => fleet.on_supervisor_event(news),
+            Some(fleet) => fleet.on_supervisor_event(event),
             None => return,
         }
     }
@@ -579,36 +585,31 @@
 }
 
 fn servers(
-    figures: &DrawnScenario,
-    sketches: &[ProcessPlan],
+    parameters: &DrawnScenario,
+    plans: &[ProcessPlan],
     history: &Rc<History>,
-    (callers, who): (&Callers, &WhoCalls),
+    (callers, identify_sender): (&ConnectionLinks, &IdentifySender),
 ) -> IoResult<Vec<Rc<Server>>> {
-    let classes: Vec<(String, bool, bool)> = (figures.classes.iter())
+    let classes: Vec<(String, bool, bool)> = (parameters.classes.iter())
         .map(|c| (c.name.clone(), c.repeats == ClassRetrySafety::Safe, c.repeats == ClassRetrySafety::Keyed))
         .collect();
-    let tenants: Vec<String> = figures.tenants.iter().map(|t| t.name.clone()).collect();
+    let tenants: Vec<String> = parameters.tenants.iter().map(|t| t.name.clone()).collect();
     let mut all = Vec::new();
-    for (tier, of) in figures.tiers.iter().enumerate() {
+    for (tier, of) in parameters.tiers.iter().enumerate() {
         for (n, place) in of.places.iter().enumerate() {
-            let own = sketches.iter().position(|s| s.tier == tier + 1 && s.rank == n);
+            let own = plans.iter().position(|s| s.tier == tier + 1 && s.rank == n);
             let below = own.map(|process| {
-                DownstreamTier::new(
-                    process,
-                    sketches[process].port.address(),
-                    classes.clone(),
-                    tenants.clone(),
-                )
+                DownstreamTier::new(process, plans[process].port.address(), classes.clone(), tenants.clone())
             });
-            let figures = ServerFigures {
+            let parameters = BackendParameters {
                 number: all.len(),
                 zone: place.zone,
                 kind: hillstall_simulation::model::machine::Kind { speed: place.speed, ..of.kind },
                 part: of.part,
                 calls: of.calls,
             };
-            let who = (callers.clone(), who.clone());
-            all.push(Server::new(figures, history.clone(), who, below)?);
+            let identify_sender = (callers.clone(), identify_sender.clone());
+            all.push(Server::new(parameters, history.clone(), identify_sender, below)?);
         }
     }
     Ok(all)
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -193,12 +193,12 @@
 /// The run's clock and its observations.
 pub struct History {
     zero: Cell<Instant>,
-    seen: RefCell<Observations>,
+    observations: RefCell<Observations>,
 }
 
 impl Default for History {
     fn default() -> History {
-        History { zero: Cell::new(Instant::now()), seen: RefCell::default() }
+        History { zero: Cell::new(Instant::now()), observations: RefCell::default() }
     }
 }
 
@@ -228,11 +228,11 @@
 
     /// Changes the record.
     pub fn record<T>(&self, what: impl FnOnce(&mut Observations) -> T) -> T {
-        what(&mut self.seen.borrow_mut())
+        what(&mut self.observations.borrow_mut())
     }
 
     /// Takes the record, at the end.
     pub fn take(&self) -> Observations {
-        self.seen.take()
+        self.observations.take()
     }
 }
--- a/crates/fault-injection/src/host_load_monitor.rs
+++ b/crates/fault-injection/src/host_load_monitor.rs
@@ -44,13 +44,13 @@
         let stood = |process, waited: f64| HostStall { process, from: now - waited, to: now };
         let late = now - last - CLOCK_SAMPLE_INTERVAL.as_secs_f64() * 1e3;
         if late > MIN_STALL_MS {
-            fleet.history.record(|seen| seen.stalls.push(stood(None, now - last)));
+            fleet.history.record(|observations| observations.stalls.push(stood(None, now - last)));
         }
         last = now;
         if look % CLOCK_SAMPLES_PER_PROCESS_SAMPLE > 0 {
             continue;
         }
-        for process in fleet.processes.iter().filter(|p| p.runs.get()) {
+        for process in fleet.processes.iter().filter(|p| p.is_running.get()) {
             let Some(pid) = process.pid.get() else { continue };
             let waits = threads(pid).into_iter().filter_map(|(thread, waited)| {
                 let before = known.insert(thread, waited)?;
@@ -58,7 +58,9 @@
             });
             let longest = waits.fold(0.0, f64::max);
             if longest > MIN_STALL_MS {
-                fleet.history.record(|seen| seen.stalls.push(stood(Some(process.number), longest)));
+                fleet
+                    .history
+                    .record(|observations| observations.stalls.push(stood(Some(process.number), longest)));
             }
         }
     }
--- a/crates/fault-injection/src/invariant_checker.rs
+++ b/crates/fault-injection/src/invariant_checker.rs
@@ -145,11 +145,11 @@
 }
 
 /// Checks a record.
-pub fn check(truth: &GroundTruth, seen: &Observations) -> Verdict {
-    if let Some(why) = late(&seen.start_delays_ms).or_else(|| stood(&seen.stalls)) {
+pub fn check(truth: &GroundTruth, observations: &Observations) -> Verdict {
+    if let Some(why) = late(&observations.start_delays_ms).or_else(|| stood(&observations.stalls)) {
         return Verdict::Void(why);
     }
-    let court = Checker::new(truth, seen);
+    let court = Checker::new(truth, observations);
     let mut broken = Vec::new();
     court.check_responses(&mut broken);
     court.check_retries(&mut broken);
@@ -183,9 +183,9 @@
 }
 
 /// How many requests without an answer were excused, by the reason.
-pub fn excuses(truth: &GroundTruth, seen: &Observations) -> BTreeMap<Excuse, usize> {
-    let checker = Checker::new(truth, seen);
-    let written = seen.client_attempts.iter().filter_map(|a_try| Some((a_try, a_try.written_at?)));
+pub fn excuses(truth: &GroundTruth, observations: &Observations) -> BTreeMap<Excuse, usize> {
+    let checker = Checker::new(truth, observations);
+    let written = observations.client_attempts.iter().filter_map(|a_try| Some((a_try, a_try.written_at?)));
     let excuses = written.filter_map(|(a_try, written)| checker.excuse(a_try, written));
     let mut counts = BTreeMap::new();
     excuses.for_each(|excuse| *counts.entry(excuse).or_default() += 1);
@@ -193,8 +193,8 @@
 }
 
 /// The largest load on a backend in slow start over what it bears; above 1 it is overloaded.
-pub fn overshoot(truth: &GroundTruth, seen: &Observations) -> f64 {
-    Checker::new(truth, seen).overshoots().into_iter().map(|(_, part, _)| part).fold(0.0, f64::max)
+pub fn overshoot(truth: &GroundTruth, observations: &Observations) -> f64 {
+    Checker::new(truth, observations).overshoots().into_iter().map(|(_, part, _)| part).fold(0.0, f64::max)
 }
 
 struct Checker<'a> {
@@ -205,16 +205,16 @@
 }
 
 impl<'a> Checker<'a> {
-    fn new(truth: &'a GroundTruth, seen: &'a Observations) -> Checker<'a> {
+    fn new(truth: &'a GroundTruth, observations: &'a Observations) -> Checker<'a> {
         let mut hops: BTreeMap<&str, Vec<&BackendAttempt>> = BTreeMap::new();
-        for hop in &seen.backend_attempts {
+        for hop in &observations.backend_attempts {
             hops.entry(&hop.id).or_default().push(hop);
         }
         hops.values_mut().for_each(|hops| hops.sort_by(|a, b| a.at.total_cmp(&b.at)));
         Checker {
             truth,
-            observations: seen,
-            client_attempts_by_id: seen.client_attempts.iter().map(|t| (t.id.as_str(), t)).collect(),
+            observations: observations,
+            client_attempts_by_id: observations.client_attempts.iter().map(|t| (t.id.as_str(), t)).collect(),
             backend_attempts_by_id: hops,
         }
     }
@@ -409,18 +409,18 @@
 }
 
 /// All records of a request and of its requests to lower tiers, one line each, in order of time.
-pub fn story(truth: &GroundTruth, seen: &Observations, id: &str) -> String {
+pub fn story(truth: &GroundTruth, observations: &Observations, id: &str) -> String {
     let root = id.split('.').next().unwrap_or(id);
     let of = |other: &str| other == root || other.starts_with(&format!("{root}."));
     let mut lines: Vec<(f64, String)> = Vec::new();
-    for t in seen.client_attempts.iter().filter(|t| of(&t.id)) {
+    for t in observations.client_attempts.iter().filter(|t| of(&t.id)) {
         let (process, class) = (&truth.processes[t.process], &truth.settings.classes[t.class].name);
         if let Some(at) = t.written_at {
             lines.push((at, format!("{} asks {process}: {class}, {:.0} ms", t.id, t.timeout_ms)));
         }
         lines.push((t.ended_at, format!("{} ends at {process}: {:?}", t.id, t.result)));
     }
-    for h in seen.backend_attempts.iter().filter(|h| of(&h.id)) {
+    for h in observations.backend_attempts.iter().filter(|h| of(&h.id)) {
         let (process, server) = (&truth.processes[h.process], &truth.servers[h.server].name);
         lines.push((h.at, format!("{} {process} -> {server}", h.id)));
         lines.push((h.ended_at, format!("{} {server} ends it: {:?}", h.id, h.result)));
@@ -435,15 +435,15 @@
 
 /// The verdict as text: each violated rule with its count, the first few violations with their records, and how many
 /// requests without an answer were excused.
-pub fn tell(truth: &GroundTruth, seen: &Observations, verdict: &Verdict) -> String {
-    let mut text = tell_verdict(truth, seen, verdict);
-    for (excuse, count) in excuses(truth, seen) {
+pub fn tell(truth: &GroundTruth, observations: &Observations, verdict: &Verdict) -> String {
+    let mut text = tell_verdict(truth, observations, verdict);
+    for (excuse, count) in excuses(truth, observations) {
         let _ = writeln!(text, "  {count} without an answer are excused: {}", excuse.name());
     }
     text
 }
 
-fn tell_verdict(truth: &GroundTruth, seen: &Observations, verdict: &Verdict) -> String {
+fn tell_verdict(truth: &GroundTruth, observations: &Observations, verdict: &Verdict) -> String {
     match verdict {
         Verdict::Kept => "rules kept\n".to_string(),
         Verdict::Void(why) => format!("void: the rig was late: {why}\n"),
@@ -458,7 +458,7 @@
                 let id = broken.id.as_deref().unwrap_or("");
                 let _ = writeln!(text, "  {}: {} {id}", broken.rule.name(), broken.how);
                 if !id.is_empty() {
-                    text.push_str(&story(truth, seen, id));
+                    text.push_str(&story(truth, observations, id));
                 }
             }
             text
--- a/crates/fault-injection/src/open_loop_clients.rs
+++ b/crates/fault-injection/src/open_loop_clients.rs
@@ -41,14 +41,14 @@
 impl OpenLoopClients {
     /// Clients of a fleet that is up.
     pub fn new(fleet: Rc<Fleet>, seed: u64) -> Rc<OpenLoopClients> {
-        let listed = |front: usize| ProxyInRotation {
-            traffic_weight: fleet.figures.heat.get(front).copied().unwrap_or(1.0),
+        let listed = |proxy: usize| ProxyInRotation {
+            traffic_weight: fleet.parameters.heat.get(proxy).copied().unwrap_or(1.0),
             listed: Cell::new(true),
             idle: RefCell::default(),
         };
-        let fronts = (0..fleet.fronts).map(listed).collect();
+        let proxies = (0..fleet.first_tier_count).map(listed).collect();
         let chance = RefCell::new(chance(seed, Stream::Network));
-        Rc::new(OpenLoopClients { fleet, proxies: fronts, random: chance, open: Cell::new(0) })
+        Rc::new(OpenLoopClients { fleet, proxies, random: chance, open: Cell::new(0) })
     }
 
     /// Requests that have not ended.
@@ -63,12 +63,12 @@
     /// Starts all requests of a seed, each at its time; returns once the last has started.
     pub async fn play(self: &Rc<OpenLoopClients>, seed: u64) {
         let looks: Vec<JoinHandle<()>> =
-            (0..self.proxies.len()).map(|front| spawn_local(self.clone().watch_health(front))).collect();
+            (0..self.proxies.len()).map(|proxy| spawn_local(self.clone().watch_health(proxy))).collect();
         let history = self.fleet.history.clone();
-        for (number, arrival) in Arrivals::new(&self.fleet.figures, seed).enumerate() {
+        for (number, arrival) in Arrivals::new(&self.fleet.parameters, seed).enumerate() {
             sleep_until(history.instant(arrival.at)).await;
             let late = history.now() - arrival.at;
-            history.record(|seen| seen.start_delays_ms.push(late));
+            history.record(|observations| observations.start_delays_ms.push(late));
             self.open.set(self.open.get() + 1);
             let clients = self.clone();
             spawn_local(async move {
@@ -76,25 +76,25 @@
                 clients.open.set(clients.open.get() - 1);
             });
         }
-        sleep_until(history.instant(self.fleet.figures.length)).await;
+        sleep_until(history.instant(self.fleet.parameters.length)).await;
         looks.iter().for_each(JoinHandle::abort);
     }
 
     /// Checks one proxy's health: it is listed from its first 200 on, until it has not answered 200 for the load
     /// balancer's notice time.
-    async fn watch_health(self: Rc<OpenLoopClients>, front: usize) {
-        let notice = self.fleet.figures.front_notice;
+    async fn watch_health(self: Rc<OpenLoopClients>, proxy: usize) {
+        let notice = self.fleet.parameters.front_notice;
         let mut well_at = self.fleet.history.now();
         loop {
             sleep(POLL_INTERVAL).await;
             let asked_at = self.fleet.history.now();
-            let well = is_ready(self.fleet.link(LinkEnds::Door { process: front }).address()).await;
+            let well = is_ready(self.fleet.link(LinkEnds::ClientToProxy { process: proxy }).address()).await;
             if well {
                 well_at = asked_at;
             }
             let listed = self.fleet.history.now() - well_at <= notice.max(POLL_INTERVAL.as_secs_f64() * 1e3);
-            if self.proxies[front].listed.replace(listed) != listed && !listed {
-                self.proxies[front].idle.borrow_mut().clear();
+            if self.proxies[proxy].listed.replace(listed) != listed && !listed {
+                self.proxies[proxy].idle.borrow_mut().clear();
             }
         }
     }
@@ -108,23 +108,23 @@
                 .collect::<Vec<usize>>()
         };
         let able = Some(listed(true)).filter(|near| !near.is_empty()).unwrap_or_else(|| listed(false));
-        let place = drawn(self.next_fraction(), able.iter().map(|front| self.proxies[*front].traffic_weight));
+        let place = drawn(self.next_fraction(), able.iter().map(|proxy| self.proxies[*proxy].traffic_weight));
         able.get(place).copied()
     }
 
     async fn run_request(self: &Rc<OpenLoopClients>, number: usize, arrival: Arrival) {
-        let (figures, history) = (&self.fleet.figures, &self.fleet.history);
-        let class = &figures.classes[arrival.class];
+        let (parameters, history) = (&self.fleet.parameters, &self.fleet.history);
+        let class = &parameters.classes[arrival.class];
         let tell = |ended| {
             let worth = (arrival.tenant, arrival.worth);
-            self.fleet.tally.borrow_mut().ended(arrival.at, worth, ended);
+            self.fleet.summary.borrow_mut().ended(arrival.at, worth, ended);
         };
-        self.fleet.tally.borrow_mut().asked(arrival.at, arrival.tenant, arrival.worth);
+        self.fleet.summary.borrow_mut().asked(arrival.at, arrival.tenant, arrival.worth);
         let deadline_at = arrival.at + class.deadline;
         let (mut no, mut at) = (0, arrival.at);
         loop {
-            self.fleet.tally.borrow_mut().tried(at);
-            let over = (at + figures.try_part * class.deadline).min(deadline_at);
+            self.fleet.summary.borrow_mut().tried(at);
+            let over = (at + parameters.try_part * class.deadline).min(deadline_at);
             let (ended, retry_after_ms) = self.run_attempt(number, no, &arrival, over).await;
             let now = history.now();
             if ended == ClientResult::Served && now <= over {
@@ -136,13 +136,13 @@
             }
             let refused = ended == ClientResult::Refused;
             let follows =
-                retry_after_ms.is_some_and(|wait| wait > 0.0) && self.next_fraction() < figures.honour;
+                retry_after_ms.is_some_and(|wait| wait > 0.0) && self.next_fraction() < parameters.honour;
             let wait = match follows {
-                true => retry_after_ms.unwrap_or(0.0).max(figures.wait),
-                false => figures.wait,
+                true => retry_after_ms.unwrap_or(0.0).max(parameters.wait),
+                false => parameters.wait,
             };
             no += 1;
-            if no > figures.retries || now + wait >= deadline_at {
+            if no > parameters.retries || now + wait >= deadline_at {
                 return tell(if refused {
                     accounting::RequestOutcome::Refused
                 } else {
@@ -164,11 +164,11 @@
         over: f64,
     ) -> (ClientResult, Option<f64>) {
         let history = self.fleet.history.clone();
-        let Some(front) = self.choose_proxy(arrival.zone) else {
+        let Some(proxy) = self.choose_proxy(arrival.zone) else {
             sleep_until(history.instant(over)).await;
             return (ClientResult::NotAccepted, None);
         };
-        let process = &self.fleet.processes[front];
+        let process = &self.fleet.processes[proxy];
         let of = &process.settings.classes[arrival.class];
         let timeout_ms = (over - history.now()).max(1.0);
         let id = format!("c{number}-{no}");
@@ -180,7 +180,7 @@
                 class: arrival.class,
                 tenant: arrival.tenant,
                 key: key.clone(),
-                process: front,
+                process: proxy,
                 written_at: None,
                 timeout_ms,
                 ended_at: 0.0,
@@ -191,7 +191,7 @@
         let (clients, noted) = (self.clone(), made.clone());
         let (class, safe) = (of.name.clone(), of.retry_safety == RetrySafety::Idempotent);
         let target = target(arrival.class, arrival.tenant, arrival.work);
-        let tenant = self.fleet.figures.tenants.get(arrival.tenant).map(|t| t.name.clone());
+        let tenant = self.fleet.parameters.tenants.get(arrival.tenant).map(|t| t.name.clone());
         let mut asked = Box::pin(async move {
             let call = OutgoingRequest {
                 id: &id,
@@ -203,13 +203,13 @@
                 target: &target,
                 retry: no > 0,
             };
-            let door = clients.fleet.link(LinkEnds::Door { process: front }).clone();
-            let kept = clients.proxies[front].idle.borrow_mut().pop();
-            send_request(kept, door.address(), &call, &noted, |own| door.never_took(own)).await
+            let door = clients.fleet.link(LinkEnds::ClientToProxy { process: proxy }).clone();
+            let kept = clients.proxies[proxy].idle.borrow_mut().pop();
+            send_request(kept, door.address(), &call, &noted, |own| door.take_unaccepted(own)).await
         });
         let keep = move |clients: &OpenLoopClients, wire: Option<Wire>| {
-            if let Some(wire) = wire.filter(|_| clients.proxies[front].listed.get()) {
-                clients.proxies[front].idle.borrow_mut().push(wire);
+            if let Some(wire) = wire.filter(|_| clients.proxies[proxy].listed.get()) {
+                clients.proxies[proxy].idle.borrow_mut().push(wire);
             }
         };
         tokio::select! {
--- a/crates/fault-injection/src/platform.rs
+++ b/crates/fault-injection/src/platform.rs
@@ -86,9 +86,9 @@
     #[test]
     fn what_is_read_back_is_what_was_given() {
         for name in scenarios::names() {
-            let figures = setup::draw(&scenarios::find(name).expect("embedded"), 3);
-            for tier in 0..figures.tiers.len() {
-                let given = figures.settings(tier, 1, 4, 0);
+            let parameters = setup::draw(&scenarios::find(name).expect("embedded"), 3);
+            for tier in 0..parameters.tiers.len() {
+                let given = parameters.settings(tier, 1, 4, 0);
                 let text = super::settings(&given).to_string();
                 let mut read = hillstall_settings::parse_settings(text.as_bytes()).expect("it is read");
                 for (read, given) in read.tenants.iter_mut().zip(&given.tenants) {
--- a/crates/fault-injection/src/reserved_port.rs
+++ b/crates/fault-injection/src/reserved_port.rs
@@ -51,7 +51,7 @@
     }
 
     /// Listens and accepts nothing, like a machine that is cut off.
-    pub fn deaf(&self) -> Result<SilentListener> {
+    pub fn listen_silently(&self) -> Result<SilentListener> {
         let socket = bound(self.address)?;
         socket.listen(0)?;
         let mut filler = Vec::new();
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -29,21 +29,21 @@
 #[derive(Default)]
 pub struct Options {
     /// Falsifies the proxies' settings, if given.
-    pub lie: Option<SettingsFault>,
+    pub settings_fault: Option<SettingsFault>,
     /// The coordination of the instances, if any.
-    pub talk: Option<crate::coordination_fleet::CoordinationOptions>,
+    pub coordination: Option<crate::coordination_fleet::CoordinationOptions>,
     /// Runs beside the requests, from the first one on.
     pub script: Option<Script>,
     /// Where configurations and logs are kept; without it they are deleted after the run.
-    pub keep: Option<PathBuf>,
+    pub output_folder: Option<PathBuf>,
 }
 
 /// The result of a run.
 pub struct ScenarioRun {
     /// What clients received, counted as in the simulation.
-    pub tally: RunSummary,
+    pub summary: RunSummary,
     /// The record.
-    pub seen: Observations,
+    pub observations: Observations,
     /// The true parameters of the fleet.
     pub truth: GroundTruth,
     /// The checker's verdict.
@@ -54,17 +54,21 @@
 
 impl ScenarioRun {
     /// The verdict as text.
-    pub fn told(&self) -> String {
-        invariant_checker::tell(&self.truth, &self.seen, &self.verdict)
+    pub fn report(&self) -> String {
+        invariant_checker::tell(&self.truth, &self.observations, &self.verdict)
     }
 
     /// Attempts at a tier per attempt sent to the proxies before it.
-    pub fn attempts_a_try(&self, tier: usize) -> f64 {
-        let hops =
-            self.seen.backend_attempts.iter().filter(|h| self.truth.servers[h.server].tier == tier).count();
+    pub fn attempt_ratio(&self, tier: usize) -> f64 {
+        let hops = self
+            .observations
+            .backend_attempts
+            .iter()
+            .filter(|h| self.truth.servers[h.server].tier == tier)
+            .count();
         let dots = |id: &str| id.matches('.').count();
         let tries = self
-            .seen
+            .observations
             .client_attempts
             .iter()
             .filter(|t| t.written_at.is_some() && dots(&t.id) == tier)
@@ -87,7 +91,7 @@
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(system("the rig"))?;
     // Deleted with its files at the end of this function.
     let passing = tempfile::tempdir().map_err(system("a folder"))?;
-    let path = options.keep.clone().unwrap_or_else(|| passing.path().to_path_buf());
+    let path = options.output_folder.clone().unwrap_or_else(|| passing.path().to_path_buf());
     LocalSet::new().block_on(&runtime, play(program, scenario, seed, options, &path))
 }
 
@@ -99,10 +103,16 @@
     options: Options,
     folder: &Path,
 ) -> Result<ScenarioRun, FleetError> {
-    let figures = setup::draw(scenario, seed);
-    let fleet =
-        Fleet::start(FleetPlan { program, figures, seed, lie: options.lie, talk: options.talk, folder })
-            .await?;
+    let parameters = setup::draw(scenario, seed);
+    let fleet = Fleet::start(FleetPlan {
+        program,
+        parameters,
+        seed,
+        settings_fault: options.settings_fault,
+        coordination: options.coordination,
+        folder,
+    })
+    .await?;
     let zero = Instant::now() + SETTLE;
     fleet.history.begin(zero);
     sleep_until(zero.into()).await;
@@ -132,33 +142,37 @@
         return Err(FleetError::System { what: "a fault".into(), why: std::io::Error::other(wrong) });
     }
     let truth = fleet.truth();
-    let seen = fleet.history.take();
+    let observations = fleet.history.take();
     let chokes = fleet.servers.iter().map(|server| u64::from(server.chokes())).sum();
-    let empty = RunSummary::new("drill", seed, 1.0, fleet.figures.shares());
-    let mut tally = fleet.tally.replace(empty);
-    for hop in &seen.backend_attempts {
-        tally.sent(hop.at, truth.servers[hop.server].tier);
+    let empty = RunSummary::new("drill", seed, 1.0, fleet.parameters.shares());
+    let mut summary = fleet.summary.replace(empty);
+    for hop in &observations.backend_attempts {
+        summary.sent(hop.at, truth.servers[hop.server].tier);
     }
-    for a_try in seen.client_attempts.iter().filter(|t| t.process < fleet.fronts && t.written_at.is_some()) {
-        tally.came_to(a_try.process);
+    for a_try in observations
+        .client_attempts
+        .iter()
+        .filter(|t| t.process < fleet.first_tier_count && t.written_at.is_some())
+    {
+        summary.came_to(a_try.process);
         if a_try.result == crate::history::ClientResult::Refused {
-            tally.refused_by(a_try.process);
+            summary.refused_by(a_try.process);
         }
     }
-    let verdict = invariant_checker::check(&truth, &seen);
+    let verdict = invariant_checker::check(&truth, &observations);
     let processes = fleet.processes.len();
-    Ok(ScenarioRun { tally: tally.close(chokes), seen, truth, verdict, processes })
+    Ok(ScenarioRun { summary: summary.close(chokes), observations, truth, verdict, processes })
 }
 
 /// Samples the capacity of the first tier.
 async fn watch(fleet: Rc<Fleet>) {
-    let whole = fleet.figures.tiers[0].able();
-    let first = fleet.figures.tiers[0].places.len();
+    let whole = fleet.parameters.tiers[0].able();
+    let first = fleet.parameters.tiers[0].places.len();
     loop {
         sleep(POLL_INTERVAL).await;
         let states: Vec<(f64, bool)> = fleet.servers[..first].iter().map(|s| s.state()).collect();
         let able: f64 = states.iter().map(|s| s.0).sum();
         let choked = states.iter().filter(|s| s.1).count() as u64;
-        fleet.tally.borrow_mut().looked(fleet.history.now().max(0.0), able / whole, choked);
+        fleet.summary.borrow_mut().looked(fleet.history.now().max(0.0), able / whole, choked);
     }
 }
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -4,7 +4,7 @@
 use crate::history::{BackendAttempt, BackendResult, BackendStart, ClientAttempt, ClientResult, History};
 use crate::http::{Message, OutgoingRequest, Wire};
 use crate::reserved_port::ReservedPort;
-use crate::tcp_proxy::{Callers, TcpProxy};
+use crate::tcp_proxy::{ConnectionLinks, TcpProxy};
 use hillstall_simulation::model::machine::{Admission, Job, Kind, Machine};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -63,15 +63,15 @@
 }
 
 /// The process at the client's end of a link, and how often that has been started.
-pub type WhoCalls = Rc<dyn Fn(usize) -> (usize, u32)>;
+pub type IdentifySender = Rc<dyn Fn(usize) -> (usize, u32)>;
 
 /// A running backend.
 pub struct Server {
     /// Its parameters.
-    pub figures: BackendParameters,
+    pub parameters: BackendParameters,
     history: Rc<History>,
-    connections: Callers,
-    who: WhoCalls,
+    connections: ConnectionLinks,
+    identify_sender: IdentifySender,
     below: Option<DownstreamTier>,
     port: ReservedPort,
     links: RefCell<Vec<Rc<TcpProxy>>>,
@@ -115,18 +115,18 @@
 impl Server {
     /// A backend at full capacity that does not listen yet.
     pub fn new(
-        figures: BackendParameters,
+        parameters: BackendParameters,
         history: Rc<History>,
-        (callers, who): (Callers, WhoCalls),
+        (callers, identify_sender): (ConnectionLinks, IdentifySender),
         below: Option<DownstreamTier>,
     ) -> Result<Rc<Server>> {
         let server = Rc::new(Server {
-            machine: RefCell::new(Machine::new(figures.kind)),
-            random: Cell::new(figures.number as u64 + 1),
-            figures,
+            machine: RefCell::new(Machine::new(parameters.kind)),
+            random: Cell::new(parameters.number as u64 + 1),
+            parameters,
             history,
             connections: callers,
-            who,
+            identify_sender,
             below,
             port: ReservedPort::take()?,
             links: RefCell::default(),
@@ -153,7 +153,7 @@
 
     /// Adds a link that leads to it; it refuses connections while the backend does not listen.
     pub fn is_reached_by(&self, link: Rc<TcpProxy>) {
-        link.set_up(self.listening.borrow().is_some());
+        link.set_target_listening(self.listening.borrow().is_some());
         self.links.borrow_mut().push(link);
     }
 
@@ -176,7 +176,7 @@
         if let Some(old) = self.listening.borrow_mut().replace(task) {
             old.abort();
         }
-        self.links.borrow().iter().for_each(|link| link.set_up(true));
+        self.links.borrow().iter().for_each(|link| link.set_target_listening(true));
         Ok(())
     }
 
@@ -187,7 +187,7 @@
             listening.abort();
         }
         if !silently {
-            links.iter().for_each(|link| link.set_up(false));
+            links.iter().for_each(|link| link.set_target_listening(false));
         }
         let now = self.history.now();
         self.act(|machine, done| {
@@ -206,8 +206,9 @@
     pub fn start(&self) {
         let now = self.history.now();
         self.act(|machine, _| machine.start(now));
-        let server = self.figures.number;
-        self.history.record(|seen| seen.backend_starts.push(BackendStart { server, at: now }));
+        let server = self.parameters.number;
+        self.history
+            .record(|observations| observations.backend_starts.push(BackendStart { server, at: now }));
         // Connections that wait for the machine are reset, as it is back.
         self.links.borrow().iter().for_each(|link| link.reset());
     }
@@ -266,11 +267,11 @@
 
     async fn accept(self: Rc<Server>, listener: TcpListener) {
         while let Ok((stream, peer)) = listener.accept().await {
-            let number = self.figures.number;
-            self.history.record(|seen| {
-                let most = seen.handshakes.len().max(number + 1);
-                seen.handshakes.resize(most, 0);
-                seen.handshakes[number] += 1;
+            let number = self.parameters.number;
+            self.history.record(|observations| {
+                let most = observations.handshakes.len().max(number + 1);
+                observations.handshakes.resize(most, 0);
+                observations.handshakes[number] += 1;
             });
             spawn_local(self.clone().connection(stream, peer));
         }
@@ -299,9 +300,9 @@
                 continue;
             };
             let timeout = message.header("request-timeout-ms").and_then(|t| t.parse::<f64>().ok());
-            let hop = self.record_arrival(id, link, wish.work * self.figures.part);
+            let hop = self.record_arrival(id, link, wish.work * self.parameters.part);
             // Completes the record also when this future is dropped with its process.
-            let mut guard = HopGuard { history: self.history.clone(), hop, result: BackendResult::Lost };
+            let mut guard = AttemptGuard { history: self.history.clone(), hop, result: BackendResult::Lost };
             if self.draining.get() {
                 guard.result = BackendResult::Rejected;
                 drop(guard);
@@ -314,7 +315,7 @@
             drop(guard);
             match done {
                 BackendResult::Served => {
-                    wire.answer("200 OK", "", &format!("{id} s{}", self.figures.number)).await?;
+                    wire.answer("200 OK", "", &format!("{id} s{}", self.parameters.number)).await?;
                 }
                 BackendResult::Rejected => wire.answer("503 Service Unavailable", NOT_STARTED, "").await?,
                 BackendResult::Error => wire.answer("500 Internal Server Error", "", "").await?,
@@ -325,11 +326,11 @@
     }
 
     fn record_arrival(&self, id: &str, link: usize, work: f64) -> usize {
-        let (process, incarnation) = (self.who)(link);
+        let (process, incarnation) = (self.identify_sender)(link);
         let at = self.history.now();
         let hop = BackendAttempt {
             id: id.to_string(),
-            server: self.figures.number,
+            server: self.parameters.number,
             process,
             incarnation,
             at,
@@ -337,9 +338,9 @@
             ended_at: at,
             result: BackendResult::InProgress,
         };
-        self.history.record(|seen| {
-            seen.backend_attempts.push(hop);
-            seen.backend_attempts.len() - 1
+        self.history.record(|observations| {
+            observations.backend_attempts.push(hop);
+            observations.backend_attempts.len() - 1
         })
     }
 
@@ -357,11 +358,11 @@
         id: &str,
         wish: &RequestParameters,
         until: f64,
-        guard: &mut HopGuard,
+        guard: &mut AttemptGuard,
     ) -> BackendResult {
-        let whole = self.figures.calls.floor();
-        let below = whole as usize + usize::from(self.part() < self.figures.calls - whole);
-        let work = wish.work * self.figures.part / (below + 1) as f64;
+        let whole = self.parameters.calls.floor();
+        let below = whole as usize + usize::from(self.part() < self.parameters.calls - whole);
+        let work = wish.work * self.parameters.part / (below + 1) as f64;
         let job = self.next.get();
         self.next.set(job + 1);
         let (tell, mut done) = oneshot::channel();
@@ -430,7 +431,7 @@
         let (class, safe, keyed) = &below.classes[wish.class];
         let timeout_ms = (until - self.history.now()).max(0.0);
         let key = keyed.then(|| wish.key.as_ref().map(|key| format!("{key}.{phase}"))).flatten();
-        let all = self.figures.calls.max(1.0).max((calls - phase) as f64);
+        let all = self.parameters.calls.max(1.0).max((calls - phase) as f64);
         let made = RecordedAttempt::new(
             self.history.clone(),
             ClientAttempt {
@@ -486,7 +487,7 @@
     address: SocketAddr,
     call: &OutgoingRequest<'_>,
     made: &RecordedAttempt,
-    untaken: impl Fn(SocketAddr) -> bool,
+    unaccepted: impl Fn(SocketAddr) -> bool,
 ) -> AttemptOutcome {
     use tokio::io::AsyncWriteExt;
     let text = call.encode();
@@ -515,7 +516,7 @@
                 if was_kept && made.since_written() < CROSSED_MS {
                     continue;
                 }
-                if own.is_ok_and(&untaken) {
+                if own.is_ok_and(&unaccepted) {
                     made.written(false);
                     return (ClientResult::NotAccepted, None, None);
                 }
@@ -560,9 +561,9 @@
 
 impl RecordedAttempt {
     pub(crate) fn new(history: Rc<History>, a_try: ClientAttempt) -> RecordedAttempt {
-        let index = history.record(|seen| {
-            seen.client_attempts.push(a_try);
-            seen.client_attempts.len() - 1
+        let index = history.record(|observations| {
+            observations.client_attempts.push(a_try);
+            observations.client_attempts.len() - 1
         });
         RecordedAttempt { history, index, ended: Cell::new(false) }
     }
@@ -570,19 +571,19 @@
     /// Its last byte was written; false takes that back.
     pub(crate) fn written(&self, written: bool) {
         let at = written.then(|| self.history.now());
-        self.history.record(|seen| seen.client_attempts[self.index].written_at = at);
+        self.history.record(|observations| observations.client_attempts[self.index].written_at = at);
     }
 
     pub(crate) fn since_written(&self) -> f64 {
-        let written = self.history.record(|seen| seen.client_attempts[self.index].written_at);
+        let written = self.history.record(|observations| observations.client_attempts[self.index].written_at);
         self.history.now() - written.unwrap_or(f64::MIN)
     }
 
     pub(crate) fn ended(&self, result: ClientResult, retry_after_ms: Option<f64>) {
         let now = self.history.now();
         self.ended.set(true);
-        self.history.record(|seen| {
-            let a_try = &mut seen.client_attempts[self.index];
+        self.history.record(|observations| {
+            let a_try = &mut observations.client_attempts[self.index];
             (a_try.result, a_try.ended_at, a_try.retry_after_ms) = (result, now, retry_after_ms);
         });
     }
@@ -597,17 +598,17 @@
 }
 
 /// Records the end of a proxy's attempt when dropped.
-struct HopGuard {
+struct AttemptGuard {
     history: Rc<History>,
     hop: usize,
     result: BackendResult,
 }
 
-impl Drop for HopGuard {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
         let (now, done) = (self.history.now(), self.result);
-        self.history.record(|seen| {
-            if let Some(hop) = seen.backend_attempts.get_mut(self.hop) {
+        self.history.record(|observations| {
+            if let Some(hop) = observations.backend_attempts.get_mut(self.hop) {
                 (hop.result, hop.ended_at) = (done, now);
             }
         });
--- a/crates/fault-injection/src/soak/clients.rs
+++ b/crates/fault-injection/src/soak/clients.rs
@@ -113,7 +113,7 @@
     async fn run(self) {
         let mut sent = 0;
         while self.fleet.history.now() < TERM_AT_MS + CONNECT_AFTER_TERM_MS {
-            let address = self.fleet.link(LinkEnds::Door { process: TARGET }).address();
+            let address = self.fleet.link(LinkEnds::ClientToProxy { process: TARGET }).address();
             match TcpStream::connect(address).await {
                 Ok(stream) => self.use_connection(Wire::new(stream), &mut sent).await,
                 Err(_) => sleep(RECONNECT_INTERVAL).await,
--- a/crates/fault-injection/src/soak/mod.rs
+++ b/crates/fault-injection/src/soak/mod.rs
@@ -33,7 +33,7 @@
 pub fn run(
     program: &Path,
     seed: u64,
-    keep: Option<PathBuf>,
+    output_folder: Option<PathBuf>,
     sabotage: Option<Sabotage>,
 ) -> Result<ScenarioRun, FleetError> {
     let plan = SoakPlan::draw(seed);
@@ -41,7 +41,8 @@
         what: format!("the soak of seed {seed}"),
         why: std::io::Error::other(error.to_string()),
     })?;
-    let talk = plan.coordination.then(|| CoordinationOptions { keepers: REPLICAS, section: String::new() });
+    let coordination =
+        plan.coordination.then(|| CoordinationOptions { voters: REPLICAS, fleet_section: String::new() });
     let script: Script = Box::new(move |fleet| {
         Box::pin(async move {
             if let Some(sabotage) = sabotage {
@@ -50,16 +51,21 @@
             drive(fleet, plan).await;
         })
     });
-    run_scenario(program, &scenario, seed, Options { script: Some(script), talk, keep, ..Options::default() })
+    run_scenario(
+        program,
+        &scenario,
+        seed,
+        Options { script: Some(script), coordination, output_folder, ..Options::default() },
+    )
 }
 
 /// Starts the clients, and sends the signals of a plan up to the kill.
 async fn drive(fleet: Rc<Fleet>, plan: SoakPlan) {
     clients::start(&fleet, &plan);
-    let watch = |ends: LinkEnds| matches!(ends, LinkEnds::List { process: TARGET });
+    let watch = |ends: LinkEnds| matches!(ends, LinkEnds::ProxyToDiscovery { process: TARGET });
     if let Some(fault) = plan.watch_fault {
         sleep_until(fleet.history.instant(TERM_AT_MS - WATCH_FAULT_LEAD_MS)).await;
-        fleet.set(fault, watch);
+        fleet.set_fault(fault, watch);
     }
     for signal in &plan.signals {
         sleep_until(fleet.history.instant(TERM_AT_MS + signal.at_ms)).await;
@@ -70,7 +76,7 @@
 }
 
 fn send(fleet: &Fleet, signal: ProcessSignal) {
-    if !fleet.processes[TARGET].runs.get() {
+    if !fleet.processes[TARGET].is_running.get() {
         return;
     }
     if let Err(error) = fleet.signal(TARGET, signal) {
--- a/crates/fault-injection/src/soak/summary.rs
+++ b/crates/fault-injection/src/soak/summary.rs
@@ -27,10 +27,10 @@
             life.process == TARGET && life.event == ProcessEvent::Killed
         };
         let mut summary = SoakSummary {
-            was_killed: run.seen.process_events.iter().any(|life| killed(&life)),
+            was_killed: run.observations.process_events.iter().any(|life| killed(&life)),
             ..Self::default()
         };
-        run.seen
+        run.observations
             .client_attempts
             .iter()
             .filter(|attempt| attempt.process == TARGET)
--- a/crates/fault-injection/src/tcp_proxy.rs
+++ b/crates/fault-injection/src/tcp_proxy.rs
@@ -29,9 +29,9 @@
     /// Nothing passes: open connections stay open, new ones never come up.
     Silent,
     /// What the connecting side sends is lost; new connections never come up.
-    LoseForth,
+    LoseFromClient,
     /// What the other side sends is lost; new connections never come up.
-    LoseBack,
+    LoseFromTarget,
     /// Open connections are reset, and new ones as soon as they have been accepted.
     Reset,
     /// New connections are refused; open ones go on.
@@ -44,7 +44,7 @@
 
 /// The link of an outgoing connection, by its local address and the target's: so a backend knows who sends. The local
 /// address is not enough, as the system gives one port to connections to several targets.
-pub type Callers = Rc<RefCell<HashMap<(SocketAddr, SocketAddr), usize>>>;
+pub type ConnectionLinks = Rc<RefCell<HashMap<(SocketAddr, SocketAddr), usize>>>;
 
 /// Traffic of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -52,14 +52,14 @@
     /// Connections accepted.
     pub connections: u64,
     /// Bytes from the connecting side.
-    pub forth: u64,
+    pub to_target: u64,
     /// Bytes to it.
-    pub back: u64,
+    pub to_client: u64,
 }
 
 /// A TCP proxy with faults.
 pub struct TcpProxy {
-    /// Its number, as in [`Callers`].
+    /// Its number, as in [`ConnectionLinks`].
     pub number: usize,
     port: ReservedPort,
     target: SocketAddr,
@@ -70,14 +70,14 @@
     resets: Cell<u64>,
     changed: Notify,
     passed: Cell<TransferredBytes>,
-    connections: Callers,
+    connections: ConnectionLinks,
     /// Connections that were accepted here and not by the target, by the client's address.
-    untaken: RefCell<HashSet<SocketAddr>>,
+    unaccepted: RefCell<HashSet<SocketAddr>>,
 }
 
 impl TcpProxy {
     /// Starts a link to a target.
-    pub fn start(number: usize, target: SocketAddr, callers: Callers) -> Result<Rc<TcpProxy>> {
+    pub fn start(number: usize, target: SocketAddr, callers: ConnectionLinks) -> Result<Rc<TcpProxy>> {
         let port = ReservedPort::take()?;
         // It accepts connections from now on, not from when its task first runs.
         let listener = port.listen()?;
@@ -91,7 +91,7 @@
             changed: Notify::new(),
             passed: Cell::default(),
             connections: callers,
-            untaken: RefCell::default(),
+            unaccepted: RefCell::default(),
         });
         spawn_local(link.clone().serve(listener));
         Ok(link)
@@ -103,13 +103,13 @@
     }
 
     /// Its traffic so far.
-    pub fn passed(&self) -> TransferredBytes {
+    pub fn transferred(&self) -> TransferredBytes {
         self.passed.get()
     }
 
     /// Whether a connection that ended was never accepted by the target. True once for each.
-    pub fn never_took(&self, caller: SocketAddr) -> bool {
-        self.untaken.borrow_mut().remove(&caller)
+    pub fn take_unaccepted(&self, caller: SocketAddr) -> bool {
+        self.unaccepted.borrow_mut().remove(&caller)
     }
 
     /// Its fault.
@@ -118,7 +118,7 @@
     }
 
     /// Sets its fault.
-    pub fn set(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: Fault) {
         self.fault.set(fault);
         if fault == Fault::Reset {
             self.reset();
@@ -127,7 +127,7 @@
     }
 
     /// Sets whether the target listens.
-    pub fn set_up(&self, up: bool) {
+    pub fn set_target_listening(&self, up: bool) {
         self.up.set(up);
         self.changed.notify_waiters();
     }
@@ -138,8 +138,8 @@
         self.changed.notify_waiters();
     }
 
-    fn is_deaf(&self) -> bool {
-        matches!(self.fault.get(), Fault::Silent | Fault::LoseForth | Fault::LoseBack)
+    fn is_silent(&self) -> bool {
+        matches!(self.fault.get(), Fault::Silent | Fault::LoseFromClient | Fault::LoseFromTarget)
     }
 
     fn refuses_connections(&self) -> bool {
@@ -149,8 +149,8 @@
     fn blocks(&self, forth: bool) -> bool {
         match self.fault.get() {
             Fault::Silent => true,
-            Fault::LoseForth => forth,
-            Fault::LoseBack => !forth,
+            Fault::LoseFromClient => forth,
+            Fault::LoseFromTarget => !forth,
             _ => false,
         }
     }
@@ -179,11 +179,11 @@
         self.clone().accept(first).await;
         loop {
             // The previous listener must be closed before the next one opens: two would share connections.
-            if self.is_deaf() {
-                let _deaf = self.port.deaf();
-                self.wait_while(TcpProxy::is_deaf).await;
+            if self.is_silent() {
+                let _deaf = self.port.listen_silently();
+                self.wait_while(TcpProxy::is_silent).await;
             } else if self.refuses_connections() {
-                self.wait_while(|link| link.refuses_connections() && !link.is_deaf()).await;
+                self.wait_while(|link| link.refuses_connections() && !link.is_silent()).await;
             } else if let Ok(listener) = self.port.listen() {
                 self.clone().accept(listener).await;
             } else {
@@ -195,7 +195,7 @@
 
     async fn accept(self: Rc<TcpProxy>, listener: TcpListener) {
         loop {
-            let open = |link: &TcpProxy| !link.is_deaf() && !link.refuses_connections();
+            let open = |link: &TcpProxy| !link.is_silent() && !link.refuses_connections();
             tokio::select! {
                 biased;
                 () = self.wait_while(open) => return,
@@ -216,7 +216,7 @@
         };
         let Some(target) = target else {
             if let Ok(peer) = caller.peer_addr() {
-                self.untaken.borrow_mut().insert(peer);
+                self.unaccepted.borrow_mut().insert(peer);
             }
             return abort(&caller);
         };
@@ -281,7 +281,7 @@
             };
             let (piece, rest) = left.split_at(most.clamp(1, left.len()));
             to.write_all(piece).await?;
-            self.count(|p| *(if forth { &mut p.forth } else { &mut p.back }) += piece.len() as u64);
+            self.count(|p| *(if forth { &mut p.to_target } else { &mut p.to_client }) += piece.len() as u64);
             left = rest;
         }
         Ok(())
--- a/crates/fault-injection/src/udp_proxy.rs
+++ b/crates/fault-injection/src/udp_proxy.rs
@@ -52,7 +52,7 @@
     }
 
     /// Sets its fault; forth is from the first end to the second.
-    pub fn set(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: Fault) {
         self.fault.set(fault);
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// Datagrams passed on: forth and back.
-    pub fn passed(&self) -> [u64; 2] {
+    pub fn transferred(&self) -> [u64; 2] {
         self.passed.get()
     }
 
@@ -71,8 +71,8 @@
         by_chance < self.loss.get()
             || match self.fault.get() {
                 Fault::Silent | Fault::Reset | Fault::Refuse => true,
-                Fault::LoseForth => forth,
-                Fault::LoseBack => !forth,
+                Fault::LoseFromClient => forth,
+                Fault::LoseFromTarget => !forth,
                 Fault::None | Fault::Delay(_) | Fault::Slow(_) => false,
             }
     }
--- a/crates/fault-injection/tests/links.rs
+++ b/crates/fault-injection/tests/links.rs
@@ -1,6 +1,6 @@
 //! Each fault of a link, on real sockets: what passes, what does not, and what each side hears of it.
 
-use hillstall_fault_injection::tcp_proxy::{Callers, Fault, TcpProxy};
+use hillstall_fault_injection::tcp_proxy::{ConnectionLinks, Fault, TcpProxy};
 use hillstall_fault_injection::udp_proxy::UdpProxy;
 use std::future::Future;
 use std::io::ErrorKind;
@@ -35,7 +35,7 @@
             });
         }
     });
-    TcpProxy::start(0, target, Callers::default()).expect("a relay")
+    TcpProxy::start(0, target, ConnectionLinks::default()).expect("a relay")
 }
 
 async fn connect(link: &TcpProxy) -> std::io::Result<TcpStream> {
@@ -56,12 +56,12 @@
         let link = echo().await;
         let mut open = connect(&link).await.expect("it takes");
         assert_eq!(&say(&mut open).await.expect("it passes"), b"word");
-        link.set(Fault::Silent);
-        let before = link.passed();
+        link.set_fault(Fault::Silent);
+        let before = link.transferred();
         assert!(timeout(NOTHING, say(&mut open)).await.is_err(), "nothing comes, and nobody says so");
         assert!(timeout(NOTHING, connect(&link)).await.is_err(), "a new one never comes up");
-        assert_eq!(link.passed().forth, before.forth);
-        link.set(Fault::None);
+        assert_eq!(link.transferred().to_target, before.to_target);
+        link.set_fault(Fault::None);
         let mut held = [0; 4];
         open.read_exact(&mut held).await.expect("what was held comes now");
         assert_eq!(&say(&mut connect(&link).await.expect("it takes")).await.expect("it passes"), b"word");
@@ -71,15 +71,15 @@
 #[test]
 fn a_direction_alone_is_lost() {
     on_loopback(async {
-        for (fault, reaches) in [(Fault::LoseForth, false), (Fault::LoseBack, true)] {
+        for (fault, reaches) in [(Fault::LoseFromClient, false), (Fault::LoseFromTarget, true)] {
             let link = echo().await;
             let mut open = connect(&link).await.expect("it takes");
             say(&mut open).await.expect("it passes");
-            link.set(fault);
-            let before = link.passed();
+            link.set_fault(fault);
+            let before = link.transferred();
             assert!(timeout(NOTHING, say(&mut open)).await.is_err(), "no answer by {fault:?}");
-            assert_eq!(link.passed().forth > before.forth, reaches, "{fault:?}");
-            assert_eq!(link.passed().back, before.back, "{fault:?}");
+            assert_eq!(link.transferred().to_target > before.to_target, reaches, "{fault:?}");
+            assert_eq!(link.transferred().to_client, before.to_client, "{fault:?}");
         }
     });
 }
@@ -90,18 +90,18 @@
         let link = echo().await;
         let mut open = connect(&link).await.expect("it takes");
         say(&mut open).await.expect("it passes");
-        link.set(Fault::Refuse);
+        link.set_fault(Fault::Refuse);
         while connect(&link).await.is_ok() {
             tokio::task::yield_now().await;
         }
         assert_eq!(connect(&link).await.map(drop).map_err(|e| e.kind()), Err(ErrorKind::ConnectionRefused));
         assert_eq!(&say(&mut open).await.expect("what is open goes on"), b"word");
-        link.set(Fault::Reset);
+        link.set_fault(Fault::Reset);
         let broken = open.read(&mut [0; 1]).await.map_err(|e| e.kind());
         assert_eq!(broken, Err(ErrorKind::ConnectionReset));
         // A target that is not up refuses, whatever the fault is.
-        link.set(Fault::None);
-        link.set_up(false);
+        link.set_fault(Fault::None);
+        link.set_target_listening(false);
         while connect(&link).await.is_ok() {
             tokio::task::yield_now().await;
         }
@@ -114,11 +114,11 @@
     on_loopback(async {
         let link = echo().await;
         let mut open = connect(&link).await.expect("it takes");
-        link.set(Fault::Delay(Duration::from_millis(100)));
+        link.set_fault(Fault::Delay(Duration::from_millis(100)));
         let begun = Instant::now();
         say(&mut open).await.expect("it passes");
         assert!(begun.elapsed() >= Duration::from_millis(200), "{:?}", begun.elapsed());
-        link.set(Fault::Slow(1_000));
+        link.set_fault(Fault::Slow(1_000));
         let begun = Instant::now();
         open.write_all(&[7; 300]).await.expect("it is taken");
         open.read_exact(&mut [0; 300]).await.expect("it comes");
@@ -131,12 +131,13 @@
 fn a_target_that_is_gone_is_told_apart_from_one_that_broke() {
     on_loopback(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let link = TcpProxy::start(0, listener.local_addr().expect("its address"), Callers::default());
+        let link =
+            TcpProxy::start(0, listener.local_addr().expect("its address"), ConnectionLinks::default());
         let link = link.expect("a relay");
         drop(listener);
         let mut stream = connect(&link).await.expect("the relay takes it");
         assert!(say(&mut stream).await.is_err());
-        assert!(link.never_took(stream.local_addr().expect("its own address")));
+        assert!(link.take_unaccepted(stream.local_addr().expect("its own address")));
     });
 }
 
@@ -154,21 +155,21 @@
         ends[0].send_to(b"ping", from_first).await.expect("it is sent");
         let (length, _) = ends[1].recv_from(&mut read).await.expect("it comes");
         assert_eq!(&read[..length], b"ping");
-        link.set(Fault::LoseForth);
+        link.set_fault(Fault::LoseFromClient);
         ends[0].send_to(b"lost", from_first).await.expect("it is sent");
         ends[1].send_to(b"pong", from_second).await.expect("it is sent");
         let (length, _) = ends[0].recv_from(&mut read).await.expect("it comes");
         assert_eq!(&read[..length], b"pong");
         assert!(timeout(NOTHING, ends[1].recv_from(&mut read)).await.is_err(), "the other direction is lost");
-        link.set(Fault::None);
+        link.set_fault(Fault::None);
         link.lose(0.3);
-        let before = link.passed()[0];
+        let before = link.transferred()[0];
         for _ in 0..200 {
             ends[0].send_to(b"some", from_first).await.expect("it is sent");
             // One at a time, so that no buffer overflows.
             let _ = timeout(Duration::from_millis(5), ends[1].recv_from(&mut read)).await;
         }
-        let came = link.passed()[0] - before;
+        let came = link.transferred()[0] - before;
         assert!((110..=170).contains(&came), "{came} of 200 came at a loss of 30%");
     });
 }
--- a/crates/hillstall/src/fault_injection.rs
+++ b/crates/hillstall/src/fault_injection.rs
@@ -64,14 +64,14 @@
     let (mut runs, mut failed_seeds) = (Vec::new(), Vec::new());
     for seed in seeds {
         let drilled = run_seed(&program, name, scenario, *seed, options)?;
-        print(&format!("seed {seed}: {}", drilled.told()));
+        print(&format!("seed {seed}: {}", drilled.report()));
         print(&format_figures(&drilled));
         if !matches!(drilled.verdict, Verdict::Kept) {
             failed_seeds.push(seed.to_string());
         }
         // A void run shows nothing, so it is not counted.
         if !drilled.verdict.is_void() {
-            runs.push(drilled.tally);
+            runs.push(drilled.summary);
         }
     }
     if let Some(path) = &options.json {
@@ -104,7 +104,7 @@
             Verdict::Void(_) => void += 1,
             Verdict::Broken(_) => print(&format!("{:?}\n", SoakPlan::draw(*seed))),
         }
-        print(&format!("seed {seed}: {}  {}\n", run.told(), SoakSummary::of(&run)));
+        print(&format!("seed {seed}: {}  {}\n", run.report(), SoakSummary::of(&run)));
         if !matches!(run.verdict, Verdict::Kept) {
             failed_seeds.push(seed.to_string());
         }
@@ -125,7 +125,7 @@
     options: &RunOptions,
 ) -> Result<ScenarioRun, FaultInjectionError> {
     let keep = options.output_folder.as_ref().map(|folder| folder.join(format!("seed-{seed}")));
-    let options = Options { keep, ..Options::default() };
+    let options = Options { output_folder: keep, ..Options::default() };
     hillstall_fault_injection::run(program, scenario, seed, options)
         .map_err(|error| FaultInjectionError::Run { scenario: name.to_string(), source: error.into() })
 }
@@ -159,8 +159,8 @@
 
 /// What a run on real processes shows beside the table.
 fn format_figures(drilled: &ScenarioRun) -> String {
-    let observed = &drilled.seen;
-    let [first, second] = [0, 1].map(|tier| drilled.attempts_a_try(tier));
+    let observed = &drilled.observations;
+    let [first, second] = [0, 1].map(|tier| drilled.attempt_ratio(tier));
     let handshakes: u64 = observed.handshakes.iter().sum();
     let mut lateness = observed.start_delays_ms.clone();
     lateness.sort_by(f64::total_cmp);
@@ -170,7 +170,7 @@
          {handshakes} connections to servers, {} calls for lists, cold servers sent {:.2} of what they bear; 1% of calls \
          over {p99:.1} ms late\n",
         drilled.processes,
-        drilled.tally.offered,
+        drilled.summary.offered,
         observed.client_attempts.len(),
         observed.backend_attempts.len(),
         observed.discovery_requests,
--- a/crates/hillstall/tests/coordination/admin_commands.rs
+++ b/crates/hillstall/tests/coordination/admin_commands.rs
@@ -4,7 +4,7 @@
 use crate::scenario::{
     ensure, inject_fault, run_scenario, wait_until_settled, COORDINATOR_LEASE, STEP_TIMEOUT,
 };
-use hillstall_fault_injection::coordination_fleet::from_process;
+use hillstall_fault_injection::coordination_fleet::links_from;
 use hillstall_fault_injection::fleet::Fleet;
 use hillstall_fault_injection::tcp_proxy::Fault;
 use std::time::{Duration, Instant};
@@ -45,8 +45,8 @@
     for (line, wanted) in commands {
         let is_list = wanted.ends_with("EOF\n");
         let answer = match is_list {
-            true => fleet.until(process, line, STEP_TIMEOUT, |text| masked(text) == *wanted).await,
-            false => fleet.line(process, line).await.ok_or_else(|| "no answer".to_owned()),
+            true => fleet.wait_for_answer(process, line, STEP_TIMEOUT, |text| masked(text) == *wanted).await,
+            false => fleet.admin_command(process, line).await.ok_or_else(|| "no answer".to_owned()),
         };
         match answer.map(|text| masked(&text)) {
             Ok(answer) if answer == *wanted => {}
@@ -236,14 +236,14 @@
 fn an_instance_reports_its_status_and_hands_a_lease_over() {
     run_scenario("drill-duties", 3, PEOPLE, |fleet| async move {
         wait_until_settled(&fleet).await?;
-        let (owner, _) = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
+        let (owner, _) = fleet.wait_for_lease_holder(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
         let keeper = (owner + 1) % 3;
         let of_a_keeper =
             format!("copy {keeper} life * site zone-{keeper}\nkeeper * leader * members *\n{FLEET_STATUS}");
         assert_answers(&fleet, keeper, &[("FLEET", &of_a_keeper)]).await?;
         let of_a_follower = format!("copy 4 life * site zone-1\nfollows * connected age *\n{FLEET_STATUS}");
         assert_answers(&fleet, FOLLOWER, &[("FLEET", &of_a_follower)]).await?;
-        let text = fleet.line(owner, "FLEET").await.unwrap_or_default();
+        let text = fleet.admin_command(owner, "FLEET").await.unwrap_or_default();
         let held: Vec<String> = text.lines().filter(|line| line.starts_with("holds ")).map(masked).collect();
         ensure(held.contains(&"holds freeze/coordinator token *\n".to_owned()), || text.clone())?;
         assert_answers(&fleet, owner, &[("FLEET HANDOVER freeze/coordinator", "200 handed over\n")]).await
@@ -254,11 +254,11 @@
 fn a_follower_without_replicas_answers_504() {
     run_scenario("drill-duties", 3, PEOPLE, |fleet| async move {
         wait_until_settled(&fleet).await?;
-        inject_fault(&fleet, Fault::Silent, from_process(FOLLOWER))?;
+        inject_fault(&fleet, Fault::Silent, links_from(FOLLOWER))?;
         let unknown =
             "504 the keepers have not answered; it may still be carried out, and asking again is harmless\n";
         assert_answers(&fleet, FOLLOWER, &[("CHANGE ASK drain site:zone-0 tom", unknown)]).await?;
-        fleet.set(Fault::None, from_process(FOLLOWER));
+        fleet.set_fault(Fault::None, links_from(FOLLOWER));
         Ok(())
     });
 }
@@ -296,7 +296,7 @@
 fn audit_lines_have_this_form() {
     run_scenario("drill-duties", 3, PEOPLE, |fleet| async move {
         wait_until_settled(&fleet).await?;
-        let (owner, _) = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
+        let (owner, _) = fleet.wait_for_lease_holder(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
         // Held leases are polled, so one that was released at once would not be logged.
         wait_for_audit_line(&fleet, owner, "holds").await?;
         assert_answers(&fleet, owner, &[("FLEET HANDOVER freeze/coordinator", "200 handed over\n")]).await?;
--- a/crates/hillstall/tests/coordination/change_freeze.rs
+++ b/crates/hillstall/tests/coordination/change_freeze.rs
@@ -3,7 +3,7 @@
 use crate::scenario::{
     ensure, inject_fault, run_scenario, send_command, wait_until_settled, COORDINATOR_LEASE, STEP_TIMEOUT,
 };
-use hillstall_fault_injection::coordination_fleet::from_process;
+use hillstall_fault_injection::coordination_fleet::links_from;
 use hillstall_fault_injection::fleet::LinkEnds;
 use hillstall_fault_injection::process_supervisor::ProcessSignal;
 use hillstall_fault_injection::tcp_proxy::Fault;
@@ -31,7 +31,7 @@
             send_command(&fleet, process, "CHANGE ASK settings site:zone-2 tom", "409").await?;
         }
         fleet
-            .until(6, "CHANGE", STEP_TIMEOUT, |text| {
+            .wait_for_answer(6, "CHANGE", STEP_TIMEOUT, |text| {
                 text.contains(&format!("{} upgrade site:zone-1 reacts", number(&before)))
             })
             .await?;
@@ -39,7 +39,7 @@
         let remedy = number(&send_command(&fleet, 5, "CHANGE ASK drain site:zone-0 tom", "409").await?);
         send_command(&fleet, 6, &format!("INCIDENT REMEDY {incident} {remedy} ann"), "200").await?;
         fleet
-            .until(5, "CHANGE", STEP_TIMEOUT, |text| {
+            .wait_for_answer(5, "CHANGE", STEP_TIMEOUT, |text| {
                 text.contains(&format!("{remedy} drain site:zone-0 in-flight"))
             })
             .await?;
@@ -59,7 +59,7 @@
         send_command(&fleet, 9, "CHANGE EMERGENCY settings class:browse eve", "400").await?;
         let given = send_command(&fleet, 6, "CHANGE EMERGENCY settings class:browse tom", "200").await?;
         fleet
-            .until(11, "RECORD", STEP_TIMEOUT, |text| {
+            .wait_for_answer(11, "RECORD", STEP_TIMEOUT, |text| {
                 text.contains(&format!("{} emergency seconded by tom", number(&given)))
             })
             .await?;
@@ -74,7 +74,7 @@
         wait_until_settled(&fleet).await?;
         // Replicas 0 and 1 on one side, 2 to 4 on the other; all other instances reach both.
         let between = |ends: LinkEnds| {
-            matches!(ends, LinkEnds::Keeper { process, slot }
+            matches!(ends, LinkEnds::ProxyToVoter { process, slot }
             if process < 5 && (process < 2) != (slot < 2))
         };
         inject_fault(&fleet, Fault::Silent, between)?;
@@ -88,15 +88,15 @@
             Err(_) => send_command(&fleet, 3, "CHANGE ASK drain site:zone-0 mira", "20").await?,
         };
         ensure(!permit.is_empty(), || "no permit where most keepers are".into())?;
-        let before = fleet.passed(between);
+        let before = fleet.transferred(between);
         sleep(Duration::from_millis(300)).await;
-        ensure(fleet.passed(between) == before, || "something passes the cut".into())?;
-        fleet.set(Fault::None, between);
+        ensure(fleet.transferred(between) == before, || "something passes the cut".into())?;
+        fleet.set_fault(Fault::None, between);
         // Both sides converge on one state: one permit for the site, and nothing in flight beside it.
         let same =
             |text: &str| text.lines().filter(|l| l.contains("drain site:zone-0 in-flight")).count() == 1;
         for process in 0..5 {
-            fleet.until(process, "CHANGE", STEP_TIMEOUT, same).await?;
+            fleet.wait_for_answer(process, "CHANGE", STEP_TIMEOUT, same).await?;
         }
         Ok(())
     });
@@ -106,24 +106,27 @@
 fn a_lost_site_becomes_an_incident_and_blocks_changes_though_its_coordinator_dies() {
     run_scenario("drill-duties", 3, PEOPLE, |fleet| async move {
         wait_until_settled(&fleet).await?;
-        let (first, _) = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
+        let (first, _) = fleet.wait_for_lease_holder(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
         send_command(&fleet, 4, "CHANGE ASK upgrade site:zone-1 tom", "200").await?;
         // All servers of one zone fall silent for all proxies.
         let servers: Vec<usize> = fleet.servers_of_zone(1);
-        let lost =
-            |ends: LinkEnds| matches!(ends, LinkEnds::Server { server, .. } if servers.contains(&server));
-        fleet.set(Fault::Reset, lost);
+        let lost = |ends: LinkEnds| matches!(ends, LinkEnds::ProxyToBackend { server, .. } if servers.contains(&server));
+        fleet.set_fault(Fault::Reset, lost);
         let is_open = |text: &str| text.lines().any(|l| l.contains("site:zone-1 active by=rule/"));
-        fleet.until(9, "INCIDENT", STEP_TIMEOUT, is_open).await?;
-        fleet.until(9, "CHANGE", STEP_TIMEOUT, |text| text.contains("upgrade site:zone-1 reacts")).await?;
+        fleet.wait_for_answer(9, "INCIDENT", STEP_TIMEOUT, is_open).await?;
+        fleet
+            .wait_for_answer(9, "CHANGE", STEP_TIMEOUT, |text| text.contains("upgrade site:zone-1 reacts"))
+            .await?;
         // The coordinator that opened it dies; the incident stays.
         fleet.signal(first, ProcessSignal::Kill)?;
-        fleet.new_owner(COORDINATOR_LEASE, &[first], STEP_TIMEOUT).await?;
-        fleet.until(9, "INCIDENT", STEP_TIMEOUT, is_open).await?;
-        let answer =
-            fleet.line((first + 1) % 3, "CHANGE ASK drain site:zone-1 mira").await.unwrap_or_default();
+        fleet.wait_for_lease_holder(COORDINATOR_LEASE, &[first], STEP_TIMEOUT).await?;
+        fleet.wait_for_answer(9, "INCIDENT", STEP_TIMEOUT, is_open).await?;
+        let answer = fleet
+            .admin_command((first + 1) % 3, "CHANGE ASK drain site:zone-1 mira")
+            .await
+            .unwrap_or_default();
         ensure(answer.starts_with("409") || answer.starts_with("202"), || answer.clone())?;
-        fleet.set(Fault::None, lost);
+        fleet.set_fault(Fault::None, lost);
         Ok(fleet.start_process(first).await?)
     });
 }
@@ -134,7 +137,7 @@
         wait_until_settled(&fleet).await?;
         for _ in 0..40 {
             sleep(Duration::from_millis(200)).await;
-            let text = fleet.line(4, "INCIDENT").await.unwrap_or_default();
+            let text = fleet.admin_command(4, "INCIDENT").await.unwrap_or_default();
             ensure(text == "EOF\n", || text.clone())?;
         }
         Ok(())
@@ -145,22 +148,26 @@
 fn two_coordinators_that_both_believe_to_hold_the_lease_leave_one_history() {
     run_scenario("drill-duties", 3, PEOPLE, |fleet| async move {
         wait_until_settled(&fleet).await?;
-        let (first, token) = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
+        let (first, token) = fleet.wait_for_lease_holder(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
         // It is suspended while it holds the lease; another takes over, and it is resumed.
         fleet.signal(first, ProcessSignal::Stop)?;
-        let (second, newer) = fleet.new_owner(COORDINATOR_LEASE, &[first], STEP_TIMEOUT).await?;
+        let (second, newer) = fleet.wait_for_lease_holder(COORDINATOR_LEASE, &[first], STEP_TIMEOUT).await?;
         ensure(newer > token, || format!("{newer} after {token}"))?;
         send_command(&fleet, second, "INCIDENT OPEN major site:zone-2 ann", "200").await?;
-        inject_fault(&fleet, Fault::LoseBack, from_process(first))?;
+        inject_fault(&fleet, Fault::LoseFromTarget, links_from(first))?;
         fleet.signal(first, ProcessSignal::Go)?;
-        let answer =
-            fleet.line((first + 1) % 3, "CHANGE ASK drain site:zone-2 mira").await.unwrap_or_default();
+        let answer = fleet
+            .admin_command((first + 1) % 3, "CHANGE ASK drain site:zone-2 mira")
+            .await
+            .unwrap_or_default();
         ensure(answer.starts_with("409"), || answer.clone())?;
-        fleet.set(Fault::None, from_process(first));
+        fleet.set_fault(Fault::None, links_from(first));
         fleet
-            .until(first, "INCIDENT", STEP_TIMEOUT, |text| text.contains("major site:zone-2 active by=ann"))
+            .wait_for_answer(first, "INCIDENT", STEP_TIMEOUT, |text| {
+                text.contains("major site:zone-2 active by=ann")
+            })
             .await?;
-        let now = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
+        let now = fleet.wait_for_lease_holder(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
         ensure(now.1 >= newer, || format!("{now:?} after {newer}"))
     });
 }
--- a/crates/hillstall/tests/coordination/figures.rs
+++ b/crates/hillstall/tests/coordination/figures.rs
@@ -6,7 +6,7 @@
     elapsed_ms, inject_fault, run_scenario, wait_until_settled, COORDINATOR_LEASE, STEP_TIMEOUT,
 };
 use crate::windows::{plan_window, SECTION, WINDOW_TIMEOUT};
-use hillstall_fault_injection::coordination_fleet::from_process;
+use hillstall_fault_injection::coordination_fleet::links_from;
 use hillstall_fault_injection::process_supervisor::ProcessSignal;
 use hillstall_fault_injection::tcp_proxy::Fault;
 use std::cell::RefCell;
@@ -34,19 +34,20 @@
             while fleet.history.now() < 18_000.0 {
                 for fault in ["kill", "stop", "cut"] {
                     wait_until_settled(&fleet).await?;
-                    let (first, _) = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
+                    let (first, _) =
+                        fleet.wait_for_lease_holder(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
                     let at = Instant::now();
                     match fault {
                         "kill" => fleet.signal(first, ProcessSignal::Kill)?,
                         "stop" => fleet.signal(first, ProcessSignal::Stop)?,
-                        _ => inject_fault(&fleet, Fault::LoseForth, from_process(first))?,
+                        _ => inject_fault(&fleet, Fault::LoseFromClient, links_from(first))?,
                     }
-                    fleet.new_owner(COORDINATOR_LEASE, &[first], STEP_TIMEOUT).await?;
+                    fleet.wait_for_lease_holder(COORDINATOR_LEASE, &[first], STEP_TIMEOUT).await?;
                     takeovers.borrow_mut().push((fault, elapsed_ms(at)));
                     match fault {
                         "kill" => fleet.start_process(first).await?,
                         "stop" => fleet.signal(first, ProcessSignal::Go)?,
-                        _ => fleet.set(Fault::None, from_process(first)),
+                        _ => fleet.set_fault(Fault::None, links_from(first)),
                     }
                 }
             }
@@ -80,9 +81,13 @@
             wait_until_settled(&fleet).await?;
             if planned {
                 plan_window(&fleet, "zone-1", 9, 4).await?;
-                fleet.until(5, "WINDOW", WINDOW_TIMEOUT, |text| text.contains("zone-1 returning")).await?;
+                fleet
+                    .wait_for_answer(5, "WINDOW", WINDOW_TIMEOUT, |text| text.contains("zone-1 returning"))
+                    .await?;
                 let at = Instant::now();
-                fleet.until(5, "WINDOW", WINDOW_TIMEOUT, |text| text.contains("zone-1 done")).await?;
+                fleet
+                    .wait_for_answer(5, "WINDOW", WINDOW_TIMEOUT, |text| text.contains("zone-1 done"))
+                    .await?;
                 seen.replace(elapsed_ms(at));
             }
             Ok(())
--- a/crates/hillstall/tests/coordination/lease_holders.rs
+++ b/crates/hillstall/tests/coordination/lease_holders.rs
@@ -4,7 +4,7 @@
     elapsed_ms, ensure, inject_fault, kill_and_wait, run_scenario, send_command, wait_until_settled,
     ScriptResult, COORDINATOR_LEASE, STEP_TIMEOUT,
 };
-use hillstall_fault_injection::coordination_fleet::{from_process, to_keeper};
+use hillstall_fault_injection::coordination_fleet::{links_from, links_to_voter};
 use hillstall_fault_injection::fleet::{Fleet, LinkEnds};
 use hillstall_fault_injection::process_supervisor::ProcessSignal;
 use hillstall_fault_injection::tcp_proxy::Fault;
@@ -19,12 +19,12 @@
 /// Waits until an instance knows that incident.
 async fn wait_for_incident(fleet: &Fleet, process: usize) -> ScriptResult {
     let known = |text: &str| text.contains("minor tenant:acme active");
-    fleet.until(process, "INCIDENT", STEP_TIMEOUT, known).await.map(|_| ())
+    fleet.wait_for_answer(process, "INCIDENT", STEP_TIMEOUT, known).await.map(|_| ())
 }
 
 async fn wait_for_takeover(fleet: &Fleet, previous: (usize, u64)) -> Result<(usize, u64), String> {
     let at = Instant::now();
-    let now = fleet.new_owner(COORDINATOR_LEASE, &[previous.0], STEP_TIMEOUT).await?;
+    let now = fleet.wait_for_lease_holder(COORDINATOR_LEASE, &[previous.0], STEP_TIMEOUT).await?;
     println!("taken over from {previous:?} by {now:?} after {} ms", elapsed_ms(at));
     ensure(now.1 > previous.1, || format!("the token went from {} to {}", previous.1, now.1))?;
     ensure(elapsed_ms(at) < 3_000, || format!("it took {} ms", elapsed_ms(at)))?;
@@ -33,7 +33,7 @@
 
 async fn settled_holder(fleet: &Fleet) -> Result<(usize, u64), String> {
     wait_until_settled(fleet).await?;
-    fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await
+    fleet.wait_for_lease_holder(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await
 }
 
 #[test]
@@ -44,9 +44,9 @@
         let second = wait_for_takeover(&fleet, first).await?;
         fleet.start_process(first.0).await?;
         // It is back and well, and the lease does not move again.
-        fleet.until(first.0, "FLEET", STEP_TIMEOUT, |text| text.contains("gates open")).await?;
+        fleet.wait_for_answer(first.0, "FLEET", STEP_TIMEOUT, |text| text.contains("gates open")).await?;
         sleep(Duration::from_secs(1)).await;
-        let still = fleet.owner(COORDINATOR_LEASE).await;
+        let still = fleet.lease_holder(COORDINATOR_LEASE).await;
         ensure(still == Some(second), || format!("it moved from {second:?} to {still:?}"))
     });
 }
@@ -60,10 +60,12 @@
         sleep(Duration::from_secs(2)).await;
         fleet.signal(first.0, ProcessSignal::Go)?;
         let text = fleet
-            .until(first.0, "FLEET", STEP_TIMEOUT, |text| text.contains(&format!("token {}", second.1)))
+            .wait_for_answer(first.0, "FLEET", STEP_TIMEOUT, |text| {
+                text.contains(&format!("token {}", second.1))
+            })
             .await?;
         ensure(!text.contains("holds freeze/coordinator"), || text.clone())?;
-        let now = fleet.owner(COORDINATOR_LEASE).await;
+        let now = fleet.lease_holder(COORDINATOR_LEASE).await;
         ensure(now == Some(second), || format!("{second:?} is followed by {now:?}"))
     });
 }
@@ -73,17 +75,19 @@
     run_scenario("drill-duties", 3, "", |fleet| async move {
         let first = settled_holder(&fleet).await?;
         // What it sends is lost; what others send it arrives.
-        inject_fault(&fleet, Fault::LoseForth, from_process(first.0))?;
+        inject_fault(&fleet, Fault::LoseFromClient, links_from(first.0))?;
         let second = wait_for_takeover(&fleet, first).await?;
-        let before = fleet.passed(from_process(first.0)).forth;
+        let before = fleet.transferred(links_from(first.0)).to_target;
         sleep(Duration::from_millis(500)).await;
-        let after = fleet.passed(from_process(first.0)).forth;
+        let after = fleet.transferred(links_from(first.0)).to_target;
         ensure(before == after, || "its words still pass".into())?;
-        fleet.set(Fault::None, from_process(first.0));
+        fleet.set_fault(Fault::None, links_from(first.0));
         fleet
-            .until(first.0, "FLEET", STEP_TIMEOUT, |text| text.contains(&format!("token {}", second.1)))
+            .wait_for_answer(first.0, "FLEET", STEP_TIMEOUT, |text| {
+                text.contains(&format!("token {}", second.1))
+            })
             .await?;
-        ensure(fleet.owner(COORDINATOR_LEASE).await == Some(second), || {
+        ensure(fleet.lease_holder(COORDINATOR_LEASE).await == Some(second), || {
             "it moved when the link was whole again".into()
         })
     });
@@ -93,14 +97,16 @@
 fn a_holder_that_receives_nothing_gives_up_by_itself() {
     run_scenario("drill-duties", 3, "", |fleet| async move {
         let first = settled_holder(&fleet).await?;
-        let to_holder = to_keeper(first.0);
-        inject_fault(&fleet, Fault::LoseForth, to_holder)?;
+        let to_holder = links_to_voter(first.0);
+        inject_fault(&fleet, Fault::LoseFromClient, to_holder)?;
         let second = wait_for_takeover(&fleet, first).await?;
-        let text = fleet.line(first.0, "FLEET").await.unwrap_or_default();
+        let text = fleet.admin_command(first.0, "FLEET").await.unwrap_or_default();
         ensure(!text.contains("holds "), || format!("it believes still that it holds: {text}"))?;
-        fleet.set(Fault::None, to_holder);
+        fleet.set_fault(Fault::None, to_holder);
         fleet
-            .until(first.0, "FLEET", STEP_TIMEOUT, |text| text.contains(&format!("token {}", second.1)))
+            .wait_for_answer(first.0, "FLEET", STEP_TIMEOUT, |text| {
+                text.contains(&format!("token {}", second.1))
+            })
             .await
             .map(|_| ())
     });
@@ -111,15 +117,15 @@
     let run = run_scenario("drill-duties", 3, "", |fleet| async move {
         let first = settled_holder(&fleet).await?;
         fleet.signal(first.0, ProcessSignal::Term)?;
-        let second = fleet.new_owner(COORDINATOR_LEASE, &[first.0], STEP_TIMEOUT).await?;
+        let second = fleet.wait_for_lease_holder(COORDINATOR_LEASE, &[first.0], STEP_TIMEOUT).await?;
         ensure(second.1 > first.1, || "the token did not rise".into())?;
         // Logs are written beside the loop, a little later.
         let end = Instant::now() + STEP_TIMEOUT;
         let is_logged = |what: &str, token: u64| {
             fleet
-                .acts()
+                .audit_lines()
                 .iter()
-                .any(|act| act.what == what && act.token == token && act.duty == COORDINATOR_LEASE)
+                .any(|act| act.action == what && act.token == token && act.lease == COORDINATOR_LEASE)
         };
         while !is_logged("holds", second.1) || !is_logged("lost", first.1) {
             ensure(Instant::now() < end, || "the owners have not written down what they are".into())?;
@@ -127,15 +133,15 @@
         }
         // The signal is recorded; no rule holds it up.
         fleet
-            .until(second.0, "RECORD", STEP_TIMEOUT, |text| {
+            .wait_for_answer(second.0, "RECORD", STEP_TIMEOUT, |text| {
                 text.contains("without a permit: SIGTERM at copy")
             })
             .await?;
         Ok(())
     });
     let of = |what: &str| {
-        let found = run.acts.iter().rfind(|act| act.duty == COORDINATOR_LEASE && act.what == what);
-        found.map(|act| act.at).expect("it is written down")
+        let found = run.acts.iter().rfind(|act| act.lease == COORDINATOR_LEASE && act.action == what);
+        found.map(|act| act.unix_ms).expect("it is written down")
     };
     let gap = of("holds") as i64 - of("lost") as i64;
     println!("handed over within {gap} ms");
@@ -150,12 +156,12 @@
         for replica in 0..3 {
             fleet.signal(replica, ProcessSignal::Kill)?;
         }
-        let answer = fleet.line(5, "CHANGE ASK drain tenant:acme tom").await.unwrap_or_default();
+        let answer = fleet.admin_command(5, "CHANGE ASK drain tenant:acme tom").await.unwrap_or_default();
         ensure(answer.starts_with("504"), || format!("a permit without keepers: {answer}"))?;
         for replica in 0..3 {
             fleet.start_process(replica).await?;
         }
-        let second = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
+        let second = fleet.wait_for_lease_holder(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
         ensure(second.1 > first.1, || "tokens fell over the loss of all keepers".into())?;
         wait_for_incident(&fleet, 5).await
     });
@@ -166,15 +172,15 @@
     run_scenario("drill-duties", 3, "", |fleet| async move {
         let first = settled_holder(&fleet).await?;
         let lost = (first.0 + 1) % 3;
-        let old = fleet.line(lost, "FLEET").await.unwrap_or_default();
+        let old = fleet.admin_command(lost, "FLEET").await.unwrap_or_default();
         let id = |text: &str| {
             let line = text.lines().find_map(|line| line.strip_prefix("keeper "));
             line.and_then(|line| line.split(' ').next()).unwrap_or("?").to_owned()
         };
         kill_and_wait(&fleet, lost).await?;
-        fleet.take_disk(lost)?;
+        fleet.remove_disk_file(lost)?;
         fleet.start_process(lost).await?;
-        let new = fleet.until(lost, "FLEET", STEP_TIMEOUT, |text| {
+        let new = fleet.wait_for_answer(lost, "FLEET", STEP_TIMEOUT, |text| {
             let own = id(text);
             own != "?"
                 && text.lines().any(|l| {
@@ -183,7 +189,8 @@
         });
         let new = new.await?;
         ensure(id(&new) != id(&old), || format!("it has its old name {}", id(&old)))?;
-        let members = fleet.until(first.0, "FLEET", STEP_TIMEOUT, |text| !text.contains(&id(&old))).await?;
+        let members =
+            fleet.wait_for_answer(first.0, "FLEET", STEP_TIMEOUT, |text| !text.contains(&id(&old))).await?;
         ensure(members.contains(&id(&new)), || members.clone())
     });
 }
@@ -195,18 +202,18 @@
         open_incident(&fleet).await?;
         let mut token = 0;
         for replica in 0..3 {
-            let now = fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
+            let now = fleet.wait_for_lease_holder(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
             ensure(now.1 >= token, || format!("tokens fell from {token} to {}", now.1))?;
             token = now.1;
             kill_and_wait(&fleet, replica).await?;
-            fleet.take_disk(replica)?;
+            fleet.remove_disk_file(replica)?;
             fleet.start_process(replica).await?;
             let voter = |text: &str| {
                 let line = text.lines().find_map(|line| line.strip_prefix("keeper ")).unwrap_or("");
                 let own = line.split(' ').next().unwrap_or("?");
                 line.split("members ").nth(1).is_some_and(|m| m.contains(own)) && !line.contains("changing")
             };
-            fleet.until(replica, "FLEET", STEP_TIMEOUT, voter).await?;
+            fleet.wait_for_answer(replica, "FLEET", STEP_TIMEOUT, voter).await?;
         }
         wait_for_incident(&fleet, 6).await
     });
@@ -218,12 +225,12 @@
         let first = settled_holder(&fleet).await?;
         let back = (first.0 + 1) % 3;
         kill_and_wait(&fleet, back).await?;
-        let old = fleet.read_disk(back)?;
+        let old = fleet.read_disk_file(back)?;
         fleet.start_process(back).await?;
         wait_until_settled(&fleet).await?;
         open_incident(&fleet).await?;
         kill_and_wait(&fleet, back).await?;
-        fleet.put_disk(back, &old)?;
+        fleet.write_disk_file(back, &old)?;
         fleet.start_process(back).await?;
         let log = fleet.processes[back].log();
         let end = Instant::now() + STEP_TIMEOUT;
@@ -245,17 +252,16 @@
         let follows = |text: &str| {
             text.lines().find_map(|l| l.strip_prefix("follows ")?.split(' ').next()?.parse().ok())
         };
-        let text = fleet.line(6, "FLEET").await.unwrap_or_default();
+        let text = fleet.admin_command(6, "FLEET").await.unwrap_or_default();
         let replica: usize = follows(&text).ok_or("it follows nobody")?;
-        let link =
-            move |ends: LinkEnds| matches!(ends, LinkEnds::Keeper { process: 6, slot } if slot == replica);
+        let link = move |ends: LinkEnds| matches!(ends, LinkEnds::ProxyToVoter { process: 6, slot } if slot == replica);
         inject_fault(&fleet, Fault::Silent, link)?;
         let other =
             |text: &str| follows(text).is_some_and(|now| now != replica) && text.contains("connected");
-        fleet.until(6, "FLEET", STEP_TIMEOUT, other).await?;
+        fleet.wait_for_answer(6, "FLEET", STEP_TIMEOUT, other).await?;
         open_incident(&fleet).await?;
-        fleet.until(6, "INCIDENT", STEP_TIMEOUT, |text| text.contains("tenant:acme")).await?;
-        fleet.set(Fault::None, link);
+        fleet.wait_for_answer(6, "INCIDENT", STEP_TIMEOUT, |text| text.contains("tenant:acme")).await?;
+        fleet.set_fault(Fault::None, link);
         Ok(())
     });
 }
--- a/crates/hillstall/tests/coordination/scenario.rs
+++ b/crates/hillstall/tests/coordination/scenario.rs
@@ -1,7 +1,7 @@
 //! Runs a fault-injection scenario with a script, and checks its audit lines.
 
 use crate::harness::{drill_with, Played};
-use hillstall_fault_injection::coordination_fleet::{judge, AuditLine, CoordinationOptions};
+use hillstall_fault_injection::coordination_fleet::{check_audit_lines, AuditLine, CoordinationOptions};
 use hillstall_fault_injection::fleet::{Fleet, LinkEnds};
 use hillstall_fault_injection::process_supervisor::ProcessSignal;
 use hillstall_fault_injection::run::Script;
@@ -49,7 +49,7 @@
     for attempt in 1..=MAX_ATTEMPTS {
         match run_once(name, replicas, section, script.clone()) {
             Ok(run) => {
-                let violations = judge(&run.acts);
+                let violations = check_audit_lines(&run.acts);
                 assert!(violations.is_empty(), "{}", violations.join("\n"));
                 run.played.keeps_the_rules();
                 return run;
@@ -80,11 +80,11 @@
         let whole_script: Script = Box::new(move |fleet| {
             Box::pin(async move {
                 let result = script(fleet.clone()).await.map_err(|error| with_log_lines(&fleet, error));
-                outcome.replace((Some(result), fleet.acts()));
+                outcome.replace((Some(result), fleet.audit_lines()));
             })
         });
-        let talk = Some(CoordinationOptions { keepers: replicas, section: section.to_owned() });
-        Options { script: Some(whole_script), talk, ..Options::default() }
+        let talk = Some(CoordinationOptions { voters: replicas, fleet_section: section.to_owned() });
+        Options { script: Some(whole_script), coordination: talk, ..Options::default() }
     });
     let (result, acts) = outcome.take();
     match result {
@@ -124,7 +124,7 @@
     line: &str,
     expected_start: &str,
 ) -> Result<String, String> {
-    let answer = fleet.line(process, line).await.unwrap_or_default();
+    let answer = fleet.admin_command(process, line).await.unwrap_or_default();
     ensure(answer.starts_with(expected_start), || {
         format!("{line}: {answer:?} where {expected_start:?} was wanted")
     })?;
@@ -134,7 +134,7 @@
 /// Kills an instance, and waits until it has ended.
 pub async fn kill_and_wait(fleet: &Fleet, process: usize) -> ScriptResult {
     fleet.signal(process, ProcessSignal::Kill)?;
-    while fleet.processes[process].runs.get() {
+    while fleet.processes[process].is_running.get() {
         sleep(Duration::from_millis(10)).await;
     }
     Ok(())
@@ -142,17 +142,17 @@
 
 /// Injects a fault into some links, which have to have carried something before.
 pub fn inject_fault(fleet: &Fleet, fault: Fault, links: impl Fn(LinkEnds) -> bool + Copy) -> ScriptResult {
-    let passed = fleet.passed(links);
-    fleet.set(fault, links);
-    ensure(passed.forth > 0, || "nothing passed over the links that were to be cut".into())
+    let passed = fleet.transferred(links);
+    fleet.set_fault(fault, links);
+    ensure(passed.to_target > 0, || "nothing passed over the links that were to be cut".into())
 }
 
 /// Waits until all instances know the state and accept commands, and the coordinator's lease is held.
 pub async fn wait_until_settled(fleet: &Fleet) -> ScriptResult {
     for process in 0..fleet.processes.len() {
-        fleet.until(process, "FLEET", STEP_TIMEOUT, |text| text.contains("gates open")).await?;
+        fleet.wait_for_answer(process, "FLEET", STEP_TIMEOUT, |text| text.contains("gates open")).await?;
     }
-    fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await.map(|_| ())
+    fleet.wait_for_lease_holder(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await.map(|_| ())
 }
 
 /// Milliseconds since a moment.
--- a/crates/hillstall/tests/coordination/windows.rs
+++ b/crates/hillstall/tests/coordination/windows.rs
@@ -36,7 +36,9 @@
 /// Waits until a site's window is in a stage. If it could not begin in time, the error says that the machine was busy.
 async fn wait_for_stage(fleet: &Fleet, wanted: &str) -> Result<String, String> {
     let late = |text: &str| text.contains("could not begin in time");
-    let text = fleet.until(5, "WINDOW", WINDOW_TIMEOUT, |text| late(text) || text.contains(wanted)).await?;
+    let text = fleet
+        .wait_for_answer(5, "WINDOW", WINDOW_TIMEOUT, |text| late(text) || text.contains(wanted))
+        .await?;
     ensure(!late(&text), || format!("{BUSY_PREFIX}{text}"))?;
     Ok(text)
 }
@@ -53,13 +55,13 @@
         "WINDOW PLAN {site} begin={} length={length_s}s lead={in_s}s latest=8s reserve=10",
         timestamp_in(in_s)
     );
-    let text = fleet.line(4, &line).await.unwrap_or_default();
+    let text = fleet.admin_command(4, &line).await.unwrap_or_default();
     ensure(text.starts_with("200"), || format!("{line}: {text}"))
 }
 
 /// Attempts that reached some servers, from one time to another (ms since requests began).
 fn attempts_at(run: &ScenarioRun, servers: &[usize], from: f64, to: f64) -> usize {
-    let hops = run.played.0.seen.backend_attempts.iter();
+    let hops = run.played.0.observations.backend_attempts.iter();
     hops.filter(|h| servers.contains(&h.server) && h.at >= from && h.at < to).count()
 }
 
@@ -113,9 +115,9 @@
         wait_until_settled(&fleet).await?;
         plan_window(&fleet, "zone-1", 9, 3).await?;
         wait_for_stage(&fleet, "zone-1 shifting").await?;
-        let (first, token) = fleet.new_owner(SHIFT_LEASE, &[], STEP_TIMEOUT).await?;
+        let (first, token) = fleet.wait_for_lease_holder(SHIFT_LEASE, &[], STEP_TIMEOUT).await?;
         fleet.signal(first, ProcessSignal::Kill)?;
-        let (_, newer) = fleet.new_owner(SHIFT_LEASE, &[first], STEP_TIMEOUT).await?;
+        let (_, newer) = fleet.wait_for_lease_holder(SHIFT_LEASE, &[first], STEP_TIMEOUT).await?;
         ensure(newer > token, || format!("{newer} after {token}"))?;
         wait_for_stage(&fleet, "zone-1 running").await?;
         wait_for_stage(&fleet, "zone-1 done").await?;
@@ -129,9 +131,9 @@
         wait_until_settled(&fleet).await?;
         plan_window(&fleet, "zone-1", 9, 3).await?;
         wait_for_stage(&fleet, "zone-1 shifting").await?;
-        let (first, _) = fleet.new_owner(SHIFT_LEASE, &[], STEP_TIMEOUT).await?;
+        let (first, _) = fleet.wait_for_lease_holder(SHIFT_LEASE, &[], STEP_TIMEOUT).await?;
         fleet.signal(first, ProcessSignal::Stop)?;
-        fleet.new_owner(SHIFT_LEASE, &[first], STEP_TIMEOUT).await?;
+        fleet.wait_for_lease_holder(SHIFT_LEASE, &[first], STEP_TIMEOUT).await?;
         wait_for_stage(&fleet, "zone-1 running").await?;
         // Commands that it had queued go out now.
         fleet.signal(first, ProcessSignal::Go)?;
@@ -140,7 +142,7 @@
     let tokens: std::collections::BTreeSet<u64> = run
         .acts
         .iter()
-        .filter(|a| a.duty == SHIFT_LEASE && a.what == "carried out")
+        .filter(|a| a.lease == SHIFT_LEASE && a.action == "carried out")
         .map(|a| a.token)
         .collect();
     assert!(tokens.len() >= 2, "two owners gave orders: {tokens:?}");
@@ -153,15 +155,14 @@
         plan_window(&fleet, "zone-1", 12, 6).await?;
         let half =
             |text: &str| text.lines().any(|l| l.contains("zone-1 shifting") && !l.contains("part=100%"));
-        fleet.until(5, "WINDOW", WINDOW_TIMEOUT, half).await?;
+        fleet.wait_for_answer(5, "WINDOW", WINDOW_TIMEOUT, half).await?;
         let servers = fleet.servers_of_zone(2);
-        let lost =
-            |ends: LinkEnds| matches!(ends, LinkEnds::Server { server, .. } if servers.contains(&server));
-        fleet.set(Fault::Reset, lost);
+        let lost = |ends: LinkEnds| matches!(ends, LinkEnds::ProxyToBackend { server, .. } if servers.contains(&server));
+        fleet.set_fault(Fault::Reset, lost);
         let back =
             |text: &str| text.lines().any(|l| l.contains("zone-1 returning") || l.contains("zone-1 done"));
-        fleet.until(5, "WINDOW", WINDOW_TIMEOUT, back).await?;
-        fleet.set(Fault::None, lost);
+        fleet.wait_for_answer(5, "WINDOW", WINDOW_TIMEOUT, back).await?;
+        fleet.set_fault(Fault::None, lost);
         let text = wait_for_stage(&fleet, "zone-1 done").await?;
         ensure(text.contains("why=incident"), || text.clone())
     });
@@ -174,11 +175,12 @@
         plan_window(&fleet, "zone-1", 8, 3).await?;
         plan_window(&fleet, "zone-2", 8, 3).await?;
         fleet
-            .until(5, "WINDOW", WINDOW_TIMEOUT, |text| {
+            .wait_for_answer(5, "WINDOW", WINDOW_TIMEOUT, |text| {
                 text.contains("zone-1 shifting") || text.contains("zone-2 shifting")
             })
             .await?;
-        let text = fleet.line(3, "INCIDENT OPEN major fleet ann a bad feeling").await.unwrap_or_default();
+        let text =
+            fleet.admin_command(3, "INCIDENT OPEN major fleet ann a bad feeling").await.unwrap_or_default();
         ensure(text.starts_with("200"), || text.clone())?;
         // The site that is shifting comes back, and neither window begins.
         let over = |text: &str| {
@@ -187,7 +189,7 @@
                     .any(|l| l.contains(&format!("{site} done")) || l.contains(&format!("{site} postponed")))
             })
         };
-        let text = fleet.until(5, "WINDOW", WINDOW_TIMEOUT, over).await?;
+        let text = fleet.wait_for_answer(5, "WINDOW", WINDOW_TIMEOUT, over).await?;
         ensure(text.contains("why="), || text.clone())
     });
 }
@@ -198,14 +200,14 @@
         wait_until_settled(&fleet).await?;
         plan_window(&fleet, "zone-1", 7, 60).await?;
         wait_for_stage(&fleet, "zone-1 running").await?;
-        fleet.until(8, "FLEET", STEP_TIMEOUT, |text| text.contains("part zone-1 0.000")).await?;
+        fleet.wait_for_answer(8, "FLEET", STEP_TIMEOUT, |text| text.contains("part zone-1 0.000")).await?;
         for replica in 0..3 {
             fleet.signal(replica, ProcessSignal::Kill)?;
         }
         // The command is valid for its time, and then expires at the configured pace.
         let on_the_way = |text: &str| text.contains("part zone-1 0.") && !text.contains("part zone-1 0.000");
-        fleet.until(8, "FLEET", WINDOW_TIMEOUT, on_the_way).await?;
-        fleet.until(8, "FLEET", WINDOW_TIMEOUT, |text| text.contains("part zone-1 1.000")).await?;
+        fleet.wait_for_answer(8, "FLEET", WINDOW_TIMEOUT, on_the_way).await?;
+        fleet.wait_for_answer(8, "FLEET", WINDOW_TIMEOUT, |text| text.contains("part zone-1 1.000")).await?;
         for replica in 0..3 {
             fleet.start_process(replica).await?;
         }
--- a/crates/hillstall/tests/fault_injection/harness.rs
+++ b/crates/hillstall/tests/fault_injection/harness.rs
@@ -62,12 +62,12 @@
 impl Played {
     /// Fails with the whole way of the first requests, if a rule was broken.
     pub fn keeps_the_rules(&self) {
-        assert!(matches!(self.0.verdict, Verdict::Kept), "{}", self.0.told());
+        assert!(matches!(self.0.verdict, Verdict::Kept), "{}", self.0.report());
     }
 
     /// Fails if the referee did not see a rule broken that was broken on purpose.
     pub fn breaks(&self, rule: Rule) {
-        assert!(self.0.verdict.breaks(rule), "{} is not seen broken: {}", rule.name(), self.0.told());
+        assert!(self.0.verdict.breaks(rule), "{} is not seen broken: {}", rule.name(), self.0.report());
     }
 }
 
@@ -109,7 +109,7 @@
 /// The same with a lie to the proxies.
 pub fn lied(name: &str, seed: u64, lie: impl Fn(&mut Settings) + 'static) -> Played {
     let lie: SettingsFault = Rc::new(lie);
-    drill_with(name, seed, || Options { lie: Some(lie.clone()), ..Options::default() })
+    drill_with(name, seed, || Options { settings_fault: Some(lie.clone()), ..Options::default() })
 }
 
 /// As it is.
@@ -137,7 +137,7 @@
     looks.borrow_mut().clear();
     for at in times {
         wait(&fleet.history, at).await;
-        looks.borrow_mut().push(fleet.passed(which));
+        looks.borrow_mut().push(fleet.transferred(which));
     }
 }
 
@@ -148,5 +148,5 @@
 
 /// Service in points of 100.
 pub fn service(played: &Played) -> f64 {
-    100.0 * played.0.tally.service
+    100.0 * played.0.summary.service
 }
--- a/crates/hillstall/tests/fault_injection/main.rs
+++ b/crates/hillstall/tests/fault_injection/main.rs
@@ -39,13 +39,13 @@
     let seen = looks.clone();
     let kept = scripted("drill-one-way", 1, move |fleet| {
         look(fleet, seen.clone(), [2.9, 3.1, 4.9], |ends| {
-            matches!(ends, LinkEnds::Server { process: 0 | 1, .. })
+            matches!(ends, LinkEnds::ProxyToBackend { process: 0 | 1, .. })
         })
     });
     kept.keeps_the_rules();
     let looks = looks.borrow();
-    assert!(looks[2].forth > looks[1].forth, "calls still reach the boxes: {looks:?}");
-    assert_eq!(looks[2].back, looks[1].back, "answers don't come back");
+    assert!(looks[2].to_target > looks[1].to_target, "calls still reach the boxes: {looks:?}");
+    assert_eq!(looks[2].to_client, looks[1].to_client, "answers don't come back");
     let broken = lied("drill-one-way", 1, once_told_as(RetrySafety::IdempotencyKey));
     broken.breaks(Rule::BarredRepeat);
 }
@@ -54,10 +54,10 @@
 fn boxes_that_come_back_cold_are_not_pushed_over_by_the_sum_of_all_fronts() {
     let kept = drill("drill-cold", 1);
     kept.keeps_the_rules();
-    assert_eq!(kept.0.seen.backend_starts.len(), 3, "three boxes came back cold");
+    assert_eq!(kept.0.observations.backend_starts.len(), 3, "three boxes came back cold");
     let calls = |from: f64| {
-        let cold = |server: usize| kept.0.seen.backend_starts.iter().any(|s| s.server == server);
-        kept.0.seen.backend_attempts.iter().filter(|h| cold(h.server) && h.at > from).count()
+        let cold = |server: usize| kept.0.observations.backend_starts.iter().any(|s| s.server == server);
+        kept.0.observations.backend_attempts.iter().filter(|h| cold(h.server) && h.at > from).count()
     };
     assert!(calls(4_500.0) > 20, "they are called again");
     // A list that says that each of them should get thirty times the calls of the others.
@@ -67,11 +67,11 @@
         without_gates(told);
     });
     let broken = drill_with("drill-cold", 1, || Options {
-        lie: Some(lie.clone()),
-        script: Some(Box::new(|fleet| Box::pin(async move { fleet.weight_again.set(30.0) }))),
+        settings_fault: Some(lie.clone()),
+        script: Some(Box::new(|fleet| Box::pin(async move { fleet.restarted_weight.set(30.0) }))),
         ..Options::default()
     });
-    let sent = |p: &harness::Played| invariant_checker::overshoot(&p.0.truth, &p.0.seen);
+    let sent = |p: &harness::Played| invariant_checker::overshoot(&p.0.truth, &p.0.observations);
     say("most that a cold box is sent, of what it bears", sent(&kept), sent(&broken));
     broken.breaks(Rule::Cold);
 }
@@ -80,7 +80,8 @@
 fn nothing_new_reaches_a_draining_box_after_its_grace() {
     let kept = drill("drill-release", 1);
     kept.keeps_the_rules();
-    let drains = kept.0.seen.notifications.iter().filter(|t| t.status == BackendState::Draining).count();
+    let drains =
+        kept.0.observations.notifications.iter().filter(|t| t.status == BackendState::Draining).count();
     assert!(drains >= 2 * 4, "all fronts were told of all drains: {drains}");
     let broken = lied("drill-release", 1, |told| told.rules.drain_grace_ms = 60_000.0);
     broken.breaks(Rule::Drain);
@@ -90,13 +91,15 @@
 fn seven_in_ten_fronts_that_die_at_once_are_made_up_for() {
     let kept = drill("drill-kill", 1);
     kept.keeps_the_rules();
-    let killed = kept.0.seen.process_events.iter().filter(|l| l.event == ProcessEvent::Killed).count();
+    let killed =
+        kept.0.observations.process_events.iter().filter(|l| l.event == ProcessEvent::Killed).count();
     assert_eq!(killed, 5, "five of seven fronts die");
-    let broke = kept.0.seen.client_attempts.iter().filter(|t| t.result == ClientResult::Broken).count();
+    let broke =
+        kept.0.observations.client_attempts.iter().filter(|t| t.result == ClientResult::Broken).count();
     assert!(broke > 0, "clients see their connections break");
     // The last three seconds: all are back, with nothing learned.
     let after = |p: &harness::Played| {
-        let last = &p.0.tally.seconds[6..];
+        let last = &p.0.summary.seconds[6..];
         let sum = |of: fn(&hillstall_simulation::sim::Second) -> f64| last.iter().map(of).sum::<f64>();
         100.0 * sum(|s| s.earned) / sum(|s| s.worth)
     };
@@ -104,7 +107,7 @@
     // One that ends and was not told to is a crash.
     let broken = scripted("drill-kill", 1, |fleet| async move {
         wait(&fleet.history, 2.0).await;
-        fleet.strike(6).expect("the keeper hears");
+        fleet.kill_unrecorded(6).expect("the keeper hears");
     });
     broken.breaks(Rule::Crash);
 }
@@ -115,13 +118,13 @@
     kept.keeps_the_rules();
     let ended = kept
         .0
-        .seen
+        .observations
         .process_events
         .iter()
         .filter(|l| matches!(l.event, ProcessEvent::Exited(Some(0))))
         .count();
     assert_eq!(ended, 5, "all five fronts ended in order");
-    assert!(kept.0.tally.refused > 0.02, "the tier is crowded: {:.3} refused", kept.0.tally.refused);
+    assert!(kept.0.summary.refused > 0.02, "the tier is crowded: {:.3} refused", kept.0.summary.refused);
     // One that is killed where it should have been asked loses what it had taken.
     let broken = scripted("drill-roll", 1, |fleet| async move {
         wait(&fleet.history, 1.5).await;
@@ -129,7 +132,7 @@
         fleet.history.record(|seen| {
             seen.process_events.push(ProcessEventRecord { process: 4, at, event: ProcessEvent::SigtermSent })
         });
-        fleet.strike(4).expect("the keeper hears");
+        fleet.kill_unrecorded(4).expect("the keeper hears");
     });
     broken.breaks(Rule::OneAnswer);
 }
@@ -138,10 +141,16 @@
 fn fronts_that_stood_still_go_on_by_the_list_as_it_is_now() {
     let kept = drill("drill-stop", 1);
     kept.keeps_the_rules();
-    let stopped = |what: ProcessEvent| kept.0.seen.process_events.iter().filter(|l| l.event == what).count();
+    let stopped =
+        |what: ProcessEvent| kept.0.observations.process_events.iter().filter(|l| l.event == what).count();
     assert_eq!((stopped(ProcessEvent::Stopped), stopped(ProcessEvent::Continued)), (2, 2));
     let by_stopped = |from: f64, to: f64| {
-        kept.0.seen.backend_attempts.iter().filter(|h| h.process < 2 && h.at > from && h.at < to).count()
+        kept.0
+            .observations
+            .backend_attempts
+            .iter()
+            .filter(|h| h.process < 2 && h.at > from && h.at < to)
+            .count()
     };
     assert!(by_stopped(0.0, 2_400.0) > 0 && by_stopped(6_000.0, 11_000.0) > 0, "they send before and after");
     assert_eq!(by_stopped(2_700.0, 5_400.0), 0, "they stand still");
@@ -153,11 +162,13 @@
 fn a_fleet_without_a_list_keeps_the_rules_while_fronts_and_boxes_die() {
     let kept = drill("drill-list", 1);
     kept.keeps_the_rules();
-    let told =
-        |from: f64, to: f64| kept.0.seen.notifications.iter().filter(|t| t.at > from && t.at < to).count();
+    let told = |from: f64, to: f64| {
+        kept.0.observations.notifications.iter().filter(|t| t.at > from && t.at < to).count()
+    };
     assert_eq!(told(1_600.0, 6_400.0), 0, "the list says nothing while it is down");
     assert!(told(6_400.0, 11_000.0) > 0, "and is heard again");
-    let lost = kept.0.seen.backend_attempts.iter().filter(|h| h.result == BackendResult::Lost).count();
+    let lost =
+        kept.0.observations.backend_attempts.iter().filter(|h| h.result == BackendResult::Lost).count();
     assert!(lost > 0, "calls were lost with their boxes");
     let broken = lied("drill-list", 1, once_told_as(RetrySafety::Idempotent));
     broken.breaks(Rule::BarredRepeat);
@@ -173,7 +184,8 @@
     });
     // The calls of the two that keep within their shares, and how many of them were served.
     let others = |p: &harness::Played| {
-        let tries = || p.0.seen.client_attempts.iter().filter(|t| t.tenant > 0 && !t.id.contains('.'));
+        let tries =
+            || p.0.observations.client_attempts.iter().filter(|t| t.tenant > 0 && !t.id.contains('.'));
         let calls: std::collections::BTreeSet<_> = tries().map(|t| t.id.split('-').next()).collect();
         100.0 * tries().filter(|t| t.result == ClientResult::Served).count() as f64 / calls.len() as f64
     };
@@ -187,7 +199,7 @@
     kept.keeps_the_rules();
     let off = lied("drill-burst", 1, without_gates);
     say("service", service(&kept), service(&off));
-    assert_eq!(kept.0.tally.chokes, 0, "a box turned slow");
+    assert_eq!(kept.0.summary.chokes, 0, "a box turned slow");
     assert!(service(&off) < service(&kept) - 10.0, "gates are of no use");
 }
 
@@ -195,7 +207,8 @@
 fn no_request_has_more_than_six_attempts_while_ledgers_turn_calls_away() {
     let kept = drill("drill-full", 1);
     kept.keeps_the_rules();
-    let away = kept.0.seen.backend_attempts.iter().filter(|h| h.result == BackendResult::Rejected).count();
+    let away =
+        kept.0.observations.backend_attempts.iter().filter(|h| h.result == BackendResult::Rejected).count();
     assert!(away > 10, "ledgers turned {away} calls away");
     let broken = lied("drill-full", 1, |told| told.permissions.max_attempts = 30);
     broken.breaks(Rule::Attempts);
@@ -205,14 +218,15 @@
 fn half_of_the_boxes_are_lost_for_eight_seconds_and_the_rest_do_not_tip() {
     let kept = drill("drill-half", 1);
     kept.keeps_the_rules();
-    let course = |p: &harness::Played| ServiceCourse::of(&p.0.tally.seconds, 4.0, 8.0);
+    let course = |p: &harness::Played| ServiceCourse::of(&p.0.summary.seconds, 4.0, 8.0);
     // Half is left for a load of 85 in 100.
     let part = |course: ServiceCourse| course.during / (0.5 / 0.85);
-    let killed = kept.0.seen.process_events.iter().filter(|l| l.event == ProcessEvent::Killed).count();
+    let killed =
+        kept.0.observations.process_events.iter().filter(|l| l.event == ProcessEvent::Killed).count();
     assert_eq!(killed, 3, "the proxies beside three boxes are gone with them");
     let off = lied("drill-half", 1, without_gates);
     say("% served of what is left to serve", 100.0 * part(course(&kept)), 100.0 * part(course(&off)));
-    assert_eq!(kept.0.tally.chokes, 0, "a box that is left turned slow");
+    assert_eq!(kept.0.summary.chokes, 0, "a box that is left turned slow");
     assert!(part(course(&kept)) >= 0.75, "{:?}", course(&kept));
     assert!(course(&kept).back_after.is_some_and(|after| after <= 8.0), "{:?}", course(&kept));
     assert!(part(course(&off)) < part(course(&kept)) - 0.2, "gates are of no use: {:?}", course(&off));
--- a/crates/hillstall/tests/fault_injection/soak.rs
+++ b/crates/hillstall/tests/fault_injection/soak.rs
@@ -17,9 +17,11 @@
     let played = soak(seed, None);
     match played.0.verdict {
         Verdict::Kept => None,
-        _ => {
-            Some(format!("hillstall lab soak --seed {seed}\n{:?}\n{}", SoakPlan::draw(seed), played.0.told()))
-        }
+        _ => Some(format!(
+            "hillstall lab soak --seed {seed}\n{:?}\n{}",
+            SoakPlan::draw(seed),
+            played.0.report()
+        )),
     }
 }
 
@@ -48,7 +50,7 @@
         Some(|fleet| {
             Box::pin(async move {
                 tokio::time::sleep_until(fleet.history.instant(TERM_AT_MS + 60.0)).await;
-                fleet.strike(0).expect("the supervisor hears");
+                fleet.kill_unrecorded(0).expect("the supervisor hears");
             })
         }),
     );
@@ -62,7 +64,7 @@
         Some(|fleet| {
             Box::pin(async move {
                 tokio::time::sleep_until(fleet.history.instant(TERM_AT_MS + 200.0)).await;
-                let door = hillstall_fault_injection::fleet::LinkEnds::Door { process: 0 };
+                let door = hillstall_fault_injection::fleet::LinkEnds::ClientToProxy { process: 0 };
                 fleet.link(door).reset();
             })
         }),
