--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::coordination_fleet::CoordinationOptions;
 use crate::discovery_server::{DiscoveryServer, Entry};
 use crate::history::{History, ProcessEvent, ProcessEventRecord};
-use crate::invariant_checker::{GroundTruth, Server as TrueServer};
+use crate::invariant_checker::{GroundTruth, TrueBackend};
 use crate::platform;
 use crate::process_supervisor::{ProcessSignal, ProcessSupervisor, StartProcess, SupervisorEvent};
 use crate::reserved_port::ReservedPort;
@@ -419,14 +419,14 @@
             settings: self.parameters.settings(0, 0, self.first_tier_count, 0),
             servers: (self.parameters.tiers.iter().enumerate())
                 .flat_map(|(tier, of)| (0..of.places.len()).map(move |n| (tier, n)))
-                .map(|(tier, n)| TrueServer {
+                .map(|(tier, n)| TrueBackend {
                     name: format!("s{tier}-{n}"),
                     tier,
-                    cold: self.parameters.cold_start(tier, n),
+                    slow_start: self.parameters.cold_start(tier, n),
                 })
                 .collect(),
             processes: self.processes.iter().map(|p| p.name.clone()).collect(),
-            delay: delays.fold(0.0, f64::max),
+            max_link_delay_ms: delays.fold(0.0, f64::max),
         }
     }
 
--- a/crates/fault-injection/src/invariant_checker.rs
+++ b/crates/fault-injection/src/invariant_checker.rs
@@ -27,19 +27,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// What a running proxy has accepted gets one final response, in time.
-    OneAnswer,
+    OneResponse,
     /// What may have run is retried only where its class permits that.
-    BarredRepeat,
+    UnsafeRetry,
     /// A request has no more attempts than the settings allow.
-    Attempts,
+    AttemptLimit,
     /// Nothing new reaches a backend later than the grace after the proxy was notified that it drains or is gone.
     Drain,
     /// All proxies together never overload a backend in slow start.
-    Cold,
+    SlowStart,
     /// A rejected request has not run, or may be retried.
-    Refusal,
+    Rejection,
     /// Backends receive only requests that a client sent.
-    Unasked,
+    UnsolicitedRequest,
     /// A proxy ends only after a signal.
     Crash,
 }
@@ -48,13 +48,13 @@
     /// Its name in reports.
     pub fn name(self) -> &'static str {
         match self {
-            Rule::OneAnswer => "one final answer",
-            Rule::BarredRepeat => "no barred repeat",
-            Rule::Attempts => "attempts of a request",
+            Rule::OneResponse => "one final answer",
+            Rule::UnsafeRetry => "no barred repeat",
+            Rule::AttemptLimit => "attempts of a request",
             Rule::Drain => "nothing new to a draining server",
-            Rule::Cold => "no cold server pushed over",
-            Rule::Refusal => "a refusal is harmless",
-            Rule::Unasked => "nothing unasked",
+            Rule::SlowStart => "no cold server pushed over",
+            Rule::Rejection => "a refusal is harmless",
+            Rule::UnsolicitedRequest => "nothing unasked",
             Rule::Crash => "no crash",
         }
     }
@@ -66,9 +66,9 @@
     /// The rule.
     pub rule: Rule,
     /// How it was violated.
-    pub how: String,
+    pub description: String,
     /// The request, where it is about one.
-    pub id: Option<String>,
+    pub request_id: Option<String>,
 }
 
 /// Why a request without an answer is no violation.
@@ -91,13 +91,13 @@
 
 /// True parameters of a backend.
 #[derive(Clone, Debug)]
-pub struct Server {
+pub struct TrueBackend {
     /// Its name in the endpoint list.
     pub name: String,
     /// Its tier.
     pub tier: usize,
     /// The load it bears after a start.
-    pub cold: SlowStartModel,
+    pub slow_start: SlowStartModel,
 }
 
 /// True parameters of the fleet.
@@ -106,36 +106,36 @@
     /// The correct settings.
     pub settings: Settings,
     /// The backends, over all tiers.
-    pub servers: Vec<Server>,
+    pub servers: Vec<TrueBackend>,
     /// The processes' names.
     pub processes: Vec<String>,
     /// The largest delay injected into links, one way, in milliseconds.
-    pub delay: f64,
+    pub max_link_delay_ms: f64,
 }
 
 /// The result of a run.
 #[derive(Clone, Debug)]
 pub enum Verdict {
     /// No violation.
-    Kept,
+    Passed,
     /// The violations.
-    Broken(Vec<Violation>),
+    Violated(Vec<Violation>),
     /// The harness got too little processor time, so the record proves nothing; and why.
     Void(String),
 }
 
 impl Verdict {
     /// The violations.
-    pub fn broken(&self) -> &[Violation] {
+    pub fn violations(&self) -> &[Violation] {
         match self {
-            Verdict::Broken(all) => all,
+            Verdict::Violated(all) => all,
             _ => &[],
         }
     }
 
     /// Whether a rule was violated.
-    pub fn breaks(&self, rule: Rule) -> bool {
-        self.broken().iter().any(|b| b.rule == rule)
+    pub fn violates(&self, rule: Rule) -> bool {
+        self.violations().iter().any(|b| b.rule == rule)
     }
 
     /// Whether the run is void.
@@ -146,27 +146,29 @@
 
 /// Checks a record.
 pub fn check(truth: &GroundTruth, observations: &Observations) -> Verdict {
-    if let Some(why) = late(&observations.start_delays_ms).or_else(|| stood(&observations.stalls)) {
+    if let Some(why) =
+        late_starts_void(&observations.start_delays_ms).or_else(|| stalls_void(&observations.stalls))
+    {
         return Verdict::Void(why);
     }
-    let court = Checker::new(truth, observations);
+    let checker = Checker::new(truth, observations);
     let mut broken = Vec::new();
-    court.check_responses(&mut broken);
-    court.check_retries(&mut broken);
-    court.check_drains(&mut broken);
-    court.check_slow_start(&mut broken);
-    court.check_crashes(&mut broken);
+    checker.check_responses(&mut broken);
+    checker.check_retries(&mut broken);
+    checker.check_drains(&mut broken);
+    checker.check_slow_start(&mut broken);
+    checker.check_crashes(&mut broken);
     match broken.is_empty() {
-        true => Verdict::Kept,
-        false => Verdict::Broken(broken),
+        true => Verdict::Passed,
+        false => Verdict::Violated(broken),
     }
 }
 
 /// Why late client requests make a run void, if they do.
-pub fn late(lateness: &[f64]) -> Option<String> {
-    let late = lateness.iter().filter(|late| **late > LATE_START_MS).count();
-    let part = late as f64 / lateness.len().max(1) as f64;
-    let worst = lateness.iter().copied().fold(0.0, f64::max);
+pub fn late_starts_void(start_delays_ms: &[f64]) -> Option<String> {
+    let late = start_delays_ms.iter().filter(|late| **late > LATE_START_MS).count();
+    let part = late as f64 / start_delays_ms.len().max(1) as f64;
+    let worst = start_delays_ms.iter().copied().fold(0.0, f64::max);
     (part > MAX_LATE_FRACTION).then(|| {
         format!(
             "{:.1}% of the calls set out over {LATE_START_MS} ms late, the latest {worst:.0} ms",
@@ -176,8 +178,8 @@
 }
 
 /// Why stalls make a run void, if they do: in a longer one queues build up that the scenario does not have.
-pub fn stood(stood: &[HostStall]) -> Option<String> {
-    let worst = stood.iter().max_by(|a, b| (a.to - a.from).total_cmp(&(b.to - b.from)))?;
+pub fn stalls_void(stalls: &[HostStall]) -> Option<String> {
+    let worst = stalls.iter().max_by(|a, b| (a.to - a.from).total_cmp(&(b.to - b.from)))?;
     let (who, long) = (worst.process.map_or("it".into(), |p| format!("process {p}")), worst.to - worst.from);
     (long > MAX_STALL_MS).then(|| format!("{who} got no processor time for {long:.0} ms"))
 }
@@ -262,13 +264,17 @@
 
     fn check_responses(&self, broken: &mut Vec<Violation>) {
         for a_try in &self.observations.client_attempts {
-            let how = match a_try.written_at {
+            let description = match a_try.written_at {
                 Some(written) => self.response_fault(a_try, written),
                 None => self.unread_fault(a_try),
             };
             let excuse = a_try.written_at.and_then(|written| self.excuse(a_try, written));
-            if let Some(how) = how.filter(|_| excuse.is_none()) {
-                broken.push(Violation { rule: Rule::OneAnswer, how, id: Some(a_try.id.clone()) });
+            if let Some(description) = description.filter(|_| excuse.is_none()) {
+                broken.push(Violation {
+                    rule: Rule::OneResponse,
+                    description,
+                    request_id: Some(a_try.id.clone()),
+                });
             }
         }
     }
@@ -276,7 +282,7 @@
     /// What is wrong with the end of a request that was written, if anything.
     fn response_fault(&self, a_try: &ClientAttempt, written: f64) -> Option<String> {
         match &a_try.result {
-            ClientResult::Invalid(how) => Some(how.clone()),
+            ClientResult::Invalid(description) => Some(description.clone()),
             ClientResult::Served => {
                 // Some backend must have made it, for this request.
                 let served = |h: &&BackendAttempt| h.result == BackendResult::Served;
@@ -315,14 +321,16 @@
     fn check_retries(&self, broken: &mut Vec<Violation>) {
         let settings = &self.truth.settings;
         for (id, hops) in &self.backend_attempts_by_id {
-            let mut found = |rule, how| broken.push(Violation { rule, how, id: Some((*id).to_string()) });
+            let mut found = |rule, description| {
+                broken.push(Violation { rule, description, request_id: Some((*id).to_string()) })
+            };
             let Some(a_try) = self.client_attempts_by_id.get(id) else {
-                found(Rule::Unasked, "a server got a request that nobody made".into());
+                found(Rule::UnsolicitedRequest, "a server got a request that nobody made".into());
                 continue;
             };
             let most = settings.permissions.max_attempts as usize;
             if hops.len() > most {
-                found(Rule::Attempts, format!("{} attempts of {most}", hops.len()));
+                found(Rule::AttemptLimit, format!("{} attempts of {most}", hops.len()));
             }
             let class = &settings.classes[a_try.class];
             let Some(ran) = hops.iter().find(|h| h.result != BackendResult::Rejected) else { continue };
@@ -334,16 +342,16 @@
             let again = hops.iter().find(|h| h.at > ran.at && !permitted(h.at));
             if let Some(again) = again {
                 let after = again.at - ran.at;
-                found(Rule::BarredRepeat, format!("sent again {after:.0} ms after it may have run"));
+                found(Rule::UnsafeRetry, format!("sent again {after:.0} ms after it may have run"));
             }
             if a_try.result == ClientResult::Refused && !permitted(a_try.ended_at) {
-                found(Rule::Refusal, "refused although it may have run".into());
+                found(Rule::Rejection, "refused although it may have run".into());
             }
         }
     }
 
     fn check_drains(&self, broken: &mut Vec<Violation>) {
-        let grace = self.truth.settings.rules.drain_grace_ms + TOLERANCE_MS + self.truth.delay;
+        let grace = self.truth.settings.rules.drain_grace_ms + TOLERANCE_MS + self.truth.max_link_delay_ms;
         // By incarnation of a proxy and by backend: the notifications, and whether each excludes the backend.
         let mut away: BTreeMap<(usize, u32, usize), Vec<(f64, bool)>> = BTreeMap::new();
         for told in &self.observations.notifications {
@@ -358,8 +366,9 @@
             }
             if let Some(since) = since.filter(|since| hop.at - since > grace) {
                 let server = &self.truth.servers[hop.server].name;
-                let how = format!("{server} got it {:.0} ms after the proxy was told", hop.at - since);
-                broken.push(Violation { rule: Rule::Drain, how, id: Some(hop.id.clone()) });
+                let description =
+                    format!("{server} got it {:.0} ms after the proxy was told", hop.at - since);
+                broken.push(Violation { rule: Rule::Drain, description, request_id: Some(hop.id.clone()) });
             }
         }
     }
@@ -375,7 +384,7 @@
                 .filter(of)
                 .map(|h| (h.at - start.at, h.work))
                 .collect();
-            let (most, when) = self.truth.servers[start.server].cold.overshoot(&sent);
+            let (most, when) = self.truth.servers[start.server].slow_start.overshoot(&sent);
             (start.server, most, start.at + when)
         });
         each.collect()
@@ -385,8 +394,8 @@
         for (server, part, when) in self.overshoots() {
             if part > 1.0 {
                 let name = &self.truth.servers[server].name;
-                let how = format!("{name} was sent {part:.2} times what it bears, at {when:.0} ms");
-                broken.push(Violation { rule: Rule::Cold, how, id: None });
+                let description = format!("{name} was sent {part:.2} times what it bears, at {when:.0} ms");
+                broken.push(Violation { rule: Rule::SlowStart, description, request_id: None });
             }
         }
     }
@@ -399,8 +408,8 @@
                 ProcessEvent::SigtermSent | ProcessEvent::Killed => told[life.process] = true,
                 ProcessEvent::Exited(code) if !told[life.process] => {
                     let name = &self.truth.processes[life.process];
-                    let how = format!("{name} ended by itself at {:.0} ms with {code:?}", life.at);
-                    broken.push(Violation { rule: Rule::Crash, how, id: None });
+                    let description = format!("{name} ended by itself at {:.0} ms with {code:?}", life.at);
+                    broken.push(Violation { rule: Rule::Crash, description, request_id: None });
                 }
                 _ => {}
             }
@@ -409,7 +418,7 @@
 }
 
 /// All records of a request and of its requests to lower tiers, one line each, in order of time.
-pub fn story(truth: &GroundTruth, observations: &Observations, id: &str) -> String {
+pub fn request_trace(truth: &GroundTruth, observations: &Observations, id: &str) -> String {
     let root = id.split('.').next().unwrap_or(id);
     let of = |other: &str| other == root || other.starts_with(&format!("{root}."));
     let mut lines: Vec<(f64, String)> = Vec::new();
@@ -435,19 +444,19 @@
 
 /// The verdict as text: each violated rule with its count, the first few violations with their records, and how many
 /// requests without an answer were excused.
-pub fn tell(truth: &GroundTruth, observations: &Observations, verdict: &Verdict) -> String {
-    let mut text = tell_verdict(truth, observations, verdict);
+pub fn report(truth: &GroundTruth, observations: &Observations, verdict: &Verdict) -> String {
+    let mut text = verdict_report(truth, observations, verdict);
     for (excuse, count) in excuses(truth, observations) {
         let _ = writeln!(text, "  {count} without an answer are excused: {}", excuse.name());
     }
     text
 }
 
-fn tell_verdict(truth: &GroundTruth, observations: &Observations, verdict: &Verdict) -> String {
+fn verdict_report(truth: &GroundTruth, observations: &Observations, verdict: &Verdict) -> String {
     match verdict {
-        Verdict::Kept => "rules kept\n".to_string(),
+        Verdict::Passed => "rules kept\n".to_string(),
         Verdict::Void(why) => format!("void: the rig was late: {why}\n"),
-        Verdict::Broken(all) => {
+        Verdict::Violated(all) => {
             let mut counts: BTreeMap<Rule, usize> = BTreeMap::new();
             all.iter().for_each(|b| *counts.entry(b.rule).or_default() += 1);
             let mut text = String::from("rules broken:\n");
@@ -455,10 +464,10 @@
                 let _ = writeln!(text, "  {}: {count}", rule.name());
             }
             for broken in all.iter().take(MAX_REPORTED_VIOLATIONS) {
-                let id = broken.id.as_deref().unwrap_or("");
-                let _ = writeln!(text, "  {}: {} {id}", broken.rule.name(), broken.how);
+                let id = broken.request_id.as_deref().unwrap_or("");
+                let _ = writeln!(text, "  {}: {} {id}", broken.rule.name(), broken.description);
                 if !id.is_empty() {
-                    text.push_str(&story(truth, observations, id));
+                    text.push_str(&request_trace(truth, observations, id));
                 }
             }
             text
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -55,7 +55,7 @@
 impl ScenarioRun {
     /// The verdict as text.
     pub fn report(&self) -> String {
-        invariant_checker::tell(&self.truth, &self.observations, &self.verdict)
+        invariant_checker::report(&self.truth, &self.observations, &self.verdict)
     }
 
     /// Attempts at a tier per attempt sent to the proxies before it.
--- a/crates/fault-injection/tests/referee.rs
+++ b/crates/fault-injection/tests/referee.rs
@@ -6,7 +6,9 @@
     Notification, Observations, ProcessEvent, ProcessEventRecord,
 };
 use hillstall_fault_injection::host_load_monitor::waited_ns;
-use hillstall_fault_injection::invariant_checker::{check, late, story, GroundTruth, Rule, Server, Verdict};
+use hillstall_fault_injection::invariant_checker::{
+    check, late_starts_void, request_trace, GroundTruth, Rule, TrueBackend, Verdict,
+};
 use hillstall_simulation::model::slow_start::SlowStartModel;
 use hillstall_simulation::scenarios;
 use hillstall_simulation::sim::setup;
@@ -17,7 +19,7 @@
 
 fn truth() -> GroundTruth {
     let figures = setup::draw(&scenarios::find("drill-cut").expect("embedded"), 1);
-    let cold = SlowStartModel {
+    let slow_start = SlowStartModel {
         able: 2.0,
         from: 0.33,
         warm_after: 4_000.0,
@@ -25,12 +27,12 @@
         over: 2_000.0,
         slack: 100.0,
     };
-    let server = |n: usize| Server { name: format!("s0-{n}"), tier: 0, cold };
+    let server = |n: usize| TrueBackend { name: format!("s0-{n}"), tier: 0, slow_start };
     GroundTruth {
         settings: figures.settings(0, 0, 2, 0),
         servers: (0..3).map(server).collect(),
         processes: vec!["front-0".into(), "front-1".into()],
-        delay: 0.0,
+        max_link_delay_ms: 0.0,
     }
 }
 
@@ -63,7 +65,7 @@
 }
 
 fn broken(seen: &Observations) -> Vec<Rule> {
-    check(&truth(), seen).broken().iter().map(|b| b.rule).collect()
+    check(&truth(), seen).violations().iter().map(|b| b.rule).collect()
 }
 
 fn life(at: f64, what: ProcessEvent) -> ProcessEventRecord {
@@ -77,7 +79,7 @@
         backend_attempts: vec![hop("c1-0", 0, 1_010.0, BackendResult::Served)],
         ..Observations::default()
     };
-    assert!(matches!(check(&truth(), &seen), Verdict::Kept));
+    assert!(matches!(check(&truth(), &seen), Verdict::Passed));
 }
 
 #[test]
@@ -85,7 +87,7 @@
     for ended in [ClientResult::Broken, ClientResult::Unanswered, ClientResult::Invalid("two".into())] {
         let tries = vec![a_try("c1-0", BROWSE, 1_700.0, ended.clone())];
         let seen = Observations { client_attempts: tries.clone(), ..Observations::default() };
-        assert_eq!(broken(&seen), [Rule::OneAnswer], "{ended:?}");
+        assert_eq!(broken(&seen), [Rule::OneResponse], "{ended:?}");
         if matches!(ended, ClientResult::Invalid(_)) {
             continue;
         }
@@ -112,7 +114,7 @@
         client_attempts: vec![a_try("c1-0", BROWSE, 1_100.0, ClientResult::Served)],
         ..Observations::default()
     };
-    assert_eq!(broken(&seen), [Rule::OneAnswer]);
+    assert_eq!(broken(&seen), [Rule::OneResponse]);
 }
 
 #[test]
@@ -125,17 +127,17 @@
             ..Observations::default()
         };
         for at in [900.0, 200.0] {
-            assert_eq!(broken(&asked(at, &[])), [Rule::OneAnswer]);
+            assert_eq!(broken(&asked(at, &[])), [Rule::OneResponse]);
             let ended = [life(1_500.0, ProcessEvent::Exited(Some(0)))];
-            assert_eq!(broken(&asked(at, &ended)), [Rule::OneAnswer]);
+            assert_eq!(broken(&asked(at, &ended)), [Rule::OneResponse]);
         }
         // The kill at the end excuses what came up to 0.7 s after SIGTERM, and nothing later, however often that came.
         let killed = life(1_500.0, ProcessEvent::Killed);
         assert_eq!(broken(&asked(301.0, &[killed])), []);
-        assert_eq!(broken(&asked(299.0, &[killed])), [Rule::OneAnswer]);
+        assert_eq!(broken(&asked(299.0, &[killed])), [Rule::OneResponse]);
         assert_eq!(
             broken(&asked(299.0, &[life(900.0, ProcessEvent::SigtermSent), killed])),
-            [Rule::OneAnswer]
+            [Rule::OneResponse]
         );
     }
 }
@@ -153,7 +155,7 @@
         backend_attempts: vec![hop("c1-0", 0, 1_010.0, BackendResult::Served)],
         ..Observations::default()
     };
-    assert_eq!(broken(&seen), [Rule::OneAnswer]);
+    assert_eq!(broken(&seen), [Rule::OneResponse]);
 }
 
 #[test]
@@ -168,8 +170,8 @@
     };
     assert_eq!(broken(&twice(BROWSE, 5_000.0, BackendResult::Lost)), []);
     assert_eq!(broken(&twice(PURCHASE, 2_540.0, BackendResult::Lost)), []);
-    assert_eq!(broken(&twice(PURCHASE, 2_560.0, BackendResult::Lost)), [Rule::BarredRepeat]);
-    assert_eq!(broken(&twice(REFUND, 100.0, BackendResult::Cancelled)), [Rule::BarredRepeat]);
+    assert_eq!(broken(&twice(PURCHASE, 2_560.0, BackendResult::Lost)), [Rule::UnsafeRetry]);
+    assert_eq!(broken(&twice(REFUND, 100.0, BackendResult::Cancelled)), [Rule::UnsafeRetry]);
     // Turned away unseen, it never ran.
     assert_eq!(broken(&twice(REFUND, 100.0, BackendResult::Rejected)), []);
     let refused = Observations {
@@ -177,7 +179,7 @@
         backend_attempts: vec![hop("c1-0", 0, 1_000.0, BackendResult::Error)],
         ..Observations::default()
     };
-    assert_eq!(broken(&refused), [Rule::Refusal]);
+    assert_eq!(broken(&refused), [Rule::Rejection]);
 }
 
 #[test]
@@ -190,12 +192,12 @@
         ..Observations::default()
     };
     assert_eq!(broken(&many(6)), []);
-    assert_eq!(broken(&many(7)), [Rule::Attempts]);
+    assert_eq!(broken(&many(7)), [Rule::AttemptLimit]);
     let seen = Observations {
         backend_attempts: vec![hop("nobody", 0, 10.0, BackendResult::Served)],
         ..Observations::default()
     };
-    assert_eq!(broken(&seen), [Rule::Unasked]);
+    assert_eq!(broken(&seen), [Rule::UnsolicitedRequest]);
 }
 
 #[test]
@@ -244,7 +246,7 @@
     // Over its first two seconds it does 2 * (660 + 335) core milliseconds, bears three times that, and 100 more.
     let bears = 3.0 * 2.0 * (0.33 * 2_000.0 + 0.67 * 2_000.0 * 2_000.0 / 8_000.0) + 100.0;
     assert_eq!(broken(&sent(0.99 * bears / 100.0)), []);
-    assert_eq!(broken(&sent(1.01 * bears / 100.0)), [Rule::Cold]);
+    assert_eq!(broken(&sent(1.01 * bears / 100.0)), [Rule::SlowStart]);
 }
 
 #[test]
@@ -268,7 +270,7 @@
     seen.start_delays_ms = vec![1.0; 100];
     seen.start_delays_ms.extend([90.0, 90.0]);
     assert!(check(&truth(), &seen).is_void(), "two of a hundred calls were late");
-    assert_eq!(late(&[1.0, 2.0]), None);
+    assert_eq!(late_starts_void(&[1.0, 2.0]), None);
 }
 
 #[test]
@@ -280,8 +282,8 @@
     };
     assert_eq!(broken(&missing(Some(0), 1_100.0, 1_200.0)), []);
     assert_eq!(broken(&missing(None, 1_100.0, 1_200.0)), []);
-    assert_eq!(broken(&missing(Some(1), 1_100.0, 1_200.0)), [Rule::OneAnswer], "another process stood");
-    assert_eq!(broken(&missing(Some(0), 700.0, 900.0)), [Rule::OneAnswer], "it was over before");
+    assert_eq!(broken(&missing(Some(1), 1_100.0, 1_200.0)), [Rule::OneResponse], "another process stood");
+    assert_eq!(broken(&missing(Some(0), 700.0, 900.0)), [Rule::OneResponse], "it was over before");
     assert!(check(&truth(), &missing(Some(1), 100.0, 400.0)).is_void());
     assert_eq!(waited_ns("143099519 30604902 305\n"), Some(30_604_902));
     assert_eq!(waited_ns(""), None);
@@ -303,7 +305,7 @@
         ],
         ..Observations::default()
     };
-    let told = story(&truth(), &seen, "c1-0.7-0");
+    let told = request_trace(&truth(), &seen, "c1-0.7-0");
     let places: Vec<usize> =
         ["c1-0 asks front-0", "c1-0 front-0 -> s0-0", "c1-0.7-0 asks front-1", "c1-0.7-0 front-1 -> s0-2"]
             .map(|line| told.find(line).unwrap_or_else(|| panic!("{line} in {told}")))
--- a/crates/fault-injection/tests/written_forms.rs
+++ b/crates/fault-injection/tests/written_forms.rs
@@ -54,13 +54,13 @@
 #[test]
 fn rules_have_these_names() {
     let rules = [
-        Rule::OneAnswer,
-        Rule::BarredRepeat,
-        Rule::Attempts,
+        Rule::OneResponse,
+        Rule::UnsafeRetry,
+        Rule::AttemptLimit,
         Rule::Drain,
-        Rule::Cold,
-        Rule::Refusal,
-        Rule::Unasked,
+        Rule::SlowStart,
+        Rule::Rejection,
+        Rule::UnsolicitedRequest,
         Rule::Crash,
     ];
     let names = [
--- a/crates/hillstall/src/fault_injection.rs
+++ b/crates/hillstall/src/fault_injection.rs
@@ -66,7 +66,7 @@
         let drilled = run_seed(&program, name, scenario, *seed, options)?;
         print(&format!("seed {seed}: {}", drilled.report()));
         print(&format_figures(&drilled));
-        if !matches!(drilled.verdict, Verdict::Kept) {
+        if !matches!(drilled.verdict, Verdict::Passed) {
             failed_seeds.push(seed.to_string());
         }
         // A void run shows nothing, so it is not counted.
@@ -100,12 +100,12 @@
         let run = soak::run(&program, *seed, keep, None)
             .map_err(|error| FaultInjectionError::Run { scenario: SOAK.into(), source: error.into() })?;
         match run.verdict {
-            Verdict::Kept => passed += 1,
+            Verdict::Passed => passed += 1,
             Verdict::Void(_) => void += 1,
-            Verdict::Broken(_) => print(&format!("{:?}\n", SoakPlan::draw(*seed))),
+            Verdict::Violated(_) => print(&format!("{:?}\n", SoakPlan::draw(*seed))),
         }
         print(&format!("seed {seed}: {}  {}\n", run.report(), SoakSummary::of(&run)));
-        if !matches!(run.verdict, Verdict::Kept) {
+        if !matches!(run.verdict, Verdict::Passed) {
             failed_seeds.push(seed.to_string());
         }
     }
--- a/crates/hillstall/tests/fault_injection/harness.rs
+++ b/crates/hillstall/tests/fault_injection/harness.rs
@@ -62,12 +62,12 @@
 impl Played {
     /// Fails with the whole way of the first requests, if a rule was broken.
     pub fn keeps_the_rules(&self) {
-        assert!(matches!(self.0.verdict, Verdict::Kept), "{}", self.0.report());
+        assert!(matches!(self.0.verdict, Verdict::Passed), "{}", self.0.report());
     }
 
     /// Fails if the referee did not see a rule broken that was broken on purpose.
     pub fn breaks(&self, rule: Rule) {
-        assert!(self.0.verdict.breaks(rule), "{} is not seen broken: {}", rule.name(), self.0.report());
+        assert!(self.0.verdict.violates(rule), "{} is not seen broken: {}", rule.name(), self.0.report());
     }
 }
 
--- a/crates/hillstall/tests/fault_injection/main.rs
+++ b/crates/hillstall/tests/fault_injection/main.rs
@@ -47,7 +47,7 @@
     assert!(looks[2].to_target > looks[1].to_target, "calls still reach the boxes: {looks:?}");
     assert_eq!(looks[2].to_client, looks[1].to_client, "answers don't come back");
     let broken = lied("drill-one-way", 1, once_told_as(RetrySafety::IdempotencyKey));
-    broken.breaks(Rule::BarredRepeat);
+    broken.breaks(Rule::UnsafeRetry);
 }
 
 #[test]
@@ -73,7 +73,7 @@
     });
     let sent = |p: &harness::Played| invariant_checker::overshoot(&p.0.truth, &p.0.observations);
     say("most that a cold box is sent, of what it bears", sent(&kept), sent(&broken));
-    broken.breaks(Rule::Cold);
+    broken.breaks(Rule::SlowStart);
 }
 
 #[test]
@@ -134,7 +134,7 @@
         });
         fleet.kill_unrecorded(4).expect("the keeper hears");
     });
-    broken.breaks(Rule::OneAnswer);
+    broken.breaks(Rule::OneResponse);
 }
 
 #[test]
@@ -171,7 +171,7 @@
         kept.0.observations.backend_attempts.iter().filter(|h| h.result == BackendResult::Lost).count();
     assert!(lost > 0, "calls were lost with their boxes");
     let broken = lied("drill-list", 1, once_told_as(RetrySafety::Idempotent));
-    broken.breaks(Rule::BarredRepeat);
+    broken.breaks(Rule::UnsafeRetry);
 }
 
 #[test]
@@ -211,7 +211,7 @@
         kept.0.observations.backend_attempts.iter().filter(|h| h.result == BackendResult::Rejected).count();
     assert!(away > 10, "ledgers turned {away} calls away");
     let broken = lied("drill-full", 1, |told| told.permissions.max_attempts = 30);
-    broken.breaks(Rule::Attempts);
+    broken.breaks(Rule::AttemptLimit);
 }
 
 #[test]
--- a/crates/hillstall/tests/fault_injection/soak.rs
+++ b/crates/hillstall/tests/fault_injection/soak.rs
@@ -16,7 +16,7 @@
 fn failure(seed: u64) -> Option<String> {
     let played = soak(seed, None);
     match played.0.verdict {
-        Verdict::Kept => None,
+        Verdict::Passed => None,
         _ => Some(format!(
             "hillstall lab soak --seed {seed}\n{:?}\n{}",
             SoakPlan::draw(seed),
@@ -54,7 +54,7 @@
             })
         }),
     );
-    played.breaks(Rule::OneAnswer);
+    played.breaks(Rule::OneResponse);
 }
 
 #[test]
@@ -69,5 +69,5 @@
             })
         }),
     );
-    played.breaks(Rule::OneAnswer);
+    played.breaks(Rule::OneResponse);
 }
