--- a/crates/fault-injection/src/coordination_fleet.rs
+++ b/crates/fault-injection/src/coordination_fleet.rs
@@ -1,7 +1,7 @@
-//! Fleets with coordination: voters with disks, a link from each instance to each voter, and each instance's admin
-//! address.
+//! Fleets with coordination: voters with disks, a link from each instance to each voter, and each instance's
+//! admin address.
 
-use crate::fleet::{system, Fleet, FleetError, LinkEnds};
+use crate::fleet::{system_error, Fleet, FleetError, LinkEnds};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -9,7 +9,8 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Longest waits for an answer of an admin address, which answers within two seconds; and of `FLEET`, which is local.
+/// Longest waits for an answer of an admin address, which answers within two seconds; and of `FLEET`, which
+/// is local.
 const ANSWER: Duration = Duration::from_secs(3);
 const OWN_ANSWER: Duration = Duration::from_millis(250);
 /// Between two requests to an admin address.
@@ -31,7 +32,7 @@
     }
 
     /// The operator file of a proxy. `keepers`: the addresses by which it reaches the voters.
-    pub fn file(
+    pub fn operator_file(
         &self,
         process: usize,
         keepers: &[SocketAddr],
@@ -86,7 +87,8 @@
         timeout(within, asked).await.ok()?.ok().filter(|text| !text.is_empty())
     }
 
-    /// Waits until an instance's answer to a line is as wanted, and returns it; after `within`, the last one as an error.
+    /// Waits until an instance's answer to a line is as wanted, and returns it; after `within`, the last one
+    /// as an error.
     pub async fn wait_for_answer(
         &self,
         process: usize,
@@ -158,21 +160,21 @@
     /// Removes a voter's disk file and returns its bytes.
     pub fn remove_disk_file(&self, process: usize) -> Result<Vec<u8>, FleetError> {
         let path = self.disk(process).join(format!("keeper-{process}.redb"));
-        let bytes = std::fs::read(&path).map_err(system(path.display().to_string()))?;
-        std::fs::remove_file(&path).map_err(system(path.display().to_string()))?;
+        let bytes = std::fs::read(&path).map_err(system_error(path.display().to_string()))?;
+        std::fs::remove_file(&path).map_err(system_error(path.display().to_string()))?;
         Ok(bytes)
     }
 
     /// The bytes of a voter's disk file now, whether it runs or not.
     pub fn read_disk_file(&self, process: usize) -> Result<Vec<u8>, FleetError> {
         let path = self.disk(process).join(format!("keeper-{process}.redb"));
-        std::fs::read(&path).map_err(system(path.display().to_string()))
+        std::fs::read(&path).map_err(system_error(path.display().to_string()))
     }
 
     /// Writes a voter's disk file.
     pub fn write_disk_file(&self, process: usize, bytes: &[u8]) -> Result<(), FleetError> {
         let path = self.disk(process).join(format!("keeper-{process}.redb"));
-        std::fs::write(&path, bytes).map_err(system(path.display().to_string()))
+        std::fs::write(&path, bytes).map_err(system_error(path.display().to_string()))
     }
 
     /// All audit lines of the instances, by the host's clock.
@@ -203,8 +205,8 @@
     })
 }
 
-/// The violations in a fleet's audit lines: tokens of a lease that decrease at one incarnation of an executor, two
-/// holders of one token, and two sites drained at once.
+/// The violations in a fleet's audit lines: tokens of a lease that decrease at one incarnation of an
+/// executor, two holders of one token, and two sites drained at once.
 pub fn check_audit_lines(acts: &[AuditLine]) -> Vec<String> {
     use std::collections::BTreeMap;
     let mut wrong = Vec::new();
--- a/crates/fault-injection/src/discovery_server.rs
+++ b/crates/fault-injection/src/discovery_server.rs
@@ -1,8 +1,8 @@
-//! The discovery service of a tier, with its failures: late, down, truncated answers, and a queue that handles one
-//! request after another.
+//! The discovery service of a tier, with its failures: late, down, truncated answers, and a queue that
+//! handles one request after another.
 
 use crate::history::{History, Notification};
-use crate::http::Wire;
+use crate::http::HttpConnection;
 use crate::server::IdentifySender;
 use crate::tcp_proxy::ConnectionLinks;
 use hillstall_decision::BackendState;
@@ -172,24 +172,24 @@
             let roster = self.clone();
             spawn_local(async move {
                 let mut down = roster.down.subscribe();
-                let mut wire = Wire::new(stream);
+                let mut connection = HttpConnection::new(stream);
                 let went_down = async {
                     // Going down ends open connections; a request to a service that is down is answered.
                     while down.changed().await.is_ok() && !*down.borrow() {}
                 };
                 tokio::select! {
-                    () = went_down => crate::tcp_proxy::abort(&wire.stream),
-                    _ = roster.connection(&mut wire, peer) => {}
+                    () = went_down => crate::tcp_proxy::abort(&connection.stream),
+                    _ = roster.connection(&mut connection, peer) => {}
                 }
             });
         }
     }
 
     #[allow(clippy::too_many_lines, reason = "one request from its arrival to its last line")]
-    async fn connection(&self, wire: &mut Wire, peer: SocketAddr) -> std::io::Result<()> {
-        let Some(message) = wire.message(true).await? else { return Ok(()) };
+    async fn connection(&self, connection: &mut HttpConnection, peer: SocketAddr) -> std::io::Result<()> {
+        let Some(message) = connection.read_message(true).await? else { return Ok(()) };
         self.history.record(|observations| observations.discovery_requests += 1);
-        let own = wire.stream.local_addr()?;
+        let own = connection.stream.local_addr()?;
         let Some(link) = self.connections.borrow().get(&(peer, own)).copied() else { return Ok(()) };
         let sender = (self.identify_sender)(link);
         {
@@ -197,18 +197,18 @@
             sleep(self.time_per_request.get()).await;
         }
         if *self.down.borrow() {
-            return wire.answer("503 Service Unavailable", "Connection: close\r\n", "").await;
+            return connection.write_response("503 Service Unavailable", "Connection: close\r\n", "").await;
         }
         let (index, entries) = (self.index.get(), self.entries.borrow().clone());
         let whole = self.text(sender.0, index, true, &entries);
         if !message.target.contains("stream=1") {
-            wire.answer("200 OK", "Connection: close\r\n", &whole.to_string()).await?;
+            connection.write_response("200 OK", "Connection: close\r\n", &whole.to_string()).await?;
             self.record_notifications(sender, &entries);
             return Ok(());
         }
         let (tell, mut news) = mpsc::unbounded_channel();
         self.watchers.borrow_mut().push(tell);
-        let stream = &mut wire.stream;
+        let stream = &mut connection.stream;
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
         chunk(stream, &whole.to_string()).await?;
         self.record_notifications(sender, &entries);
--- a/crates/fault-injection/src/faults.rs
+++ b/crates/fault-injection/src/faults.rs
@@ -1,5 +1,5 @@
-//! Injects the scenario's failures: each begins and ends at its time, on processes, backends, discovery and links. What
-//! the simulation does to its models is done here to real ones.
+//! Injects the scenario's failures: each begins and ends at its time, on processes, backends, discovery and
+//! links. What the simulation does to its models is done here to real ones.
 
 use crate::discovery_server::{unix_ms, BackendStarted};
 use crate::fleet::{Fleet, FleetError, LinkEnds};
@@ -149,7 +149,7 @@
             FailureKind::KillProxies => {
                 self.first_tier_proxies(failure.part).into_iter().for_each(|proxy| self.start(proxy))
             }
-            FailureKind::StopProxies => self.signal_first_tier(failure.part, ProcessSignal::Go),
+            FailureKind::StopProxies => self.signal_first_tier(failure.part, ProcessSignal::Continue),
             FailureKind::Cut => self.cut(failure, false),
             FailureKind::Burst
             | FailureKind::Release
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -1,4 +1,5 @@
-//! A whole fleet: first-tier proxies, backends with proxies of their own, discovery, and the links between them.
+//! A whole fleet: the first tier's proxies, backends that each call the next tier through a proxy of their
+//! own, one discovery service per tier, and the links between all of them.
 
 use crate::coordination_fleet::CoordinationOptions;
 use crate::discovery_server::{DiscoveryServer, Entry};
@@ -26,78 +27,78 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Longest wait for a process to be ready; far above anything measured.
-const UP_WITHIN: Duration = Duration::from_secs(30);
-/// Between two readiness checks of a starting process.
-const POLL_INTERVAL: Duration = Duration::from_millis(15);
+/// Longest wait for a process to be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between two readiness checks of a starting process.
+const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Why a scenario can't be run.
+/// Why a scenario could not be run to its end.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// A system call failed, on sockets, files or processes.
-    #[error("{what}: {why}")]
+    /// An operation on sockets, files or processes failed.
+    #[error("{operation}: {error}")]
     System {
-        /// What it was for.
-        what: String,
-        /// The system's error.
-        why: std::io::Error,
+        /// What failed, or the path of the file.
+        operation: String,
+        /// The error of the operating system.
+        error: std::io::Error,
     },
-    /// A process did not become ready.
-    #[error("{name} is not up after {seconds} s; its log ends with:\n{log}")]
-    NotUp {
-        /// Its name.
+    /// A process did not become ready in time.
+    #[error("{name} is not ready after {seconds} s; the end of its log:\n{log}")]
+    NotReady {
+        /// The name of the process.
         name: String,
-        /// How long it had.
+        /// The time limit, in seconds.
         seconds: u64,
-        /// The end of its log.
+        /// The last 2000 characters of its log.
         log: String,
     },
 }
 
-/// For scripts, whose errors are text.
+/// Scripts report their errors as text.
 impl From<FleetError> for String {
-    fn from(why: FleetError) -> String {
-        why.to_string()
+    fn from(error: FleetError) -> String {
+        error.to_string()
     }
 }
 
-/// Adds to a system error what the call was for.
-pub(crate) fn system(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> FleetError {
-    let what = what.into();
-    move |why| FleetError::System { what, why }
+/// Adds to an I/O error which operation failed, for `map_err`.
+pub(crate) fn system_error(operation: impl Into<String>) -> impl FnOnce(std::io::Error) -> FleetError {
+    let operation = operation.into();
+    move |error| FleetError::System { operation, error }
 }
 
-/// The two ends of a link.
+/// The two ends of a link; the side that connects comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LinkEnds {
     /// From clients to a first-tier proxy.
     ClientToProxy {
-        /// The proxy.
+        /// The number of the proxy.
         process: usize,
     },
     /// From a proxy to a backend.
     ProxyToBackend {
-        /// The proxy.
+        /// The number of the proxy.
         process: usize,
-        /// The backend.
+        /// The number of the backend, counted over all tiers.
         server: usize,
     },
     /// From a proxy to discovery.
     ProxyToDiscovery {
-        /// The proxy.
+        /// The number of the proxy.
         process: usize,
     },
-    /// From a proxy to a voter of the fleet.
+    /// From a proxy to a voter of the coordination.
     ProxyToVoter {
-        /// The proxy.
+        /// The number of the proxy.
         process: usize,
-        /// The voter's slot.
+        /// The slot of the voter, which is the number of the proxy that runs it.
         slot: usize,
     },
 }
 
 impl LinkEnds {
-    /// The proxy at one of its ends.
+    /// The number of the proxy that connects over the link or, on a link from clients, accepts.
     pub fn process(self) -> usize {
         match self {
             LinkEnds::ClientToProxy { process }
@@ -108,48 +109,48 @@
     }
 }
 
-/// A proxy of the fleet.
+/// A proxy of the fleet. It outlives its operating-system process, which may be killed and started again.
 pub struct Process {
-    /// Its number.
+    /// Its number; the proxies of the first tier have the lowest.
     pub number: usize,
-    /// Its name.
+    /// Its name, `front-RANK` in the first tier and `beside-sTIER-RANK` beside a backend.
     pub name: String,
-    /// The tier it sends to.
+    /// The tier of the backends that it sends to.
     pub tier: usize,
-    /// Its rank among the proxies before that tier.
+    /// Its rank among the proxies that send to the same tier.
     pub rank: usize,
-    /// Its zone.
+    /// The index of its zone.
     pub zone: usize,
-    /// Its settings.
+    /// The settings that are written to its platform file.
     pub settings: Settings,
     port: ReservedPort,
-    /// Reserved for its admin address; the next one for coordination, if it is a voter.
     admin_port: ReservedPort,
+    /// Used only if the proxy is a voter.
     coordination_port: ReservedPort,
     folder: PathBuf,
-    /// Whether its process runs.
+    /// Whether its operating-system process runs.
     pub is_running: Cell<bool>,
-    /// The system's number of its process.
+    /// The process id of its latest process; `None` until that has started.
     pub pid: Cell<Option<u32>>,
 }
 
 impl Process {
-    /// Where it listens.
+    /// The address at which it accepts requests.
     pub fn address(&self) -> SocketAddr {
         self.port.address()
     }
 
-    /// Its admin address.
+    /// The address at which it accepts admin commands.
     pub fn admin(&self) -> SocketAddr {
         self.admin_port.address()
     }
 
-    /// Where its files are.
+    /// The folder of its files.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Its log.
+    /// The path of its log, to which all its processes append.
     pub fn log(&self) -> PathBuf {
         self.folder.join("log")
     }
@@ -157,25 +158,25 @@
 
 /// A running fleet.
 pub struct Fleet {
-    /// Its parameters, drawn from the scenario.
+    /// The parameters that were drawn from the scenario.
     pub parameters: DrawnScenario,
-    /// The record of the run.
+    /// The records of the run.
     pub history: Rc<History>,
-    /// What clients received.
+    /// The accounting of client requests, as in the simulation.
     pub summary: RefCell<RunSummary>,
-    /// The proxies; those of the first tier come first.
+    /// The proxies by number; those of the first tier come first.
     pub processes: Vec<Process>,
-    /// Number of first-tier proxies.
+    /// The number of proxies in the first tier.
     pub first_tier_count: usize,
-    /// The backends, tier by tier.
+    /// The backends by number, tier after tier.
     pub servers: Vec<Rc<Server>>,
-    /// The discovery service of each tier.
+    /// The discovery services, one for each tier.
     pub discovery_servers: Vec<Rc<DiscoveryServer>>,
     /// All links, with their ends.
     pub links: Vec<(LinkEnds, Rc<TcpProxy>)>,
-    /// The weight that discovery reports for restarted backends; 1 is correct.
+    /// The weight that discovery announces for restarted backends: 1, unless a test falsifies it.
     pub restarted_weight: Cell<f64>,
-    /// The coordination of its instances, if any.
+    /// How the instances coordinate; `None` if they do not.
     pub coordination: Option<CoordinationOptions>,
     link_by_ends: HashMap<LinkEnds, usize>,
     incarnations: Rc<RefCell<Vec<u32>>>,
@@ -184,22 +185,23 @@
     seeds: RefCell<Xoshiro256PlusPlus>,
 }
 
-/// Falsifies the proxies' settings: to see what a rule is for, or that the checker detects its violation.
+/// Falsifies the settings that the proxies get. Tests use it to switch a mechanism off, and to provoke
+/// violations that the invariant checker must find.
 pub type SettingsFault = Rc<dyn Fn(&mut Settings)>;
 
-/// How to build a fleet.
+/// What [`Fleet::start`] needs to build a fleet.
 pub struct FleetPlan<'a> {
-    /// The program: `run` is each proxy, `lab keeper` their supervisor.
+    /// The hillstall program. `run` starts a proxy, `lab keeper` the process supervisor.
     pub program: &'a Path,
-    /// Its parameters, drawn from the scenario.
+    /// The parameters that were drawn from the scenario.
     pub parameters: DrawnScenario,
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// Falsifies the proxies' settings, if given.
+    /// Falsifies the settings that the proxies get.
     pub settings_fault: Option<SettingsFault>,
-    /// The coordination of its instances, if any.
+    /// How the instances coordinate; `None` if they do not.
     pub coordination: Option<CoordinationOptions>,
-    /// Where files go.
+    /// The folder for configurations, logs and stored replicas.
     pub folder: &'a Path,
 }
 
@@ -217,75 +219,67 @@
 fn plan_processes(parameters: &DrawnScenario) -> IoResult<Vec<ProcessPlan>> {
     let mut all = Vec::new();
     for (rank, zone) in parameters.proxies.iter().enumerate() {
-        let (copies, port) = (parameters.proxies.len(), ReservedPort::take()?);
+        let (instances, port) = (parameters.proxies.len(), ReservedPort::take()?);
         let (name, admin_port, coordination_port) =
             (format!("front-{rank}"), ReservedPort::take()?, ReservedPort::take()?);
         all.push(ProcessPlan {
             name,
             tier: 0,
             rank,
-            instances: copies,
+            instances,
             zone: *zone,
             port,
             admin_port,
             coordination_port,
         });
     }
-    for (above, tier) in parameters.tiers.iter().take(parameters.tiers.len() - 1).enumerate() {
+    for (upper_tier, tier) in parameters.tiers.iter().take(parameters.tiers.len() - 1).enumerate() {
         for (rank, place) in tier.places.iter().enumerate() {
-            let (copies, port) = (tier.places.len(), ReservedPort::take()?);
-            let name = format!("beside-s{above}-{rank}");
+            let (instances, port) = (tier.places.len(), ReservedPort::take()?);
+            let name = format!("beside-s{upper_tier}-{rank}");
             let (admin_port, coordination_port) = (ReservedPort::take()?, ReservedPort::take()?);
-            let (tier, zone) = (above + 1, place.zone);
-            all.push(ProcessPlan {
-                name,
-                tier,
-                rank,
-                instances: copies,
-                zone,
-                port,
-                admin_port,
-                coordination_port,
-            });
+            let (tier, zone) = (upper_tier + 1, place.zone);
+            all.push(ProcessPlan { name, tier, rank, instances, zone, port, admin_port, coordination_port });
         }
     }
     Ok(all)
 }
 
 impl Fleet {
-    /// Starts everything, and waits until all processes are ready.
+    /// Starts all parts of a fleet, and waits until all proxies are ready; the backends listen only then.
     #[allow(clippy::too_many_lines, reason = "starts the parts in order of dependency")]
     pub async fn start(plan: FleetPlan<'_>) -> Result<Rc<Fleet>, FleetError> {
         let FleetPlan { program, parameters, seed, settings_fault, coordination, folder } = plan;
         let history = Rc::new(History::default());
-        let callers = ConnectionLinks::default();
-        let owners: Rc<RefCell<Vec<usize>>> = Rc::default();
-        let plans = plan_processes(&parameters).map_err(system("ports"))?;
+        let connection_links = ConnectionLinks::default();
+        let link_processes: Rc<RefCell<Vec<usize>>> = Rc::default();
+        let plans = plan_processes(&parameters).map_err(system_error("cannot reserve ports"))?;
         let incarnations = Rc::new(RefCell::new(vec![0u32; plans.len()]));
         let identify_sender: IdentifySender = {
-            let (owners, incarnations) = (owners.clone(), incarnations.clone());
+            let (link_processes, incarnations) = (link_processes.clone(), incarnations.clone());
             Rc::new(move |link| {
-                let process = owners.borrow()[link];
+                let process = link_processes.borrow()[link];
                 (process, incarnations.borrow()[process])
             })
         };
-        let servers = servers(&parameters, &plans, &history, (&callers, &identify_sender))
-            .map_err(system("servers"))?;
-        // Links, and the address by which each proxy reaches each backend.
-        let places: Rc<RefCell<HashMap<(usize, usize), SocketAddr>>> = Rc::default();
+        let servers = start_backends(&parameters, &plans, &history, (&connection_links, &identify_sender))
+            .map_err(system_error("cannot set up the backends"))?;
+        // The links, and the address by which each proxy reaches each backend.
+        let backend_addresses: Rc<RefCell<HashMap<(usize, usize), SocketAddr>>> = Rc::default();
         let mut links: Vec<(LinkEnds, Rc<TcpProxy>)> = Vec::new();
         let mut link = |ends: LinkEnds, to: SocketAddr| {
-            owners.borrow_mut().push(ends.process());
-            let link = TcpProxy::start(links.len(), to, callers.clone()).map_err(system("a link"))?;
+            link_processes.borrow_mut().push(ends.process());
+            let link = TcpProxy::start(links.len(), to, connection_links.clone())
+                .map_err(system_error("cannot start a link"))?;
             links.push((ends, link.clone()));
             Ok::<_, FleetError>(link)
         };
         for (process, plan) in plans.iter().enumerate() {
             for server in parameters.machines_of(plan.tier) {
-                let of = &servers[server];
-                let link = link(LinkEnds::ProxyToBackend { process, server }, of.address())?;
-                places.borrow_mut().insert((process, server), link.address());
-                of.is_reached_by(link);
+                let backend = &servers[server];
+                let link = link(LinkEnds::ProxyToBackend { process, server }, backend.address())?;
+                backend_addresses.borrow_mut().insert((process, server), link.address());
+                backend.add_link(link);
             }
         }
         let (mut discovery_servers, mut discovery_addresses) = (Vec::new(), Vec::new());
@@ -298,16 +292,20 @@
                 weight: 1.0,
                 since_ms: 0.0,
             });
-            let places = places.clone();
-            let places = Rc::new(move |process, server| places.borrow()[&(process, server)]);
+            let backend_addresses = backend_addresses.clone();
+            let backend_address =
+                Rc::new(move |process, server| backend_addresses.borrow()[&(process, server)]);
             let discovery_server = DiscoveryServer::new(
                 history.clone(),
-                (callers.clone(), identify_sender.clone()),
-                places,
+                (connection_links.clone(), identify_sender.clone()),
+                backend_address,
                 entries.collect(),
             );
-            let listener = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.map_err(system("a list"))?;
-            discovery_addresses.push(listener.local_addr().map_err(system("a list"))?);
+            let listener = tokio::net::TcpListener::bind(("127.0.0.1", 0))
+                .await
+                .map_err(system_error("discovery service cannot listen"))?;
+            discovery_addresses
+                .push(listener.local_addr().map_err(system_error("discovery service cannot listen"))?);
             spawn_local(discovery_server.clone().serve(listener));
             discovery_servers.push(discovery_server);
         }
@@ -318,9 +316,9 @@
             );
         }
         for slot in 0..coordination.as_ref().map_or(0, |coordination| coordination.voters) {
-            let keeper = plans[slot].coordination_port.address();
+            let voter = plans[slot].coordination_port.address();
             for process in 0..plans.len() {
-                link(LinkEnds::ProxyToVoter { process, slot }, keeper)?;
+                link(LinkEnds::ProxyToVoter { process, slot }, voter)?;
             }
         }
         for (process, plan) in plans.iter().enumerate().take(parameters.proxies.len()) {
@@ -329,7 +327,7 @@
         let processes: Vec<Process> = (plans.into_iter().enumerate())
             .map(|(number, s)| {
                 let mut settings = parameters.settings(s.tier, s.rank, s.instances, s.zone);
-                // Discovery here answers only requests, as the platform's does.
+                // As on the platform, discovery sends updates only to proxies that subscribe.
                 settings.must_subscribe = true;
                 settings.permissions.peer_messages = coordination.is_some();
                 if let Some(settings_fault) = &settings_fault {
@@ -352,10 +350,10 @@
                 }
             })
             .collect();
-        let (tell, event) = mpsc::unbounded_channel();
-        let keeper = ProcessSupervisor::start(program, &["lab", "keeper"], move |event| {
-            // Fails only once the run is over.
-            let _ = tell.send(event);
+        let (event_sender, events) = mpsc::unbounded_channel();
+        let supervisor = ProcessSupervisor::start(program, &["lab", "keeper"], move |event| {
+            // Fails only once the run is over and the fleet is dropped.
+            let _ = event_sender.send(event);
         });
         let summary = RunSummary::new("drill", seed, parameters.length, parameters.shares());
         let fleet = Rc::new(Fleet {
@@ -370,35 +368,41 @@
             link_by_ends: links.iter().enumerate().map(|(place, (ends, _))| (*ends, place)).collect(),
             links,
             incarnations,
-            supervisor: RefCell::new(keeper.map_err(system("the keeper"))?),
+            supervisor: RefCell::new(supervisor.map_err(system_error("process supervisor"))?),
             program: program.to_path_buf(),
             seeds: RefCell::new(chance(seed, Stream::Policies)),
             parameters,
         });
-        spawn_local(forward_supervisor_events(Rc::downgrade(&fleet), event));
+        spawn_local(forward_supervisor_events(Rc::downgrade(&fleet), events));
         for (process, discovery) in fleet.processes.iter().zip(discovery_link_addresses) {
-            std::fs::create_dir_all(process.folder.join("tmp")).map_err(system("a folder"))?;
-            std::fs::create_dir_all(process.folder.join("disk")).map_err(system("a folder"))?;
+            std::fs::create_dir_all(process.folder.join("tmp"))
+                .map_err(system_error("cannot create a folder of a proxy"))?;
+            std::fs::create_dir_all(process.folder.join("disk"))
+                .map_err(system_error("cannot create a folder of a proxy"))?;
             fleet.launch(process.number, discovery)?;
         }
         for process in 0..fleet.processes.len() {
-            fleet.wait_up(process).await?;
+            fleet.wait_until_ready(process).await?;
         }
         for server in &fleet.servers {
-            server.listen().map_err(system("a server"))?;
+            server.listen().map_err(system_error("a backend cannot listen"))?;
         }
         Ok(fleet)
     }
 
-    /// The link between two ends.
+    /// Returns the link between two ends.
+    ///
+    /// # Panics
+    /// If the fleet has no such link.
     pub fn link(&self, ends: LinkEnds) -> &Rc<TcpProxy> {
-        // All links there can be were made at the start.
+        // All links are made when the fleet starts.
         &self.links[self.link_by_ends[&ends]].1
     }
 
-    /// Traffic over some links, added up.
-    pub fn transferred(&self, which: impl Fn(LinkEnds) -> bool) -> TransferredBytes {
-        let each = self.links.iter().filter(|(ends, _)| which(*ends)).map(|(_, link)| link.transferred());
+    /// Returns the sum of the traffic over the selected links.
+    pub fn transferred(&self, is_selected: impl Fn(LinkEnds) -> bool) -> TransferredBytes {
+        let each =
+            self.links.iter().filter(|(ends, _)| is_selected(*ends)).map(|(_, link)| link.transferred());
         each.fold(TransferredBytes::default(), |a, b| TransferredBytes {
             connections: a.connections + b.connections,
             to_target: a.to_target + b.to_target,
@@ -406,19 +410,19 @@
         })
     }
 
-    /// Sets the fault of some links.
-    pub fn set_fault(&self, fault: Fault, which: impl Fn(LinkEnds) -> bool) {
-        let meant = self.links.iter().filter(|(ends, _)| which(*ends));
-        meant.for_each(|(_, link)| link.set_fault(fault));
+    /// Sets the fault of the selected links.
+    pub fn set_fault(&self, fault: Fault, is_selected: impl Fn(LinkEnds) -> bool) {
+        let selected = self.links.iter().filter(|(ends, _)| is_selected(*ends));
+        selected.for_each(|(_, link)| link.set_fault(fault));
     }
 
-    /// The true parameters, for the checker.
+    /// Returns the true parameters of the fleet, for the invariant checker.
     pub fn truth(&self) -> GroundTruth {
         let delays = self.parameters.failures.iter().map(|f| f.cut.delay);
         GroundTruth {
             settings: self.parameters.settings(0, 0, self.first_tier_count, 0),
             servers: (self.parameters.tiers.iter().enumerate())
-                .flat_map(|(tier, of)| (0..of.places.len()).map(move |n| (tier, n)))
+                .flat_map(|(tier, drawn)| (0..drawn.places.len()).map(move |n| (tier, n)))
                 .map(|(tier, n)| TrueBackend {
                     name: format!("s{tier}-{n}"),
                     tier,
@@ -440,8 +444,8 @@
     #[allow(clippy::too_many_lines, reason = "writes a process's files and starts it")]
     fn launch(&self, number: usize, discovery: SocketAddr) -> Result<(), FleetError> {
         let process = &self.processes[number];
-        let config = process.folder.join("config.json");
-        let told = platform::ProxyConfig {
+        let config_path = process.folder.join("config.json");
+        let config = platform::ProxyConfig {
             name: &process.name,
             listen: process.address(),
             discovery,
@@ -449,19 +453,19 @@
             known: self.discovery_servers[process.tier].known(number),
             settings: &process.settings,
         };
-        let text = platform::file(&told).to_string();
-        std::fs::write(&config, text).map_err(system(config.display().to_string()))?;
+        let text = platform::file(&config).to_string();
+        std::fs::write(&config_path, text).map_err(system_error(config_path.display().to_string()))?;
         let text = |path: &Path| path.display().to_string();
-        let mut operator = Vec::new();
+        let mut operator_arguments = Vec::new();
         if let Some(coordination) = &self.coordination {
             let path = process.folder.join("operator.toml");
-            let keepers =
+            let voters =
                 (0..coordination.voters).map(|slot| LinkEnds::ProxyToVoter { process: number, slot });
-            let keepers: Vec<SocketAddr> = keepers.map(|ends| self.link(ends).address()).collect();
+            let voters: Vec<SocketAddr> = voters.map(|ends| self.link(ends).address()).collect();
             let listen = coordination.is_voter(number).then(|| process.coordination_port.address());
-            let file = coordination.file(number, &keepers, listen, &process.folder.join("disk"));
-            std::fs::write(&path, file).map_err(system(path.display().to_string()))?;
-            operator = vec!["--operator".into(), text(&path)];
+            let file = coordination.operator_file(number, &voters, listen, &process.folder.join("disk"));
+            std::fs::write(&path, file).map_err(system_error(path.display().to_string()))?;
+            operator_arguments = vec!["--operator".into(), text(&path)];
         }
         let start = StartProcess {
             number,
@@ -469,14 +473,14 @@
             arguments: ["run", "--set", "log.calls=true", "--set", "log.format=json"]
                 .map(String::from)
                 .into_iter()
-                .chain(operator)
+                .chain(operator_arguments)
                 .collect(),
             environment: vec![
                 ("NODE_NAME".into(), process.name.clone()),
                 ("NODE_LISTEN".into(), process.address().to_string()),
                 ("NODE_DISCOVERY".into(), discovery.to_string()),
                 ("NODE_ADMIN_ADDR".into(), process.admin().to_string()),
-                ("NODE_CONFIG".into(), text(&config)),
+                ("NODE_CONFIG".into(), text(&config_path)),
                 ("TMPDIR".into(), text(&process.folder.join("tmp"))),
             ],
             log: process.log(),
@@ -484,34 +488,38 @@
         self.incarnations.borrow_mut()[number] += 1;
         self.record_event(number, ProcessEvent::Started);
         process.is_running.set(true);
-        self.supervisor.borrow_mut().run(start).map_err(system("the keeper"))
+        self.supervisor.borrow_mut().run(start).map_err(system_error("process supervisor"))
     }
 
-    /// Restarts a proxy, with no learned state, and waits until it is ready.
+    /// Starts a proxy again, without any learned state, and waits until it is ready.
     pub async fn start_process(&self, number: usize) -> Result<(), FleetError> {
-        let end = Instant::now() + UP_WITHIN;
-        // Only once the process before it has been reaped.
+        let end = Instant::now() + READY_TIMEOUT;
+        // The previous process must have been reaped first.
         while self.processes[number].is_running.get() && Instant::now() < end {
-            sleep(POLL_INTERVAL).await;
+            sleep(READINESS_CHECK_INTERVAL).await;
         }
         let discovery = self.link(LinkEnds::ProxyToDiscovery { process: number }).address();
         self.launch(number, discovery)?;
-        self.wait_up(number).await
+        self.wait_until_ready(number).await
     }
 
-    /// Waits until a proxy is ready.
-    async fn wait_up(&self, number: usize) -> Result<(), FleetError> {
+    /// Waits until a proxy is ready, records that, and lets the link from the clients through.
+    async fn wait_until_ready(&self, number: usize) -> Result<(), FleetError> {
         let process = &self.processes[number];
-        let up = async {
+        let ready = async {
             while !is_ready(process.address()).await {
-                sleep(POLL_INTERVAL).await;
+                sleep(READINESS_CHECK_INTERVAL).await;
             }
         };
-        if timeout(UP_WITHIN, up).await.is_err() {
+        if timeout(READY_TIMEOUT, ready).await.is_err() {
             let log = std::fs::read_to_string(process.log()).unwrap_or_default();
-            let from = log.char_indices().rev().nth(2_000).map_or(0, |(at, _)| at);
-            let seconds = UP_WITHIN.as_secs();
-            return Err(FleetError::NotUp { name: process.name.clone(), seconds, log: log[from..].into() });
+            let start = log.char_indices().rev().nth(2_000).map_or(0, |(at, _)| at);
+            let seconds = READY_TIMEOUT.as_secs();
+            return Err(FleetError::NotReady {
+                name: process.name.clone(),
+                seconds,
+                log: log[start..].into(),
+            });
         }
         if number < self.first_tier_count {
             self.link(LinkEnds::ClientToProxy { process: number }).set_target_listening(true);
@@ -520,7 +528,7 @@
         Ok(())
     }
 
-    /// Signals a proxy.
+    /// Sends a signal to a proxy and records it.
     pub fn signal(&self, number: usize, signal: ProcessSignal) -> Result<(), FleetError> {
         match signal {
             ProcessSignal::Kill => {
@@ -531,22 +539,25 @@
             }
             ProcessSignal::Term => self.record_event(number, ProcessEvent::SigtermSent),
             ProcessSignal::Stop => self.record_event(number, ProcessEvent::Stopped),
-            ProcessSignal::Go => self.record_event(number, ProcessEvent::Continued),
+            ProcessSignal::Continue => self.record_event(number, ProcessEvent::Continued),
             ProcessSignal::Reload => {}
         }
-        self.supervisor.borrow_mut().signal(number, signal).map_err(system("the keeper"))
+        self.supervisor.borrow_mut().signal(number, signal).map_err(system_error("process supervisor"))
     }
 
-    /// Kills a proxy without a record: to the checker it is a crash.
+    /// Kills a proxy without recording it, so that the invariant checker sees a crash.
     pub fn kill_unrecorded(&self, number: usize) -> Result<(), FleetError> {
-        self.supervisor.borrow_mut().signal(number, ProcessSignal::Kill).map_err(system("the keeper"))
+        self.supervisor
+            .borrow_mut()
+            .signal(number, ProcessSignal::Kill)
+            .map_err(system_error("process supervisor"))
     }
 
     fn on_supervisor_event(&self, event: SupervisorEvent) {
         match event {
             SupervisorEvent::Started { number, pid } => self.processes[number].pid.set(Some(pid)),
-            SupervisorEvent::Failed { number, why } => {
-                eprintln!("{}: {why}", self.processes[number].name);
+            SupervisorEvent::Failed { number, error } => {
+                eprintln!("{} cannot be started: {error}", self.processes[number].name);
                 self.processes[number].is_running.set(false);
             }
             SupervisorEvent::Ended { number, code, .. } => {
@@ -563,9 +574,9 @@
 
 async fn forward_supervisor_events(
     fleet: std::rc::Weak<Fleet>,
-    mut event: mpsc::UnboundedReceiver<SupervisorEvent>,
+    mut events: mpsc::UnboundedReceiver<SupervisorEvent>,
 ) {
-    while let Some(event) = event.recv().await {
+    while let Some(event) = events.recv().await {
         match fleet.upgrade() {
             Some(fleet) => fleet.on_supervisor_event(event),
             None => return,
@@ -573,22 +584,22 @@
     }
 }
 
-/// Whether `GET /up` at an address answers 200.
+/// Whether `GET /up` at an address is answered with 200 within a second.
 pub(crate) async fn is_ready(address: SocketAddr) -> bool {
     use tokio::io::AsyncWriteExt;
-    let asked = async {
-        let mut wire = crate::http::Wire::new(tokio::net::TcpStream::connect(address).await?);
-        wire.stream.write_all(b"GET /up HTTP/1.1\r\nHost: p\r\nConnection: close\r\n\r\n").await?;
-        wire.message(false).await
+    let check = async {
+        let mut connection = crate::http::HttpConnection::new(tokio::net::TcpStream::connect(address).await?);
+        connection.stream.write_all(b"GET /up HTTP/1.1\r\nHost: p\r\nConnection: close\r\n\r\n").await?;
+        connection.read_message(false).await
     };
-    matches!(timeout(Duration::from_secs(1), asked).await, Ok(Ok(Some(m))) if m.status == 200)
+    matches!(timeout(Duration::from_secs(1), check).await, Ok(Ok(Some(response))) if response.status == 200)
 }
 
-fn servers(
+fn start_backends(
     parameters: &DrawnScenario,
     plans: &[ProcessPlan],
     history: &Rc<History>,
-    (callers, identify_sender): (&ConnectionLinks, &IdentifySender),
+    (connection_links, identify_sender): (&ConnectionLinks, &IdentifySender),
 ) -> IoResult<Vec<Rc<Server>>> {
     let classes: Vec<(String, bool, bool)> = (parameters.classes.iter())
         .map(|c| (c.name.clone(), c.repeats == ClassRetrySafety::Safe, c.repeats == ClassRetrySafety::Keyed))
@@ -597,8 +608,8 @@
     let mut all = Vec::new();
     for (tier, of) in parameters.tiers.iter().enumerate() {
         for (n, place) in of.places.iter().enumerate() {
-            let own = plans.iter().position(|s| s.tier == tier + 1 && s.rank == n);
-            let below = own.map(|process| {
+            let own_proxy = plans.iter().position(|s| s.tier == tier + 1 && s.rank == n);
+            let downstream = own_proxy.map(|process| {
                 DownstreamTier::new(process, plans[process].port.address(), classes.clone(), tenants.clone())
             });
             let parameters = BackendParameters {
@@ -608,8 +619,8 @@
                 part: of.part,
                 calls: of.calls,
             };
-            let identify_sender = (callers.clone(), identify_sender.clone());
-            all.push(Server::new(parameters, history.clone(), identify_sender, below)?);
+            let senders = (connection_links.clone(), identify_sender.clone());
+            all.push(Server::new(parameters, history.clone(), senders, downstream)?);
         }
     }
     Ok(all)
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -1,237 +1,240 @@
-//! The history of a run, in memory: what clients, backends and discovery observed, and what was done to processes. Times
-//! are milliseconds since the first request; before that they are negative.
+//! The history of a run, kept in memory: what clients, backends and discovery observed, and what was done to
+//! processes. All times are milliseconds since the first client request; earlier times are negative.
 
 use hillstall_decision::BackendState;
 use std::cell::{Cell, RefCell};
 use std::time::Instant;
 
-/// How an attempt ended for its client.
+/// The result of an attempt for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientResult {
-    /// 200, with a body that a backend made for it.
+    /// Status 200, with a body that names the request.
     Served,
-    /// 429 or 503.
+    /// Rejected with status 429 or 503.
     Refused,
-    /// Any other response.
+    /// Any other status.
     Failed(u16),
-    /// Its connection never came up, or was refused, or closed before the request was written.
+    /// Not accepted: its connection was refused or never established, or closed before the proxy read the
+    /// request.
     NotAccepted,
-    /// Its connection ended after the request was written, before a complete response.
+    /// The connection ended after the request was written, before a complete response.
     Broken,
-    /// No response until well after its timeout.
+    /// No response until well after the timeout.
     Unanswered,
-    /// Its client left before the timeout.
+    /// The client closed the connection before the timeout.
     Abandoned,
-    /// An invalid response, and why.
+    /// An invalid response, with a description.
     Invalid(String),
 }
 
-/// An attempt of a client at a proxy.
+/// An attempt of a client, or of a backend that calls the next tier, at a proxy.
 #[derive(Clone, Debug)]
 pub struct ClientAttempt {
-    /// Its id.
+    /// The request id, unique per attempt. Requests that a backend sends to the next tier add a suffix after
+    /// a dot.
     pub id: String,
-    /// Its class.
+    /// Index of the class in the settings.
     pub class: usize,
-    /// Its tenant.
+    /// Index of the tenant in the settings.
     pub tenant: usize,
-    /// Its idempotency key, if its class has one; attempts of one request share it.
+    /// The idempotency key, if the class uses one; all attempts of one request share it.
     pub key: Option<String>,
-    /// The proxy that it was sent to.
+    /// The number of the proxy process that received it.
     pub process: usize,
-    /// When its last byte was written, if it was.
+    /// When the last byte of the request was written; `None` while that has not happened.
     pub written_at: Option<f64>,
-    /// Its timeout as sent to the proxy, in milliseconds.
+    /// The timeout that the request states, in milliseconds.
     pub timeout_ms: f64,
-    /// When it ended.
+    /// When the attempt ended.
     pub ended_at: f64,
-    /// How.
+    /// How the attempt ended.
     pub result: ClientResult,
-    /// The Retry-After of a rejection, in milliseconds.
+    /// The Retry-After header of the response, in milliseconds, if there was one.
     pub retry_after_ms: Option<f64>,
 }
 
-/// How an attempt of a proxy ended at a backend.
+/// The result of a proxy's attempt at a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendResult {
     /// In progress.
     InProgress,
-    /// Answered with 200.
+    /// Answered with status 200.
     Served,
-    /// Rejected before it began.
+    /// Rejected with status 503 before any work was done.
     Rejected,
-    /// Answered with 500: a request to the next tier failed.
+    /// Answered with status 500, because a request to the next tier failed.
     Error,
-    /// Its sender left.
+    /// The proxy closed the connection first.
     Cancelled,
-    /// The backend's process died.
+    /// The backend was killed meanwhile.
     Lost,
 }
 
-/// An attempt of a proxy, as a backend recorded it.
+/// A proxy's attempt, as the backend recorded it.
 #[derive(Clone, Debug)]
 pub struct BackendAttempt {
-    /// Its request id.
+    /// The request id.
     pub id: String,
-    /// The backend, by its number over all tiers.
+    /// The number of the backend, counted over all tiers.
     pub server: usize,
-    /// The proxy that sent it.
+    /// The number of the proxy process that sent it.
     pub process: usize,
-    /// The number of times that the proxy had been started by then.
+    /// The incarnation of the proxy process: how often it had been started by then.
     pub incarnation: u32,
-    /// When it arrived.
+    /// When the request arrived.
     pub at: f64,
-    /// Its own work at this tier, in core milliseconds.
+    /// The work that the request takes at this tier alone, in core milliseconds.
     pub work: f64,
-    /// When it ended.
+    /// When the attempt ended; the arrival time while it is in progress.
     pub ended_at: f64,
-    /// How.
+    /// How the attempt ended.
     pub result: BackendResult,
 }
 
-/// A line of the endpoint list that was written to a proxy.
+/// One backend's state as discovery wrote it to a proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct Notification {
-    /// The proxy.
+    /// The number of the proxy process.
     pub process: usize,
-    /// The number of times that the proxy had been started by then.
+    /// The incarnation of the proxy process: how often it had been started by then.
     pub incarnation: u32,
-    /// The backend that it names.
+    /// The number of the backend, counted over all tiers.
     pub server: usize,
-    /// The backend's state.
+    /// The state that discovery announced.
     pub status: BackendState,
-    /// When.
+    /// When it was written.
     pub at: f64,
 }
 
-/// What happened to a process.
+/// A change in the life of a proxy process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessEvent {
-    /// It was started.
+    /// The process was started.
     Started,
-    /// It is ready.
+    /// The process answered its first readiness check with 200.
     Ready,
-    /// It received SIGTERM.
+    /// SIGTERM was sent.
     SigtermSent,
-    /// It was killed.
+    /// SIGKILL was sent.
     Killed,
-    /// It was stopped by SIGSTOP.
+    /// SIGSTOP was sent.
     Stopped,
-    /// It continued after SIGCONT.
+    /// SIGCONT was sent.
     Continued,
-    /// It ended by itself, or after SIGTERM, with this exit code.
+    /// The process has ended, with this exit code; `None` if a signal ended it.
     Exited(Option<i32>),
 }
 
-/// A change in a process's life.
+/// An event in the life of a proxy process, with its time.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessEventRecord {
-    /// To which.
+    /// The number of the proxy process.
     pub process: usize,
-    /// When.
+    /// When it happened.
     pub at: f64,
-    /// What.
+    /// What happened.
     pub event: ProcessEvent,
 }
 
-/// A restart of a backend, which begins its slow start.
+/// A restart of a backend; its slow start begins at this time.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendStart {
-    /// Which.
+    /// The number of the backend, counted over all tiers.
     pub server: usize,
-    /// When.
+    /// When it was restarted.
     pub at: f64,
 }
 
-/// A time span in which the link from the clients to a proxy was faulty.
+/// A time span in which the link from the clients to a proxy had a fault.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLinkFault {
-    /// The proxy.
+    /// The number of the proxy process.
     pub process: usize,
-    /// From when.
+    /// When the fault began.
     pub from: f64,
-    /// To when.
+    /// When the fault ended.
     pub to: f64,
 }
 
-/// All that was recorded.
+/// All records of a run.
 #[derive(Debug, Default)]
 pub struct Observations {
-    /// Client attempts at proxies.
+    /// Attempts at proxies, by clients and by backends that call the next tier.
     pub client_attempts: Vec<ClientAttempt>,
-    /// Proxies' attempts at backends.
+    /// Attempts of proxies at backends.
     pub backend_attempts: Vec<BackendAttempt>,
-    /// Endpoint states sent to proxies.
+    /// Backend states that discovery wrote to proxies.
     pub notifications: Vec<Notification>,
-    /// What happened to processes.
+    /// Starts, signals and ends of proxy processes.
     pub process_events: Vec<ProcessEventRecord>,
     /// Restarts of backends.
     pub backend_starts: Vec<BackendStart>,
-    /// Faulty links from clients to proxies.
+    /// Faults of the links from clients to proxies.
     pub client_link_faults: Vec<ClientLinkFault>,
-    /// Connections accepted, by backend.
+    /// The number of connections accepted, by backend; shorter than the list of backends if the last ones had
+    /// none.
     pub handshakes: Vec<u64>,
-    /// Requests to discovery.
+    /// The number of requests to discovery.
     pub discovery_requests: u64,
-    /// How late each client request started, in milliseconds.
+    /// For each client request, how long after its scheduled time it started, in milliseconds.
     pub start_delays_ms: Vec<f64>,
-    /// Stalls: who was ready to run and got no processor time.
+    /// Time spans in which the harness or a proxy was ready to run and got no processor time.
     pub stalls: Vec<HostStall>,
 }
 
-/// A stall: somebody got no processor time.
+/// A time span in which the harness or a proxy was ready to run and got no processor time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostStall {
-    /// A process; without one, the harness itself with its clients, links and backends.
+    /// The number of the proxy process; `None` for the harness, which runs the clients, links and backends.
     pub process: Option<usize>,
-    /// From.
+    /// When the stall began.
     pub from: f64,
-    /// To.
+    /// When the stall ended.
     pub to: f64,
 }
 
-/// The run's clock and its observations.
+/// The clock of a run and its records.
 pub struct History {
-    zero: Cell<Instant>,
+    first_request_at: Cell<Instant>,
     observations: RefCell<Observations>,
 }
 
 impl Default for History {
     fn default() -> History {
-        History { zero: Cell::new(Instant::now()), observations: RefCell::default() }
+        History { first_request_at: Cell::new(Instant::now()), observations: RefCell::default() }
     }
 }
 
 impl History {
-    /// Milliseconds since the first request.
+    /// Milliseconds since the first request; negative before it.
     pub fn now(&self) -> f64 {
         let now = Instant::now();
-        match now.checked_duration_since(self.zero.get()) {
-            Some(passed) => passed.as_secs_f64() * 1e3,
-            None => -(self.zero.get() - now).as_secs_f64() * 1e3,
+        match now.checked_duration_since(self.first_request_at.get()) {
+            Some(elapsed) => elapsed.as_secs_f64() * 1e3,
+            None => -(self.first_request_at.get() - now).as_secs_f64() * 1e3,
         }
     }
 
-    /// The instant of a time in milliseconds.
+    /// The instant of a time in milliseconds; a negative time gives that of the first request.
     pub fn instant(&self, at: f64) -> tokio::time::Instant {
-        let zero = self.zero.get();
+        let first_request_at = self.first_request_at.get();
         match at >= 0.0 {
-            true => (zero + std::time::Duration::from_secs_f64(at / 1e3)).into(),
-            false => zero.into(),
+            true => (first_request_at + std::time::Duration::from_secs_f64(at / 1e3)).into(),
+            false => first_request_at.into(),
         }
     }
 
-    /// Sets the time of the first request.
-    pub fn begin(&self, zero: Instant) {
-        self.zero.set(zero);
+    /// Sets the time of the first request, which is the zero of all times.
+    pub fn set_first_request(&self, at: Instant) {
+        self.first_request_at.set(at);
     }
 
-    /// Changes the record.
-    pub fn record<T>(&self, what: impl FnOnce(&mut Observations) -> T) -> T {
-        what(&mut self.observations.borrow_mut())
+    /// Adds to the records, or changes them, by a closure.
+    pub fn record<T>(&self, change: impl FnOnce(&mut Observations) -> T) -> T {
+        change(&mut self.observations.borrow_mut())
     }
 
-    /// Takes the record, at the end.
+    /// Takes the records out, which leaves none behind.
     pub fn take(&self) -> Observations {
         self.observations.take()
     }
--- a/crates/fault-injection/src/host_load_monitor.rs
+++ b/crates/fault-injection/src/host_load_monitor.rs
@@ -1,6 +1,6 @@
-//! Whether the host had enough processor time for the run. The harness samples its own clock every few milliseconds, and
-//! how long the threads of each process were ready to run and did not, as the kernel counts it (`schedstat`). A proxy
-//! that got no processor answers late through no fault of the program.
+//! Whether the host had enough processor time for the run. The harness samples its own clock every few
+//! milliseconds, and how long the threads of each process were ready to run and did not, as the kernel counts
+//! it (`schedstat`). A proxy that got no processor answers late through no fault of the program.
 
 use crate::fleet::Fleet;
 use crate::history::HostStall;
@@ -17,7 +17,8 @@
 /// The shortest wait that is recorded, in milliseconds.
 const MIN_STALL_MS: f64 = 40.0;
 
-/// Nanoseconds that a thread waited for a processor, of the text of its `schedstat`: the second of three figures.
+/// Nanoseconds that a thread waited for a processor, of the text of its `schedstat`: the second of three
+/// figures.
 pub fn waited_ns(text: &str) -> Option<u64> {
     text.split_ascii_whitespace().nth(1)?.parse().ok()
 }
--- a/crates/fault-injection/src/http.rs
+++ b/crates/fault-injection/src/http.rs
@@ -1,4 +1,4 @@
-//! The subset of HTTP/1.1 that the harness speaks: messages with a length, one at a time on a connection.
+//! The subset of HTTP/1.1 that the harness uses: messages with a Content-Length, on persistent connections.
 
 use httparse::{Request, Response, EMPTY_HEADER};
 use std::io::{Error, ErrorKind, Result};
@@ -8,12 +8,12 @@
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 64;
 
-/// A message that was read.
+/// A request or response that was read.
 #[derive(Debug, Default)]
 pub(crate) struct Message {
-    /// Of an answer.
+    /// The status of a response; 0 in a request.
     pub(crate) status: u16,
-    /// Of a request.
+    /// The target of a request; empty in a response.
     pub(crate) target: String,
     headers: Vec<(String, String)>,
     pub(crate) body: Vec<u8>,
@@ -26,33 +26,33 @@
     }
 }
 
-/// A connection on which messages are read.
-pub(crate) struct Wire {
+/// A connection, with the bytes that were read and not yet consumed.
+pub(crate) struct HttpConnection {
     pub(crate) stream: TcpStream,
-    read: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
-fn bad(why: &str) -> Error {
-    Error::new(ErrorKind::InvalidData, why.to_string())
+fn invalid_data(reason: &str) -> Error {
+    Error::new(ErrorKind::InvalidData, reason.to_string())
 }
 
 fn headers(of: &[httparse::Header<'_>]) -> Vec<(String, String)> {
     of.iter().map(|h| (h.name.to_string(), String::from_utf8_lossy(h.value).into_owned())).collect()
 }
 
-impl Wire {
-    pub(crate) fn new(stream: TcpStream) -> Wire {
-        // Fails only on a dead stream, which the first read tells.
+impl HttpConnection {
+    pub(crate) fn new(stream: TcpStream) -> HttpConnection {
+        // Fails only on a stream that has ended, which the first read reports.
         let _ = stream.set_nodelay(true);
-        Wire { stream, read: Vec::with_capacity(1024) }
+        HttpConnection { stream, buffer: Vec::with_capacity(1024) }
     }
 
-    /// The head that is there in whole, and its length in bytes.
-    fn head(&self, request: bool) -> Result<Option<(Message, usize)>> {
+    /// Parses a message head and returns it with its length in bytes; `None` while it is incomplete.
+    fn parse_head(&self, is_request: bool) -> Result<Option<(Message, usize)>> {
         let mut space = [EMPTY_HEADER; MAX_HEADERS];
-        let (mut message, used) = if request {
+        let (mut message, used) = if is_request {
             let mut head = Request::new(&mut space);
-            match head.parse(&self.read).map_err(|e| bad(&e.to_string()))? {
+            match head.parse(&self.buffer).map_err(|e| invalid_data(&e.to_string()))? {
                 httparse::Status::Partial => return Ok(None),
                 httparse::Status::Complete(used) => {
                     let target = head.path.unwrap_or_default().to_string();
@@ -61,7 +61,7 @@
             }
         } else {
             let mut head = Response::new(&mut space);
-            match head.parse(&self.read).map_err(|e| bad(&e.to_string()))? {
+            match head.parse(&self.buffer).map_err(|e| invalid_data(&e.to_string()))? {
                 httparse::Status::Partial => return Ok(None),
                 httparse::Status::Complete(used) => {
                     let status = head.code.unwrap_or_default();
@@ -70,30 +70,31 @@
             }
         };
         message.length = match message.header("content-length") {
-            Some(text) => text.trim().parse().map_err(|_| bad("no length"))?,
+            Some(text) => text.trim().parse().map_err(|_| invalid_data("invalid Content-Length"))?,
             None => 0,
         };
         Ok(Some((message, used)))
     }
 
-    /// The next message; `None` where the other side has ended between two of them.
-    pub(crate) async fn message(&mut self, request: bool) -> Result<Option<Message>> {
+    /// Reads the next message, a request or a response; `None` if the peer closed the connection between two
+    /// messages.
+    pub(crate) async fn read_message(&mut self, is_request: bool) -> Result<Option<Message>> {
         loop {
-            if let Some((mut message, used)) = self.head(request)? {
-                while self.read.len() < used + message.length {
-                    if self.stream.read_buf(&mut self.read).await? == 0 {
+            if let Some((mut message, used)) = self.parse_head(is_request)? {
+                while self.buffer.len() < used + message.length {
+                    if self.stream.read_buf(&mut self.buffer).await? == 0 {
                         return Err(ErrorKind::UnexpectedEof.into());
                     }
                 }
-                message.body = self.read[used..used + message.length].to_vec();
-                self.read.drain(..used + message.length);
+                message.body = self.buffer[used..used + message.length].to_vec();
+                self.buffer.drain(..used + message.length);
                 return Ok(Some(message));
             }
-            if self.read.len() > MAX_HEAD_BYTES {
-                return Err(bad("the head is too long"));
+            if self.buffer.len() > MAX_HEAD_BYTES {
+                return Err(invalid_data("message head longer than 16 KiB"));
             }
-            if self.stream.read_buf(&mut self.read).await? == 0 {
-                return match self.read.is_empty() {
+            if self.stream.read_buf(&mut self.buffer).await? == 0 {
+                return match self.buffer.is_empty() {
                     true => Ok(None),
                     false => Err(ErrorKind::UnexpectedEof.into()),
                 };
@@ -101,44 +102,46 @@
         }
     }
 
-    pub(crate) async fn answer(&mut self, status: &str, more: &str, body: &str) -> Result<()> {
-        let text = format!("HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}", body.len());
+    /// Writes a response. `status` is the code with its reason phrase, `headers` whole lines with their ends.
+    pub(crate) async fn write_response(&mut self, status: &str, headers: &str, body: &str) -> Result<()> {
+        let text = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len());
         self.stream.write_all(text.as_bytes()).await
     }
 
-    /// Whether more was read than the last message.
-    pub(crate) fn has_more(&self) -> bool {
-        !self.read.is_empty()
+    /// Whether bytes beyond the last message were read.
+    pub(crate) fn has_unread_bytes(&self) -> bool {
+        !self.buffer.is_empty()
     }
 
-    /// Waits until the other side closes or resets the connection, or sends data too early.
-    pub(crate) async fn gone(&mut self) {
-        let mut more = [0; 1];
-        let _ = self.stream.read(&mut more).await;
+    /// Waits until the peer closes or resets the connection, or sends data without waiting for its response.
+    pub(crate) async fn closed(&mut self) {
+        let mut byte = [0; 1];
+        let _ = self.stream.read(&mut byte).await;
     }
 }
 
-/// A request to a proxy, with the headers of the platform's protocol.
+/// A request to a proxy, with the headers of the platform's protocol and no body.
 pub(crate) struct OutgoingRequest<'a> {
     pub(crate) id: &'a str,
     pub(crate) class: &'a str,
     pub(crate) tenant: Option<&'a str>,
     pub(crate) timeout_ms: u64,
-    /// Its idempotency key, if its class has one.
+    /// The idempotency key, if the class uses one.
     pub(crate) key: Option<&'a str>,
-    /// Whether the class is idempotent.
-    pub(crate) safe: bool,
+    /// Whether the class is idempotent, and so sent as GET instead of POST.
+    pub(crate) idempotent: bool,
     pub(crate) target: &'a str,
-    pub(crate) retry: bool,
+    /// Whether the client has sent the request before.
+    pub(crate) is_retry: bool,
 }
 
 impl OutgoingRequest<'_> {
     pub(crate) fn encode(&self) -> String {
-        let method = if self.safe { "GET" } else { "POST" };
+        let method = if self.idempotent { "GET" } else { "POST" };
         let tenant = self.tenant.map(|t| format!("Tenant: {t}\r\n")).unwrap_or_default();
         let key = self.key.map(|k| format!("Idempotency-Key: {k}\r\n")).unwrap_or_default();
-        let retry = if self.retry { "Client-Retry: 1\r\n" } else { "" };
-        let length = if self.safe { "" } else { "Content-Length: 0\r\n" };
+        let retry = if self.is_retry { "Client-Retry: 1\r\n" } else { "" };
+        let length = if self.idempotent { "" } else { "Content-Length: 0\r\n" };
         format!(
             "{method} {} HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: {}\r\nRequest-Class: {}\r\n\
              Request-Timeout-Ms: {}\r\n{tenant}{key}{retry}{length}\r\n",
--- a/crates/fault-injection/src/invariant_checker.rs
+++ b/crates/fault-injection/src/invariant_checker.rs
@@ -1,5 +1,6 @@
-//! The invariant checker: joins what clients, backends and discovery recorded by request id, and judges the whole fleet
-//! by the rules of the platform's protocol. It knows the rules and the true parameters, and not how a proxy decides.
+//! The invariant checker joins the records of clients, backends and discovery by request id, and checks the
+//! whole fleet against the rules of the platform's protocol. It uses only these rules and the fleet's true
+//! parameters, nothing of how a proxy makes its decisions.
 
 use crate::history::{
     BackendAttempt, BackendResult, ClientAttempt, ClientResult, HostStall, Observations, ProcessEvent,
@@ -10,122 +11,123 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Tolerance on every time limit, as in the platform's protocol, in milliseconds.
+/// The tolerance that the platform's protocol grants on every time limit, in milliseconds.
 const TOLERANCE_MS: f64 = 50.0;
-/// A signal or link fault this close to an event may be its cause, in milliseconds.
+/// A signal or link fault at most this long before or after an event may be its cause, in milliseconds.
 const CAUSE_WINDOW_MS: f64 = 150.0;
-/// A longer stall makes a run void, in milliseconds.
+/// The longest stall of the host that leaves a run valid, in milliseconds.
 const MAX_STALL_MS: f64 = 250.0;
-/// A larger part of late client requests makes a run void;
+/// The largest fraction of late client requests that leaves a run valid.
 const MAX_LATE_FRACTION: f64 = 0.01;
-/// late is later than this, in milliseconds.
+/// A client request that starts more than this after its scheduled time is late, in milliseconds.
 const LATE_START_MS: f64 = 60.0;
-/// Violations that are reported in full.
+/// Violations that a report describes one by one, with the trace of their request.
 const MAX_REPORTED_VIOLATIONS: usize = 5;
 
-/// A rule.
+/// A rule that a fleet must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// What a running proxy has accepted gets one final response, in time.
+    /// Every request that a running proxy has accepted gets exactly one final response, in time.
     OneResponse,
-    /// What may have run is retried only where its class permits that.
+    /// A request that may have been executed is retried only where its class permits that.
     UnsafeRetry,
     /// A request has no more attempts than the settings allow.
     AttemptLimit,
-    /// Nothing new reaches a backend later than the grace after the proxy was notified that it drains or is gone.
+    /// No new request reaches a backend once the drain grace has passed since discovery told the proxy that
+    /// the backend drains or is gone.
     Drain,
-    /// All proxies together never overload a backend in slow start.
+    /// The proxies together never overload a backend that is in slow start.
     SlowStart,
-    /// A rejected request has not run, or may be retried.
+    /// A request is rejected only if it has not been executed, or if its class permits a retry.
     Rejection,
-    /// Backends receive only requests that a client sent.
+    /// Backends receive only requests that some client sent.
     UnsolicitedRequest,
-    /// A proxy ends only after a signal.
+    /// A proxy process ends only after SIGTERM or SIGKILL.
     Crash,
 }
 
 impl Rule {
-    /// Its name in reports.
+    /// The rule's name in reports.
     pub fn name(self) -> &'static str {
         match self {
-            Rule::OneResponse => "one final answer",
-            Rule::UnsafeRetry => "no barred repeat",
-            Rule::AttemptLimit => "attempts of a request",
-            Rule::Drain => "nothing new to a draining server",
-            Rule::SlowStart => "no cold server pushed over",
-            Rule::Rejection => "a refusal is harmless",
-            Rule::UnsolicitedRequest => "nothing unasked",
+            Rule::OneResponse => "one final response",
+            Rule::UnsafeRetry => "no unsafe retry",
+            Rule::AttemptLimit => "attempt limit",
+            Rule::Drain => "no new request to a draining server",
+            Rule::SlowStart => "no overload in slow start",
+            Rule::Rejection => "no rejection after execution",
+            Rule::UnsolicitedRequest => "no unsolicited request",
             Rule::Crash => "no crash",
         }
     }
 }
 
-/// A violation.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// How it was violated.
+    /// What was observed, as text.
     pub description: String,
-    /// The request, where it is about one.
+    /// The id of the request, if the rule is about a single request.
     pub request_id: Option<String>,
 }
 
-/// Why a request without an answer is no violation.
+/// Why a request without a response is no violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Excuse {
-    /// Its proxy was killed or stopped, or the link to it was faulty.
+    /// Its proxy was killed or stopped, or the clients' link to the proxy was faulty.
     ProxyOrLinkGone,
-    /// The harness or the proxy got no processor time.
+    /// The harness or the proxy was ready to run and got no processor time.
     NoProcessorTime,
 }
 
 impl Excuse {
     fn name(self) -> &'static str {
         match self {
-            Excuse::ProxyOrLinkGone => "its proxy or the link to it was gone",
-            Excuse::NoProcessorTime => "there was no processor time",
+            Excuse::ProxyOrLinkGone => "proxy killed or stopped, or its link faulty",
+            Excuse::NoProcessorTime => "no processor time on the host",
         }
     }
 }
 
-/// True parameters of a backend.
+/// The true parameters of a backend, whatever proxies have been told about it.
 #[derive(Clone, Debug)]
 pub struct TrueBackend {
-    /// Its name in the endpoint list.
+    /// The name in the endpoint list.
     pub name: String,
-    /// Its tier.
+    /// The tier, from 0.
     pub tier: usize,
-    /// The load it bears after a start.
+    /// How much load it takes after a restart without overload.
     pub slow_start: SlowStartModel,
 }
 
-/// True parameters of the fleet.
+/// The true parameters of the fleet; a test may have given the proxies wrong settings.
 #[derive(Clone, Debug)]
 pub struct GroundTruth {
-    /// The correct settings.
+    /// The correct settings of the first tier's proxies.
     pub settings: Settings,
-    /// The backends, over all tiers.
+    /// The backends of all tiers, by number.
     pub servers: Vec<TrueBackend>,
-    /// The processes' names.
+    /// The names of the proxy processes, by number.
     pub processes: Vec<String>,
-    /// The largest delay injected into links, one way, in milliseconds.
+    /// The largest delay injected into any link, per direction, in milliseconds.
     pub max_link_delay_ms: f64,
 }
 
-/// The result of a run.
+/// The result of checking a run.
 #[derive(Clone, Debug)]
 pub enum Verdict {
-    /// No violation.
+    /// No rule was violated.
     Passed,
-    /// The violations.
+    /// At least one rule was violated.
     Violated(Vec<Violation>),
-    /// The harness got too little processor time, so the record proves nothing; and why.
+    /// The host gave too little processor time, so the record proves nothing; the text says why.
     Void(String),
 }
 
 impl Verdict {
-    /// The violations.
+    /// The violations; empty unless the verdict is [`Verdict::Violated`].
     pub fn violations(&self) -> &[Violation] {
         match self {
             Verdict::Violated(all) => all,
@@ -135,16 +137,16 @@
 
     /// Whether a rule was violated.
     pub fn violates(&self, rule: Rule) -> bool {
-        self.violations().iter().any(|b| b.rule == rule)
+        self.violations().iter().any(|violation| violation.rule == rule)
     }
 
-    /// Whether the run is void.
+    /// Whether the record proves nothing, because the host was overloaded.
     pub fn is_void(&self) -> bool {
         matches!(self, Verdict::Void(_))
     }
 }
 
-/// Checks a record.
+/// Checks the record of a run against all rules.
 pub fn check(truth: &GroundTruth, observations: &Observations) -> Verdict {
     if let Some(why) =
         late_starts_void(&observations.start_delays_ms).or_else(|| stalls_void(&observations.stalls))
@@ -152,51 +154,61 @@
         return Verdict::Void(why);
     }
     let checker = Checker::new(truth, observations);
-    let mut broken = Vec::new();
-    checker.check_responses(&mut broken);
-    checker.check_retries(&mut broken);
-    checker.check_drains(&mut broken);
-    checker.check_slow_start(&mut broken);
-    checker.check_crashes(&mut broken);
-    match broken.is_empty() {
+    let mut violations = Vec::new();
+    checker.check_responses(&mut violations);
+    checker.check_retries(&mut violations);
+    checker.check_drains(&mut violations);
+    checker.check_slow_start(&mut violations);
+    checker.check_crashes(&mut violations);
+    match violations.is_empty() {
         true => Verdict::Passed,
-        false => Verdict::Violated(broken),
+        false => Verdict::Violated(violations),
     }
 }
 
-/// Why late client requests make a run void, if they do.
+/// The reason why late client requests make a run void, if they do. Late requests change the load of the
+/// scenario.
 pub fn late_starts_void(start_delays_ms: &[f64]) -> Option<String> {
     let late = start_delays_ms.iter().filter(|late| **late > LATE_START_MS).count();
-    let part = late as f64 / start_delays_ms.len().max(1) as f64;
+    let fraction = late as f64 / start_delays_ms.len().max(1) as f64;
     let worst = start_delays_ms.iter().copied().fold(0.0, f64::max);
-    (part > MAX_LATE_FRACTION).then(|| {
+    (fraction > MAX_LATE_FRACTION).then(|| {
         format!(
-            "{:.1}% of the calls set out over {LATE_START_MS} ms late, the latest {worst:.0} ms",
-            100.0 * part
+            "{:.1}% of the client requests started over {LATE_START_MS} ms late, the latest by {worst:.0} ms",
+            100.0 * fraction
         )
     })
 }
 
-/// Why stalls make a run void, if they do: in a longer one queues build up that the scenario does not have.
+/// The reason why stalls of the host make a run void, if they do. During a long stall, queues build up that
+/// are not part of the scenario.
 pub fn stalls_void(stalls: &[HostStall]) -> Option<String> {
     let worst = stalls.iter().max_by(|a, b| (a.to - a.from).total_cmp(&(b.to - b.from)))?;
-    let (who, long) = (worst.process.map_or("it".into(), |p| format!("process {p}")), worst.to - worst.from);
-    (long > MAX_STALL_MS).then(|| format!("{who} got no processor time for {long:.0} ms"))
+    let stalled = worst.process.map_or("the harness".into(), |process| format!("process {process}"));
+    let stall_ms = worst.to - worst.from;
+    (stall_ms > MAX_STALL_MS)
+        .then(|| format!("{stalled} got no processor time for {stall_ms:.0} ms, more than {MAX_STALL_MS} ms"))
 }
 
-/// How many requests without an answer were excused, by the reason.
+/// The number of requests without a response that are no violation, by excuse.
 pub fn excuses(truth: &GroundTruth, observations: &Observations) -> BTreeMap<Excuse, usize> {
     let checker = Checker::new(truth, observations);
-    let written = observations.client_attempts.iter().filter_map(|a_try| Some((a_try, a_try.written_at?)));
-    let excuses = written.filter_map(|(a_try, written)| checker.excuse(a_try, written));
+    let written =
+        observations.client_attempts.iter().filter_map(|attempt| Some((attempt, attempt.written_at?)));
+    let excuses = written.filter_map(|(attempt, written)| checker.excuse(attempt, written));
     let mut counts = BTreeMap::new();
     excuses.for_each(|excuse| *counts.entry(excuse).or_default() += 1);
     counts
 }
 
-/// The largest load on a backend in slow start over what it bears; above 1 it is overloaded.
+/// The largest load on any backend in slow start, as a multiple of the load it takes; above 1 it is
+/// overloaded.
 pub fn overshoot(truth: &GroundTruth, observations: &Observations) -> f64 {
-    Checker::new(truth, observations).overshoots().into_iter().map(|(_, part, _)| part).fold(0.0, f64::max)
+    Checker::new(truth, observations)
+        .overshoots()
+        .into_iter()
+        .map(|(_, multiple, _)| multiple)
+        .fold(0.0, f64::max)
 }
 
 struct Checker<'a> {
@@ -208,208 +220,253 @@
 
 impl<'a> Checker<'a> {
     fn new(truth: &'a GroundTruth, observations: &'a Observations) -> Checker<'a> {
-        let mut hops: BTreeMap<&str, Vec<&BackendAttempt>> = BTreeMap::new();
-        for hop in &observations.backend_attempts {
-            hops.entry(&hop.id).or_default().push(hop);
+        let mut backend_attempts_by_id: BTreeMap<&str, Vec<&BackendAttempt>> = BTreeMap::new();
+        for attempt in &observations.backend_attempts {
+            backend_attempts_by_id.entry(&attempt.id).or_default().push(attempt);
         }
-        hops.values_mut().for_each(|hops| hops.sort_by(|a, b| a.at.total_cmp(&b.at)));
+        backend_attempts_by_id
+            .values_mut()
+            .for_each(|attempts| attempts.sort_by(|a, b| a.at.total_cmp(&b.at)));
         Checker {
             truth,
-            observations: observations,
-            client_attempts_by_id: observations.client_attempts.iter().map(|t| (t.id.as_str(), t)).collect(),
-            backend_attempts_by_id: hops,
+            observations,
+            client_attempts_by_id: observations
+                .client_attempts
+                .iter()
+                .map(|attempt| (attempt.id.as_str(), attempt))
+                .collect(),
+            backend_attempts_by_id,
         }
     }
 
-    /// Whether a proxy and the clients' link to it were healthy from when a request was written to when it ended. The
-    /// kill at the end of a planned restart excuses only what came before SIGTERM or within a grace after it.
+    /// Whether a proxy and the clients' link to the proxy were healthy from when a request was written
+    /// (`from`) until its attempt ended (`to`). The SIGKILL at the end of a planned restart excuses only
+    /// requests that were written before SIGTERM or within [`SHUTDOWN_GRACE_MS`] after it.
     fn was_healthy(&self, process: usize, from: f64, to: f64) -> bool {
-        let mut well = true;
-        let mut asked_at = None;
-        for life in self
+        let mut healthy = true;
+        let mut sigterm_at = None;
+        for change in self
             .observations
             .process_events
             .iter()
-            .filter(|l| l.process == process && l.at < to + CAUSE_WINDOW_MS)
+            .filter(|change| change.process == process && change.at < to + CAUSE_WINDOW_MS)
         {
-            match life.event {
-                ProcessEvent::Started => asked_at = None,
-                // One that shuts down still has to answer what it has accepted. A second SIGTERM changes nothing.
-                ProcessEvent::SigtermSent => asked_at = asked_at.or(Some(life.at)),
-                ProcessEvent::Killed if asked_at.is_some_and(|at| from - at > SHUTDOWN_GRACE_MS) => {}
+            match change.event {
+                ProcessEvent::Started => sigterm_at = None,
+                // A proxy that shuts down must still answer the requests it has accepted. A second SIGTERM
+                // changes nothing.
+                ProcessEvent::SigtermSent => sigterm_at = sigterm_at.or(Some(change.at)),
+                ProcessEvent::Killed if sigterm_at.is_some_and(|at| from - at > SHUTDOWN_GRACE_MS) => {}
                 ProcessEvent::Ready | ProcessEvent::Continued => {
-                    // What arrived while it was stopped is late through no fault of its own.
-                    if !well && life.at + CAUSE_WINDOW_MS > from {
+                    // The proxy could not answer in time what arrived while it was stopped.
+                    if !healthy && change.at + CAUSE_WINDOW_MS > from {
                         return false;
                     }
-                    well = true;
+                    healthy = true;
                 }
-                // An exit without SIGKILL is no excuse.
+                // A proxy that exits without SIGKILL owes all responses.
                 ProcessEvent::Exited(_) => {}
-                ProcessEvent::Killed | ProcessEvent::Stopped => well = false,
+                ProcessEvent::Killed | ProcessEvent::Stopped => healthy = false,
             }
         }
-        let cut = |c: &&crate::history::ClientLinkFault| {
-            c.process == process && c.from < to + CAUSE_WINDOW_MS && c.to + CAUSE_WINDOW_MS > from
+        let is_cause = |fault: &&crate::history::ClientLinkFault| {
+            fault.process == process && fault.from < to + CAUSE_WINDOW_MS && fault.to + CAUSE_WINDOW_MS > from
         };
-        well && !self.observations.client_link_faults.iter().any(|c| cut(&c))
+        healthy && !self.observations.client_link_faults.iter().any(|fault| is_cause(&fault))
     }
 
-    /// Whether the harness or a proxy got no processor time in a time span: what waited in it is late through no fault of
-    /// the program.
+    /// Whether the harness or a proxy got no processor time for a part of a time span. A request that waited
+    /// meanwhile is late through no fault of the proxy.
     fn was_starved(&self, process: usize, from: f64, to: f64) -> bool {
-        let meant = |stood: &&HostStall| stood.process.is_none_or(|of| of == process);
-        self.observations.stalls.iter().filter(meant).any(|stood| stood.from < to && stood.to > from)
+        let concerns = |stall: &&HostStall| stall.process.is_none_or(|stalled| stalled == process);
+        self.observations.stalls.iter().filter(concerns).any(|stall| stall.from < to && stall.to > from)
     }
 
-    fn check_responses(&self, broken: &mut Vec<Violation>) {
-        for a_try in &self.observations.client_attempts {
-            let description = match a_try.written_at {
-                Some(written) => self.response_fault(a_try, written),
-                None => self.unread_fault(a_try),
+    fn check_responses(&self, violations: &mut Vec<Violation>) {
+        for attempt in &self.observations.client_attempts {
+            let description = match attempt.written_at {
+                Some(written) => self.response_fault(attempt, written),
+                None => self.unaccepted_fault(attempt),
             };
-            let excuse = a_try.written_at.and_then(|written| self.excuse(a_try, written));
+            let excuse = attempt.written_at.and_then(|written| self.excuse(attempt, written));
             if let Some(description) = description.filter(|_| excuse.is_none()) {
-                broken.push(Violation {
+                violations.push(Violation {
                     rule: Rule::OneResponse,
                     description,
-                    request_id: Some(a_try.id.clone()),
+                    request_id: Some(attempt.id.clone()),
                 });
             }
         }
     }
 
-    /// What is wrong with the end of a request that was written, if anything.
-    fn response_fault(&self, a_try: &ClientAttempt, written: f64) -> Option<String> {
-        match &a_try.result {
+    /// What is wrong with the result of a request that was written, if anything.
+    fn response_fault(&self, attempt: &ClientAttempt, written: f64) -> Option<String> {
+        match &attempt.result {
             ClientResult::Invalid(description) => Some(description.clone()),
             ClientResult::Served => {
-                // Some backend must have made it, for this request.
-                let served = |h: &&BackendAttempt| h.result == BackendResult::Served;
-                let is_made = self
+                // Some backend must have served this request.
+                let served = |attempt: &&BackendAttempt| attempt.result == BackendResult::Served;
+                let was_served = self
                     .backend_attempts_by_id
-                    .get(a_try.id.as_str())
-                    .is_some_and(|hops| hops.iter().any(served));
-                (!is_made).then(|| "served with something that no server made for it".to_string())
+                    .get(attempt.id.as_str())
+                    .is_some_and(|attempts| attempts.iter().any(served));
+                (!was_served).then(|| "answered with 200, but no backend served it".to_string())
+            }
+            ClientResult::Broken => Some("its connection ended without a response".to_string()),
+            ClientResult::Unanswered => {
+                Some(format!("no response within {:.0} ms", attempt.ended_at - written))
             }
-            ClientResult::Broken => Some("its connection ended without an answer".to_string()),
-            ClientResult::Unanswered => Some(format!("no answer within {:.0} ms", a_try.ended_at - written)),
             _ => None,
         }
     }
 
-    /// Why a request without an answer is owed none, if it isn't. A wrong answer has no excuse.
-    fn excuse(&self, a_try: &ClientAttempt, written: f64) -> Option<Excuse> {
-        if !matches!(a_try.result, ClientResult::Broken | ClientResult::Unanswered) {
+    /// The excuse for a request that got no response, if there is one. An invalid response has no excuse.
+    fn excuse(&self, attempt: &ClientAttempt, written: f64) -> Option<Excuse> {
+        if !matches!(attempt.result, ClientResult::Broken | ClientResult::Unanswered) {
             return None;
         }
-        if !self.was_healthy(a_try.process, written, a_try.ended_at) {
+        if !self.was_healthy(attempt.process, written, attempt.ended_at) {
             return Some(Excuse::ProxyOrLinkGone);
         }
-        let was_late = a_try.result == ClientResult::Unanswered
-            && self.was_starved(a_try.process, written, a_try.ended_at);
+        let was_late = attempt.result == ClientResult::Unanswered
+            && self.was_starved(attempt.process, written, attempt.ended_at);
         was_late.then_some(Excuse::NoProcessorTime)
     }
 
-    /// What is wrong with a request that was not read, as far as its client could see: it was forwarded all the same.
-    fn unread_fault(&self, a_try: &ClientAttempt) -> Option<String> {
-        let was_forwarded = self.backend_attempts_by_id.contains_key(a_try.id.as_str());
-        (a_try.result == ClientResult::NotAccepted && was_forwarded)
-            .then(|| "forwarded, and its connection ended without an answer".to_string())
+    /// What is wrong with a request that its client considers not accepted: a backend received it all the
+    /// same.
+    fn unaccepted_fault(&self, attempt: &ClientAttempt) -> Option<String> {
+        let was_forwarded = self.backend_attempts_by_id.contains_key(attempt.id.as_str());
+        (attempt.result == ClientResult::NotAccepted && was_forwarded)
+            .then(|| "forwarded to a backend, but its connection ended without a response".to_string())
     }
 
-    fn check_retries(&self, broken: &mut Vec<Violation>) {
+    fn check_retries(&self, violations: &mut Vec<Violation>) {
         let settings = &self.truth.settings;
-        for (id, hops) in &self.backend_attempts_by_id {
-            let mut found = |rule, description| {
-                broken.push(Violation { rule, description, request_id: Some((*id).to_string()) })
+        for (id, backend_attempts) in &self.backend_attempts_by_id {
+            let mut add_violation = |rule, description| {
+                violations.push(Violation { rule, description, request_id: Some((*id).to_string()) })
             };
-            let Some(a_try) = self.client_attempts_by_id.get(id) else {
-                found(Rule::UnsolicitedRequest, "a server got a request that nobody made".into());
+            let Some(client_attempt) = self.client_attempts_by_id.get(id) else {
+                add_violation(
+                    Rule::UnsolicitedRequest,
+                    "a backend received a request that no client sent".into(),
+                );
                 continue;
             };
-            let most = settings.permissions.max_attempts as usize;
-            if hops.len() > most {
-                found(Rule::AttemptLimit, format!("{} attempts of {most}", hops.len()));
+            let max_attempts = settings.permissions.max_attempts as usize;
+            if backend_attempts.len() > max_attempts {
+                add_violation(
+                    Rule::AttemptLimit,
+                    format!("{} attempts, limit {max_attempts}", backend_attempts.len()),
+                );
             }
-            let class = &settings.classes[a_try.class];
-            let Some(ran) = hops.iter().find(|h| h.result != BackendResult::Rejected) else { continue };
+            let class = &settings.classes[client_attempt.class];
+            let Some(executed) =
+                backend_attempts.iter().find(|attempt| attempt.result != BackendResult::Rejected)
+            else {
+                continue;
+            };
             let permitted = |at: f64| match class.retry_safety {
                 RetrySafety::Idempotent => true,
-                RetrySafety::IdempotencyKey => at - ran.at <= class.dedup_window_ms + TOLERANCE_MS,
+                RetrySafety::IdempotencyKey => at - executed.at <= class.dedup_window_ms + TOLERANCE_MS,
                 RetrySafety::NonIdempotent => false,
             };
-            let again = hops.iter().find(|h| h.at > ran.at && !permitted(h.at));
-            if let Some(again) = again {
-                let after = again.at - ran.at;
-                found(Rule::UnsafeRetry, format!("sent again {after:.0} ms after it may have run"));
+            let unsafe_retry =
+                backend_attempts.iter().find(|retry| retry.at > executed.at && !permitted(retry.at));
+            if let Some(retry) = unsafe_retry {
+                let after_ms = retry.at - executed.at;
+                add_violation(
+                    Rule::UnsafeRetry,
+                    format!("retried {after_ms:.0} ms after it may have been executed"),
+                );
             }
-            if a_try.result == ClientResult::Refused && !permitted(a_try.ended_at) {
-                found(Rule::Rejection, "refused although it may have run".into());
+            if client_attempt.result == ClientResult::Refused && !permitted(client_attempt.ended_at) {
+                add_violation(
+                    Rule::Rejection,
+                    "rejected although it may have been executed, and may not be retried".into(),
+                );
             }
         }
     }
 
-    fn check_drains(&self, broken: &mut Vec<Violation>) {
-        let grace = self.truth.settings.rules.drain_grace_ms + TOLERANCE_MS + self.truth.max_link_delay_ms;
-        // By incarnation of a proxy and by backend: the notifications, and whether each excludes the backend.
-        let mut away: BTreeMap<(usize, u32, usize), Vec<(f64, bool)>> = BTreeMap::new();
-        for told in &self.observations.notifications {
-            let place = (told.process, told.incarnation, told.server);
-            away.entry(place).or_default().push((told.at, told.status != BackendState::Ready));
+    fn check_drains(&self, violations: &mut Vec<Violation>) {
+        let grace_ms = self.truth.settings.rules.drain_grace_ms + TOLERANCE_MS + self.truth.max_link_delay_ms;
+        // The notifications by proxy, its incarnation and backend: their times, and whether each says that
+        // the backend drains or is gone.
+        let mut unavailable: BTreeMap<(usize, u32, usize), Vec<(f64, bool)>> = BTreeMap::new();
+        for notification in &self.observations.notifications {
+            let key = (notification.process, notification.incarnation, notification.server);
+            unavailable
+                .entry(key)
+                .or_default()
+                .push((notification.at, notification.status != BackendState::Ready));
         }
-        for hop in &self.observations.backend_attempts {
-            let Some(said) = away.get(&(hop.process, hop.incarnation, hop.server)) else { continue };
+        for attempt in &self.observations.backend_attempts {
+            let Some(notifications) =
+                unavailable.get(&(attempt.process, attempt.incarnation, attempt.server))
+            else {
+                continue;
+            };
             let mut since = None;
-            for (at, is_away) in said.iter().filter(|(at, _)| *at <= hop.at) {
-                since = if *is_away { since.or(Some(*at)) } else { None };
+            for (at, is_unavailable) in notifications.iter().filter(|(at, _)| *at <= attempt.at) {
+                since = if *is_unavailable { since.or(Some(*at)) } else { None };
             }
-            if let Some(since) = since.filter(|since| hop.at - since > grace) {
-                let server = &self.truth.servers[hop.server].name;
+            if let Some(since) = since.filter(|since| attempt.at - since > grace_ms) {
+                let server = &self.truth.servers[attempt.server].name;
                 let description =
-                    format!("{server} got it {:.0} ms after the proxy was told", hop.at - since);
-                broken.push(Violation { rule: Rule::Drain, description, request_id: Some(hop.id.clone()) });
+                    format!("{server} received it {:.0} ms after the proxy was notified", attempt.at - since);
+                violations.push(Violation {
+                    rule: Rule::Drain,
+                    description,
+                    request_id: Some(attempt.id.clone()),
+                });
             }
         }
     }
 
-    /// For each restart: the backend, its largest load over what it bears, and when that was.
+    /// For each restart of a backend: the backend, its largest load as a multiple of the load it takes, and
+    /// the time of that.
     fn overshoots(&self) -> Vec<(usize, f64, f64)> {
         let each = self.observations.backend_starts.iter().map(|start| {
-            let of = |h: &&BackendAttempt| h.server == start.server && h.at >= start.at;
+            let sent_since_start =
+                |attempt: &&BackendAttempt| attempt.server == start.server && attempt.at >= start.at;
             let sent: Vec<(f64, f64)> = self
                 .observations
                 .backend_attempts
                 .iter()
-                .filter(of)
-                .map(|h| (h.at - start.at, h.work))
+                .filter(sent_since_start)
+                .map(|attempt| (attempt.at - start.at, attempt.work))
                 .collect();
-            let (most, when) = self.truth.servers[start.server].slow_start.overshoot(&sent);
-            (start.server, most, start.at + when)
+            let (multiple, when) = self.truth.servers[start.server].slow_start.overshoot(&sent);
+            (start.server, multiple, start.at + when)
         });
         each.collect()
     }
 
-    fn check_slow_start(&self, broken: &mut Vec<Violation>) {
-        for (server, part, when) in self.overshoots() {
-            if part > 1.0 {
+    fn check_slow_start(&self, violations: &mut Vec<Violation>) {
+        for (server, multiple, when) in self.overshoots() {
+            if multiple > 1.0 {
                 let name = &self.truth.servers[server].name;
-                let description = format!("{name} was sent {part:.2} times what it bears, at {when:.0} ms");
-                broken.push(Violation { rule: Rule::SlowStart, description, request_id: None });
+                let description = format!(
+                    "{name} was sent {multiple:.2} times the load it takes in slow start, at {when:.0} ms"
+                );
+                violations.push(Violation { rule: Rule::SlowStart, description, request_id: None });
             }
         }
     }
 
-    fn check_crashes(&self, broken: &mut Vec<Violation>) {
-        let mut told = vec![false; self.truth.processes.len()];
-        for life in &self.observations.process_events {
-            match life.event {
-                ProcessEvent::Started => told[life.process] = false,
-                ProcessEvent::SigtermSent | ProcessEvent::Killed => told[life.process] = true,
-                ProcessEvent::Exited(code) if !told[life.process] => {
-                    let name = &self.truth.processes[life.process];
-                    let description = format!("{name} ended by itself at {:.0} ms with {code:?}", life.at);
-                    broken.push(Violation { rule: Rule::Crash, description, request_id: None });
+    fn check_crashes(&self, violations: &mut Vec<Violation>) {
+        let mut may_end = vec![false; self.truth.processes.len()];
+        for change in &self.observations.process_events {
+            match change.event {
+                ProcessEvent::Started => may_end[change.process] = false,
+                ProcessEvent::SigtermSent | ProcessEvent::Killed => may_end[change.process] = true,
+                ProcessEvent::Exited(code) if !may_end[change.process] => {
+                    let name = &self.truth.processes[change.process];
+                    let description =
+                        format!("{name} ended unexpectedly at {:.0} ms, exit code {code:?}", change.at);
+                    violations.push(Violation { rule: Rule::Crash, description, request_id: None });
                 }
                 _ => {}
             }
@@ -417,22 +474,27 @@
     }
 }
 
-/// All records of a request and of its requests to lower tiers, one line each, in order of time.
+/// All records of a client request and of the requests that it caused at lower tiers, one line each, ordered by time.
+/// `id` may be that of any of these requests.
 pub fn request_trace(truth: &GroundTruth, observations: &Observations, id: &str) -> String {
     let root = id.split('.').next().unwrap_or(id);
-    let of = |other: &str| other == root || other.starts_with(&format!("{root}."));
+    let belongs = |other: &str| other == root || other.starts_with(&format!("{root}."));
     let mut lines: Vec<(f64, String)> = Vec::new();
-    for t in observations.client_attempts.iter().filter(|t| of(&t.id)) {
-        let (process, class) = (&truth.processes[t.process], &truth.settings.classes[t.class].name);
-        if let Some(at) = t.written_at {
-            lines.push((at, format!("{} asks {process}: {class}, {:.0} ms", t.id, t.timeout_ms)));
+    for attempt in observations.client_attempts.iter().filter(|attempt| belongs(&attempt.id)) {
+        let (process, class) =
+            (&truth.processes[attempt.process], &truth.settings.classes[attempt.class].name);
+        if let Some(at) = attempt.written_at {
+            lines.push((
+                at,
+                format!("{} sent to {process}: {class}, timeout {:.0} ms", attempt.id, attempt.timeout_ms),
+            ));
         }
-        lines.push((t.ended_at, format!("{} ends at {process}: {:?}", t.id, t.result)));
+        lines.push((attempt.ended_at, format!("{} ended at {process}: {:?}", attempt.id, attempt.result)));
     }
-    for h in observations.backend_attempts.iter().filter(|h| of(&h.id)) {
-        let (process, server) = (&truth.processes[h.process], &truth.servers[h.server].name);
-        lines.push((h.at, format!("{} {process} -> {server}", h.id)));
-        lines.push((h.ended_at, format!("{} {server} ends it: {:?}", h.id, h.result)));
+    for attempt in observations.backend_attempts.iter().filter(|attempt| belongs(&attempt.id)) {
+        let (process, server) = (&truth.processes[attempt.process], &truth.servers[attempt.server].name);
+        lines.push((attempt.at, format!("{} {process} -> {server}", attempt.id)));
+        lines.push((attempt.ended_at, format!("{} ended at {server}: {:?}", attempt.id, attempt.result)));
     }
     lines.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut text = String::new();
@@ -442,30 +504,30 @@
     text
 }
 
-/// The verdict as text: each violated rule with its count, the first few violations with their records, and how many
-/// requests without an answer were excused.
+/// The verdict as text: each violated rule with its count, the first violations with the traces of their
+/// requests, and the number of excused requests by excuse.
 pub fn report(truth: &GroundTruth, observations: &Observations, verdict: &Verdict) -> String {
     let mut text = verdict_report(truth, observations, verdict);
     for (excuse, count) in excuses(truth, observations) {
-        let _ = writeln!(text, "  {count} without an answer are excused: {}", excuse.name());
+        let _ = writeln!(text, "  {count} requests without a response are excused: {}", excuse.name());
     }
     text
 }
 
 fn verdict_report(truth: &GroundTruth, observations: &Observations, verdict: &Verdict) -> String {
     match verdict {
-        Verdict::Passed => "rules kept\n".to_string(),
-        Verdict::Void(why) => format!("void: the rig was late: {why}\n"),
+        Verdict::Passed => "no violations\n".to_string(),
+        Verdict::Void(why) => format!("void: the host was overloaded: {why}\n"),
         Verdict::Violated(all) => {
             let mut counts: BTreeMap<Rule, usize> = BTreeMap::new();
-            all.iter().for_each(|b| *counts.entry(b.rule).or_default() += 1);
-            let mut text = String::from("rules broken:\n");
+            all.iter().for_each(|violation| *counts.entry(violation.rule).or_default() += 1);
+            let mut text = String::from("violations:\n");
             for (rule, count) in counts {
                 let _ = writeln!(text, "  {}: {count}", rule.name());
             }
-            for broken in all.iter().take(MAX_REPORTED_VIOLATIONS) {
-                let id = broken.request_id.as_deref().unwrap_or("");
-                let _ = writeln!(text, "  {}: {} {id}", broken.rule.name(), broken.description);
+            for violation in all.iter().take(MAX_REPORTED_VIOLATIONS) {
+                let id = violation.request_id.as_deref().unwrap_or("");
+                let _ = writeln!(text, "  {}: {} {id}", violation.rule.name(), violation.description);
                 if !id.is_empty() {
                     text.push_str(&request_trace(truth, observations, id));
                 }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,7 +1,8 @@
-//! Fault injection: a simulation scenario run on a whole fleet of real processes. Every proxy is the built `hillstall run`
-//! with a platform file made for it; backends are the simulation's machines behind sockets; every link between two
-//! processes goes through a TCP proxy of this package that can lose, block, delay or reset what passes. Afterwards the
-//! invariant checker joins what clients and backends recorded, and judges it by the platform's rules alone.
+//! Fault injection: a simulation scenario run on a whole fleet of real processes. Every proxy is the built
+//! `hillstall run` with a platform file made for it; backends are the simulation's machines behind sockets;
+//! every link between two processes goes through a TCP proxy of this package that can lose, block, delay or
+//! reset what passes. Afterwards the invariant checker joins what clients and backends recorded, and judges
+//! it by the platform's rules alone.
 //!
 //! [`run()`] runs one scenario. [`tcp_proxy`] and [`process_supervisor`] are of use by themselves.
 
--- a/crates/fault-injection/src/open_loop_clients.rs
+++ b/crates/fault-injection/src/open_loop_clients.rs
@@ -1,9 +1,9 @@
-//! Open-loop clients, and the load balancer in front of the proxies. A request starts when the arrival process says so,
-//! whatever became of the others; its client retries as the scenario says.
+//! Open-loop clients, and the load balancer in front of the proxies. A request starts when the arrival
+//! process says so, whatever became of the others; its client retries as the scenario says.
 
 use crate::fleet::{is_ready, Fleet, LinkEnds};
 use crate::history::{ClientAttempt, ClientResult};
-use crate::http::{OutgoingRequest, Wire};
+use crate::http::{HttpConnection, OutgoingRequest};
 use crate::server::{send_request, target, RecordedAttempt};
 use hillstall_decision::RetrySafety;
 use hillstall_simulation::random::part;
@@ -27,7 +27,7 @@
     traffic_weight: f64,
     /// Whether it gets requests.
     listed: Cell<bool>,
-    idle: RefCell<Vec<Wire>>,
+    idle: RefCell<Vec<HttpConnection>>,
 }
 
 /// The clients and the load balancer in front of the proxies.
@@ -80,8 +80,8 @@
         looks.iter().for_each(JoinHandle::abort);
     }
 
-    /// Checks one proxy's health: it is listed from its first 200 on, until it has not answered 200 for the load
-    /// balancer's notice time.
+    /// Checks one proxy's health: it is listed from its first 200 on, until it has not answered 200 for the
+    /// load balancer's notice time.
     async fn watch_health(self: Rc<OpenLoopClients>, proxy: usize) {
         let notice = self.fleet.parameters.front_notice;
         let mut well_at = self.fleet.history.now();
@@ -189,7 +189,7 @@
             },
         ));
         let (clients, noted) = (self.clone(), made.clone());
-        let (class, safe) = (of.name.clone(), of.retry_safety == RetrySafety::Idempotent);
+        let (class, idempotent) = (of.name.clone(), of.retry_safety == RetrySafety::Idempotent);
         let target = target(arrival.class, arrival.tenant, arrival.work);
         let tenant = self.fleet.parameters.tenants.get(arrival.tenant).map(|t| t.name.clone());
         let mut asked = Box::pin(async move {
@@ -199,32 +199,32 @@
                 tenant: tenant.as_deref(),
                 timeout_ms: timeout_ms as u64,
                 key: key.as_deref(),
-                safe,
+                idempotent,
                 target: &target,
-                retry: no > 0,
+                is_retry: no > 0,
             };
             let door = clients.fleet.link(LinkEnds::ClientToProxy { process: proxy }).clone();
             let kept = clients.proxies[proxy].idle.borrow_mut().pop();
             send_request(kept, door.address(), &call, &noted, |own| door.take_unaccepted(own)).await
         });
-        let keep = move |clients: &OpenLoopClients, wire: Option<Wire>| {
-            if let Some(wire) = wire.filter(|_| clients.proxies[proxy].listed.get()) {
-                clients.proxies[proxy].idle.borrow_mut().push(wire);
+        let keep = move |clients: &OpenLoopClients, connection: Option<HttpConnection>| {
+            if let Some(connection) = connection.filter(|_| clients.proxies[proxy].listed.get()) {
+                clients.proxies[proxy].idle.borrow_mut().push(connection);
             }
         };
         tokio::select! {
-            (ended, wait, wire) = &mut asked => {
+            (ended, wait, connection) = &mut asked => {
                 made.ended(ended.clone(), wait);
-                keep(self, wire);
+                keep(self, connection);
                 (ended, wait)
             }
             () = sleep_until(history.instant(over)) => {
                 let clients = self.clone();
                 spawn_local(async move {
                     match timeout(LATE_RESPONSE_WATCH, &mut asked).await {
-                        Ok((ended, wait, wire)) => {
+                        Ok((ended, wait, connection)) => {
                             made.ended(ended, wait);
-                            keep(&clients, wire);
+                            keep(&clients, connection);
                         }
                         Err(_) => made.ended(ClientResult::Unanswered, None),
                     }
--- a/crates/fault-injection/src/process_supervisor.rs
+++ b/crates/fault-injection/src/process_supervisor.rs
@@ -1,6 +1,7 @@
-//! The process supervisor. It starts, signals and kills processes as commanded on its standard input, one JSON object a
-//! line, and kills all of them when that closes: so nothing outlives the run, also when that panics or is killed. A child
-//! is signalled only before it is reaped, so that no other process with its number is hit.
+//! The process supervisor: a program that starts, signals and kills processes as commanded on its standard
+//! input, one JSON object per line. When its input closes, it kills all of them, so no process outlives a run
+//! that panics or is killed. A child is signalled only before it is reaped, so that no other process with the
+//! same id is hit.
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde::{Deserialize, Serialize};
@@ -12,33 +13,37 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Between two checks for processes that have ended.
-const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval between two checks for processes that have ended.
+const REAP_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A command to the supervisor.
+/// A command to the supervisor. Its names are the protocol between the two processes.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum SupervisorCommand {
     Start(StartProcess),
-    Signal { number: usize, name: ProcessSignal },
+    Signal {
+        number: usize,
+        #[serde(rename = "name")]
+        signal: ProcessSignal,
+    },
 }
 
 /// A process to start.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StartProcess {
-    /// The number by which the run knows it.
+    /// The number that identifies it in commands and events.
     pub number: usize,
-    /// The program.
+    /// The path of the program.
     pub program: PathBuf,
-    /// Its arguments.
+    /// The arguments, without the program's name.
     pub arguments: Vec<String>,
-    /// All of its environment.
+    /// The whole environment; nothing is inherited.
     pub environment: Vec<(String, String)>,
-    /// Where its output is appended.
+    /// The file to which standard output and standard error are appended.
     pub log: PathBuf,
 }
 
-/// A signal.
+/// A signal that the supervisor can send. The names of the variants are written out in its commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProcessSignal {
     /// SIGKILL
@@ -48,7 +53,8 @@
     /// SIGSTOP
     Stop,
     /// SIGCONT
-    Go,
+    #[serde(rename = "Go")]
+    Continue,
     /// SIGHUP
     Reload,
 }
@@ -59,37 +65,38 @@
             ProcessSignal::Kill => Signal::KILL,
             ProcessSignal::Term => Signal::TERM,
             ProcessSignal::Stop => Signal::STOP,
-            ProcessSignal::Go => Signal::CONT,
+            ProcessSignal::Continue => Signal::CONT,
             ProcessSignal::Reload => Signal::HUP,
         }
     }
 }
 
-/// An event that the supervisor reports.
+/// An event that the supervisor reports on its standard output, one JSON object per line.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum SupervisorEvent {
-    /// A process runs.
+    /// A process was started.
     Started {
-        /// The number by which the run knows it.
+        /// The number that the start command gave it.
         number: usize,
-        /// Its process id.
+        /// The process id.
         pid: u32,
     },
     /// A process could not be started.
     Failed {
-        /// The number by which the run knows it.
+        /// The number that the start command gave it.
         number: usize,
-        /// Why.
-        why: String,
+        /// The error of the operating system.
+        #[serde(rename = "why")]
+        error: String,
     },
     /// A process has ended.
     Ended {
-        /// The number by which the run knows it.
+        /// The number that the start command gave it.
         number: usize,
-        /// Its exit code, if no signal ended it.
+        /// The exit code, if no signal ended the process.
         code: Option<i32>,
-        /// The signal that ended it.
+        /// The number of the signal that ended the process, if one did.
         signal: Option<i32>,
     },
 }
@@ -100,29 +107,29 @@
     children.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn report(news: &SupervisorEvent) {
-    if let Ok(line) = serde_json::to_string(news) {
-        // The run may be over; the end of the input shows it.
+fn report(event: &SupervisorEvent) {
+    if let Ok(line) = serde_json::to_string(event) {
+        // The run may be over already; `serve` notices that by the end of its input.
         let _ = writeln!(std::io::stdout().lock(), "{line}");
     }
 }
 
-fn start(start: &StartProcess) -> std::io::Result<Child> {
-    let log = std::fs::File::options().create(true).append(true).open(&start.log)?;
-    Command::new(&start.program)
-        .args(&start.arguments)
+fn start(process: &StartProcess) -> std::io::Result<Child> {
+    let log = std::fs::File::options().create(true).append(true).open(&process.log)?;
+    Command::new(&process.program)
+        .args(&process.arguments)
         .env_clear()
-        .envs(start.environment.iter().map(|(k, v)| (k, v)))
+        .envs(process.environment.iter().map(|(k, v)| (k, v)))
         .stdin(Stdio::null())
         .stdout(log.try_clone()?)
         .stderr(log)
         .spawn()
 }
 
-/// Reports each process that ends, for as long as the program runs.
+/// Reaps and reports each process that ends. Never returns.
 fn report_ended_processes(children: Children) {
     loop {
-        std::thread::sleep(POLL_INTERVAL);
+        std::thread::sleep(REAP_INTERVAL);
         lock(&children).retain(|number, child| match child.try_wait() {
             Ok(Some(status)) => {
                 let (code, signal) = (status.code(), status.signal());
@@ -136,28 +143,30 @@
 
 fn execute(command: SupervisorCommand, children: &Children) {
     match command {
-        SupervisorCommand::Start(order) => {
-            let number = order.number;
+        SupervisorCommand::Start(process) => {
+            let number = process.number;
             let mut children = lock(children);
-            match start(&order) {
+            match start(&process) {
                 Ok(child) => {
                     report(&SupervisorEvent::Started { number, pid: child.id() });
                     children.insert(number, child);
                 }
-                Err(error) => report(&SupervisorEvent::Failed { number, why: error.to_string() }),
+                Err(error) => report(&SupervisorEvent::Failed { number, error: error.to_string() }),
             }
         }
-        SupervisorCommand::Signal { number, name } => {
+        SupervisorCommand::Signal { number, signal } => {
             if let Some(child) = lock(children).get(&number) {
                 let pid = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
-                // Not reaped yet, so the process id is still its own; it may be dead already.
-                let _ = pid.map(|pid| kill_process(pid, name.signal()));
+                // The child has not been reaped, so the process id is still its own, even if it has ended
+                // already.
+                let _ = pid.map(|pid| kill_process(pid, signal.signal()));
             }
         }
     }
 }
 
-/// Supervises processes until the standard input ends; the program's hidden command.
+/// Supervises processes until the standard input ends. The hidden command `lab keeper` of the program runs
+/// it.
 pub fn serve() {
     let children = Children::default();
     let watched = children.clone();
@@ -166,7 +175,7 @@
         let Ok(line) = line else { break };
         match serde_json::from_str(&line) {
             Ok(command) => execute(command, &children),
-            Err(error) => eprintln!("keeper: {error}: {line}"),
+            Err(error) => eprintln!("process supervisor: invalid command ignored: {error}: {line}"),
         }
     }
     for child in lock(&children).values_mut() {
@@ -175,63 +184,64 @@
     }
 }
 
-/// A running supervisor; dropping it kills all its processes.
+/// A running supervisor process; dropping this ends it, and it kills all its processes then.
 pub struct ProcessSupervisor {
     process: Child,
-    orders: Option<ChildStdin>,
+    commands: Option<ChildStdin>,
 }
 
 impl ProcessSupervisor {
-    /// Starts one; `program` with `arguments` must call [`serve`]. `hear` is called with each event, on a thread of its own.
+    /// Starts a supervisor. `program` with `arguments` must call [`serve`]. `on_event` is called with each
+    /// event, on a thread of its own.
     pub fn start(
         program: &Path,
         arguments: &[&str],
-        hear: impl Fn(SupervisorEvent) + Send + 'static,
+        on_event: impl Fn(SupervisorEvent) + Send + 'static,
     ) -> std::io::Result<ProcessSupervisor> {
         let mut process =
             Command::new(program).args(arguments).stdin(Stdio::piped()).stdout(Stdio::piped()).spawn()?;
-        let orders = process.stdin.take();
+        let commands = process.stdin.take();
         if let Some(out) = process.stdout.take() {
             std::thread::spawn(move || {
                 for line in BufReader::new(out).lines().map_while(Result::ok) {
                     match serde_json::from_str(&line) {
-                        Ok(news) => hear(news),
-                        Err(why) => eprintln!("keeper: {why}: {line}"),
+                        Ok(event) => on_event(event),
+                        Err(error) => eprintln!("process supervisor: invalid event ignored: {error}: {line}"),
                     }
                 }
             });
         }
-        Ok(ProcessSupervisor { process, orders })
+        Ok(ProcessSupervisor { process, commands })
     }
 
-    /// Its process id.
+    /// The process id of the supervisor.
     pub fn pid(&self) -> u32 {
         self.process.id()
     }
 
-    fn order(&mut self, order: &SupervisorCommand) -> std::io::Result<()> {
-        let line = serde_json::to_string(order)?;
-        match &mut self.orders {
-            Some(orders) => writeln!(orders, "{line}"),
+    fn send(&mut self, command: &SupervisorCommand) -> std::io::Result<()> {
+        let line = serde_json::to_string(command)?;
+        match &mut self.commands {
+            Some(commands) => writeln!(commands, "{line}"),
             None => Err(std::io::ErrorKind::BrokenPipe.into()),
         }
     }
 
-    /// Commands it to start a process.
+    /// Has the supervisor start a process; the result is reported as an event.
     pub fn run(&mut self, start: StartProcess) -> std::io::Result<()> {
-        self.order(&SupervisorCommand::Start(start))
+        self.send(&SupervisorCommand::Start(start))
     }
 
-    /// Commands it to signal a process, if that still runs.
-    pub fn signal(&mut self, number: usize, name: ProcessSignal) -> std::io::Result<()> {
-        self.order(&SupervisorCommand::Signal { number, name })
+    /// Has the supervisor send a signal to a process; ignored if the process has ended.
+    pub fn signal(&mut self, number: usize, signal: ProcessSignal) -> std::io::Result<()> {
+        self.send(&SupervisorCommand::Signal { number, signal })
     }
 }
 
 impl Drop for ProcessSupervisor {
     fn drop(&mut self) {
-        // The end of its input makes it kill its processes and exit.
-        self.orders = None;
+        // The end of its input makes the supervisor kill its processes and exit.
+        self.commands = None;
         let _ = self.process.wait();
     }
 }
--- a/crates/fault-injection/src/reserved_port.rs
+++ b/crates/fault-injection/src/reserved_port.rs
@@ -1,26 +1,27 @@
-//! A port that stays reserved whether anybody listens on it or not: a socket that is bound and never listens keeps it. So
-//! a backend can restart at its address, and nobody else gets the port meanwhile.
+//! A port that stays reserved whether or not anything listens on it. A bound socket that never listens holds
+//! it, so a backend can stop listening and restart at the same address without another process getting the
+//! port meanwhile.
 
 use socket2::{Domain, Protocol, SockAddr, Socket, Type};
 use std::io::Result;
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
 use tokio::net::TcpListener;
 
-const BACKLOG: i32 = 1_024;
+const LISTEN_BACKLOG: i32 = 1_024;
 
-/// A reserved port.
+/// A reserved port of the loopback address; released when this is dropped.
 pub struct ReservedPort {
     address: SocketAddr,
     _holder: Socket,
 }
 
-/// A listener that accepts nothing: its backlog is full, so connections never come up.
+/// A listener that accepts nothing: its backlog is full, so new connections are never established.
 pub struct SilentListener {
     _listener: Socket,
-    _filler: Vec<TcpStream>,
+    _backlog_connections: Vec<TcpStream>,
 }
 
-fn bound(address: SocketAddr) -> Result<Socket> {
+fn bind(address: SocketAddr) -> Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.set_reuse_port(true)?;
@@ -30,39 +31,41 @@
 }
 
 impl ReservedPort {
-    /// A free port of the loopback address.
+    /// Reserves a free port of the loopback address.
     pub fn take() -> Result<ReservedPort> {
-        let holder = bound((Ipv4Addr::LOCALHOST, 0).into())?;
+        let holder = bind((Ipv4Addr::LOCALHOST, 0).into())?;
         let address = holder.local_addr()?.as_socket();
-        let address = address.ok_or_else(|| std::io::Error::other("a TCP socket without an address"))?;
+        let address =
+            address.ok_or_else(|| std::io::Error::other("the reserved TCP socket has no IP address"))?;
         Ok(ReservedPort { address, _holder: holder })
     }
 
-    /// Its address. Connections are refused while nobody listens.
+    /// The address; connections to it are refused while nothing listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Listens.
+    /// Starts a listener on the port.
     pub fn listen(&self) -> Result<TcpListener> {
-        let socket = bound(self.address)?;
-        socket.listen(BACKLOG)?;
+        let socket = bind(self.address)?;
+        socket.listen(LISTEN_BACKLOG)?;
         TcpListener::from_std(socket.into())
     }
 
-    /// Listens and accepts nothing, like a machine that is cut off.
+    /// Starts a listener that accepts nothing, so the port behaves like that of a machine that is cut off
+    /// from the network.
     pub fn listen_silently(&self) -> Result<SilentListener> {
-        let socket = bound(self.address)?;
+        let socket = bind(self.address)?;
         socket.listen(0)?;
-        let mut filler = Vec::new();
-        // A backlog of 0 has room for one.
+        let mut backlog_connections = Vec::new();
+        // A backlog of 0 still accepts one connection; the second stays in progress.
         for _ in 0..2 {
-            let one = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
-            one.set_nonblocking(true)?;
-            // The connection stays in progress.
-            let _ = one.connect(&SockAddr::from(self.address));
-            filler.push(one.into());
+            let connection = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
+            connection.set_nonblocking(true)?;
+            // Returns at once with an error, as the connection is in progress.
+            let _ = connection.connect(&SockAddr::from(self.address));
+            backlog_connections.push(connection.into());
         }
-        Ok(SilentListener { _listener: socket, _filler: filler })
+        Ok(SilentListener { _listener: socket, _backlog_connections: backlog_connections })
     }
 }
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -1,7 +1,7 @@
 //! One run of a scenario, from its start to its verdict.
 
 use crate::faults::Faults;
-use crate::fleet::{system, Fleet, FleetError, FleetPlan, SettingsFault};
+use crate::fleet::{system_error, Fleet, FleetError, FleetPlan, SettingsFault};
 use crate::history::Observations;
 use crate::host_load_monitor;
 use crate::invariant_checker::{self, GroundTruth, Verdict};
@@ -20,7 +20,7 @@
 /// Between two samples of the backends' capacity.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Longer than any request can be open after the last has started: past it, something hangs.
-const END_WITHIN: Duration = Duration::from_secs(30);
+const END_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What a test or an operator does during a run, beside the scenario's own failures.
 pub type Script = Box<dyn FnOnce(Rc<Fleet>) -> std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>>;
@@ -87,10 +87,12 @@
     seed: u64,
     options: Options,
 ) -> Result<ScenarioRun, FleetError> {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(system("the rig"))?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(system_error("the rig"))?;
     // Deleted with its files at the end of this function.
-    let passing = tempfile::tempdir().map_err(system("a folder"))?;
+    let passing = tempfile::tempdir().map_err(system_error("a folder"))?;
     let path = options.output_folder.clone().unwrap_or_else(|| passing.path().to_path_buf());
     LocalSet::new().block_on(&runtime, play(program, scenario, seed, options, &path))
 }
@@ -114,7 +116,7 @@
     })
     .await?;
     let zero = Instant::now() + SETTLE;
-    fleet.history.begin(zero);
+    fleet.history.set_first_request(zero);
     sleep_until(zero.into()).await;
     let faults = Faults::new(fleet.clone());
     faults.play();
@@ -123,11 +125,17 @@
     let pulse = spawn_local(host_load_monitor::watch(fleet.clone()));
     let clients = OpenLoopClients::new(fleet.clone(), seed);
     clients.play(seed).await;
-    let end = Instant::now() + END_WITHIN;
+    let end = Instant::now() + END_TIMEOUT;
     while clients.open() > 0 {
         if Instant::now() > end {
-            let why = std::io::Error::other(format!("{} calls have not ended", clients.open()));
-            return Err(FleetError::System { what: "the clients".into(), why });
+            let unfinished = format!(
+                "{} requests have not ended {END_TIMEOUT:?} after the last has started",
+                clients.open()
+            );
+            return Err(FleetError::System {
+                operation: "clients".into(),
+                error: std::io::Error::other(unfinished),
+            });
         }
         sleep(Duration::from_millis(10)).await;
     }
@@ -138,8 +146,11 @@
     if let Some(script) = script {
         script.abort();
     }
-    if let Some(wrong) = faults.take_errors().into_iter().next() {
-        return Err(FleetError::System { what: "a fault".into(), why: std::io::Error::other(wrong) });
+    if let Some(error) = faults.take_errors().into_iter().next() {
+        return Err(FleetError::System {
+            operation: "fault injection".into(),
+            error: std::io::Error::other(error),
+        });
     }
     let truth = fleet.truth();
     let observations = fleet.history.take();
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -1,8 +1,9 @@
-//! A backend: the simulation's machine behind a socket. A request does a part of its work, sends one or more requests to
-//! the next tier through the backend's own proxy, and does the rest; it keeps its slot meanwhile, as in the simulation.
+//! A backend: the simulation's machine behind a socket. A request does a part of its work, sends one or more
+//! requests to the next tier through the backend's own proxy, and does the rest; it keeps its slot meanwhile,
+//! as in the simulation.
 
 use crate::history::{BackendAttempt, BackendResult, BackendStart, ClientAttempt, ClientResult, History};
-use crate::http::{Message, OutgoingRequest, Wire};
+use crate::http::{HttpConnection, Message, OutgoingRequest};
 use crate::reserved_port::ReservedPort;
 use crate::tcp_proxy::{ConnectionLinks, TcpProxy};
 use hillstall_simulation::model::machine::{Admission, Job, Kind, Machine};
@@ -33,7 +34,7 @@
     pub classes: Vec<(String, bool, bool)>,
     /// The tenants' names.
     pub tenants: Vec<String>,
-    idle: RefCell<Vec<Wire>>,
+    idle: RefCell<Vec<HttpConnection>>,
 }
 
 impl DownstreamTier {
@@ -152,7 +153,7 @@
     }
 
     /// Adds a link that leads to it; it refuses connections while the backend does not listen.
-    pub fn is_reached_by(&self, link: Rc<TcpProxy>) {
+    pub fn add_link(&self, link: Rc<TcpProxy>) {
         link.set_target_listening(self.listening.borrow().is_some());
         self.links.borrow_mut().push(link);
     }
@@ -279,24 +280,28 @@
 
     async fn connection(self: Rc<Server>, stream: TcpStream, peer: SocketAddr) {
         let mut incarnation = self.incarnation.subscribe();
-        let mut wire = Wire::new(stream);
+        let mut connection = HttpConnection::new(stream);
         let clean = tokio::select! {
             biased;
             _ = incarnation.changed() => false,
-            ended = self.clone().serve_requests(&mut wire, peer) => ended.is_ok(),
+            ended = self.clone().serve_requests(&mut connection, peer) => ended.is_ok(),
         };
         if !clean {
-            crate::tcp_proxy::abort(&wire.stream);
+            crate::tcp_proxy::abort(&connection.stream);
         }
     }
 
-    async fn serve_requests(self: Rc<Server>, wire: &mut Wire, peer: SocketAddr) -> Result<()> {
-        while let Some(message) = wire.message(true).await? {
+    async fn serve_requests(
+        self: Rc<Server>,
+        connection: &mut HttpConnection,
+        peer: SocketAddr,
+    ) -> Result<()> {
+        while let Some(message) = connection.read_message(true).await? {
             let Some(link) = self.connections.borrow().get(&(peer, self.address())).copied() else {
-                return wire.answer("404 Not Found", "", "who calls?").await;
+                return connection.write_response("404 Not Found", "", "who calls?").await;
             };
             let (Some(id), Some(wish)) = (message.header("request-id"), parse_parameters(&message)) else {
-                wire.answer("400 Bad Request", "", "no such call").await?;
+                connection.write_response("400 Bad Request", "", "no such call").await?;
                 continue;
             };
             let timeout = message.header("request-timeout-ms").and_then(|t| t.parse::<f64>().ok());
@@ -306,19 +311,25 @@
             if self.draining.get() {
                 guard.result = BackendResult::Rejected;
                 drop(guard);
-                wire.answer("503 Service Unavailable", NOT_STARTED, "").await?;
+                connection.write_response("503 Service Unavailable", NOT_STARTED, "").await?;
                 continue;
             }
             let until = self.history.now() + timeout.unwrap_or(f64::MAX).min(1e7);
-            guard.result = self.serve_request(wire, id, &wish, until, &mut guard).await;
+            guard.result = self.serve_request(connection, id, &wish, until, &mut guard).await;
             let done = guard.result;
             drop(guard);
             match done {
                 BackendResult::Served => {
-                    wire.answer("200 OK", "", &format!("{id} s{}", self.parameters.number)).await?;
+                    connection
+                        .write_response("200 OK", "", &format!("{id} s{}", self.parameters.number))
+                        .await?;
+                }
+                BackendResult::Rejected => {
+                    connection.write_response("503 Service Unavailable", NOT_STARTED, "").await?
+                }
+                BackendResult::Error => {
+                    connection.write_response("500 Internal Server Error", "", "").await?
                 }
-                BackendResult::Rejected => wire.answer("503 Service Unavailable", NOT_STARTED, "").await?,
-                BackendResult::Error => wire.answer("500 Internal Server Error", "", "").await?,
                 BackendResult::Cancelled | BackendResult::Lost | BackendResult::InProgress => return Ok(()),
             }
         }
@@ -354,7 +365,7 @@
     #[allow(clippy::too_many_lines, reason = "one request from its arrival to its end")]
     async fn serve_request(
         &self,
-        wire: &mut Wire,
+        connection: &mut HttpConnection,
         id: &str,
         wish: &RequestParameters,
         until: f64,
@@ -375,7 +386,7 @@
         for phase in 0..=below {
             let worked = tokio::select! {
                 worked = &mut done => worked.is_ok(),
-                () = wire.gone() => {
+                () = connection.closed() => {
                     guard.result = BackendResult::Cancelled;
                     self.waiters.borrow_mut().remove(&job);
                     let now = self.history.now();
@@ -392,7 +403,7 @@
             }
             let answered = tokio::select! {
                 answered = self.request_below(id, phase, below, wish, until) => answered,
-                () = wire.gone() => {
+                () = connection.closed() => {
                     self.release_slot();
                     return BackendResult::Cancelled;
                 }
@@ -428,7 +439,7 @@
     ) -> bool {
         let Some(below) = &self.below else { return true };
         let id = format!("{id}.{}-{phase}", self.random.get() % 100_000);
-        let (class, safe, keyed) = &below.classes[wish.class];
+        let (class, idempotent, keyed) = &below.classes[wish.class];
         let timeout_ms = (until - self.history.now()).max(0.0);
         let key = keyed.then(|| wish.key.as_ref().map(|key| format!("{key}.{phase}"))).flatten();
         let all = self.parameters.calls.max(1.0).max((calls - phase) as f64);
@@ -453,19 +464,19 @@
             tenant: below.tenants.get(wish.tenant).map(String::as_str),
             timeout_ms: timeout_ms as u64,
             key: key.as_deref(),
-            safe: *safe,
+            idempotent: *idempotent,
             target: &target(wish.class, wish.tenant, wish.work / all),
-            retry: false,
+            is_retry: false,
         };
         let taken = below.idle.borrow_mut().pop();
         let most = Duration::from_secs_f64((timeout_ms + RESPONSE_MARGIN_MS) / 1e3);
         let asked = send_request(taken, below.address, &call, &made, |_| false);
-        let (ended, wire) = match timeout(most, asked).await {
-            Ok((ended, _, wire)) => (ended, wire),
+        let (ended, connection) = match timeout(most, asked).await {
+            Ok((ended, _, connection)) => (ended, connection),
             Err(_) => (ClientResult::Unanswered, None),
         };
-        if let Some(wire) = wire {
-            below.idle.borrow_mut().push(wire);
+        if let Some(connection) = connection {
+            below.idle.borrow_mut().push(connection);
         }
         let served = ended == ClientResult::Served;
         made.ended(ended, None);
@@ -477,13 +488,14 @@
 pub(crate) const CROSSED_MS: f64 = 20.0;
 
 /// How an attempt at a proxy ended, its Retry-After in milliseconds, and the connection if it can be reused.
-pub(crate) type AttemptOutcome = (ClientResult, Option<f64>, Option<Wire>);
+pub(crate) type AttemptOutcome = (ClientResult, Option<f64>, Option<HttpConnection>);
 
-/// Sends a request to a proxy, on an idle connection if there is one. If the proxy has closed that meanwhile, it is sent
-/// once more on a new one. `untaken`: whether the proxy never accepted the connection from a local address.
+/// Sends a request to a proxy, on an idle connection if there is one. If the proxy has closed that meanwhile,
+/// it is sent once more on a new one. `untaken`: whether the proxy never accepted the connection from a local
+/// address.
 #[allow(clippy::too_many_lines, reason = "one request from its arrival to its end")]
 pub(crate) async fn send_request(
-    kept: Option<Wire>,
+    kept: Option<HttpConnection>,
     address: SocketAddr,
     call: &OutgoingRequest<'_>,
     made: &RecordedAttempt,
@@ -494,22 +506,22 @@
     let mut kept = kept;
     loop {
         let was_kept = kept.is_some();
-        let mut wire = match kept.take() {
-            Some(wire) => wire,
+        let mut connection = match kept.take() {
+            Some(connection) => connection,
             None => match TcpStream::connect(address).await {
-                Ok(stream) => Wire::new(stream),
+                Ok(stream) => HttpConnection::new(stream),
                 Err(_) => return (ClientResult::NotAccepted, None, None),
             },
         };
-        let own = wire.stream.local_addr();
-        if wire.stream.write_all(text.as_bytes()).await.is_err() {
+        let own = connection.stream.local_addr();
+        if connection.stream.write_all(text.as_bytes()).await.is_err() {
             if was_kept {
                 continue;
             }
             return (ClientResult::NotAccepted, None, None);
         }
         made.written(true);
-        let message = match wire.message(false).await {
+        let message = match connection.read_message(false).await {
             Ok(Some(message)) => message,
             Ok(None) | Err(_) => {
                 // The close crossed this request.
@@ -524,11 +536,11 @@
             }
         };
         let wait = message.header("retry-after").and_then(|t| t.parse::<f64>().ok()).map(|s| s * 1e3);
-        let ended = match wire.has_more() {
+        let ended = match connection.has_unread_bytes() {
             true => ClientResult::Invalid("more than one answer".into()),
             false => result_of(&message, call.id),
         };
-        return (ended, wait, Some(wire).filter(|_| !closes(&message)));
+        return (ended, wait, Some(connection).filter(|_| !closes(&message)));
     }
 }
 
--- a/crates/fault-injection/src/soak/clients.rs
+++ b/crates/fault-injection/src/soak/clients.rs
@@ -3,7 +3,7 @@
 use super::plan::{Crowd, Habit, SoakPlan, TERM_AT_MS};
 use crate::fleet::{Fleet, LinkEnds};
 use crate::history::{ClientAttempt, ClientResult};
-use crate::http::{OutgoingRequest, Wire};
+use crate::http::{HttpConnection, OutgoingRequest};
 use crate::platform_rules::CONNECT_AFTER_TERM_MS;
 use crate::server::{closes, result_of, target, RecordedAttempt, CROSSED_MS};
 use hillstall_decision::RetrySafety;
@@ -115,7 +115,7 @@
         while self.fleet.history.now() < TERM_AT_MS + CONNECT_AFTER_TERM_MS {
             let address = self.fleet.link(LinkEnds::ClientToProxy { process: TARGET }).address();
             match TcpStream::connect(address).await {
-                Ok(stream) => self.use_connection(Wire::new(stream), &mut sent).await,
+                Ok(stream) => self.use_connection(HttpConnection::new(stream), &mut sent).await,
                 Err(_) => sleep(RECONNECT_INTERVAL).await,
             }
         }
@@ -129,7 +129,7 @@
         sleep(Duration::from_secs_f64(self.between(range_ms) / 1e3)).await;
     }
 
-    async fn use_connection(&self, mut wire: Wire, sent: &mut usize) {
+    async fn use_connection(&self, mut connection: HttpConnection, sent: &mut usize) {
         let mut answered = 0;
         loop {
             match self.habit {
@@ -143,9 +143,9 @@
             let requests: Vec<PreparedRequest> = (0..count).map(|n| self.prepare(*sent + n)).collect();
             *sent += count;
             if self.habit == Habit::Half && answered > 0 {
-                return self.stay_within_a_request(wire, &requests[0]).await;
+                return self.stay_within_a_request(connection, &requests[0]).await;
             }
-            if !self.write(&mut wire, &requests, answered > 0).await {
+            if !self.write(&mut connection, &requests, answered > 0).await {
                 return;
             }
             if self.habit == Habit::Leaving && self.between((0.0, 1.0)) < 0.3 {
@@ -153,24 +153,24 @@
                 return;
             }
             let may_cross = if answered > 0 { MayCross::Close } else { MayCross::Crowd };
-            if !self.take_answers(&mut wire, requests, may_cross).await {
+            if !self.take_answers(&mut connection, requests, may_cross).await {
                 return;
             }
             answered += count;
         }
     }
 
-    /// Takes the answers of requests that were written together; false once the connection is to be used no more. All of
-    /// them are owed an answer as soon as one has got it.
+    /// Takes the answers of requests that were written together; false once the connection is to be used no
+    /// more. All of them are owed an answer as soon as one has got it.
     async fn take_answers(
         &self,
-        wire: &mut Wire,
+        connection: &mut HttpConnection,
         requests: Vec<PreparedRequest>,
         mut may_cross: MayCross,
     ) -> bool {
         let mut stays_open = true;
         for request in requests {
-            match self.take_answer(wire, request, may_cross).await {
+            match self.take_answer(connection, request, may_cross).await {
                 Answered::Kept => {}
                 Answered::Closing => stays_open = false,
                 Answered::Nothing => return false,
@@ -194,9 +194,9 @@
             tenant: None,
             timeout_ms: timeout_ms as u64,
             key: key.as_deref(),
-            safe: of.retry_safety == RetrySafety::Idempotent,
+            idempotent: of.retry_safety == RetrySafety::Idempotent,
             target: &target(class, 0, WORK_MS),
-            retry: false,
+            is_retry: false,
         };
         let text = call.encode();
         let attempt = ClientAttempt {
@@ -216,21 +216,26 @@
     }
 
     /// Sends the first half of a request, and waits for the end of the connection.
-    async fn stay_within_a_request(&self, mut wire: Wire, request: &PreparedRequest) {
+    async fn stay_within_a_request(&self, mut connection: HttpConnection, request: &PreparedRequest) {
         let half = request.text.len() / 2;
-        if wire.stream.write_all(&request.text.as_bytes()[..half]).await.is_ok() {
-            wire.gone().await;
+        if connection.stream.write_all(&request.text.as_bytes()[..half]).await.is_ok() {
+            connection.closed().await;
         }
         request.attempt.ended(ClientResult::NotAccepted, None);
     }
 
-    /// Writes requests at once or, on a connection that has brought an answer, in pieces; false if the connection has
-    /// ended.
-    async fn write(&self, wire: &mut Wire, requests: &[PreparedRequest], is_kept: bool) -> bool {
+    /// Writes requests at once or, on a connection that has brought an answer, in pieces; false if the
+    /// connection has ended.
+    async fn write(
+        &self,
+        connection: &mut HttpConnection,
+        requests: &[PreparedRequest],
+        is_kept: bool,
+    ) -> bool {
         let text: String = requests.iter().map(|request| request.text.as_str()).collect();
         let pieces = if self.habit == Habit::Pieces && is_kept { PIECES } else { 1 };
         for piece in text.as_bytes().chunks(text.len().div_ceil(pieces)) {
-            if wire.stream.write_all(piece).await.is_err() {
+            if connection.stream.write_all(piece).await.is_err() {
                 requests.iter().for_each(|request| request.attempt.ended(ClientResult::NotAccepted, None));
                 return false;
             }
@@ -243,18 +248,23 @@
     }
 
     /// Waits for the answer of a request and records it.
-    async fn take_answer(&self, wire: &mut Wire, request: PreparedRequest, may_cross: MayCross) -> Answered {
+    async fn take_answer(
+        &self,
+        connection: &mut HttpConnection,
+        request: PreparedRequest,
+        may_cross: MayCross,
+    ) -> Answered {
         let PreparedRequest { id, timeout_ms, attempt, .. } = request;
         let longest = Duration::from_secs_f64((timeout_ms + LATE_ANSWER_MS) / 1e3);
-        match timeout(longest, wire.message(false)).await {
+        match timeout(longest, connection.read_message(false)).await {
             Err(_) => attempt.ended(ClientResult::Unanswered, None),
             Ok(Ok(Some(answer))) => {
                 attempt.ended(result_of(&answer, &id), None);
                 return if closes(&answer) { Answered::Closing } else { Answered::Kept };
             }
             Ok(Ok(None) | Err(_)) => {
-                // The close crossed the request, or the connection was one too many: it was not read then. If it was
-                // forwarded all the same, the checker sees that.
+                // The close crossed the request, or the connection was one too many: it was not read then. If
+                // it was forwarded all the same, the checker sees that.
                 let has_crossed = match may_cross {
                     MayCross::Close => attempt.since_written() < CROSSED_MS,
                     MayCross::Crowd => self.is_crowded,
--- a/crates/fault-injection/src/soak/mod.rs
+++ b/crates/fault-injection/src/soak/mod.rs
@@ -1,6 +1,6 @@
-//! A soak of graceful shutdowns: one proxy of a fleet of real processes is asked to end while its clients go on using the
-//! connections that they have, until it is killed at the earliest time that the platform allows. Signals, faults and
-//! clients are drawn from a seed, and the invariant checker judges every request.
+//! A soak of graceful shutdowns: one proxy of a fleet of real processes is asked to end while its clients go
+//! on using the connections that they have, until it is killed at the earliest time that the platform allows.
+//! Signals, faults and clients are drawn from a seed, and the invariant checker judges every request.
 
 mod clients;
 mod plan;
@@ -38,8 +38,8 @@
 ) -> Result<ScenarioRun, FleetError> {
     let plan = SoakPlan::draw(seed);
     let scenario = plan.scenario().map_err(|error| FleetError::System {
-        what: format!("the soak of seed {seed}"),
-        why: std::io::Error::other(error.to_string()),
+        operation: format!("scenario of the soak with seed {seed}"),
+        error: std::io::Error::other(error.to_string()),
     })?;
     let coordination =
         plan.coordination.then(|| CoordinationOptions { voters: REPLICAS, fleet_section: String::new() });
--- a/crates/fault-injection/src/tcp_proxy.rs
+++ b/crates/fault-injection/src/tcp_proxy.rs
@@ -1,4 +1,6 @@
-//! A link between two processes: a TCP proxy that forwards bytes, or loses, blocks, delays, slows or resets them.
+//! A link between two processes: a TCP proxy that forwards bytes, or injects a fault.
+//!
+//! The client of a link is the side that connects, the target the address that the link forwards to.
 
 use crate::reserved_port::ReservedPort;
 use socket2::SockRef;
@@ -16,108 +18,110 @@
 use tokio::time::sleep;
 
 /// Largest read, in bytes.
-const CHUNK: usize = 16 * 1024;
-/// Between two writes of a slow link.
-const SLOW_STEP: Duration = Duration::from_millis(10);
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Interval between two writes on a link with [`Fault::Slow`].
+const SLOW_WRITE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The fault of a link.
+/// A fault of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault: all bytes pass.
     #[default]
     None,
-    /// Nothing passes: open connections stay open, new ones never come up.
+    /// No bytes pass in either direction. Open connections stay open; new ones are never established.
     Silent,
-    /// What the connecting side sends is lost; new connections never come up.
+    /// Bytes from the client do not pass until the fault ends; new connections are never established.
     LoseFromClient,
-    /// What the other side sends is lost; new connections never come up.
+    /// Bytes from the target do not pass until the fault ends; new connections are never established.
     LoseFromTarget,
-    /// Open connections are reset, and new ones as soon as they have been accepted.
+    /// Open connections are reset at once, and new ones as soon as they have been accepted.
     Reset,
-    /// New connections are refused; open ones go on.
+    /// New connections are refused; open ones are not affected.
     Refuse,
-    /// Everything arrives later by this time, in each direction.
+    /// Each read is forwarded after this delay, in both directions.
     Delay(Duration),
-    /// Limits bytes per second, in each direction.
+    /// The throughput limit in bytes per second, for each direction of each connection.
     Slow(u32),
 }
 
-/// The link of an outgoing connection, by its local address and the target's: so a backend knows who sends. The local
-/// address is not enough, as the system gives one port to connections to several targets.
+/// The numbers of the links by their connections to targets, keyed by the connection's local address and the
+/// target. A backend finds in it which link, and so which proxy, a request came over. The local address alone
+/// is not unique, as the system may use one port for connections to several targets.
 pub type ConnectionLinks = Rc<RefCell<HashMap<(SocketAddr, SocketAddr), usize>>>;
 
-/// Traffic of a link.
+/// The traffic of a link since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TransferredBytes {
-    /// Connections accepted.
+    /// The number of connections accepted.
     pub connections: u64,
-    /// Bytes from the connecting side.
+    /// Bytes forwarded to the target.
     pub to_target: u64,
-    /// Bytes to it.
+    /// Bytes forwarded to the client.
     pub to_client: u64,
 }
 
-/// A TCP proxy with faults.
+/// A link: a TCP proxy to one target, with a fault that can be changed at any time.
 pub struct TcpProxy {
-    /// Its number, as in [`ConnectionLinks`].
+    /// The link's number in [`ConnectionLinks`].
     pub number: usize,
     port: ReservedPort,
     target: SocketAddr,
     fault: Cell<Fault>,
-    /// Whether the target listens; while it does not, connections are refused.
-    up: Cell<bool>,
-    /// Counts the times at which all open connections were reset.
+    /// Whether the target listens; while it does not, the link refuses connections.
+    target_listens: Cell<bool>,
+    /// How often all open connections were reset; connections watch it for a change.
     resets: Cell<u64>,
     changed: Notify,
-    passed: Cell<TransferredBytes>,
+    transferred: Cell<TransferredBytes>,
     connections: ConnectionLinks,
-    /// Connections that were accepted here and not by the target, by the client's address.
+    /// The client addresses of connections that were accepted here, but not by the target.
     unaccepted: RefCell<HashSet<SocketAddr>>,
 }
 
 impl TcpProxy {
-    /// Starts a link to a target.
-    pub fn start(number: usize, target: SocketAddr, callers: ConnectionLinks) -> Result<Rc<TcpProxy>> {
+    /// Starts a link to a target. `number` identifies it in `connections`.
+    pub fn start(number: usize, target: SocketAddr, connections: ConnectionLinks) -> Result<Rc<TcpProxy>> {
         let port = ReservedPort::take()?;
-        // It accepts connections from now on, not from when its task first runs.
+        // Listens before the task first runs, so connections are accepted from now on.
         let listener = port.listen()?;
         let link = Rc::new(TcpProxy {
             number,
             port,
             target,
             fault: Cell::default(),
-            up: Cell::new(true),
+            target_listens: Cell::new(true),
             resets: Cell::new(0),
             changed: Notify::new(),
-            passed: Cell::default(),
-            connections: callers,
+            transferred: Cell::default(),
+            connections,
             unaccepted: RefCell::default(),
         });
         spawn_local(link.clone().serve(listener));
         Ok(link)
     }
 
-    /// The address to connect to.
+    /// The address that clients of the link connect to.
     pub fn address(&self) -> SocketAddr {
         self.port.address()
     }
 
-    /// Its traffic so far.
+    /// The traffic so far.
     pub fn transferred(&self) -> TransferredBytes {
-        self.passed.get()
+        self.transferred.get()
     }
 
-    /// Whether a connection that ended was never accepted by the target. True once for each.
-    pub fn take_unaccepted(&self, caller: SocketAddr) -> bool {
-        self.unaccepted.borrow_mut().remove(&caller)
+    /// Whether the connection from a client address ended without having been accepted by the target. The
+    /// link forgets the connection by this, so it returns true only once.
+    pub fn take_unaccepted(&self, client: SocketAddr) -> bool {
+        self.unaccepted.borrow_mut().remove(&client)
     }
 
-    /// Its fault.
+    /// The present fault.
     pub fn fault(&self) -> Fault {
         self.fault.get()
     }
 
-    /// Sets its fault.
+    /// Sets the fault. [`Fault::Reset`] resets all open connections.
     pub fn set_fault(&self, fault: Fault) {
         self.fault.set(fault);
         if fault == Fault::Reset {
@@ -126,49 +130,49 @@
         self.changed.notify_waiters();
     }
 
-    /// Sets whether the target listens.
-    pub fn set_target_listening(&self, up: bool) {
-        self.up.set(up);
+    /// Sets whether the target listens. While it does not, the link refuses connections, as the target would.
+    pub fn set_target_listening(&self, target_listens: bool) {
+        self.target_listens.set(target_listens);
         self.changed.notify_waiters();
     }
 
-    /// Resets all open connections, as a machine does after a network outage.
+    /// Resets all open connections, as a machine does that has restarted.
     pub fn reset(&self) {
         self.resets.set(self.resets.get() + 1);
         self.changed.notify_waiters();
     }
 
-    fn is_silent(&self) -> bool {
+    fn accepts_nothing(&self) -> bool {
         matches!(self.fault.get(), Fault::Silent | Fault::LoseFromClient | Fault::LoseFromTarget)
     }
 
     fn refuses_connections(&self) -> bool {
-        !self.up.get() || self.fault.get() == Fault::Refuse
+        !self.target_listens.get() || self.fault.get() == Fault::Refuse
     }
 
-    fn blocks(&self, forth: bool) -> bool {
+    fn blocks(&self, is_to_target: bool) -> bool {
         match self.fault.get() {
             Fault::Silent => true,
-            Fault::LoseFromClient => forth,
-            Fault::LoseFromTarget => !forth,
+            Fault::LoseFromClient => is_to_target,
+            Fault::LoseFromTarget => !is_to_target,
             _ => false,
         }
     }
 
     fn count(&self, change: impl FnOnce(&mut TransferredBytes)) {
-        let mut passed = self.passed.get();
-        change(&mut passed);
-        self.passed.set(passed);
+        let mut transferred = self.transferred.get();
+        change(&mut transferred);
+        self.transferred.set(transferred);
     }
 
-    /// Waits until a condition on the state is false.
-    async fn wait_while(&self, so: impl Fn(&TcpProxy) -> bool) {
+    /// Waits until a condition on the link's state is false.
+    async fn wait_while(&self, condition: impl Fn(&TcpProxy) -> bool) {
         loop {
             let changed = self.changed.notified();
             tokio::pin!(changed);
-            // Enabled before the check, so that no change is missed.
+            // Registered before the check, so that no change is missed.
             changed.as_mut().enable();
-            if !so(self) {
+            if !condition(self) {
                 return;
             }
             changed.await;
@@ -178,36 +182,37 @@
     async fn serve(self: Rc<TcpProxy>, first: TcpListener) {
         self.clone().accept(first).await;
         loop {
-            // The previous listener must be closed before the next one opens: two would share connections.
-            if self.is_silent() {
-                let _deaf = self.port.listen_silently();
-                self.wait_while(TcpProxy::is_silent).await;
+            // The previous listener must be closed before the next one opens, or the kernel would distribute
+            // connections between the two.
+            if self.accepts_nothing() {
+                let _listener = self.port.listen_silently();
+                self.wait_while(TcpProxy::accepts_nothing).await;
             } else if self.refuses_connections() {
-                self.wait_while(|link| link.refuses_connections() && !link.is_silent()).await;
+                self.wait_while(|link| link.refuses_connections() && !link.accepts_nothing()).await;
             } else if let Ok(listener) = self.port.listen() {
                 self.clone().accept(listener).await;
             } else {
-                // Out of descriptors; avoids a tight loop.
-                sleep(SLOW_STEP).await;
+                // Out of file descriptors; the pause avoids a busy loop.
+                sleep(SLOW_WRITE_INTERVAL).await;
             }
         }
     }
 
     async fn accept(self: Rc<TcpProxy>, listener: TcpListener) {
         loop {
-            let open = |link: &TcpProxy| !link.is_silent() && !link.refuses_connections();
+            let accepts = |link: &TcpProxy| !link.accepts_nothing() && !link.refuses_connections();
             tokio::select! {
                 biased;
-                () = self.wait_while(open) => return,
-                taken = listener.accept() => {
-                    let Ok((stream, _)) = taken else { return };
+                () = self.wait_while(accepts) => return,
+                accepted = listener.accept() => {
+                    let Ok((stream, _)) = accepted else { return };
                     spawn_local(self.clone().connection(stream));
                 }
             }
         }
     }
 
-    async fn connection(self: Rc<TcpProxy>, caller: TcpStream) {
+    async fn connection(self: Rc<TcpProxy>, client: TcpStream) {
         self.count(|p| p.connections += 1);
         let resets = self.resets.get();
         let target = match self.fault.get() {
@@ -215,80 +220,82 @@
             _ => TcpStream::connect(self.target).await.ok(),
         };
         let Some(target) = target else {
-            if let Ok(peer) = caller.peer_addr() {
+            if let Ok(peer) = client.peer_addr() {
                 self.unaccepted.borrow_mut().insert(peer);
             }
-            return abort(&caller);
+            return abort(&client);
         };
-        let name = target.local_addr();
-        if let Ok(name) = name {
-            self.connections.borrow_mut().insert((name, self.target), self.number);
+        let local_address = target.local_addr();
+        if let Ok(local_address) = local_address {
+            self.connections.borrow_mut().insert((local_address, self.target), self.number);
         }
-        // Fails only on dead streams, which the first read reports.
-        let _ = caller.set_nodelay(true).and(target.set_nodelay(true));
-        let (mut caller, mut target) = (caller, target);
-        let clean = {
-            let ((caller_in, caller_out), (target_in, target_out)) = (caller.split(), target.split());
+        // Fails only on streams that have ended, which the first read reports.
+        let _ = client.set_nodelay(true).and(target.set_nodelay(true));
+        let (mut client, mut target) = (client, target);
+        let ended_cleanly = {
+            let ((client_in, client_out), (target_in, target_out)) = (client.split(), target.split());
             let both = async {
-                let forth = self.pass(caller_in, target_out, true);
-                tokio::try_join!(forth, self.pass(target_in, caller_out, false)).is_ok()
+                let to_target = self.forward(client_in, target_out, true);
+                tokio::try_join!(to_target, self.forward(target_in, client_out, false)).is_ok()
             };
             tokio::select! {
-                clean = both => clean,
+                ended_cleanly = both => ended_cleanly,
                 () = self.wait_while(|link| link.resets.get() == resets) => false,
             }
         };
-        // A connection that ends within a message is reset on both sides.
-        if !clean {
-            abort(&caller);
+        // An error or a reset on one side is passed on as a reset of both.
+        if !ended_cleanly {
+            abort(&client);
             abort(&target);
         }
-        if let Ok(name) = name {
-            self.connections.borrow_mut().remove(&(name, self.target));
+        if let Ok(local_address) = local_address {
+            self.connections.borrow_mut().remove(&(local_address, self.target));
         }
     }
 
-    /// Forwards one direction until it ends.
-    async fn pass(&self, mut from: ReadHalf<'_>, mut to: WriteHalf<'_>, forth: bool) -> Result<()> {
-        let mut buffer = vec![0; CHUNK];
+    /// Forwards one direction of a connection until its sender closes it.
+    async fn forward(&self, mut from: ReadHalf<'_>, mut to: WriteHalf<'_>, is_to_target: bool) -> Result<()> {
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
         loop {
             let read = from.read(&mut buffer).await;
-            // The end of a stream and errors are blocked like data.
-            self.wait_while(|link| link.blocks(forth)).await;
-            if let Fault::Delay(by) = self.fault.get() {
-                sleep(by).await;
-                self.wait_while(|link| link.blocks(forth)).await;
+            // The end of the stream and errors are held back like data.
+            self.wait_while(|link| link.blocks(is_to_target)).await;
+            if let Fault::Delay(delay) = self.fault.get() {
+                sleep(delay).await;
+                self.wait_while(|link| link.blocks(is_to_target)).await;
             }
             match read? {
                 0 => return to.shutdown().await,
-                n => self.write(&mut to, &buffer[..n], forth).await?,
+                n => self.write(&mut to, &buffer[..n], is_to_target).await?,
             }
         }
     }
 }
 
 impl TcpProxy {
-    /// Writes data, in small pieces where the link is slow.
-    async fn write(&self, to: &mut WriteHalf<'_>, read: &[u8], forth: bool) -> Result<()> {
-        let mut left = read;
-        while !left.is_empty() {
-            let most = match self.fault.get() {
+    /// Writes data; with [`Fault::Slow`], in pieces that keep to its rate.
+    async fn write(&self, to: &mut WriteHalf<'_>, data: &[u8], is_to_target: bool) -> Result<()> {
+        let mut rest = data;
+        while !rest.is_empty() {
+            let max_bytes = match self.fault.get() {
                 Fault::Slow(rate) => {
-                    sleep(SLOW_STEP).await;
-                    (f64::from(rate) * SLOW_STEP.as_secs_f64()).ceil() as usize
+                    sleep(SLOW_WRITE_INTERVAL).await;
+                    (f64::from(rate) * SLOW_WRITE_INTERVAL.as_secs_f64()).ceil() as usize
                 }
-                _ => left.len(),
+                _ => rest.len(),
             };
-            let (piece, rest) = left.split_at(most.clamp(1, left.len()));
+            let (piece, unwritten) = rest.split_at(max_bytes.clamp(1, rest.len()));
             to.write_all(piece).await?;
-            self.count(|p| *(if forth { &mut p.to_target } else { &mut p.to_client }) += piece.len() as u64);
-            left = rest;
+            self.count(|p| {
+                *(if is_to_target { &mut p.to_target } else { &mut p.to_client }) += piece.len() as u64
+            });
+            rest = unwritten;
         }
         Ok(())
     }
 }
 
-/// Closes a connection with a reset.
+/// Makes a connection end with a reset instead of an orderly close when the stream is dropped.
 pub fn abort(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/crates/fault-injection/src/udp_proxy.rs
+++ b/crates/fault-injection/src/udp_proxy.rs
@@ -1,5 +1,5 @@
-//! A UDP link between two addresses, with the same faults as TCP links. Blocked datagrams are lost, also under a reset
-//! or refusal.
+//! A UDP link between two addresses, with the faults of TCP links. Datagrams that a fault keeps from passing
+//! are lost; [`Fault::Reset`] and [`Fault::Refuse`] lose all, and [`Fault::Slow`] has no effect.
 
 use crate::tcp_proxy::Fault;
 use hillstall_simulation::random::part;
@@ -13,22 +13,22 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// The largest datagram.
-const LONGEST: usize = 65_535;
+/// Size of the receive buffer, which holds the largest datagram.
+const MAX_DATAGRAM_BYTES: usize = 65_535;
 
-/// A UDP proxy between two addresses.
+/// A UDP proxy between two addresses, its ends.
 pub struct UdpProxy {
-    /// Where each side sends to reach the other.
+    /// The socket that each end sends to in order to reach the other.
     sockets: [Rc<UdpSocket>; 2],
     ends: [SocketAddr; 2],
     fault: Cell<Fault>,
-    loss: Cell<f64>,
+    loss_fraction: Cell<f64>,
     rng: RefCell<Xoshiro256PlusPlus>,
-    passed: Cell<[u64; 2]>,
+    forwarded: Cell<[u64; 2]>,
 }
 
 impl UdpProxy {
-    /// Starts a link between two addresses; the seed decides which datagrams are lost.
+    /// Starts a link between two addresses. The seed decides which datagrams [`UdpProxy::set_loss`] loses.
     pub async fn start(ends: [SocketAddr; 2], seed: u64) -> Result<Rc<UdpProxy>> {
         let any = (Ipv4Addr::LOCALHOST, 0);
         let sockets = [Rc::new(UdpSocket::bind(any).await?), Rc::new(UdpSocket::bind(any).await?)];
@@ -36,9 +36,9 @@
             sockets,
             ends,
             fault: Cell::default(),
-            loss: Cell::new(0.0),
+            loss_fraction: Cell::new(0.0),
             rng: RefCell::new(Xoshiro256PlusPlus::seed_from_u64(seed)),
-            passed: Cell::default(),
+            forwarded: Cell::default(),
         });
         for side in [0, 1] {
             spawn_local(link.clone().serve(side));
@@ -46,56 +46,56 @@
         Ok(link)
     }
 
-    /// Where the first (0) or the second (1) end sends to reach the other.
+    /// The address to which the first (0) or the second (1) end sends in order to reach the other.
     pub fn address(&self, end: usize) -> Result<SocketAddr> {
         self.sockets[end].local_addr()
     }
 
-    /// Sets its fault; forth is from the first end to the second.
+    /// Sets the fault; the first end counts as the client, the second as the target.
     pub fn set_fault(&self, fault: Fault) {
         self.fault.set(fault);
     }
 
-    /// Loses this fraction of the datagrams, in addition to the fault.
-    pub fn lose(&self, part: f64) {
-        self.loss.set(part);
+    /// Sets the fraction of datagrams that are lost at random, in addition to the fault.
+    pub fn set_loss(&self, fraction: f64) {
+        self.loss_fraction.set(fraction);
     }
 
-    /// Datagrams passed on: forth and back.
-    pub fn transferred(&self) -> [u64; 2] {
-        self.passed.get()
+    /// The number of datagrams forwarded from the first end and from the second.
+    pub fn forwarded(&self) -> [u64; 2] {
+        self.forwarded.get()
     }
 
-    fn loses(&self, forth: bool) -> bool {
-        let by_chance = part(&mut self.rng.borrow_mut());
-        by_chance < self.loss.get()
+    fn loses(&self, from_first: bool) -> bool {
+        let random_fraction = part(&mut self.rng.borrow_mut());
+        random_fraction < self.loss_fraction.get()
             || match self.fault.get() {
                 Fault::Silent | Fault::Reset | Fault::Refuse => true,
-                Fault::LoseFromClient => forth,
-                Fault::LoseFromTarget => !forth,
+                Fault::LoseFromClient => from_first,
+                Fault::LoseFromTarget => !from_first,
                 Fault::None | Fault::Delay(_) | Fault::Slow(_) => false,
             }
     }
 
     async fn serve(self: Rc<UdpProxy>, side: usize) {
-        let mut buffer = vec![0; LONGEST];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            // An error reports an earlier datagram that nobody received.
+            // An error reports that an earlier datagram found no receiver.
             let Ok((length, from)) = self.sockets[side].recv_from(&mut buffer).await else { continue };
-            // Only the two ends may use it.
+            // Only the two ends may use the link.
             if from != self.ends[side] || self.loses(side == 0) {
                 continue;
             }
             let (datagram, link) = (buffer[..length].to_vec(), self.clone());
             spawn_local(async move {
-                if let Fault::Delay(by) = link.fault.get() {
-                    sleep(by).await;
+                if let Fault::Delay(delay) = link.fault.get() {
+                    sleep(delay).await;
                 }
                 let other = 1 - side;
                 if link.sockets[other].send_to(&datagram, link.ends[other]).await.is_ok() {
-                    let mut passed = link.passed.get();
-                    passed[side] += 1;
-                    link.passed.set(passed);
+                    let mut forwarded = link.forwarded.get();
+                    forwarded[side] += 1;
+                    link.forwarded.set(forwarded);
                 }
             });
         }
--- a/crates/fault-injection/tests/links.rs
+++ b/crates/fault-injection/tests/links.rs
@@ -162,14 +162,14 @@
         assert_eq!(&read[..length], b"pong");
         assert!(timeout(NOTHING, ends[1].recv_from(&mut read)).await.is_err(), "the other direction is lost");
         link.set_fault(Fault::None);
-        link.lose(0.3);
-        let before = link.transferred()[0];
+        link.set_loss(0.3);
+        let before = link.forwarded()[0];
         for _ in 0..200 {
             ends[0].send_to(b"some", from_first).await.expect("it is sent");
             // One at a time, so that no buffer overflows.
             let _ = timeout(Duration::from_millis(5), ends[1].recv_from(&mut read)).await;
         }
-        let came = link.transferred()[0] - before;
+        let came = link.forwarded()[0] - before;
         assert!((110..=170).contains(&came), "{came} of 200 came at a loss of 30%");
     });
 }
--- a/crates/fault-injection/tests/referee.rs
+++ b/crates/fault-injection/tests/referee.rs
@@ -131,7 +131,8 @@
             let ended = [life(1_500.0, ProcessEvent::Exited(Some(0)))];
             assert_eq!(broken(&asked(at, &ended)), [Rule::OneResponse]);
         }
-        // The kill at the end excuses what came up to 0.7 s after SIGTERM, and nothing later, however often that came.
+        // The kill at the end excuses what came up to 0.7 s after SIGTERM, and nothing later, however often
+        // that came.
         let killed = life(1_500.0, ProcessEvent::Killed);
         assert_eq!(broken(&asked(301.0, &[killed])), []);
         assert_eq!(broken(&asked(299.0, &[killed])), [Rule::OneResponse]);
@@ -243,7 +244,8 @@
         backend_starts: vec![BackendStart { server: 0, at: 1_000.0 }],
         ..Observations::default()
     };
-    // Over its first two seconds it does 2 * (660 + 335) core milliseconds, bears three times that, and 100 more.
+    // Over its first two seconds it does 2 * (660 + 335) core milliseconds, bears three times that, and 100
+    // more.
     let bears = 3.0 * 2.0 * (0.33 * 2_000.0 + 0.67 * 2_000.0 * 2_000.0 / 8_000.0) + 100.0;
     assert_eq!(broken(&sent(0.99 * bears / 100.0)), []);
     assert_eq!(broken(&sent(1.01 * bears / 100.0)), [Rule::SlowStart]);
@@ -306,10 +308,14 @@
         ..Observations::default()
     };
     let told = request_trace(&truth(), &seen, "c1-0.7-0");
-    let places: Vec<usize> =
-        ["c1-0 asks front-0", "c1-0 front-0 -> s0-0", "c1-0.7-0 asks front-1", "c1-0.7-0 front-1 -> s0-2"]
-            .map(|line| told.find(line).unwrap_or_else(|| panic!("{line} in {told}")))
-            .into();
+    let places: Vec<usize> = [
+        "c1-0 sent to front-0",
+        "c1-0 front-0 -> s0-0",
+        "c1-0.7-0 sent to front-1",
+        "c1-0.7-0 front-1 -> s0-2",
+    ]
+    .map(|line| told.find(line).unwrap_or_else(|| panic!("{line} in {told}")))
+    .into();
     assert!(places.is_sorted(), "{told}");
     assert!(!told.contains("c10"), "another call is no part of it: {told}");
 }
--- a/crates/fault-injection/tests/written_forms.rs
+++ b/crates/fault-injection/tests/written_forms.rs
@@ -9,7 +9,7 @@
     let news = [
         (SupervisorEvent::Started { number: 3, pid: 41 }, r#"{"started":{"number":3,"pid":41}}"#),
         (
-            SupervisorEvent::Failed { number: 3, why: "gone".into() },
+            SupervisorEvent::Failed { number: 3, error: "gone".into() },
             r#"{"failed":{"number":3,"why":"gone"}}"#,
         ),
         (
@@ -44,7 +44,7 @@
         ProcessSignal::Kill,
         ProcessSignal::Term,
         ProcessSignal::Stop,
-        ProcessSignal::Go,
+        ProcessSignal::Continue,
         ProcessSignal::Reload,
     ];
     let names = signs.map(|sign| to_string(&sign).expect("plain data"));
@@ -64,13 +64,13 @@
         Rule::Crash,
     ];
     let names = [
-        "one final answer",
-        "no barred repeat",
-        "attempts of a request",
-        "nothing new to a draining server",
-        "no cold server pushed over",
-        "a refusal is harmless",
-        "nothing unasked",
+        "one final response",
+        "no unsafe retry",
+        "attempt limit",
+        "no new request to a draining server",
+        "no overload in slow start",
+        "no rejection after execution",
+        "no unsolicited request",
         "no crash",
     ];
     assert_eq!(rules.map(Rule::name), names);
--- a/crates/hillstall/tests/coordination/change_freeze.rs
+++ b/crates/hillstall/tests/coordination/change_freeze.rs
@@ -155,7 +155,7 @@
         ensure(newer > token, || format!("{newer} after {token}"))?;
         send_command(&fleet, second, "INCIDENT OPEN major site:zone-2 ann", "200").await?;
         inject_fault(&fleet, Fault::LoseFromTarget, links_from(first))?;
-        fleet.signal(first, ProcessSignal::Go)?;
+        fleet.signal(first, ProcessSignal::Continue)?;
         let answer = fleet
             .admin_command((first + 1) % 3, "CHANGE ASK drain site:zone-2 mira")
             .await
--- a/crates/hillstall/tests/coordination/figures.rs
+++ b/crates/hillstall/tests/coordination/figures.rs
@@ -46,7 +46,7 @@
                     takeovers.borrow_mut().push((fault, elapsed_ms(at)));
                     match fault {
                         "kill" => fleet.start_process(first).await?,
-                        "stop" => fleet.signal(first, ProcessSignal::Go)?,
+                        "stop" => fleet.signal(first, ProcessSignal::Continue)?,
                         _ => fleet.set_fault(Fault::None, links_from(first)),
                     }
                 }
--- a/crates/hillstall/tests/coordination/lease_holders.rs
+++ b/crates/hillstall/tests/coordination/lease_holders.rs
@@ -58,7 +58,7 @@
         fleet.signal(first.0, ProcessSignal::Stop)?;
         let second = wait_for_takeover(&fleet, first).await?;
         sleep(Duration::from_secs(2)).await;
-        fleet.signal(first.0, ProcessSignal::Go)?;
+        fleet.signal(first.0, ProcessSignal::Continue)?;
         let text = fleet
             .wait_for_answer(first.0, "FLEET", STEP_TIMEOUT, |text| {
                 text.contains(&format!("token {}", second.1))
--- a/crates/hillstall/tests/coordination/windows.rs
+++ b/crates/hillstall/tests/coordination/windows.rs
@@ -136,7 +136,7 @@
         fleet.wait_for_lease_holder(SHIFT_LEASE, &[first], STEP_TIMEOUT).await?;
         wait_for_stage(&fleet, "zone-1 running").await?;
         // Commands that it had queued go out now.
-        fleet.signal(first, ProcessSignal::Go)?;
+        fleet.signal(first, ProcessSignal::Continue)?;
         wait_for_stage(&fleet, "zone-1 done").await.map(|_| ())
     });
     let tokens: std::collections::BTreeSet<u64> = run
