--- a/crates/fault-injection/src/coordination_fleet.rs
+++ b/crates/fault-injection/src/coordination_fleet.rs
@@ -1,5 +1,5 @@
-//! Fleets with coordination: voters with disks, a link from each instance to each voter, and each instance's
-//! admin address.
+//! Coordination in a fleet: the operator files of voters and other instances, admin commands, leases, audit
+//! lines and the voters' disk files.
 
 use crate::fleet::{system_error, Fleet, FleetError, LinkEnds};
 use std::net::SocketAddr;
@@ -9,38 +9,40 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Longest waits for an answer of an admin address, which answers within two seconds; and of `FLEET`, which
-/// is local.
-const ANSWER: Duration = Duration::from_secs(3);
-const OWN_ANSWER: Duration = Duration::from_millis(250);
-/// Between two requests to an admin address.
-const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Longest wait for the answer to an admin command. Instances answer within two seconds.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(3);
+/// Longest wait for the answer to `FLEET`, which an instance gives from its own state.
+const LOCAL_COMMAND_TIMEOUT: Duration = Duration::from_millis(250);
+/// Interval between two admin commands while waiting for an answer.
+const COMMAND_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The coordination of a fleet's instances.
+/// How the instances of a fleet coordinate.
 #[derive(Clone, Debug, Default)]
 pub struct CoordinationOptions {
-    /// This many proxies, from the first on, are voters.
+    /// The number of voters; the first proxies of the fleet are the voters.
     pub voters: usize,
-    /// Lines of the section `[fleet]` beside those that name addresses, then whole tables.
+    /// Further lines of the `[fleet]` section of the operator files, which may be followed by other sections.
     pub fleet_section: String,
 }
 
 impl CoordinationOptions {
-    /// Whether a proxy is a voter.
+    /// Whether a proxy of this number is a voter.
     pub fn is_voter(&self, process: usize) -> bool {
         process < self.voters
     }
 
-    /// The operator file of a proxy. `keepers`: the addresses by which it reaches the voters.
+    /// The text of a proxy's operator file. `voters` has the addresses by which the proxy reaches the voters;
+    /// `listen` and `disk`, the coordination address and the folder of the stored replica, are used only if
+    /// it is a voter itself.
     pub fn operator_file(
         &self,
         process: usize,
-        keepers: &[SocketAddr],
+        voters: &[SocketAddr],
         listen: Option<SocketAddr>,
         disk: &Path,
     ) -> String {
-        let keepers: Vec<String> = keepers.iter().map(|keeper| format!("\"{keeper}\"")).collect();
-        let mut text = format!("[fleet]\nname = \"drill\"\nkeepers = [{}]\n", keepers.join(", "));
+        let voters: Vec<String> = voters.iter().map(|voter| format!("\"{voter}\"")).collect();
+        let mut text = format!("[fleet]\nname = \"drill\"\nkeepers = [{}]\n", voters.join(", "));
         if let Some(listen) = listen {
             text += &format!(
                 "keeper = {process}\nlisten = \"{listen}\"\ndisk = {:?}\n",
@@ -51,44 +53,47 @@
     }
 }
 
-/// An audit line of an instance.
+/// An audit line in the log of an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AuditLine {
-    /// The process.
+    /// The number of the proxy that wrote it.
     pub process: usize,
-    /// Its incarnation.
+    /// The incarnation of the instance.
     pub incarnation: u64,
-    /// Unix time in milliseconds.
+    /// The time of the action, as Unix time in milliseconds.
     pub unix_ms: u64,
-    /// What: holds, lost or carried out.
+    /// What the instance did: `holds` or `lost` (a lease), or `carried out` (a command).
     pub action: String,
-    /// The lease.
+    /// The name of the lease.
     pub lease: String,
-    /// The fencing token.
+    /// The fencing token of the lease.
     pub token: u64,
-    /// The commanded traffic fraction, in thousandths.
+    /// The traffic fraction that the command sets, in thousandths; `None` for other actions.
     pub traffic_permille: Option<u64>,
 }
 
 impl Fleet {
-    /// Sends a line to an instance's admin address; `None` if it does not answer.
+    /// Sends a command to the admin address of an instance, and returns its answer; `None` without an answer
+    /// in time.
     pub async fn admin_command(&self, process: usize, line: &str) -> Option<String> {
-        self.admin_command_within(process, line, ANSWER).await
+        self.admin_command_within(process, line, COMMAND_TIMEOUT).await
     }
 
     async fn admin_command_within(&self, process: usize, line: &str, within: Duration) -> Option<String> {
-        let asked = async {
+        let exchange = async {
             let mut stream = TcpStream::connect(self.processes[process].admin()).await?;
             stream.write_all(format!("{line}\n").as_bytes()).await?;
             let mut text = String::new();
             stream.read_to_string(&mut text).await?;
             Ok::<_, std::io::Error>(text)
         };
-        timeout(within, asked).await.ok()?.ok().filter(|text| !text.is_empty())
+        timeout(within, exchange).await.ok()?.ok().filter(|text| !text.is_empty())
     }
 
-    /// Waits until an instance's answer to a line is as wanted, and returns it; after `within`, the last one
-    /// as an error.
+    /// Repeats a command until the answer of an instance is as wanted, and returns that answer.
+    ///
+    /// # Errors
+    /// The last answer as text, if none is as wanted after `within`.
     pub async fn wait_for_answer(
         &self,
         process: usize,
@@ -103,20 +108,25 @@
                 return Ok(text);
             }
             if Instant::now() > end {
-                return Err(format!("{} says to {line}: {text:?}", self.processes[process].name));
+                return Err(format!(
+                    "{} does not answer {line} as wanted within {within:?}; its last answer: {text:?}",
+                    self.processes[process].name
+                ));
             }
-            sleep(POLL_INTERVAL).await;
+            sleep(COMMAND_INTERVAL).await;
         }
     }
 
-    /// The holder of a lease and its token, by the voters' own answers; `None` if there are none or several.
+    /// The number of the voter that holds a lease and its token, by the answers of the voters themselves;
+    /// `None` if no voter or more than one claims it.
     pub async fn lease_holder(&self, lease: &str) -> Option<(usize, u64)> {
         let mut found = None;
         for process in 0..self.processes.len() {
             if !self.processes[process].is_running.get() || !self.is_voter(process) {
                 continue;
             }
-            let text = self.admin_command_within(process, "FLEET", OWN_ANSWER).await.unwrap_or_default();
+            let text =
+                self.admin_command_within(process, "FLEET", LOCAL_COMMAND_TIMEOUT).await.unwrap_or_default();
             let prefix = format!("holds {lease} token ");
             let token = text.lines().find_map(|line| line.strip_prefix(&prefix)?.parse().ok());
             match (token, found) {
@@ -128,7 +138,7 @@
         found
     }
 
-    /// Waits until an instance other than those named holds a lease.
+    /// Waits until an instance other than those in `not` holds a lease, and returns it with its token.
     pub async fn wait_for_lease_holder(
         &self,
         lease: &str,
@@ -137,14 +147,14 @@
     ) -> Result<(usize, u64), String> {
         let end = Instant::now() + within;
         loop {
-            if let Some(owner) = self.lease_holder(lease).await.filter(|(process, _)| !not.contains(process))
+            if let Some(holder) = self.lease_holder(lease).await.filter(|(process, _)| !not.contains(process))
             {
-                return Ok(owner);
+                return Ok(holder);
             }
             if Instant::now() > end {
-                return Err(format!("nobody but {not:?} owns {lease} after {within:?}"));
+                return Err(format!("no instance except {not:?} holds {lease} after {within:?}"));
             }
-            sleep(POLL_INTERVAL).await;
+            sleep(COMMAND_INTERVAL).await;
         }
     }
 
@@ -152,12 +162,12 @@
         self.coordination.as_ref().is_some_and(|coordination| coordination.is_voter(process))
     }
 
-    /// The folder of a voter's disk.
+    /// The folder of a voter's stored replica.
     pub fn disk(&self, process: usize) -> PathBuf {
         self.processes[process].folder().join("disk")
     }
 
-    /// Removes a voter's disk file and returns its bytes.
+    /// Removes the file of a voter's stored replica, and returns its bytes.
     pub fn remove_disk_file(&self, process: usize) -> Result<Vec<u8>, FleetError> {
         let path = self.disk(process).join(format!("keeper-{process}.redb"));
         let bytes = std::fs::read(&path).map_err(system_error(path.display().to_string()))?;
@@ -165,95 +175,100 @@
         Ok(bytes)
     }
 
-    /// The bytes of a voter's disk file now, whether it runs or not.
+    /// The present bytes of a voter's stored replica, whether the voter runs or not.
     pub fn read_disk_file(&self, process: usize) -> Result<Vec<u8>, FleetError> {
         let path = self.disk(process).join(format!("keeper-{process}.redb"));
         std::fs::read(&path).map_err(system_error(path.display().to_string()))
     }
 
-    /// Writes a voter's disk file.
+    /// Writes the file of a voter's stored replica.
     pub fn write_disk_file(&self, process: usize, bytes: &[u8]) -> Result<(), FleetError> {
         let path = self.disk(process).join(format!("keeper-{process}.redb"));
         std::fs::write(&path, bytes).map_err(system_error(path.display().to_string()))
     }
 
-    /// All audit lines of the instances, by the host's clock.
+    /// The audit lines in the logs of all instances, in order of time.
     pub fn audit_lines(&self) -> Vec<AuditLine> {
-        let mut acts = Vec::new();
+        let mut audit_lines = Vec::new();
         for process in &self.processes {
             let text = std::fs::read_to_string(process.log()).unwrap_or_default();
-            acts.extend(text.lines().filter_map(|line| act(process.number, line)));
+            audit_lines.extend(text.lines().filter_map(|line| parse_audit_line(process.number, line)));
         }
-        acts.sort_by_key(|act| act.unix_ms);
-        acts
+        audit_lines.sort_by_key(|audit_line| audit_line.unix_ms);
+        audit_lines
     }
 }
 
-fn act(process: usize, line: &str) -> Option<AuditLine> {
+/// Parses a line of an instance's JSON log; `None` if it is no audit line. The field names are those of the
+/// audit log.
+fn parse_audit_line(process: usize, line: &str) -> Option<AuditLine> {
     let value: serde_json::Value = serde_json::from_str(line).ok()?;
     let fields = value.get("fields").unwrap_or(&value);
-    let what = fields.get("message")?.as_str()?.strip_prefix("fleet ")?;
+    let action = fields.get("message")?.as_str()?.strip_prefix("fleet ")?;
     let number = |name: &str| fields.get(name).and_then(serde_json::Value::as_u64);
     Some(AuditLine {
         process,
         incarnation: number("life")?,
         unix_ms: number("at")?,
-        action: what.to_owned(),
+        action: action.to_owned(),
         lease: fields.get("duty")?.as_str()?.to_owned(),
         token: number("token")?,
         traffic_permille: number("part"),
     })
 }
 
-/// The violations in a fleet's audit lines: tokens of a lease that decrease at one incarnation of an
-/// executor, two holders of one token, and two sites drained at once.
-pub fn check_audit_lines(acts: &[AuditLine]) -> Vec<String> {
+/// Checks the audit lines of a fleet, in order of time, and describes each violation: a token of a lease that
+/// is lower than an earlier one at the same incarnation of an instance, two holders of one token, or two
+/// sites drained at once.
+pub fn check_audit_lines(audit_lines: &[AuditLine]) -> Vec<String> {
     use std::collections::BTreeMap;
-    let mut wrong = Vec::new();
-    let mut highest: BTreeMap<(usize, u64, &str), u64> = BTreeMap::new();
+    let mut violations = Vec::new();
+    let mut highest_tokens: BTreeMap<(usize, u64, &str), u64> = BTreeMap::new();
     let mut holders: BTreeMap<(&str, u64), (usize, u64)> = BTreeMap::new();
-    let mut away: BTreeMap<(usize, u64), BTreeMap<&str, u64>> = BTreeMap::new();
-    for act in acts {
-        match act.action.as_str() {
+    let mut traffic: BTreeMap<(usize, u64), BTreeMap<&str, u64>> = BTreeMap::new();
+    for audit_line in audit_lines {
+        match audit_line.action.as_str() {
             "carried out" => {
-                let known = highest.entry((act.process, act.incarnation, &act.lease)).or_default();
-                if act.token < *known {
-                    wrong.push(format!("tokens fell from {known} at {act:?}"));
+                let highest = highest_tokens
+                    .entry((audit_line.process, audit_line.incarnation, &audit_line.lease))
+                    .or_default();
+                if audit_line.token < *highest {
+                    violations.push(format!("token lower than {highest}: {audit_line:?}"));
                 }
-                *known = (*known).max(act.token);
-                let parts = away.entry((act.process, act.incarnation)).or_default();
-                parts.insert(&act.lease, act.traffic_permille.unwrap_or(1_000));
-                if parts.values().filter(|part| **part < 1_000).count() > 1 {
-                    wrong.push(format!("two sites away: {parts:?} at {act:?}"));
+                *highest = (*highest).max(audit_line.token);
+                let permilles = traffic.entry((audit_line.process, audit_line.incarnation)).or_default();
+                permilles.insert(&audit_line.lease, audit_line.traffic_permille.unwrap_or(1_000));
+                if permilles.values().filter(|permille| **permille < 1_000).count() > 1 {
+                    violations.push(format!("two sites drained at once, {permilles:?}: {audit_line:?}"));
                 }
             }
             "holds" => {
-                let own = (act.process, act.incarnation);
-                if *holders.entry((&act.lease, act.token)).or_insert(own) != own {
-                    wrong.push(format!("one token, two holders: {act:?}"));
+                let own = (audit_line.process, audit_line.incarnation);
+                if *holders.entry((&audit_line.lease, audit_line.token)).or_insert(own) != own {
+                    violations.push(format!("two holders of one token: {audit_line:?}"));
                 }
             }
             _ => {}
         }
     }
-    wrong
+    violations
 }
 
-/// Selects the links from a process to all voters.
-pub fn links_from(of: usize) -> impl Fn(LinkEnds) -> bool + Copy {
-    move |ends| matches!(ends, LinkEnds::ProxyToVoter { process, .. } if process == of)
+/// Selects the links from one proxy to all voters.
+pub fn links_from(proxy: usize) -> impl Fn(LinkEnds) -> bool + Copy {
+    move |ends| matches!(ends, LinkEnds::ProxyToVoter { process, .. } if process == proxy)
 }
 
-/// Selects the links from all processes to one voter.
-pub fn links_to_voter(of: usize) -> impl Fn(LinkEnds) -> bool + Copy {
-    move |ends| matches!(ends, LinkEnds::ProxyToVoter { slot, .. } if slot == of)
+/// Selects the links from all proxies to one voter.
+pub fn links_to_voter(voter: usize) -> impl Fn(LinkEnds) -> bool + Copy {
+    move |ends| matches!(ends, LinkEnds::ProxyToVoter { slot, .. } if slot == voter)
 }
 
 impl Fleet {
-    /// The backends in a zone, over all tiers.
+    /// The numbers of the backends in a zone, of all tiers.
     pub fn servers_of_zone(&self, zone: usize) -> Vec<usize> {
-        let places = self.parameters.tiers.iter().flat_map(|tier| tier.places.iter());
-        places.enumerate().filter(|(_, place)| place.zone == zone).map(|(number, _)| number).collect()
+        let backends = self.parameters.tiers.iter().flat_map(|tier| tier.places.iter());
+        backends.enumerate().filter(|(_, backend)| backend.zone == zone).map(|(number, _)| number).collect()
     }
 }
 
@@ -261,28 +276,41 @@
 mod tests {
     use super::*;
 
-    fn act(unix_ms: u64, process: usize, action: &str, lease: &str, token: u64, permille: u64) -> AuditLine {
+    fn audit_line(
+        unix_ms: u64,
+        process: usize,
+        action: &str,
+        lease: &str,
+        token: u64,
+        permille: u64,
+    ) -> AuditLine {
         let (action, lease) = (action.to_owned(), lease.to_owned());
         AuditLine { process, incarnation: 1, unix_ms, action, lease, token, traffic_permille: Some(permille) }
     }
 
     #[test]
-    fn each_rule_on_owners_is_seen_broken() {
+    fn each_violation_in_audit_lines_is_found() {
         let good = [
-            act(1, 0, "holds", "shift/a", 1, 0),
-            act(2, 3, "carried out", "shift/a", 1, 500),
-            act(3, 3, "carried out", "shift/a", 2, 1_000),
-            act(4, 3, "carried out", "shift/b", 3, 500),
+            audit_line(1, 0, "holds", "shift/a", 1, 0),
+            audit_line(2, 3, "carried out", "shift/a", 1, 500),
+            audit_line(3, 3, "carried out", "shift/a", 2, 1_000),
+            audit_line(4, 3, "carried out", "shift/b", 3, 500),
         ];
         assert!(check_audit_lines(&good).is_empty());
-        let mut old = good.to_vec();
-        old.push(act(5, 3, "carried out", "shift/a", 1, 500));
-        assert!(check_audit_lines(&old).iter().any(|wrong| wrong.contains("tokens fell")));
-        let mut two = good.to_vec();
-        two.push(act(5, 1, "holds", "shift/a", 1, 0));
-        assert!(check_audit_lines(&two).iter().any(|wrong| wrong.contains("two holders")));
-        let mut away = good.to_vec();
-        away.push(act(5, 3, "carried out", "shift/a", 4, 0));
-        assert!(check_audit_lines(&away).iter().any(|wrong| wrong.contains("two sites away")));
+        let mut lower_token = good.to_vec();
+        lower_token.push(audit_line(5, 3, "carried out", "shift/a", 1, 500));
+        assert!(check_audit_lines(&lower_token)
+            .iter()
+            .any(|violation| violation.contains("token lower than 2")));
+        let mut two_holders = good.to_vec();
+        two_holders.push(audit_line(5, 1, "holds", "shift/a", 1, 0));
+        assert!(check_audit_lines(&two_holders)
+            .iter()
+            .any(|violation| violation.contains("two holders of one token")));
+        let mut two_drained = good.to_vec();
+        two_drained.push(audit_line(5, 3, "carried out", "shift/a", 4, 0));
+        assert!(check_audit_lines(&two_drained)
+            .iter()
+            .any(|violation| violation.contains("two sites drained at once")));
     }
 }
--- a/crates/fault-injection/src/faults.rs
+++ b/crates/fault-injection/src/faults.rs
@@ -1,5 +1,5 @@
-//! Injects the scenario's failures: each begins and ends at its time, on processes, backends, discovery and
-//! links. What the simulation does to its models is done here to real ones.
+//! Injects the failures of a scenario into a running fleet: each begins and ends at its time, on processes,
+//! backends, discovery or links. The simulation injects the same failures into its models.
 
 use crate::discovery_server::{unix_ms, BackendStarted};
 use crate::fleet::{Fleet, FleetError, LinkEnds};
@@ -16,28 +16,28 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until};
 
-/// Restart time of a drained backend, in milliseconds.
-const RESTART_MS: f64 = 500.0;
+/// Time from the end of a drained backend to its restart, in milliseconds.
+const RESTART_DELAY_MS: f64 = 500.0;
 
-/// Injects the failures of a fleet's scenario.
+/// The fault injector of a fleet.
 pub struct Faults {
     fleet: Rc<Fleet>,
     errors: RefCell<Vec<String>>,
 }
 
 impl Faults {
-    /// The failures of a fleet's scenario.
+    /// Creates the injector of the failures that the fleet's scenario has.
     pub fn new(fleet: Rc<Fleet>) -> Rc<Faults> {
         Rc::new(Faults { fleet, errors: RefCell::default() })
     }
 
-    /// Takes the errors of the harness itself.
+    /// Returns the errors of the injection itself so far, and forgets them.
     pub fn take_errors(&self) -> Vec<String> {
         self.errors.take()
     }
 
-    /// Schedules all failures.
-    pub fn play(self: &Rc<Faults>) {
+    /// Schedules the begin and the end of all failures.
+    pub fn schedule(self: &Rc<Faults>) {
         for failure in self.fleet.parameters.failures.iter().cloned() {
             let faults = self.clone();
             spawn_local(async move {
@@ -50,26 +50,28 @@
         }
     }
 
-    fn record_error(&self, done: Result<(), FleetError>) {
-        if let Err(why) = done {
-            self.errors.borrow_mut().push(why.to_string());
+    fn record_error(&self, result: Result<(), FleetError>) {
+        if let Err(error) = result {
+            self.errors.borrow_mut().push(error.to_string());
         }
     }
 
-    /// The numbers of a tier's servers.
-    fn tier(&self, tier: usize) -> std::ops::Range<usize> {
+    /// The numbers of the backends of a tier.
+    fn servers_of_tier(&self, tier: usize) -> std::ops::Range<usize> {
         self.fleet.parameters.machines_of(tier)
     }
 
-    /// The backends that a failure affects, as in the simulation: a part of the tier, from the first on.
+    /// The backends that a failure affects: as in the simulation, a fraction of the tier, from its first
+    /// backend on.
     fn affected_servers(&self, failure: &DrawnFailure) -> Vec<usize> {
-        let all = self.tier(failure.tier);
+        let all = self.servers_of_tier(failure.tier);
         let count = count_of(failure.part, all.len());
         all.take(count).collect()
     }
 
-    fn first_tier_proxies(&self, part: f64) -> Vec<usize> {
-        (0..count_of(part, self.fleet.first_tier_count)).collect()
+    /// A fraction of the first tier's proxies, from the first on.
+    fn first_tier_proxies(&self, fraction: f64) -> Vec<usize> {
+        (0..count_of(fraction, self.fleet.first_tier_count)).collect()
     }
 
     #[allow(clippy::too_many_lines, reason = "one arm per kind of failure")]
@@ -80,29 +82,30 @@
                 self.fleet.discovery_servers.iter().for_each(|discovery| discovery.set_down(true))
             }
             FailureKind::Slow => {
-                let times = failure.times.max(1e-3);
-                self.tier(failure.tier).for_each(|server| self.fleet.servers[server].slow(times));
+                let factor = failure.times.max(1e-3);
+                self.servers_of_tier(failure.tier)
+                    .for_each(|server| self.fleet.servers[server].set_slowdown(factor));
             }
             FailureKind::Hang => {
                 self.affected_servers(failure)
                     .into_iter()
-                    .for_each(|server| self.fleet.servers[server].hang(true));
+                    .for_each(|server| self.fleet.servers[server].set_hung(true));
             }
             FailureKind::TurnAway => {
                 self.affected_servers(failure)
                     .into_iter()
-                    .for_each(|server| self.fleet.servers[server].drain(true));
+                    .for_each(|server| self.fleet.servers[server].set_draining(true));
             }
             FailureKind::Crash => {
-                self.affected_servers(failure).into_iter().for_each(|server| self.die(server, false))
+                self.affected_servers(failure).into_iter().for_each(|server| self.kill_server(server, false))
             }
             FailureKind::Lose => {
                 let servers = self.affected_servers(failure);
-                self.lose(&servers, |ends| self.touches(&servers, ends));
+                self.lose(&servers, |ends| self.touches_servers(&servers, ends));
             }
             FailureKind::LoseZone => {
                 let zone = failure.zone;
-                self.lose(&self.servers_of(zone), |ends| self.of_zone(zone, ends));
+                self.lose(&self.servers_of_zone(zone), |ends| self.touches_zone(zone, ends));
                 for proxy in self.first_tier_proxies_in(zone) {
                     self.record_error(self.fleet.signal(proxy, ProcessSignal::Kill));
                 }
@@ -111,8 +114,8 @@
             FailureKind::KillProxies => self.signal_first_tier(failure.part, ProcessSignal::Kill),
             FailureKind::StopProxies => self.signal_first_tier(failure.part, ProcessSignal::Stop),
             FailureKind::ReloadProxies => self.signal_first_tier(failure.part, ProcessSignal::Reload),
-            FailureKind::RollProxies => self.roll(failure).await,
-            FailureKind::Cut => self.cut(failure, true),
+            FailureKind::RollProxies => self.restart_in_turn(failure).await,
+            FailureKind::Cut => self.set_link_fault(failure, true),
         }
     }
 
@@ -121,36 +124,36 @@
             FailureKind::DiscoveryDown => {
                 self.fleet.discovery_servers.iter().for_each(|discovery| discovery.set_down(false))
             }
-            FailureKind::Slow => {
-                self.tier(failure.tier).for_each(|server| self.fleet.servers[server].slow(1.0))
-            }
+            FailureKind::Slow => self
+                .servers_of_tier(failure.tier)
+                .for_each(|server| self.fleet.servers[server].set_slowdown(1.0)),
             FailureKind::Hang => {
                 self.affected_servers(failure)
                     .into_iter()
-                    .for_each(|server| self.fleet.servers[server].hang(false));
+                    .for_each(|server| self.fleet.servers[server].set_hung(false));
             }
             FailureKind::TurnAway => {
                 self.affected_servers(failure)
                     .into_iter()
-                    .for_each(|server| self.fleet.servers[server].drain(false));
+                    .for_each(|server| self.fleet.servers[server].set_draining(false));
             }
             FailureKind::Crash => {
-                self.affected_servers(failure).into_iter().for_each(|server| self.revive(server))
+                self.affected_servers(failure).into_iter().for_each(|server| self.restart_server(server))
             }
             FailureKind::Lose => {
                 let servers = self.affected_servers(failure);
-                self.restore(&servers, |ends| self.touches(&servers, ends));
+                self.restore(&servers, |ends| self.touches_servers(&servers, ends));
             }
             FailureKind::LoseZone => {
                 let zone = failure.zone;
-                self.restore(&self.servers_of(zone), |ends| self.of_zone(zone, ends));
-                self.first_tier_proxies_in(zone).into_iter().for_each(|proxy| self.start(proxy));
+                self.restore(&self.servers_of_zone(zone), |ends| self.touches_zone(zone, ends));
+                self.first_tier_proxies_in(zone).into_iter().for_each(|proxy| self.start_proxy(proxy));
             }
             FailureKind::KillProxies => {
-                self.first_tier_proxies(failure.part).into_iter().for_each(|proxy| self.start(proxy))
+                self.first_tier_proxies(failure.part).into_iter().for_each(|proxy| self.start_proxy(proxy))
             }
             FailureKind::StopProxies => self.signal_first_tier(failure.part, ProcessSignal::Continue),
-            FailureKind::Cut => self.cut(failure, false),
+            FailureKind::Cut => self.set_link_fault(failure, false),
             FailureKind::Burst
             | FailureKind::Release
             | FailureKind::ReloadProxies
@@ -165,8 +168,8 @@
         }
     }
 
-    /// Starts a proxy again, in its own time.
-    fn start(self: &Rc<Faults>, process: usize) {
+    /// Starts a proxy again, without waiting until it is ready.
+    fn start_proxy(self: &Rc<Faults>, process: usize) {
         let faults = self.clone();
         spawn_local(async move {
             let started = faults.fleet.start_process(process).await;
@@ -174,47 +177,50 @@
         });
     }
 
-    /// Has discovery announce a backend's state, `notice` milliseconds later.
-    fn announce(self: &Rc<Faults>, server: usize, status: BackendState, notice: f64) {
+    /// Has discovery announce the state of a backend after `notice_ms`.
+    fn announce(self: &Rc<Faults>, server: usize, status: BackendState, notice_ms: f64) {
         let fleet = self.fleet.clone();
         let weight = fleet.restarted_weight.get();
-        let since = (status == BackendState::Ready).then(|| BackendStarted { since_ms: unix_ms(), weight });
+        let started = (status == BackendState::Ready).then(|| BackendStarted { since_ms: unix_ms(), weight });
         spawn_local(async move {
-            sleep(Duration::from_secs_f64(notice / 1e3)).await;
-            fleet.discovery_servers.iter().for_each(|discovery| discovery.change(server, status, since));
+            sleep(Duration::from_secs_f64(notice_ms / 1e3)).await;
+            fleet.discovery_servers.iter().for_each(|discovery| discovery.change(server, status, started));
         });
     }
 
-    fn die(self: &Rc<Faults>, server: usize, silently: bool) {
-        let of = &self.fleet.servers[server];
-        of.die(silently);
-        if let Some(process) = of.own_proxy() {
+    fn kill_server(self: &Rc<Faults>, server: usize, silently: bool) {
+        let backend = &self.fleet.servers[server];
+        backend.kill(silently);
+        if let Some(process) = backend.own_proxy() {
             self.record_error(self.fleet.signal(process, ProcessSignal::Kill));
         }
         let parameters = &self.fleet.parameters;
-        let notice = if silently { parameters.silent_notice } else { parameters.notice };
-        self.announce(server, BackendState::Gone, notice);
+        let notice_ms = if silently { parameters.silent_notice } else { parameters.notice };
+        self.announce(server, BackendState::Gone, notice_ms);
     }
 
-    /// Starts a backend, in slow start, with its proxy; it listens once that is ready.
-    fn revive(self: &Rc<Faults>, server: usize) {
+    /// Restarts a backend, in slow start, and its own proxy. The backend listens once the proxy is ready.
+    fn restart_server(self: &Rc<Faults>, server: usize) {
         let faults = self.clone();
         spawn_local(async move {
-            let of = faults.fleet.servers[server].clone();
-            if let Some(process) = of.own_proxy() {
+            let backend = faults.fleet.servers[server].clone();
+            if let Some(process) = backend.own_proxy() {
                 let started = faults.fleet.start_process(process).await;
                 faults.record_error(started);
             }
-            of.start();
-            if let Err(why) = of.listen() {
-                faults.errors.borrow_mut().push(format!("server {server} can't listen again: {why}"));
+            backend.restart();
+            if let Err(error) = backend.listen() {
+                faults
+                    .errors
+                    .borrow_mut()
+                    .push(format!("backend {server} cannot listen after its restart: {error}"));
             }
             faults.announce(server, BackendState::Ready, faults.fleet.parameters.add_notice);
         });
     }
 
-    /// The links that lead into a zone, or from a zone into another.
-    fn of_zone(&self, zone: usize, ends: LinkEnds) -> bool {
+    /// Whether a link begins or ends in a zone.
+    fn touches_zone(&self, zone: usize, ends: LinkEnds) -> bool {
         let process = &self.fleet.processes[ends.process()];
         match ends {
             LinkEnds::ProxyToBackend { server, .. } => {
@@ -226,82 +232,87 @@
         }
     }
 
-    fn servers_of(&self, zone: usize) -> Vec<usize> {
-        let all = self.fleet.servers.iter().enumerate();
-        all.filter(|(_, server)| server.parameters.zone == zone).map(|(number, _)| number).collect()
+    fn servers_of_zone(&self, zone: usize) -> Vec<usize> {
+        let servers = self.fleet.servers.iter().enumerate();
+        servers.filter(|(_, server)| server.parameters.zone == zone).map(|(number, _)| number).collect()
     }
 
     fn first_tier_proxies_in(&self, zone: usize) -> Vec<usize> {
         (0..self.fleet.first_tier_count).filter(|proxy| self.fleet.processes[*proxy].zone == zone).collect()
     }
 
-    /// Takes backends off the network, with the proxies beside them and some links.
-    fn lose(self: &Rc<Faults>, servers: &[usize], links: impl Fn(LinkEnds) -> bool) {
-        self.fleet.set_fault(Fault::Silent, links);
-        servers.iter().for_each(|server| self.die(*server, true));
+    /// Makes the machines of some backends disappear: silences the selected links, and kills the backends and
+    /// their own proxies. Discovery notices that later than a crash.
+    fn lose(self: &Rc<Faults>, servers: &[usize], is_selected: impl Fn(LinkEnds) -> bool) {
+        self.fleet.set_fault(Fault::Silent, is_selected);
+        servers.iter().for_each(|server| self.kill_server(*server, true));
     }
 
-    fn restore(self: &Rc<Faults>, servers: &[usize], links: impl Fn(LinkEnds) -> bool) {
-        for (_, link) in self.fleet.links.iter().filter(|(ends, _)| links(*ends)) {
+    /// Ends [`Faults::lose`]: ends the fault of the selected links, and restarts the backends.
+    fn restore(self: &Rc<Faults>, servers: &[usize], is_selected: impl Fn(LinkEnds) -> bool) {
+        for (_, link) in self.fleet.links.iter().filter(|(ends, _)| is_selected(*ends)) {
             link.reset();
             link.set_fault(Fault::None);
         }
         for server in servers {
-            // Until its process listens, connections are refused.
-            self.fleet.servers[*server].die(false);
-            self.revive(*server);
+            // Connections are refused until the restarted process listens.
+            self.fleet.servers[*server].kill(false);
+            self.restart_server(*server);
         }
     }
 
-    /// Whether a link leads to one of some backends, or belongs to the proxy beside one.
-    fn touches(&self, servers: &[usize], ends: LinkEnds) -> bool {
-        let own = servers.iter().any(|s| self.fleet.servers[*s].own_proxy() == Some(ends.process()));
-        own || matches!(ends, LinkEnds::ProxyToBackend { server, .. } if servers.contains(&server))
+    /// Whether a link leads to one of some backends, or belongs to the own proxy of one.
+    fn touches_servers(&self, servers: &[usize], ends: LinkEnds) -> bool {
+        let is_own_proxy = servers.iter().any(|s| self.fleet.servers[*s].own_proxy() == Some(ends.process()));
+        is_own_proxy || matches!(ends, LinkEnds::ProxyToBackend { server, .. } if servers.contains(&server))
     }
 
-    /// Replaces backends one after another: each drains, serves on for a while, ends, and restarts.
+    /// Replaces backends one after another, as a release does: each is announced as draining, serves on for a
+    /// while, rejects new requests, ends, and restarts.
     fn release(self: &Rc<Faults>, failure: &DrawnFailure) {
-        let machines = self.affected_servers(failure);
-        let each = failure.lasts / machines.len() as f64;
-        for (i, server) in machines.into_iter().enumerate() {
+        let servers = self.affected_servers(failure);
+        let interval_ms = failure.lasts / servers.len() as f64;
+        for (i, server) in servers.into_iter().enumerate() {
             let faults = self.clone();
             spawn_local(async move {
                 let history = faults.fleet.history.clone();
-                let begins = history.now() + i as f64 * each;
-                sleep_until(history.instant(begins)).await;
-                let of = faults.fleet.servers[server].clone();
-                let notice = faults.fleet.parameters.notice;
-                faults.announce(server, BackendState::Draining, notice);
-                let stops = begins + 0.8 * each;
-                // Not before all proxies were notified: such a stop would be a crash.
-                let refuses = (begins + notice + faults.fleet.parameters.serves_on).min(stops);
-                sleep_until(history.instant(refuses)).await;
-                of.drain(true);
-                sleep_until(history.instant(stops)).await;
-                faults.die(server, false);
-                sleep(Duration::from_secs_f64(RESTART_MS / 1e3)).await;
-                faults.revive(server);
+                let begins_at = history.now() + i as f64 * interval_ms;
+                sleep_until(history.instant(begins_at)).await;
+                let backend = faults.fleet.servers[server].clone();
+                let notice_ms = faults.fleet.parameters.notice;
+                faults.announce(server, BackendState::Draining, notice_ms);
+                let stops_at = begins_at + 0.8 * interval_ms;
+                // Not before all proxies have been notified: a stop without notice would amount to a crash.
+                let rejects_at = (begins_at + notice_ms + faults.fleet.parameters.serves_on).min(stops_at);
+                sleep_until(history.instant(rejects_at)).await;
+                backend.set_draining(true);
+                sleep_until(history.instant(stops_at)).await;
+                faults.kill_server(server, false);
+                sleep(Duration::from_secs_f64(RESTART_DELAY_MS / 1e3)).await;
+                faults.restart_server(server);
             });
         }
     }
 
-    /// Restarts first-tier proxies gracefully, one after another.
-    async fn roll(self: &Rc<Faults>, failure: &DrawnFailure) {
+    /// Restarts first-tier proxies gracefully, one after another, without waiting for each to end.
+    async fn restart_in_turn(self: &Rc<Faults>, failure: &DrawnFailure) {
         let proxies = self.first_tier_proxies(failure.part);
-        let each = Duration::from_secs_f64(failure.lasts / proxies.len() as f64 / 1e3);
+        let interval = Duration::from_secs_f64(failure.lasts / proxies.len() as f64 / 1e3);
         for proxy in proxies {
             let faults = self.clone();
-            spawn_local(async move { faults.restart(proxy).await });
-            sleep(each).await;
+            spawn_local(async move { faults.restart_proxy(proxy).await });
+            sleep(interval).await;
         }
     }
 
-    async fn restart(self: Rc<Faults>, proxy: usize) {
+    /// Restarts a proxy: SIGTERM, then SIGKILL at the earliest time that the platform allows if it still
+    /// runs.
+    async fn restart_proxy(self: Rc<Faults>, proxy: usize) {
         self.record_error(self.fleet.signal(proxy, ProcessSignal::Term));
         let deadline = self.fleet.parameters.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
-        let until = self.fleet.history.now() + earliest_kill_ms(deadline);
+        let kill_at = self.fleet.history.now() + earliest_kill_ms(deadline);
         while self.fleet.processes[proxy].is_running.get() {
-            if self.fleet.history.now() > until {
+            if self.fleet.history.now() > kill_at {
                 self.record_error(self.fleet.signal(proxy, ProcessSignal::Kill));
                 break;
             }
@@ -311,7 +322,8 @@
         self.record_error(started);
     }
 
-    fn cut(&self, failure: &DrawnFailure, begins: bool) {
+    /// Sets the fault of a link failure on the links that it selects, or clears it.
+    fn set_link_fault(&self, failure: &DrawnFailure, begins: bool) {
         let cut = &failure.cut;
         let fault = match cut.mode {
             _ if !begins => Fault::None,
@@ -322,24 +334,28 @@
             CutMode::Refuse => Fault::Refuse,
             CutMode::Delay => Fault::Delay(Duration::from_secs_f64(cut.delay / 1e3)),
         };
-        let copies = |tier: usize| self.fleet.processes.iter().filter(|p| p.tier == tier).count();
-        let meant = |ends: LinkEnds| {
-            let of = &self.fleet.processes[ends.process()];
-            let from = cut.is_from(failure.part, (of.rank, copies(of.tier)), of.zone);
-            from && match (cut.link, ends) {
-                (LinkKind::ProxyServer, LinkEnds::ProxyToBackend { server, .. }) => {
-                    of.tier == failure.tier && cut.is_to(self.fleet.servers[server].parameters.zone)
+        let instances = |tier: usize| self.fleet.processes.iter().filter(|p| p.tier == tier).count();
+        let is_selected = |ends: LinkEnds| {
+            let proxy = &self.fleet.processes[ends.process()];
+            let is_from = cut.is_from(failure.part, (proxy.rank, instances(proxy.tier)), proxy.zone);
+            is_from
+                && match (cut.link, ends) {
+                    (LinkKind::ProxyServer, LinkEnds::ProxyToBackend { server, .. }) => {
+                        proxy.tier == failure.tier && cut.is_to(self.fleet.servers[server].parameters.zone)
+                    }
+                    (LinkKind::ClientFront, LinkEnds::ClientToProxy { .. }) => true,
+                    (LinkKind::ProxyDiscovery, LinkEnds::ProxyToDiscovery { .. }) => {
+                        proxy.tier == failure.tier
+                    }
+                    _ => false,
                 }
-                (LinkKind::ClientFront, LinkEnds::ClientToProxy { .. }) => true,
-                (LinkKind::ProxyDiscovery, LinkEnds::ProxyToDiscovery { .. }) => of.tier == failure.tier,
-                _ => false,
-            }
         };
-        self.fleet.set_fault(fault, meant);
+        self.fleet.set_fault(fault, is_selected);
         if begins && cut.link == LinkKind::ClientFront {
             let (from, to) = (failure.at, failure.at + failure.lasts);
-            let doors = self.fleet.links.iter().map(|(ends, _)| *ends).filter(|ends| meant(*ends));
-            for process in doors.map(LinkEnds::process) {
+            let client_links =
+                self.fleet.links.iter().map(|(ends, _)| *ends).filter(|ends| is_selected(*ends));
+            for process in client_links.map(LinkEnds::process) {
                 self.fleet.history.record(|observations| {
                     observations.client_link_faults.push(ClientLinkFault { process, from, to })
                 });
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -234,11 +234,11 @@
         });
     }
     for (upper_tier, tier) in parameters.tiers.iter().take(parameters.tiers.len() - 1).enumerate() {
-        for (rank, place) in tier.places.iter().enumerate() {
+        for (rank, drawn) in tier.places.iter().enumerate() {
             let (instances, port) = (tier.places.len(), ReservedPort::take()?);
             let name = format!("beside-s{upper_tier}-{rank}");
             let (admin_port, coordination_port) = (ReservedPort::take()?, ReservedPort::take()?);
-            let (tier, zone) = (upper_tier + 1, place.zone);
+            let (tier, zone) = (upper_tier + 1, drawn.zone);
             all.push(ProcessPlan { name, tier, rank, instances, zone, port, admin_port, coordination_port });
         }
     }
@@ -253,7 +253,7 @@
         let history = Rc::new(History::default());
         let connection_links = ConnectionLinks::default();
         let link_processes: Rc<RefCell<Vec<usize>>> = Rc::default();
-        let plans = plan_processes(&parameters).map_err(system_error("cannot reserve ports"))?;
+        let plans = plan_processes(&parameters).map_err(system_error("ports"))?;
         let incarnations = Rc::new(RefCell::new(vec![0u32; plans.len()]));
         let identify_sender: IdentifySender = {
             let (link_processes, incarnations) = (link_processes.clone(), incarnations.clone());
@@ -263,7 +263,7 @@
             })
         };
         let servers = start_backends(&parameters, &plans, &history, (&connection_links, &identify_sender))
-            .map_err(system_error("cannot set up the backends"))?;
+            .map_err(system_error("servers"))?;
         // The links, and the address by which each proxy reaches each backend.
         let backend_addresses: Rc<RefCell<HashMap<(usize, usize), SocketAddr>>> = Rc::default();
         let mut links: Vec<(LinkEnds, Rc<TcpProxy>)> = Vec::new();
@@ -283,11 +283,11 @@
             }
         }
         let (mut discovery_servers, mut discovery_addresses) = (Vec::new(), Vec::new());
-        for (tier, of) in parameters.tiers.iter().enumerate() {
-            let entries = (0..of.places.len()).map(|n| Entry {
+        for (tier, drawn_tier) in parameters.tiers.iter().enumerate() {
+            let entries = (0..drawn_tier.places.len()).map(|n| Entry {
                 server: parameters.machines_of(tier).start + n,
                 name: format!("s{tier}-{n}"),
-                zone: of.places[n].zone,
+                zone: drawn_tier.places[n].zone,
                 status: BackendState::Ready,
                 weight: 1.0,
                 since_ms: 0.0,
@@ -325,25 +325,26 @@
             link(LinkEnds::ClientToProxy { process }, plan.port.address())?;
         }
         let processes: Vec<Process> = (plans.into_iter().enumerate())
-            .map(|(number, s)| {
-                let mut settings = parameters.settings(s.tier, s.rank, s.instances, s.zone);
-                // As on the platform, discovery sends updates only to proxies that subscribe.
+            .map(|(number, plan)| {
+                let mut settings = parameters.settings(plan.tier, plan.rank, plan.instances, plan.zone);
+                // As on the platform, discovery answers requests and pushes nothing to a proxy that has not
+                // asked.
                 settings.must_subscribe = true;
                 settings.permissions.peer_messages = coordination.is_some();
                 if let Some(settings_fault) = &settings_fault {
                     settings_fault(&mut settings);
                 }
-                let folder = folder.join(&s.name);
+                let folder = folder.join(&plan.name);
                 Process {
                     number,
-                    name: s.name,
-                    tier: s.tier,
-                    rank: s.rank,
-                    zone: s.zone,
+                    name: plan.name,
+                    tier: plan.tier,
+                    rank: plan.rank,
+                    zone: plan.zone,
                     settings,
-                    port: s.port,
-                    admin_port: s.admin_port,
-                    coordination_port: s.coordination_port,
+                    port: plan.port,
+                    admin_port: plan.admin_port,
+                    coordination_port: plan.coordination_port,
                     folder,
                     is_running: Cell::new(false),
                     pid: Cell::new(None),
@@ -365,7 +366,7 @@
             discovery_servers,
             restarted_weight: Cell::new(1.0),
             coordination,
-            link_by_ends: links.iter().enumerate().map(|(place, (ends, _))| (*ends, place)).collect(),
+            link_by_ends: links.iter().enumerate().map(|(index, (ends, _))| (*ends, index)).collect(),
             links,
             incarnations,
             supervisor: RefCell::new(supervisor.map_err(system_error("process supervisor"))?),
@@ -450,7 +451,7 @@
             listen: process.address(),
             discovery,
             seed: self.seeds.borrow_mut().next_u64(),
-            known: self.discovery_servers[process.tier].known(number),
+            endpoint_list: self.discovery_servers[process.tier].snapshot(number),
             settings: &process.settings,
         };
         let text = platform::file(&config).to_string();
@@ -606,18 +607,18 @@
         .collect();
     let tenants: Vec<String> = parameters.tenants.iter().map(|t| t.name.clone()).collect();
     let mut all = Vec::new();
-    for (tier, of) in parameters.tiers.iter().enumerate() {
-        for (n, place) in of.places.iter().enumerate() {
-            let own_proxy = plans.iter().position(|s| s.tier == tier + 1 && s.rank == n);
+    for (tier, drawn_tier) in parameters.tiers.iter().enumerate() {
+        for (n, drawn) in drawn_tier.places.iter().enumerate() {
+            let own_proxy = plans.iter().position(|plan| plan.tier == tier + 1 && plan.rank == n);
             let downstream = own_proxy.map(|process| {
                 DownstreamTier::new(process, plans[process].port.address(), classes.clone(), tenants.clone())
             });
             let parameters = BackendParameters {
                 number: all.len(),
-                zone: place.zone,
-                kind: hillstall_simulation::model::machine::Kind { speed: place.speed, ..of.kind },
-                part: of.part,
-                calls: of.calls,
+                zone: drawn.zone,
+                kind: hillstall_simulation::model::machine::Kind { speed: drawn.speed, ..drawn_tier.kind },
+                work_fraction: drawn_tier.part,
+                downstream_requests: drawn_tier.calls,
             };
             let senders = (connection_links.clone(), identify_sender.clone());
             all.push(Server::new(parameters, history.clone(), senders, downstream)?);
--- a/crates/fault-injection/src/invariant_checker.rs
+++ b/crates/fault-injection/src/invariant_checker.rs
@@ -184,7 +184,8 @@
 /// are not part of the scenario.
 pub fn stalls_void(stalls: &[HostStall]) -> Option<String> {
     let worst = stalls.iter().max_by(|a, b| (a.to - a.from).total_cmp(&(b.to - b.from)))?;
-    let stalled = worst.process.map_or("the harness".into(), |process| format!("process {process}"));
+    // In reports, the text follows "the host was overloaded:", which "it" refers to.
+    let stalled = worst.process.map_or("it".into(), |process| format!("process {process}"));
     let stall_ms = worst.to - worst.from;
     (stall_ms > MAX_STALL_MS)
         .then(|| format!("{stalled} got no processor time for {stall_ms:.0} ms, more than {MAX_STALL_MS} ms"))
@@ -474,8 +475,8 @@
     }
 }
 
-/// All records of a client request and of the requests that it caused at lower tiers, one line each, ordered by time.
-/// `id` may be that of any of these requests.
+/// All records of a client request and of the requests that it caused at lower tiers, one line each, ordered
+/// by time. `id` may be that of any of these requests.
 pub fn request_trace(truth: &GroundTruth, observations: &Observations, id: &str) -> String {
     let root = id.split('.').next().unwrap_or(id);
     let belongs = |other: &str| other == root || other.starts_with(&format!("{root}."));
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,10 +1,10 @@
-//! Fault injection: a simulation scenario run on a whole fleet of real processes. Every proxy is the built
-//! `hillstall run` with a platform file made for it; backends are the simulation's machines behind sockets;
-//! every link between two processes goes through a TCP proxy of this package that can lose, block, delay or
-//! reset what passes. Afterwards the invariant checker joins what clients and backends recorded, and judges
-//! it by the platform's rules alone.
+//! Fault injection: runs a scenario of the simulation on a whole fleet of real processes. Every proxy is a
+//! process of `hillstall run` with a platform file made for it, backends are the simulation's machine models
+//! behind sockets, and every link between two parts goes through a TCP proxy of this package that can lose,
+//! block, delay or reset its bytes. After the run the invariant checker joins the records of clients and
+//! backends, and checks them against the rules of the platform's protocol alone.
 //!
-//! [`run()`] runs one scenario. [`tcp_proxy`] and [`process_supervisor`] are of use by themselves.
+//! [`run()`] runs one scenario. [`tcp_proxy`] and [`process_supervisor`] can be used by themselves.
 
 pub mod coordination_fleet;
 pub mod discovery_server;
--- a/crates/fault-injection/src/open_loop_clients.rs
+++ b/crates/fault-injection/src/open_loop_clients.rs
@@ -1,5 +1,5 @@
-//! Open-loop clients, and the load balancer in front of the proxies. A request starts when the arrival
-//! process says so, whatever became of the others; its client retries as the scenario says.
+//! Open-loop clients, and the load balancer in front of the proxies. A request starts at the time that the
+//! arrival process gives, however earlier requests fare; its client retries by the rules of the scenario.
 
 use crate::fleet::{is_ready, Fleet, LinkEnds};
 use crate::history::{ClientAttempt, ClientResult};
@@ -18,162 +18,175 @@
 use tokio::time::{sleep, sleep_until, timeout};
 
 /// Interval of the load balancer's health checks.
-const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a client still waits for the response of an attempt that timed out, so that it is recorded.
-const LATE_RESPONSE_WATCH: Duration = Duration::from_millis(250);
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How long the response of an attempt that has timed out is still awaited, to record it.
+const LATE_RESPONSE_WAIT: Duration = Duration::from_millis(250);
 
 /// A first-tier proxy, as the load balancer sees it.
-struct ProxyInRotation {
+struct BalancedProxy {
+    /// Its share of the traffic, relative to the other proxies.
     traffic_weight: f64,
-    /// Whether it gets requests.
-    listed: Cell<bool>,
-    idle: RefCell<Vec<HttpConnection>>,
+    /// Whether the load balancer sends requests to it.
+    in_rotation: Cell<bool>,
+    idle_connections: RefCell<Vec<HttpConnection>>,
 }
 
 /// The clients and the load balancer in front of the proxies.
 pub struct OpenLoopClients {
     fleet: Rc<Fleet>,
-    proxies: Vec<ProxyInRotation>,
+    proxies: Vec<BalancedProxy>,
     random: RefCell<Xoshiro256PlusPlus>,
-    open: Cell<usize>,
+    open_requests: Cell<usize>,
 }
 
 impl OpenLoopClients {
-    /// Clients of a fleet that is up.
+    /// Creates the clients of a running fleet.
     pub fn new(fleet: Rc<Fleet>, seed: u64) -> Rc<OpenLoopClients> {
-        let listed = |proxy: usize| ProxyInRotation {
+        let balanced = |proxy: usize| BalancedProxy {
             traffic_weight: fleet.parameters.heat.get(proxy).copied().unwrap_or(1.0),
-            listed: Cell::new(true),
-            idle: RefCell::default(),
+            in_rotation: Cell::new(true),
+            idle_connections: RefCell::default(),
         };
-        let proxies = (0..fleet.first_tier_count).map(listed).collect();
-        let chance = RefCell::new(chance(seed, Stream::Network));
-        Rc::new(OpenLoopClients { fleet, proxies, random: chance, open: Cell::new(0) })
+        let proxies = (0..fleet.first_tier_count).map(balanced).collect();
+        let random = RefCell::new(chance(seed, Stream::Network));
+        Rc::new(OpenLoopClients { fleet, proxies, random, open_requests: Cell::new(0) })
     }
 
-    /// Requests that have not ended.
-    pub fn open(&self) -> usize {
-        self.open.get()
+    /// The number of requests that have not ended.
+    pub fn open_requests(&self) -> usize {
+        self.open_requests.get()
     }
 
     fn next_fraction(&self) -> f64 {
         part(&mut self.random.borrow_mut())
     }
 
-    /// Starts all requests of a seed, each at its time; returns once the last has started.
-    pub async fn play(self: &Rc<OpenLoopClients>, seed: u64) {
-        let looks: Vec<JoinHandle<()>> =
+    /// Starts all requests of a seed, each at its time; returns at the end of the scenario.
+    pub async fn run(self: &Rc<OpenLoopClients>, seed: u64) {
+        let health_checks: Vec<JoinHandle<()>> =
             (0..self.proxies.len()).map(|proxy| spawn_local(self.clone().watch_health(proxy))).collect();
         let history = self.fleet.history.clone();
         for (number, arrival) in Arrivals::new(&self.fleet.parameters, seed).enumerate() {
             sleep_until(history.instant(arrival.at)).await;
-            let late = history.now() - arrival.at;
-            history.record(|observations| observations.start_delays_ms.push(late));
-            self.open.set(self.open.get() + 1);
+            let delay_ms = history.now() - arrival.at;
+            history.record(|observations| observations.start_delays_ms.push(delay_ms));
+            self.open_requests.set(self.open_requests.get() + 1);
             let clients = self.clone();
             spawn_local(async move {
                 clients.run_request(number, arrival).await;
-                clients.open.set(clients.open.get() - 1);
+                clients.open_requests.set(clients.open_requests.get() - 1);
             });
         }
         sleep_until(history.instant(self.fleet.parameters.length)).await;
-        looks.iter().for_each(JoinHandle::abort);
+        health_checks.iter().for_each(JoinHandle::abort);
     }
 
-    /// Checks one proxy's health: it is listed from its first 200 on, until it has not answered 200 for the
-    /// load balancer's notice time.
+    /// Checks one proxy's health. A proxy leaves the rotation once it has not answered 200 for the load
+    /// balancer's notice time, and returns with its next 200.
     async fn watch_health(self: Rc<OpenLoopClients>, proxy: usize) {
-        let notice = self.fleet.parameters.front_notice;
-        let mut well_at = self.fleet.history.now();
+        let notice_ms = self.fleet.parameters.front_notice;
+        let mut healthy_at = self.fleet.history.now();
         loop {
-            sleep(POLL_INTERVAL).await;
-            let asked_at = self.fleet.history.now();
-            let well = is_ready(self.fleet.link(LinkEnds::ClientToProxy { process: proxy }).address()).await;
-            if well {
-                well_at = asked_at;
+            sleep(HEALTH_CHECK_INTERVAL).await;
+            let checked_at = self.fleet.history.now();
+            let is_healthy =
+                is_ready(self.fleet.link(LinkEnds::ClientToProxy { process: proxy }).address()).await;
+            if is_healthy {
+                healthy_at = checked_at;
             }
-            let listed = self.fleet.history.now() - well_at <= notice.max(POLL_INTERVAL.as_secs_f64() * 1e3);
-            if self.proxies[proxy].listed.replace(listed) != listed && !listed {
-                self.proxies[proxy].idle.borrow_mut().clear();
+            let in_rotation = self.fleet.history.now() - healthy_at
+                <= notice_ms.max(HEALTH_CHECK_INTERVAL.as_secs_f64() * 1e3);
+            if self.proxies[proxy].in_rotation.replace(in_rotation) != in_rotation && !in_rotation {
+                self.proxies[proxy].idle_connections.borrow_mut().clear();
             }
         }
     }
 
-    /// The proxy for the next attempt: one of the client's zone, or of another where that has none.
+    /// Chooses the proxy for an attempt: one of the client's zone or, if none of these is in rotation, of any
+    /// zone. `None` if no proxy is in rotation.
     fn choose_proxy(&self, zone: usize) -> Option<usize> {
-        let listed = |near: bool| {
-            let of = self.proxies.iter().enumerate();
-            of.filter(|(n, f)| f.listed.get() && (!near || self.fleet.processes[*n].zone == zone))
-                .map(|(n, _)| n)
+        let in_rotation = |same_zone_only: bool| {
+            let proxies = self.proxies.iter().enumerate();
+            proxies
+                .filter(|(number, proxy)| {
+                    proxy.in_rotation.get() && (!same_zone_only || self.fleet.processes[*number].zone == zone)
+                })
+                .map(|(number, _)| number)
                 .collect::<Vec<usize>>()
         };
-        let able = Some(listed(true)).filter(|near| !near.is_empty()).unwrap_or_else(|| listed(false));
-        let place = drawn(self.next_fraction(), able.iter().map(|proxy| self.proxies[*proxy].traffic_weight));
-        able.get(place).copied()
+        let candidates = Some(in_rotation(true))
+            .filter(|same_zone| !same_zone.is_empty())
+            .unwrap_or_else(|| in_rotation(false));
+        let index =
+            drawn(self.next_fraction(), candidates.iter().map(|proxy| self.proxies[*proxy].traffic_weight));
+        candidates.get(index).copied()
     }
 
+    /// Runs a request with its retries, and accounts for its outcome.
     async fn run_request(self: &Rc<OpenLoopClients>, number: usize, arrival: Arrival) {
         let (parameters, history) = (&self.fleet.parameters, &self.fleet.history);
         let class = &parameters.classes[arrival.class];
-        let tell = |ended| {
+        let finish = |outcome| {
             let worth = (arrival.tenant, arrival.worth);
-            self.fleet.summary.borrow_mut().ended(arrival.at, worth, ended);
+            self.fleet.summary.borrow_mut().ended(arrival.at, worth, outcome);
         };
         self.fleet.summary.borrow_mut().asked(arrival.at, arrival.tenant, arrival.worth);
         let deadline_at = arrival.at + class.deadline;
-        let (mut no, mut at) = (0, arrival.at);
+        let (mut retries, mut attempt_at) = (0, arrival.at);
         loop {
-            self.fleet.summary.borrow_mut().tried(at);
-            let over = (at + parameters.try_part * class.deadline).min(deadline_at);
-            let (ended, retry_after_ms) = self.run_attempt(number, no, &arrival, over).await;
+            self.fleet.summary.borrow_mut().tried(attempt_at);
+            let timeout_at = (attempt_at + parameters.try_part * class.deadline).min(deadline_at);
+            let (result, retry_after_ms) = self.run_attempt(number, retries, &arrival, timeout_at).await;
             let now = history.now();
-            if ended == ClientResult::Served && now <= over {
+            if result == ClientResult::Served && now <= timeout_at {
                 let latency_ms = now - arrival.at;
-                return tell(accounting::RequestOutcome::Answered {
+                return finish(accounting::RequestOutcome::Answered {
                     latency_ms,
                     in_aim: latency_ms <= class.aim,
                 });
             }
-            let refused = ended == ClientResult::Refused;
-            let follows =
-                retry_after_ms.is_some_and(|wait| wait > 0.0) && self.next_fraction() < parameters.honour;
-            let wait = match follows {
+            let refused = result == ClientResult::Refused;
+            let honours_retry_after =
+                retry_after_ms.is_some_and(|ms| ms > 0.0) && self.next_fraction() < parameters.honour;
+            let wait_ms = match honours_retry_after {
                 true => retry_after_ms.unwrap_or(0.0).max(parameters.wait),
                 false => parameters.wait,
             };
-            no += 1;
-            if no > parameters.retries || now + wait >= deadline_at {
-                return tell(if refused {
+            retries += 1;
+            if retries > parameters.retries || now + wait_ms >= deadline_at {
+                return finish(if refused {
                     accounting::RequestOutcome::Refused
                 } else {
                     accounting::RequestOutcome::Failed
                 });
             }
-            sleep_until(history.instant(now + wait)).await;
-            at = now + wait;
+            sleep_until(history.instant(now + wait_ms)).await;
+            attempt_at = now + wait_ms;
         }
     }
 
-    /// One attempt. A response after its timeout is recorded and has no other effect.
+    /// Runs one attempt, and returns its result and its Retry-After in milliseconds. A response that comes
+    /// after `timeout_at` is recorded and has no other effect.
     #[allow(clippy::too_many_lines, reason = "one attempt with its late response")]
     async fn run_attempt(
         self: &Rc<OpenLoopClients>,
         number: usize,
-        no: u32,
+        retries: u32,
         arrival: &Arrival,
-        over: f64,
+        timeout_at: f64,
     ) -> (ClientResult, Option<f64>) {
         let history = self.fleet.history.clone();
         let Some(proxy) = self.choose_proxy(arrival.zone) else {
-            sleep_until(history.instant(over)).await;
+            sleep_until(history.instant(timeout_at)).await;
             return (ClientResult::NotAccepted, None);
         };
         let process = &self.fleet.processes[proxy];
-        let of = &process.settings.classes[arrival.class];
-        let timeout_ms = (over - history.now()).max(1.0);
-        let id = format!("c{number}-{no}");
-        let key = (of.retry_safety == RetrySafety::IdempotencyKey).then(|| format!("key-{number}"));
-        let made = Rc::new(RecordedAttempt::new(
+        let class_settings = &process.settings.classes[arrival.class];
+        let timeout_ms = (timeout_at - history.now()).max(1.0);
+        let id = format!("c{number}-{retries}");
+        let key =
+            (class_settings.retry_safety == RetrySafety::IdempotencyKey).then(|| format!("key-{number}"));
+        let attempt = Rc::new(RecordedAttempt::new(
             history.clone(),
             ClientAttempt {
                 id: id.clone(),
@@ -188,12 +201,13 @@
                 retry_after_ms: None,
             },
         ));
-        let (clients, noted) = (self.clone(), made.clone());
-        let (class, idempotent) = (of.name.clone(), of.retry_safety == RetrySafety::Idempotent);
+        let (clients, sent_attempt) = (self.clone(), attempt.clone());
+        let (class, idempotent) =
+            (class_settings.name.clone(), class_settings.retry_safety == RetrySafety::Idempotent);
         let target = target(arrival.class, arrival.tenant, arrival.work);
         let tenant = self.fleet.parameters.tenants.get(arrival.tenant).map(|t| t.name.clone());
-        let mut asked = Box::pin(async move {
-            let call = OutgoingRequest {
+        let mut sending = Box::pin(async move {
+            let request = OutgoingRequest {
                 id: &id,
                 class: &class,
                 tenant: tenant.as_deref(),
@@ -201,32 +215,35 @@
                 key: key.as_deref(),
                 idempotent,
                 target: &target,
-                is_retry: no > 0,
+                is_retry: retries > 0,
             };
-            let door = clients.fleet.link(LinkEnds::ClientToProxy { process: proxy }).clone();
-            let kept = clients.proxies[proxy].idle.borrow_mut().pop();
-            send_request(kept, door.address(), &call, &noted, |own| door.take_unaccepted(own)).await
+            let link = clients.fleet.link(LinkEnds::ClientToProxy { process: proxy }).clone();
+            let idle = clients.proxies[proxy].idle_connections.borrow_mut().pop();
+            send_request(idle, link.address(), &request, &sent_attempt, |local_address| {
+                link.take_unaccepted(local_address)
+            })
+            .await
         });
-        let keep = move |clients: &OpenLoopClients, connection: Option<HttpConnection>| {
-            if let Some(connection) = connection.filter(|_| clients.proxies[proxy].listed.get()) {
-                clients.proxies[proxy].idle.borrow_mut().push(connection);
+        let return_connection = move |clients: &OpenLoopClients, connection: Option<HttpConnection>| {
+            if let Some(connection) = connection.filter(|_| clients.proxies[proxy].in_rotation.get()) {
+                clients.proxies[proxy].idle_connections.borrow_mut().push(connection);
             }
         };
         tokio::select! {
-            (ended, wait, connection) = &mut asked => {
-                made.ended(ended.clone(), wait);
-                keep(self, connection);
-                (ended, wait)
+            (result, retry_after_ms, connection) = &mut sending => {
+                attempt.end(result.clone(), retry_after_ms);
+                return_connection(self, connection);
+                (result, retry_after_ms)
             }
-            () = sleep_until(history.instant(over)) => {
+            () = sleep_until(history.instant(timeout_at)) => {
                 let clients = self.clone();
                 spawn_local(async move {
-                    match timeout(LATE_RESPONSE_WATCH, &mut asked).await {
-                        Ok((ended, wait, connection)) => {
-                            made.ended(ended, wait);
-                            keep(&clients, connection);
+                    match timeout(LATE_RESPONSE_WAIT, &mut sending).await {
+                        Ok((result, retry_after_ms, connection)) => {
+                            attempt.end(result, retry_after_ms);
+                            return_connection(&clients, connection);
                         }
-                        Err(_) => made.ended(ClientResult::Unanswered, None),
+                        Err(_) => attempt.end(ClientResult::Unanswered, None),
                     }
                 });
                 (ClientResult::Unanswered, None)
--- a/crates/fault-injection/src/platform.rs
+++ b/crates/fault-injection/src/platform.rs
@@ -1,12 +1,13 @@
-//! The platform file of a proxy, made from the decision module's settings.
+//! The platform file of a proxy, written from the settings of the decision module.
 
 use hillstall_decision::{DedupScope, RetrySafety, Settings};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// The settings as the platform writes them; reading them gives the same settings.
+/// The settings as the platform writes them. The key names are the platform's format; parsing the result
+/// gives the same settings.
 #[allow(clippy::too_many_lines, reason = "one key per setting")]
-pub fn settings(of: &Settings) -> Value {
+pub fn settings_json(settings: &Settings) -> Value {
     let class = |c: &hillstall_decision::Class| {
         let effect = match c.retry_safety {
             RetrySafety::Idempotent => "repeatable",
@@ -23,17 +24,18 @@
             "Points": c.priority_weight, "Streaming": c.streaming})
     };
     let tenant = |t: &hillstall_decision::Tenant| json!({"Name": t.name, "AllowancePerS": t.quota_per_s, "Fraction": t.fraction});
-    let (rules, allowed, prices, mix) = (&of.rules, &of.permissions, &of.prices, &of.objective_weights);
+    let (rules, allowed, prices, mix) =
+        (&settings.rules, &settings.permissions, &settings.prices, &settings.objective_weights);
     json!({
-        "Rank": of.rank, "FleetSize": of.fleet_size, "Az": of.zone, "Zones": of.zones, "Stage": of.tier,
-        "Stages": of.tier_names, "MachineTypes": of.machine_kinds, "KindOfService": of.service,
-        "FamilyInfo": {"PassesDeadline": of.passes_deadline, "WarmKeys": of.caches_keys},
-        "MembershipMode": if of.must_subscribe { "subscribe" } else { "automatic" },
-        "WorthBy": if of.weight_by_work { "work" } else { "request" },
-        "OverShareWorth": of.over_quota_weight, "Tick": of.tick_ms,
-        "Clients": {"MarksRetry": of.marks_retry},
-        "Classes": of.classes.iter().map(class).collect::<Vec<_>>(),
-        "Tenants": of.tenants.iter().map(tenant).collect::<Vec<_>>(),
+        "Rank": settings.rank, "FleetSize": settings.fleet_size, "Az": settings.zone, "Zones": settings.zones, "Stage": settings.tier,
+        "Stages": settings.tier_names, "MachineTypes": settings.machine_kinds, "KindOfService": settings.service,
+        "FamilyInfo": {"PassesDeadline": settings.passes_deadline, "WarmKeys": settings.caches_keys},
+        "MembershipMode": if settings.must_subscribe { "subscribe" } else { "automatic" },
+        "WorthBy": if settings.weight_by_work { "work" } else { "request" },
+        "OverShareWorth": settings.over_quota_weight, "Tick": settings.tick_ms,
+        "Clients": {"MarksRetry": settings.marks_retry},
+        "Classes": settings.classes.iter().map(class).collect::<Vec<_>>(),
+        "Tenants": settings.tenants.iter().map(tenant).collect::<Vec<_>>(),
         "Rules": {"GraceToAnswer": rules.response_grace_ms, "DrainGrace": rules.drain_grace_ms,
             "AskWithin": rules.poll_interval_ms, "ColdFrom": rules.warmup_start_fraction, "Cold": rules.warmup_ms,
             "FallMultiple": rules.overload_multiple, "Fall": rules.overload_window_ms},
@@ -52,29 +54,29 @@
     })
 }
 
-/// Contents of a proxy's platform file.
+/// The contents of a proxy's platform file.
 pub struct ProxyConfig<'a> {
-    /// Its name, the same after a restart.
+    /// The name of the proxy, which stays the same after a restart.
     pub name: &'a str,
-    /// Its address for clients.
+    /// The address at which it accepts requests.
     pub listen: SocketAddr,
-    /// Discovery, as it sees it.
+    /// The address by which it reaches discovery.
     pub discovery: SocketAddr,
-    /// Seed of its random numbers.
+    /// The seed of its random numbers.
     pub seed: u64,
-    /// The endpoint list as last known.
-    pub known: Value,
-    /// The decision module's settings.
+    /// The endpoint list that it starts with.
+    pub endpoint_list: Value,
+    /// The settings of its decision module.
     pub settings: &'a Settings,
 }
 
-/// The file as JSON.
-pub fn file(told: &ProxyConfig<'_>) -> Value {
+/// The platform file as JSON.
+pub fn file(config: &ProxyConfig<'_>) -> Value {
     json!({
-        "name": told.name, "listen": told.listen, "discovery": told.discovery,
-        "seed": format!("{:016x}", told.seed),
+        "name": config.name, "listen": config.listen, "discovery": config.discovery,
+        "seed": format!("{:016x}", config.seed),
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
-        "known": told.known, "settings": settings(told.settings),
+        "known": config.endpoint_list, "settings": settings_json(config.settings),
     })
 }
 
@@ -84,15 +86,16 @@
     use hillstall_simulation::sim::setup;
 
     #[test]
-    fn what_is_read_back_is_what_was_given() {
+    fn written_settings_parse_to_the_same_settings() {
         for name in scenarios::names() {
             let parameters = setup::draw(&scenarios::find(name).expect("embedded"), 3);
             for tier in 0..parameters.tiers.len() {
                 let given = parameters.settings(tier, 1, 4, 0);
-                let text = super::settings(&given).to_string();
-                let mut read = hillstall_settings::parse_settings(text.as_bytes()).expect("it is read");
+                let text = super::settings_json(&given).to_string();
+                let mut read = hillstall_settings::parse_settings(text.as_bytes())
+                    .expect("the written settings are valid");
                 for (read, given) in read.tenants.iter_mut().zip(&given.tenants) {
-                    // The last digit of a number may change in decimal form.
+                    // The decimal form of a number may lose its last binary digit.
                     assert!((read.quota_per_s / given.quota_per_s - 1.0).abs() < 1e-12);
                     read.quota_per_s = given.quota_per_s;
                 }
--- a/crates/fault-injection/src/platform_rules.rs
+++ b/crates/fault-injection/src/platform_rules.rs
@@ -1,15 +1,16 @@
-//! The platform's rules on a planned restart, as its protocol page has them.
+//! The platform's rules for a planned restart, as in its protocol.
 
-/// New connections keep coming for this long after SIGTERM, in milliseconds.
+/// Clients still open new connections for this long after SIGTERM, in milliseconds.
 pub const CONNECT_AFTER_TERM_MS: f64 = 400.0;
-/// What SIGKILL finds unanswered is lost if it came more than this after SIGTERM, in milliseconds.
+/// A request that arrives later than this after SIGTERM counts as lost if SIGKILL finds it unanswered, in
+/// milliseconds.
 pub const SHUTDOWN_GRACE_MS: f64 = 700.0;
-/// SIGKILL comes no sooner than the longest deadline and this after SIGTERM, in milliseconds.
+/// SIGKILL is sent no sooner than the longest deadline plus this margin after SIGTERM, in milliseconds.
 const KILL_MARGIN_MS: f64 = 700.0;
-/// A longer deadline counts as this long, in milliseconds.
+/// The limit to which the longest deadline counts for the time of SIGKILL, in milliseconds.
 const MAX_KILL_DEADLINE_MS: f64 = 3_000.0;
 
-/// How long after SIGTERM a process is killed at the earliest, in milliseconds.
+/// The earliest time of SIGKILL after SIGTERM, in milliseconds, from the longest deadline of all classes.
 pub fn earliest_kill_ms(longest_deadline_ms: f64) -> f64 {
     longest_deadline_ms.min(MAX_KILL_DEADLINE_MS) + KILL_MARGIN_MS
 }
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of a scenario, from its start to its verdict.
+//! One run of a scenario on real processes, from the start of the fleet to the verdict.
 
 use crate::faults::Faults;
 use crate::fleet::{system_error, Fleet, FleetError, FleetPlan, SettingsFault};
@@ -15,72 +15,76 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, sleep_until};
 
-/// Between the start of the last process and the first request.
-const SETTLE: Duration = Duration::from_millis(300);
-/// Between two samples of the backends' capacity.
-const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Longer than any request can be open after the last has started: past it, something hangs.
+/// Time between the readiness of the last process and the first request, and between the end of the last
+/// request and the end of the records.
+const SETTLE_TIME: Duration = Duration::from_millis(300);
+/// Interval of the samples of the backends' capacity.
+const CAPACITY_SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest wait for open requests after the last has started. All deadlines are shorter, so a request that is
+/// open longer hangs.
 const END_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a test or an operator does during a run, beside the scenario's own failures.
+/// Actions of a test or an operator during a run, in addition to the failures of the scenario.
 pub type Script = Box<dyn FnOnce(Rc<Fleet>) -> std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>>;
 
-/// Options of a run.
+/// Options of a run; the default runs the scenario as it is and keeps no files.
 #[derive(Default)]
 pub struct Options {
-    /// Falsifies the proxies' settings, if given.
+    /// Falsifies the settings that the proxies get.
     pub settings_fault: Option<SettingsFault>,
-    /// The coordination of the instances, if any.
+    /// How the instances coordinate; `None` if they do not.
     pub coordination: Option<crate::coordination_fleet::CoordinationOptions>,
-    /// Runs beside the requests, from the first one on.
+    /// Runs from the first request on until the last has ended.
     pub script: Option<Script>,
-    /// Where configurations and logs are kept; without it they are deleted after the run.
+    /// The folder in which configurations and logs are kept; without it they are deleted after the run.
     pub output_folder: Option<PathBuf>,
 }
 
-/// The result of a run.
+/// The results of a run.
 pub struct ScenarioRun {
-    /// What clients received, counted as in the simulation.
+    /// The accounting of client requests, as in the simulation.
     pub summary: RunSummary,
-    /// The record.
+    /// The records of clients, backends, discovery and processes.
     pub observations: Observations,
-    /// The true parameters of the fleet.
+    /// The true parameters of the fleet, which the checker used.
     pub truth: GroundTruth,
-    /// The checker's verdict.
+    /// The verdict of the invariant checker.
     pub verdict: Verdict,
-    /// Number of proxy processes.
+    /// The number of proxies, of all tiers.
     pub processes: usize,
 }
 
 impl ScenarioRun {
-    /// The verdict as text.
+    /// The verdict and the excused requests as text.
     pub fn report(&self) -> String {
         invariant_checker::report(&self.truth, &self.observations, &self.verdict)
     }
 
-    /// Attempts at a tier per attempt sent to the proxies before it.
+    /// The number of attempts at the backends of a tier per attempt at the proxies before that tier.
     pub fn attempt_ratio(&self, tier: usize) -> f64 {
-        let hops = self
+        let backend_attempts = self
             .observations
             .backend_attempts
             .iter()
-            .filter(|h| self.truth.servers[h.server].tier == tier)
+            .filter(|attempt| self.truth.servers[attempt.server].tier == tier)
             .count();
-        let dots = |id: &str| id.matches('.').count();
-        let tries = self
+        // Each tier adds a suffix after a dot to the request id.
+        let tier_of = |id: &str| id.matches('.').count();
+        let client_attempts = self
             .observations
             .client_attempts
             .iter()
-            .filter(|t| t.written_at.is_some() && dots(&t.id) == tier)
+            .filter(|attempt| attempt.written_at.is_some() && tier_of(&attempt.id) == tier)
             .count();
-        hops as f64 / tries.max(1) as f64
+        backend_attempts as f64 / client_attempts.max(1) as f64
     }
 }
 
 /// Runs a scenario with a seed on real processes of `program`.
 ///
 /// # Errors
-/// If processes, sockets or files can't be had, or a process does not become ready.
+/// If processes, sockets or files cannot be created, a process does not become ready, a fault cannot be injected, or
+/// requests do not end.
 pub fn run(
     program: &Path,
     scenario: &Scenario,
@@ -90,15 +94,15 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(system_error("the rig"))?;
+        .map_err(system_error("cannot start the runtime"))?;
     // Deleted with its files at the end of this function.
-    let passing = tempfile::tempdir().map_err(system_error("a folder"))?;
-    let path = options.output_folder.clone().unwrap_or_else(|| passing.path().to_path_buf());
-    LocalSet::new().block_on(&runtime, play(program, scenario, seed, options, &path))
+    let temporary_folder = tempfile::tempdir().map_err(system_error("cannot create a folder for the run"))?;
+    let path = options.output_folder.clone().unwrap_or_else(|| temporary_folder.path().to_path_buf());
+    LocalSet::new().block_on(&runtime, run_in(program, scenario, seed, options, &path))
 }
 
 #[allow(clippy::too_many_lines, reason = "one run from its start to its verdict")]
-async fn play(
+async fn run_in(
     program: &Path,
     scenario: &Scenario,
     seed: u64,
@@ -115,22 +119,22 @@
         folder,
     })
     .await?;
-    let zero = Instant::now() + SETTLE;
-    fleet.history.set_first_request(zero);
-    sleep_until(zero.into()).await;
+    let first_request_at = Instant::now() + SETTLE_TIME;
+    fleet.history.set_first_request(first_request_at);
+    sleep_until(first_request_at.into()).await;
     let faults = Faults::new(fleet.clone());
-    faults.play();
+    faults.schedule();
     let script = options.script.map(|script| spawn_local(script(fleet.clone())));
-    let watch = spawn_local(watch(fleet.clone()));
-    let pulse = spawn_local(host_load_monitor::watch(fleet.clone()));
+    let capacity_samples = spawn_local(sample_capacity(fleet.clone()));
+    let stall_records = spawn_local(host_load_monitor::record_stalls(fleet.clone()));
     let clients = OpenLoopClients::new(fleet.clone(), seed);
-    clients.play(seed).await;
+    clients.run(seed).await;
     let end = Instant::now() + END_TIMEOUT;
-    while clients.open() > 0 {
+    while clients.open_requests() > 0 {
         if Instant::now() > end {
             let unfinished = format!(
                 "{} requests have not ended {END_TIMEOUT:?} after the last has started",
-                clients.open()
+                clients.open_requests()
             );
             return Err(FleetError::System {
                 operation: "clients".into(),
@@ -139,10 +143,10 @@
         }
         sleep(Duration::from_millis(10)).await;
     }
-    // Late responses of attempts that timed out are still recorded.
-    sleep(SETTLE).await;
-    watch.abort();
-    pulse.abort();
+    // Responses that come after the timeout of their attempt are still recorded.
+    sleep(SETTLE_TIME).await;
+    capacity_samples.abort();
+    stall_records.abort();
     if let Some(script) = script {
         script.abort();
     }
@@ -157,17 +161,17 @@
     let chokes = fleet.servers.iter().map(|server| u64::from(server.chokes())).sum();
     let empty = RunSummary::new("drill", seed, 1.0, fleet.parameters.shares());
     let mut summary = fleet.summary.replace(empty);
-    for hop in &observations.backend_attempts {
-        summary.sent(hop.at, truth.servers[hop.server].tier);
+    for attempt in &observations.backend_attempts {
+        summary.sent(attempt.at, truth.servers[attempt.server].tier);
     }
-    for a_try in observations
+    for attempt in observations
         .client_attempts
         .iter()
-        .filter(|t| t.process < fleet.first_tier_count && t.written_at.is_some())
+        .filter(|attempt| attempt.process < fleet.first_tier_count && attempt.written_at.is_some())
     {
-        summary.came_to(a_try.process);
-        if a_try.result == crate::history::ClientResult::Refused {
-            summary.refused_by(a_try.process);
+        summary.came_to(attempt.process);
+        if attempt.result == crate::history::ClientResult::Refused {
+            summary.refused_by(attempt.process);
         }
     }
     let verdict = invariant_checker::check(&truth, &observations);
@@ -175,15 +179,15 @@
     Ok(ScenarioRun { summary: summary.close(chokes), observations, truth, verdict, processes })
 }
 
-/// Samples the capacity of the first tier.
-async fn watch(fleet: Rc<Fleet>) {
-    let whole = fleet.parameters.tiers[0].able();
-    let first = fleet.parameters.tiers[0].places.len();
+/// Samples the capacity of the first tier, as a fraction of its full capacity, until it is dropped.
+async fn sample_capacity(fleet: Rc<Fleet>) {
+    let full_capacity = fleet.parameters.tiers[0].able();
+    let count = fleet.parameters.tiers[0].places.len();
     loop {
-        sleep(POLL_INTERVAL).await;
-        let states: Vec<(f64, bool)> = fleet.servers[..first].iter().map(|s| s.state()).collect();
-        let able: f64 = states.iter().map(|s| s.0).sum();
+        sleep(CAPACITY_SAMPLE_INTERVAL).await;
+        let states: Vec<(f64, bool)> = fleet.servers[..count].iter().map(|s| s.state()).collect();
+        let capacity: f64 = states.iter().map(|s| s.0).sum();
         let choked = states.iter().filter(|s| s.1).count() as u64;
-        fleet.summary.borrow_mut().looked(fleet.history.now().max(0.0), able / whole, choked);
+        fleet.summary.borrow_mut().looked(fleet.history.now().max(0.0), capacity / full_capacity, choked);
     }
 }
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -1,6 +1,6 @@
-//! A backend: the simulation's machine behind a socket. A request does a part of its work, sends one or more
-//! requests to the next tier through the backend's own proxy, and does the rest; it keeps its slot meanwhile,
-//! as in the simulation.
+//! A backend: the simulation's model of a machine behind a socket. A request is processed in phases; between
+//! two phases the backend sends a request to the next tier through its own proxy. The request keeps its slot
+//! meanwhile, as in the simulation.
 
 use crate::history::{BackendAttempt, BackendResult, BackendStart, ClientAttempt, ClientResult, History};
 use crate::http::{HttpConnection, Message, OutgoingRequest};
@@ -18,76 +18,80 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// How much longer than a request's timeout the backend waits for its own proxy, in milliseconds.
+/// How long the backend waits for its own proxy beyond the timeout of a request, in milliseconds.
 const RESPONSE_MARGIN_MS: f64 = 250.0;
-/// Sleep of a machine without work, unless it is woken.
-const IDLE: Duration = Duration::from_secs(3_600);
-const NOT_STARTED: &str = "Not-Started: 1\r\n";
+/// Sleep of a machine that has nothing due; a change of its state wakes it earlier.
+const IDLE_SLEEP: Duration = Duration::from_secs(3_600);
+/// The header by which a backend says that a rejected request was not executed.
+const NOT_STARTED_HEADER: &str = "Not-Started: 1\r\n";
 
-/// The next tier, as a backend reaches it.
+/// The next tier, as a backend reaches it through its own proxy.
 pub struct DownstreamTier {
-    /// The number of its own proxy.
+    /// The number of the backend's own proxy.
     pub process: usize,
-    /// Where that listens.
+    /// The address of that proxy.
     pub address: SocketAddr,
-    /// Its classes: name, whether they are idempotent, and whether requests carry an idempotency key.
+    /// The classes by index: the name, whether the class is idempotent, and whether its requests carry an
+    /// idempotency key.
     pub classes: Vec<(String, bool, bool)>,
-    /// The tenants' names.
+    /// The names of the tenants by index.
     pub tenants: Vec<String>,
-    idle: RefCell<Vec<HttpConnection>>,
+    idle_connections: RefCell<Vec<HttpConnection>>,
 }
 
 impl DownstreamTier {
-    /// Reached through a proxy.
+    /// A tier that is reached through this proxy, without open connections.
     pub fn new(
         process: usize,
         address: SocketAddr,
         classes: Vec<(String, bool, bool)>,
         tenants: Vec<String>,
     ) -> DownstreamTier {
-        DownstreamTier { process, address, classes, tenants, idle: RefCell::default() }
+        DownstreamTier { process, address, classes, tenants, idle_connections: RefCell::default() }
     }
 }
 
-/// Parameters of a backend.
+/// The parameters of a backend.
 pub struct BackendParameters {
-    /// Its number over all tiers.
+    /// The number of the backend, counted over all tiers.
     pub number: usize,
-    /// Its zone.
+    /// The index of its zone.
     pub zone: usize,
-    /// Its machine.
+    /// The parameters of the machine model.
     pub kind: Kind,
-    /// Its tier's part of a request's work.
-    pub part: f64,
-    /// Requests to the next tier per request, on average.
-    pub calls: f64,
+    /// The fraction of a request's work that is done at this tier.
+    pub work_fraction: f64,
+    /// The mean number of requests to the next tier per request.
+    pub downstream_requests: f64,
 }
 
-/// The process at the client's end of a link, and how often that has been started.
+/// Returns, for the number of a link, the proxy that sends over it and the incarnation of that proxy: how
+/// often it has been started.
 pub type IdentifySender = Rc<dyn Fn(usize) -> (usize, u32)>;
 
 /// A running backend.
 pub struct Server {
-    /// Its parameters.
+    /// The parameters given to [`Server::new`].
     pub parameters: BackendParameters,
     history: Rc<History>,
     connections: ConnectionLinks,
     identify_sender: IdentifySender,
-    below: Option<DownstreamTier>,
+    downstream: Option<DownstreamTier>,
     port: ReservedPort,
     links: RefCell<Vec<Rc<TcpProxy>>>,
     machine: RefCell<Machine>,
+    /// The senders that wake the request of a job when its phase is complete.
     waiters: RefCell<HashMap<Job, oneshot::Sender<()>>>,
     changed: Notify,
-    next: Cell<u64>,
-    /// Its incarnation: connections of an older one end.
+    next_job: Cell<u64>,
+    /// The incarnation of the backend: connections of an older one end.
     incarnation: watch::Sender<u64>,
     draining: Cell<bool>,
-    listening: RefCell<Option<JoinHandle<()>>>,
+    listener_task: RefCell<Option<JoinHandle<()>>>,
     random: Cell<u64>,
 }
 
-/// Parameters of a request, from its target and headers.
+/// The parameters of a request, from its target and headers.
 struct RequestParameters {
     work: f64,
     class: usize,
@@ -95,7 +99,7 @@
     key: Option<String>,
 }
 
-/// The request target that carries the parameters.
+/// The request target that carries a request's parameters to the backends; `work` is in core milliseconds.
 pub fn target(class: usize, tenant: usize, work: f64) -> String {
     format!("/api/call?class={class}&tenant={tenant}&work={work:.4}")
 }
@@ -114,155 +118,156 @@
 }
 
 impl Server {
-    /// A backend at full capacity that does not listen yet.
+    /// Creates a backend at full capacity that does not listen yet.
     pub fn new(
         parameters: BackendParameters,
         history: Rc<History>,
-        (callers, identify_sender): (ConnectionLinks, IdentifySender),
-        below: Option<DownstreamTier>,
+        (connections, identify_sender): (ConnectionLinks, IdentifySender),
+        downstream: Option<DownstreamTier>,
     ) -> Result<Rc<Server>> {
         let server = Rc::new(Server {
             machine: RefCell::new(Machine::new(parameters.kind)),
             random: Cell::new(parameters.number as u64 + 1),
             parameters,
             history,
-            connections: callers,
+            connections,
             identify_sender,
-            below,
+            downstream,
             port: ReservedPort::take()?,
             links: RefCell::default(),
             waiters: RefCell::default(),
             changed: Notify::new(),
-            next: Cell::new(0),
+            next_job: Cell::new(0),
             incarnation: watch::Sender::new(0),
             draining: Cell::new(false),
-            listening: RefCell::default(),
+            listener_task: RefCell::default(),
         });
-        spawn_local(server.clone().work());
+        spawn_local(server.clone().run_machine());
         Ok(server)
     }
 
-    /// Where it listens.
+    /// The address of the backend.
     pub fn address(&self) -> SocketAddr {
         self.port.address()
     }
 
-    /// Its own proxy to the next tier, if it has one.
+    /// The number of its own proxy to the next tier; `None` in the last tier.
     pub fn own_proxy(&self) -> Option<usize> {
-        self.below.as_ref().map(|below| below.process)
+        self.downstream.as_ref().map(|downstream| downstream.process)
     }
 
-    /// Adds a link that leads to it; it refuses connections while the backend does not listen.
+    /// Adds a link that leads to the backend. The link refuses connections while the backend does not listen.
     pub fn add_link(&self, link: Rc<TcpProxy>) {
-        link.set_target_listening(self.listening.borrow().is_some());
+        link.set_target_listening(self.listener_task.borrow().is_some());
         self.links.borrow_mut().push(link);
     }
 
-    /// How often it choked.
+    /// How often the machine has choked (slowed down by overload).
     pub fn chokes(&self) -> u32 {
         self.machine.borrow().chokes()
     }
 
-    /// Its capacity now, in core milliseconds per millisecond, and whether it is choked.
+    /// The present capacity, in core milliseconds per millisecond, and whether the machine is choked.
     pub fn state(&self) -> (f64, bool) {
         let machine = self.machine.borrow();
         (machine.capacity(self.history.now()), machine.is_choked())
     }
 
-    /// Listens.
+    /// Starts to listen, and accepts new requests.
     pub fn listen(self: &Rc<Server>) -> Result<()> {
         let listener = self.port.listen()?;
         self.draining.set(false);
         let task = spawn_local(self.clone().accept(listener));
-        if let Some(old) = self.listening.borrow_mut().replace(task) {
+        if let Some(old) = self.listener_task.borrow_mut().replace(task) {
             old.abort();
         }
         self.links.borrow().iter().for_each(|link| link.set_target_listening(true));
         Ok(())
     }
 
-    /// Kills its process. Connections are reset, unless `silently`: its machine is gone too.
-    pub fn die(&self, silently: bool) {
+    /// Kills the backend's process. Its links refuse connections from now on, unless `silently`: then the
+    /// machine is gone too, and the caller silences the links.
+    pub fn kill(&self, silently: bool) {
         let links = self.links.borrow();
-        if let Some(listening) = self.listening.borrow_mut().take() {
-            listening.abort();
+        if let Some(task) = self.listener_task.borrow_mut().take() {
+            task.abort();
         }
         if !silently {
             links.iter().for_each(|link| link.set_target_listening(false));
         }
         let now = self.history.now();
-        self.act(|machine, done| {
+        self.update_machine(|machine, done| {
             machine.kill(now, done);
-            // Work that completed in this moment is lost with the rest.
+            // Work that completed at this moment is lost with the rest.
             done.clear();
         });
         self.waiters.borrow_mut().clear();
-        if let Some(below) = &self.below {
-            below.idle.borrow_mut().clear();
+        if let Some(downstream) = &self.downstream {
+            downstream.idle_connections.borrow_mut().clear();
         }
         self.incarnation.send_modify(|incarnation| *incarnation += 1);
     }
 
-    /// Restarts, in slow start; [`Server::listen`] has to follow.
-    pub fn start(&self) {
+    /// Restarts the backend's process, in slow start. The caller must call [`Server::listen`] next.
+    pub fn restart(&self) {
         let now = self.history.now();
-        self.act(|machine, _| machine.start(now));
+        self.update_machine(|machine, _| machine.start(now));
         let server = self.parameters.number;
         self.history
             .record(|observations| observations.backend_starts.push(BackendStart { server, at: now }));
-        // Connections that wait for the machine are reset, as it is back.
+        // The restarted machine resets connections of its previous incarnation.
         self.links.borrow().iter().for_each(|link| link.reset());
     }
 
-    /// Rejects new requests, or accepts them again.
-    pub fn drain(&self, away: bool) {
-        self.draining.set(away);
+    /// Sets whether the backend rejects new requests.
+    pub fn set_draining(&self, draining: bool) {
+        self.draining.set(draining);
     }
 
-    /// Hangs, or continues.
-    pub fn hang(&self, hung: bool) {
+    /// Sets whether the machine hangs, that is, makes no progress.
+    pub fn set_hung(&self, hung: bool) {
         let now = self.history.now();
-        self.act(|machine, done| machine.hang(now, hung, done));
+        self.update_machine(|machine, done| machine.hang(now, hung, done));
     }
 
-    /// Slows down by a factor; 1 ends it.
-    pub fn slow(&self, times: f64) {
+    /// Sets the factor by which the machine is slower than usual; 1 is its usual speed.
+    pub fn set_slowdown(&self, factor: f64) {
         let now = self.history.now();
-        self.act(|machine, done| machine.slow(now, times, done));
+        self.update_machine(|machine, done| machine.slow(now, factor, done));
     }
 
-    /// Changes the machine, and passes on the work it completed by that.
-    fn act<T>(&self, change: impl FnOnce(&mut Machine, &mut Vec<Job>) -> T) -> T {
+    /// Changes the machine, and wakes the requests whose phase is complete by that.
+    fn update_machine<T>(&self, change: impl FnOnce(&mut Machine, &mut Vec<Job>) -> T) -> T {
         let mut done = Vec::new();
-        let out = change(&mut self.machine.borrow_mut(), &mut done);
+        let result = change(&mut self.machine.borrow_mut(), &mut done);
         while !done.is_empty() {
             for job in std::mem::take(&mut done) {
                 let waiter = self.waiters.borrow_mut().remove(&job);
-                // One that nobody awaits releases its slot.
+                // A job whose request has ended releases its slot.
                 if waiter.is_none_or(|waiter| waiter.send(()).is_err()) {
                     self.machine.borrow_mut().release(self.history.now(), &mut done);
                 }
             }
         }
         self.changed.notify_one();
-        out
+        result
     }
 
     /// Advances the machine with time.
-    async fn work(self: Rc<Server>) {
+    async fn run_machine(self: Rc<Server>) {
         loop {
             let due = self.machine.borrow().due();
             tokio::select! {
                 () = async {
                     match due {
                         Some(due) => sleep_until(self.history.instant(due)).await,
-                        None => sleep(IDLE).await,
+                        None => sleep(IDLE_SLEEP).await,
                     }
                 } => {}
                 () = self.changed.notified() => continue,
             }
             let now = self.history.now();
-            self.act(|machine, done| machine.advance(now, done));
+            self.update_machine(|machine, done| machine.advance(now, done));
         }
     }
 
@@ -270,8 +275,8 @@
         while let Ok((stream, peer)) = listener.accept().await {
             let number = self.parameters.number;
             self.history.record(|observations| {
-                let most = observations.handshakes.len().max(number + 1);
-                observations.handshakes.resize(most, 0);
+                let length = observations.handshakes.len().max(number + 1);
+                observations.handshakes.resize(length, 0);
                 observations.handshakes[number] += 1;
             });
             spawn_local(self.clone().connection(stream, peer));
@@ -281,12 +286,12 @@
     async fn connection(self: Rc<Server>, stream: TcpStream, peer: SocketAddr) {
         let mut incarnation = self.incarnation.subscribe();
         let mut connection = HttpConnection::new(stream);
-        let clean = tokio::select! {
+        let ended_cleanly = tokio::select! {
             biased;
             _ = incarnation.changed() => false,
             ended = self.clone().serve_requests(&mut connection, peer) => ended.is_ok(),
         };
-        if !clean {
+        if !ended_cleanly {
             crate::tcp_proxy::abort(&connection.stream);
         }
     }
@@ -298,34 +303,35 @@
     ) -> Result<()> {
         while let Some(message) = connection.read_message(true).await? {
             let Some(link) = self.connections.borrow().get(&(peer, self.address())).copied() else {
-                return connection.write_response("404 Not Found", "", "who calls?").await;
+                return connection.write_response("404 Not Found", "", "unknown link").await;
             };
-            let (Some(id), Some(wish)) = (message.header("request-id"), parse_parameters(&message)) else {
-                connection.write_response("400 Bad Request", "", "no such call").await?;
+            let (Some(id), Some(request)) = (message.header("request-id"), parse_parameters(&message)) else {
+                connection.write_response("400 Bad Request", "", "invalid request").await?;
                 continue;
             };
-            let timeout = message.header("request-timeout-ms").and_then(|t| t.parse::<f64>().ok());
-            let hop = self.record_arrival(id, link, wish.work * self.parameters.part);
-            // Completes the record also when this future is dropped with its process.
-            let mut guard = AttemptGuard { history: self.history.clone(), hop, result: BackendResult::Lost };
+            let timeout_ms = message.header("request-timeout-ms").and_then(|t| t.parse::<f64>().ok());
+            let index = self.record_arrival(id, link, request.work * self.parameters.work_fraction);
+            // Completes the record even if this future is dropped because the backend is killed.
+            let mut guard =
+                AttemptGuard { history: self.history.clone(), index, result: BackendResult::Lost };
             if self.draining.get() {
                 guard.result = BackendResult::Rejected;
                 drop(guard);
-                connection.write_response("503 Service Unavailable", NOT_STARTED, "").await?;
+                connection.write_response("503 Service Unavailable", NOT_STARTED_HEADER, "").await?;
                 continue;
             }
-            let until = self.history.now() + timeout.unwrap_or(f64::MAX).min(1e7);
-            guard.result = self.serve_request(connection, id, &wish, until, &mut guard).await;
-            let done = guard.result;
+            let deadline = self.history.now() + timeout_ms.unwrap_or(f64::MAX).min(1e7);
+            guard.result = self.serve_request(connection, id, &request, deadline, &mut guard).await;
+            let result = guard.result;
             drop(guard);
-            match done {
+            match result {
                 BackendResult::Served => {
                     connection
                         .write_response("200 OK", "", &format!("{id} s{}", self.parameters.number))
                         .await?;
                 }
                 BackendResult::Rejected => {
-                    connection.write_response("503 Service Unavailable", NOT_STARTED, "").await?
+                    connection.write_response("503 Service Unavailable", NOT_STARTED_HEADER, "").await?
                 }
                 BackendResult::Error => {
                     connection.write_response("500 Internal Server Error", "", "").await?
@@ -339,7 +345,7 @@
     fn record_arrival(&self, id: &str, link: usize, work: f64) -> usize {
         let (process, incarnation) = (self.identify_sender)(link);
         let at = self.history.now();
-        let hop = BackendAttempt {
+        let attempt = BackendAttempt {
             id: id.to_string(),
             server: self.parameters.number,
             process,
@@ -350,59 +356,62 @@
             result: BackendResult::InProgress,
         };
         self.history.record(|observations| {
-            observations.backend_attempts.push(hop);
+            observations.backend_attempts.push(attempt);
             observations.backend_attempts.len() - 1
         })
     }
 
-    fn part(&self) -> f64 {
-        // A Weyl sequence by the golden ratio: uniform, and the same in every run.
+    /// The next pseudo-random number, from 0 to below 1.
+    fn next_fraction(&self) -> f64 {
+        // A Weyl sequence of the golden ratio: uniform, and the same in every run.
         self.random.set(self.random.get().wrapping_add(0x9E37_79B9_7F4A_7C15));
         (self.random.get() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Processes one request from its first phase to its last.
+    /// Processes one request from its first phase to its last. Sets the result of `guard` where the request
+    /// is cancelled.
     #[allow(clippy::too_many_lines, reason = "one request from its arrival to its end")]
     async fn serve_request(
         &self,
         connection: &mut HttpConnection,
         id: &str,
-        wish: &RequestParameters,
-        until: f64,
+        request: &RequestParameters,
+        deadline: f64,
         guard: &mut AttemptGuard,
     ) -> BackendResult {
-        let whole = self.parameters.calls.floor();
-        let below = whole as usize + usize::from(self.part() < self.parameters.calls - whole);
-        let work = wish.work * self.parameters.part / (below + 1) as f64;
-        let job = self.next.get();
-        self.next.set(job + 1);
-        let (tell, mut done) = oneshot::channel();
-        self.waiters.borrow_mut().insert(job, tell);
+        let whole = self.parameters.downstream_requests.floor();
+        let downstream_requests =
+            whole as usize + usize::from(self.next_fraction() < self.parameters.downstream_requests - whole);
+        let work = request.work * self.parameters.work_fraction / (downstream_requests + 1) as f64;
+        let job = self.next_job.get();
+        self.next_job.set(job + 1);
+        let (completed, mut phase_done) = oneshot::channel();
+        self.waiters.borrow_mut().insert(job, completed);
         let now = self.history.now();
-        if self.act(|machine, ended| machine.offer(now, job, work, ended)) == Admission::Full {
+        if self.update_machine(|machine, ended| machine.offer(now, job, work, ended)) == Admission::Full {
             self.waiters.borrow_mut().remove(&job);
             return BackendResult::Rejected;
         }
-        for phase in 0..=below {
+        for phase in 0..=downstream_requests {
             let worked = tokio::select! {
-                worked = &mut done => worked.is_ok(),
+                worked = &mut phase_done => worked.is_ok(),
                 () = connection.closed() => {
                     guard.result = BackendResult::Cancelled;
                     self.waiters.borrow_mut().remove(&job);
                     let now = self.history.now();
-                    // Running work goes on to the end of its phase, and releases its slot then.
-                    self.act(|machine, ended| machine.cancel(now, job, ended));
+                    // Work that has begun continues to the end of its phase, and releases its slot then.
+                    self.update_machine(|machine, ended| machine.cancel(now, job, ended));
                     return BackendResult::Cancelled;
                 }
             };
             if !worked {
                 return BackendResult::Lost;
             }
-            if phase == below {
+            if phase == downstream_requests {
                 break;
             }
             let answered = tokio::select! {
-                answered = self.request_below(id, phase, below, wish, until) => answered,
+                answered = self.send_downstream(id, phase, downstream_requests, request, deadline) => answered,
                 () = connection.closed() => {
                     self.release_slot();
                     return BackendResult::Cancelled;
@@ -412,11 +421,11 @@
                 self.release_slot();
                 return BackendResult::Error;
             }
-            let (tell, next) = oneshot::channel();
-            done = next;
-            self.waiters.borrow_mut().insert(job, tell);
+            let (completed, next_phase_done) = oneshot::channel();
+            phase_done = next_phase_done;
+            self.waiters.borrow_mut().insert(job, completed);
             let now = self.history.now();
-            self.act(|machine, ended| machine.resume(now, job, work, ended));
+            self.update_machine(|machine, ended| machine.resume(now, job, work, ended));
         }
         self.release_slot();
         BackendResult::Served
@@ -424,33 +433,33 @@
 
     fn release_slot(&self) {
         let now = self.history.now();
-        self.act(|machine, done| machine.release(now, done));
+        self.update_machine(|machine, done| machine.release(now, done));
     }
 
-    /// One request to the next tier; true if it was served.
+    /// Sends one request to the next tier and returns whether it was served; true in the last tier.
     #[allow(clippy::too_many_lines, reason = "one request from its arrival to its end")]
-    async fn request_below(
+    async fn send_downstream(
         &self,
         id: &str,
         phase: usize,
-        calls: usize,
-        wish: &RequestParameters,
-        until: f64,
+        request_count: usize,
+        request: &RequestParameters,
+        deadline: f64,
     ) -> bool {
-        let Some(below) = &self.below else { return true };
+        let Some(downstream) = &self.downstream else { return true };
         let id = format!("{id}.{}-{phase}", self.random.get() % 100_000);
-        let (class, idempotent, keyed) = &below.classes[wish.class];
-        let timeout_ms = (until - self.history.now()).max(0.0);
-        let key = keyed.then(|| wish.key.as_ref().map(|key| format!("{key}.{phase}"))).flatten();
-        let all = self.parameters.calls.max(1.0).max((calls - phase) as f64);
-        let made = RecordedAttempt::new(
+        let (class, idempotent, keyed) = &downstream.classes[request.class];
+        let timeout_ms = (deadline - self.history.now()).max(0.0);
+        let key = keyed.then(|| request.key.as_ref().map(|key| format!("{key}.{phase}"))).flatten();
+        let work_divisor = self.parameters.downstream_requests.max(1.0).max((request_count - phase) as f64);
+        let attempt = RecordedAttempt::new(
             self.history.clone(),
             ClientAttempt {
                 id: id.clone(),
-                class: wish.class,
-                tenant: wish.tenant,
+                class: request.class,
+                tenant: request.tenant,
                 key: key.clone(),
-                process: below.process,
+                process: downstream.process,
                 written_at: None,
                 timeout_ms,
                 ended_at: 0.0,
@@ -458,100 +467,103 @@
                 retry_after_ms: None,
             },
         );
-        let call = OutgoingRequest {
+        let outgoing = OutgoingRequest {
             id: &id,
             class,
-            tenant: below.tenants.get(wish.tenant).map(String::as_str),
+            tenant: downstream.tenants.get(request.tenant).map(String::as_str),
             timeout_ms: timeout_ms as u64,
             key: key.as_deref(),
             idempotent: *idempotent,
-            target: &target(wish.class, wish.tenant, wish.work / all),
+            target: &target(request.class, request.tenant, request.work / work_divisor),
             is_retry: false,
         };
-        let taken = below.idle.borrow_mut().pop();
-        let most = Duration::from_secs_f64((timeout_ms + RESPONSE_MARGIN_MS) / 1e3);
-        let asked = send_request(taken, below.address, &call, &made, |_| false);
-        let (ended, connection) = match timeout(most, asked).await {
-            Ok((ended, _, connection)) => (ended, connection),
+        let idle = downstream.idle_connections.borrow_mut().pop();
+        let wait = Duration::from_secs_f64((timeout_ms + RESPONSE_MARGIN_MS) / 1e3);
+        let sending = send_request(idle, downstream.address, &outgoing, &attempt, |_| false);
+        let (result, connection) = match timeout(wait, sending).await {
+            Ok((result, _, connection)) => (result, connection),
             Err(_) => (ClientResult::Unanswered, None),
         };
         if let Some(connection) = connection {
-            below.idle.borrow_mut().push(connection);
+            downstream.idle_connections.borrow_mut().push(connection);
         }
-        let served = ended == ClientResult::Served;
-        made.ended(ended, None);
+        let served = result == ClientResult::Served;
+        attempt.end(result, None);
         served
     }
 }
 
-/// A request that crosses the closing of an idle connection fails within this time, in milliseconds.
-pub(crate) const CROSSED_MS: f64 = 20.0;
+/// A connection that ends within this time after a request was written was closed before the proxy could read
+/// the request, in milliseconds.
+pub(crate) const CLOSE_RACE_MS: f64 = 20.0;
 
-/// How an attempt at a proxy ended, its Retry-After in milliseconds, and the connection if it can be reused.
+/// The result of an attempt at a proxy, its Retry-After in milliseconds, and the connection if it can be
+/// reused.
 pub(crate) type AttemptOutcome = (ClientResult, Option<f64>, Option<HttpConnection>);
 
 /// Sends a request to a proxy, on an idle connection if there is one. If the proxy has closed that meanwhile,
-/// it is sent once more on a new one. `untaken`: whether the proxy never accepted the connection from a local
-/// address.
+/// the request is sent once more on a new connection. `unaccepted` tells for a local address whether the
+/// proxy never accepted the connection from it.
 #[allow(clippy::too_many_lines, reason = "one request from its arrival to its end")]
 pub(crate) async fn send_request(
-    kept: Option<HttpConnection>,
+    idle: Option<HttpConnection>,
     address: SocketAddr,
-    call: &OutgoingRequest<'_>,
-    made: &RecordedAttempt,
+    request: &OutgoingRequest<'_>,
+    attempt: &RecordedAttempt,
     unaccepted: impl Fn(SocketAddr) -> bool,
 ) -> AttemptOutcome {
     use tokio::io::AsyncWriteExt;
-    let text = call.encode();
-    let mut kept = kept;
+    let text = request.encode();
+    let mut idle = idle;
     loop {
-        let was_kept = kept.is_some();
-        let mut connection = match kept.take() {
+        let was_idle = idle.is_some();
+        let mut connection = match idle.take() {
             Some(connection) => connection,
             None => match TcpStream::connect(address).await {
                 Ok(stream) => HttpConnection::new(stream),
                 Err(_) => return (ClientResult::NotAccepted, None, None),
             },
         };
-        let own = connection.stream.local_addr();
+        let local_address = connection.stream.local_addr();
         if connection.stream.write_all(text.as_bytes()).await.is_err() {
-            if was_kept {
+            if was_idle {
                 continue;
             }
             return (ClientResult::NotAccepted, None, None);
         }
-        made.written(true);
+        attempt.set_written(true);
         let message = match connection.read_message(false).await {
             Ok(Some(message)) => message,
             Ok(None) | Err(_) => {
-                // The close crossed this request.
-                if was_kept && made.since_written() < CROSSED_MS {
+                // The proxy closed the connection while the request was under way.
+                if was_idle && attempt.since_written_ms() < CLOSE_RACE_MS {
                     continue;
                 }
-                if own.is_ok_and(&unaccepted) {
-                    made.written(false);
+                if local_address.is_ok_and(&unaccepted) {
+                    attempt.set_written(false);
                     return (ClientResult::NotAccepted, None, None);
                 }
                 return (ClientResult::Broken, None, None);
             }
         };
-        let wait = message.header("retry-after").and_then(|t| t.parse::<f64>().ok()).map(|s| s * 1e3);
-        let ended = match connection.has_unread_bytes() {
-            true => ClientResult::Invalid("more than one answer".into()),
-            false => result_of(&message, call.id),
+        let retry_after_ms =
+            message.header("retry-after").and_then(|t| t.parse::<f64>().ok()).map(|s| s * 1e3);
+        let result = match connection.has_unread_bytes() {
+            true => ClientResult::Invalid("more than one response".into()),
+            false => result_of(&message, request.id),
         };
-        return (ended, wait, Some(connection).filter(|_| !closes(&message)));
+        return (result, retry_after_ms, Some(connection).filter(|_| !closes_connection(&message)));
     }
 }
 
-/// How a request ended that got this answer.
-pub(crate) fn result_of(answer: &Message, id: &str) -> ClientResult {
-    match answer.status {
+/// The result of a request that got this response.
+pub(crate) fn result_of(response: &Message, id: &str) -> ClientResult {
+    match response.status {
         200 => {
-            let body = String::from_utf8_lossy(&answer.body).into_owned();
+            let body = String::from_utf8_lossy(&response.body).into_owned();
             match body.split_once(' ') {
                 Some((served, _)) if served == id => ClientResult::Served,
-                _ => ClientResult::Invalid(format!("an answer to another request: {body}")),
+                _ => ClientResult::Invalid(format!("response to another request: {body}")),
             }
         }
         429 | 503 => ClientResult::Refused,
@@ -559,12 +571,13 @@
     }
 }
 
-/// Whether a connection is closed behind an answer.
-pub(crate) fn closes(answer: &Message) -> bool {
-    answer.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
+/// Whether the proxy closes the connection after this response.
+pub(crate) fn closes_connection(response: &Message) -> bool {
+    response.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
 }
 
-/// An attempt in the record; when dropped without an end, its client has left.
+/// The record of a client's attempt. Dropped without a call of [`RecordedAttempt::end`], the attempt counts
+/// as abandoned by its client.
 pub(crate) struct RecordedAttempt {
     history: Rc<History>,
     index: usize,
@@ -572,31 +585,34 @@
 }
 
 impl RecordedAttempt {
-    pub(crate) fn new(history: Rc<History>, a_try: ClientAttempt) -> RecordedAttempt {
+    pub(crate) fn new(history: Rc<History>, attempt: ClientAttempt) -> RecordedAttempt {
         let index = history.record(|observations| {
-            observations.client_attempts.push(a_try);
+            observations.client_attempts.push(attempt);
             observations.client_attempts.len() - 1
         });
         RecordedAttempt { history, index, ended: Cell::new(false) }
     }
 
-    /// Its last byte was written; false takes that back.
-    pub(crate) fn written(&self, written: bool) {
+    /// Records that the last byte of the request was written just now or, with false, that the proxy did not
+    /// accept it.
+    pub(crate) fn set_written(&self, written: bool) {
         let at = written.then(|| self.history.now());
         self.history.record(|observations| observations.client_attempts[self.index].written_at = at);
     }
 
-    pub(crate) fn since_written(&self) -> f64 {
+    /// The time since the request was written, in milliseconds.
+    pub(crate) fn since_written_ms(&self) -> f64 {
         let written = self.history.record(|observations| observations.client_attempts[self.index].written_at);
         self.history.now() - written.unwrap_or(f64::MIN)
     }
 
-    pub(crate) fn ended(&self, result: ClientResult, retry_after_ms: Option<f64>) {
+    /// Records the result of the attempt and its end, which is now.
+    pub(crate) fn end(&self, result: ClientResult, retry_after_ms: Option<f64>) {
         let now = self.history.now();
         self.ended.set(true);
         self.history.record(|observations| {
-            let a_try = &mut observations.client_attempts[self.index];
-            (a_try.result, a_try.ended_at, a_try.retry_after_ms) = (result, now, retry_after_ms);
+            let attempt = &mut observations.client_attempts[self.index];
+            (attempt.result, attempt.ended_at, attempt.retry_after_ms) = (result, now, retry_after_ms);
         });
     }
 }
@@ -604,24 +620,24 @@
 impl Drop for RecordedAttempt {
     fn drop(&mut self) {
         if !self.ended.get() {
-            self.ended(ClientResult::Abandoned, None);
+            self.end(ClientResult::Abandoned, None);
         }
     }
 }
 
-/// Records the end of a proxy's attempt when dropped.
+/// Records the end of an attempt at a backend, with its result, when dropped.
 struct AttemptGuard {
     history: Rc<History>,
-    hop: usize,
+    index: usize,
     result: BackendResult,
 }
 
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        let (now, done) = (self.history.now(), self.result);
+        let (now, result) = (self.history.now(), self.result);
         self.history.record(|observations| {
-            if let Some(hop) = observations.backend_attempts.get_mut(self.hop) {
-                (hop.result, hop.ended_at) = (done, now);
+            if let Some(attempt) = observations.backend_attempts.get_mut(self.index) {
+                (attempt.result, attempt.ended_at) = (result, now);
             }
         });
     }
--- a/crates/fault-injection/src/soak/clients.rs
+++ b/crates/fault-injection/src/soak/clients.rs
@@ -1,11 +1,12 @@
-//! Clients that keep to their connections while a proxy ends, and the crowd beside them.
+//! The clients of the soak, which go on using their connections while a proxy shuts down, and the additional
+//! load.
 
-use super::plan::{Crowd, Habit, SoakPlan, TERM_AT_MS};
+use super::plan::{BackgroundLoad, ClientBehavior, SoakPlan, TERM_AT_MS};
 use crate::fleet::{Fleet, LinkEnds};
 use crate::history::{ClientAttempt, ClientResult};
 use crate::http::{HttpConnection, OutgoingRequest};
 use crate::platform_rules::CONNECT_AFTER_TERM_MS;
-use crate::server::{closes, result_of, target, RecordedAttempt, CROSSED_MS};
+use crate::server::{closes_connection, result_of, target, RecordedAttempt, CLOSE_RACE_MS};
 use hillstall_decision::RetrySafety;
 use hillstall_simulation::random::part;
 use rand_xoshiro::rand_core::SeedableRng;
@@ -18,48 +19,55 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Work of a request, in core milliseconds.
+/// The work of a request, in core milliseconds.
 const WORK_MS: f64 = 40.0;
-/// An answer later than this after the timeout of its request counts as none, in milliseconds.
-const LATE_ANSWER_MS: f64 = 550.0;
-/// Between two attempts to connect.
+/// A response that comes later than this after the timeout of its request counts as none, in milliseconds.
+const MAX_LATENESS_MS: f64 = 550.0;
+/// Interval between two attempts to connect.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(20);
-/// Ranges of the pauses that clients make, in milliseconds.
+/// The range of short pauses, between requests and between pieces of a request, in milliseconds.
 const SHORT_PAUSE_MS: (f64, f64) = (2.0, 40.0);
+/// The range of the pauses of [`ClientBehavior::LongPauses`], in milliseconds.
 const LONG_PAUSE_MS: (f64, f64) = (200.0, 4_000.0);
-/// The pieces of a request that is not sent at once.
+/// The number of pieces of a request that is sent in pieces.
 const PIECES: usize = 3;
-/// The most requests that are sent at once.
+/// The largest number of requests that are sent at once.
 const MAX_PIPELINED: usize = 4;
 
-/// The proxy that ends.
+/// The number of the proxy under test, which shuts down.
 pub(super) const TARGET: usize = 0;
 
-/// Starts the clients and the crowd of a plan.
+/// Starts the clients and the additional load of a plan.
 pub(super) fn start(fleet: &Rc<Fleet>, plan: &SoakPlan) {
-    for (number, habit) in plan.habits.iter().enumerate() {
+    for (number, behavior) in plan.clients.iter().enumerate() {
         let random = Xoshiro256PlusPlus::seed_from_u64(plan.seed.wrapping_mul(1_000) + number as u64);
-        let is_crowded = plan.crowd != Crowd::Nobody;
-        let client =
-            Client { fleet: fleet.clone(), number, habit: *habit, is_crowded, random: RefCell::new(random) };
+        let has_background_load = plan.background_load != BackgroundLoad::None;
+        let client = Client {
+            fleet: fleet.clone(),
+            number,
+            behavior: *behavior,
+            has_background_load,
+            random: RefCell::new(random),
+        };
         spawn_local(client.run());
     }
-    spawn_local(crowd(fleet.clone(), plan.crowd, plan.killed_at_ms()));
+    spawn_local(run_background_load(fleet.clone(), plan.background_load, plan.killed_at_ms()));
 }
 
-/// Keeps a crowd at the proxy until it is killed.
-async fn crowd(fleet: Rc<Fleet>, crowd: Crowd, until_ms: f64) {
+/// Puts the additional load on the proxy under test: idle connections until SIGKILL, short ones until clients
+/// open no new connections.
+async fn run_background_load(fleet: Rc<Fleet>, load: BackgroundLoad, until_ms: f64) {
     let address = fleet.processes[TARGET].address();
-    match crowd {
-        Crowd::Nobody => {}
-        Crowd::Idle(count) => {
+    match load {
+        BackgroundLoad::None => {}
+        BackgroundLoad::IdleConnections(count) => {
             let mut idle = Vec::new();
             for _ in 0..count {
                 idle.extend(TcpStream::connect(address).await.ok());
             }
             sleep(Duration::from_secs_f64((until_ms - fleet.history.now()).max(0.0) / 1e3)).await;
         }
-        Crowd::Flood(per_second) => {
+        BackgroundLoad::ShortConnections(per_second) => {
             while fleet.history.now() < TERM_AT_MS + CONNECT_AFTER_TERM_MS {
                 if let Ok(mut stream) = TcpStream::connect(address).await {
                     let _ = stream.write_all(b"GET /flood HTTP/1.1\r\nHost: p\r\n\r\n").await;
@@ -70,7 +78,7 @@
     }
 }
 
-/// What a client needs to write a request and to record it.
+/// A request that is ready to be written, with its record.
 struct PreparedRequest {
     id: String,
     text: String,
@@ -78,38 +86,39 @@
     attempt: RecordedAttempt,
 }
 
-/// What became of a request on its connection.
-enum Answered {
-    /// It was answered, and the connection stays open.
-    Kept,
-    /// It was answered, and the proxy closes the connection.
-    Closing,
-    /// There is no answer, and nothing more comes.
-    Nothing,
+/// The outcome of a request for its connection.
+enum ResponseOutcome {
+    /// A response came, and the connection stays open.
+    KeepAlive,
+    /// A response came, and the proxy closes the connection after it.
+    Close,
+    /// No response came, and none will come on this connection.
+    NoResponse,
 }
 
-/// What may have ended a connection right before a request came.
+/// Why a connection may have ended before the proxy read a request.
 #[derive(Clone, Copy, PartialEq)]
-enum MayCross {
-    /// The close of a connection that has brought answers.
-    Close,
-    /// The close of a new connection, in a crowd that leaves no room for it.
-    Crowd,
-    /// Nothing: the request was read.
-    Nothing,
+enum UnreadCause {
+    /// The proxy closed an idle connection just before.
+    IdleClose,
+    /// The proxy closed a new connection unread, as the additional load leaves no room for it.
+    ConnectionLimit,
+    /// None: the proxy must have read the request.
+    None,
 }
 
 struct Client {
     fleet: Rc<Fleet>,
     number: usize,
-    habit: Habit,
-    /// Whether new connections may be closed unread.
-    is_crowded: bool,
+    behavior: ClientBehavior,
+    /// Whether the proxy may close new connections unread because of the additional load.
+    has_background_load: bool,
     random: RefCell<Xoshiro256PlusPlus>,
 }
 
 impl Client {
-    /// Uses one connection after another; after the last moment for new ones, the present one to its end.
+    /// Uses one connection after another. Opens no new connection later than [`CONNECT_AFTER_TERM_MS`] after
+    /// SIGTERM, but uses the present one until it ends.
     async fn run(self) {
         let mut sent = 0;
         while self.fleet.history.now() < TERM_AT_MS + CONNECT_AFTER_TERM_MS {
@@ -130,75 +139,76 @@
     }
 
     async fn use_connection(&self, mut connection: HttpConnection, sent: &mut usize) {
-        let mut answered = 0;
+        let mut response_count = 0;
         loop {
-            match self.habit {
-                Habit::Resting if answered > 0 => self.pause(LONG_PAUSE_MS).await,
+            match self.behavior {
+                ClientBehavior::LongPauses if response_count > 0 => self.pause(LONG_PAUSE_MS).await,
                 _ => self.pause(SHORT_PAUSE_MS).await,
             }
-            let count = match self.habit {
-                Habit::Pipelined => 1 + self.between((0.0, MAX_PIPELINED as f64)) as usize,
+            let count = match self.behavior {
+                ClientBehavior::Pipelined => 1 + self.between((0.0, MAX_PIPELINED as f64)) as usize,
                 _ => 1,
             };
             let requests: Vec<PreparedRequest> = (0..count).map(|n| self.prepare(*sent + n)).collect();
             *sent += count;
-            if self.habit == Habit::Half && answered > 0 {
-                return self.stay_within_a_request(connection, &requests[0]).await;
+            if self.behavior == ClientBehavior::PartialRequest && response_count > 0 {
+                return self.send_partial_request(connection, &requests[0]).await;
             }
-            if !self.write(&mut connection, &requests, answered > 0).await {
+            if !self.write(&mut connection, &requests, response_count > 0).await {
                 return;
             }
-            if self.habit == Habit::Leaving && self.between((0.0, 1.0)) < 0.3 {
+            if self.behavior == ClientBehavior::Abandoning && self.between((0.0, 1.0)) < 0.3 {
                 self.pause(SHORT_PAUSE_MS).await;
                 return;
             }
-            let may_cross = if answered > 0 { MayCross::Close } else { MayCross::Crowd };
-            if !self.take_answers(&mut connection, requests, may_cross).await {
+            let unread_cause =
+                if response_count > 0 { UnreadCause::IdleClose } else { UnreadCause::ConnectionLimit };
+            if !self.read_responses(&mut connection, requests, unread_cause).await {
                 return;
             }
-            answered += count;
+            response_count += count;
         }
     }
 
-    /// Takes the answers of requests that were written together; false once the connection is to be used no
-    /// more. All of them are owed an answer as soon as one has got it.
-    async fn take_answers(
+    /// Reads the responses of requests that were written together, and returns whether the connection can be
+    /// used further. Once one of the requests has got a response, the proxy owes one to all of them.
+    async fn read_responses(
         &self,
         connection: &mut HttpConnection,
         requests: Vec<PreparedRequest>,
-        mut may_cross: MayCross,
+        mut unread_cause: UnreadCause,
     ) -> bool {
-        let mut stays_open = true;
+        let mut can_be_reused = true;
         for request in requests {
-            match self.take_answer(connection, request, may_cross).await {
-                Answered::Kept => {}
-                Answered::Closing => stays_open = false,
-                Answered::Nothing => return false,
+            match self.read_response(connection, request, unread_cause).await {
+                ResponseOutcome::KeepAlive => {}
+                ResponseOutcome::Close => can_be_reused = false,
+                ResponseOutcome::NoResponse => return false,
             }
-            may_cross = MayCross::Nothing;
+            unread_cause = UnreadCause::None;
         }
-        stays_open
+        can_be_reused
     }
 
     fn prepare(&self, number: usize) -> PreparedRequest {
         let process = &self.fleet.processes[TARGET];
         let classes = &process.settings.classes;
         let class = (self.between((0.0, classes.len() as f64)) as usize).min(classes.len() - 1);
-        let of = &classes[class];
+        let class_settings = &classes[class];
         let id = format!("s{}-{number}", self.number);
-        let key = (of.retry_safety == RetrySafety::IdempotencyKey).then(|| format!("key-{id}"));
-        let timeout_ms = of.deadline_ms;
-        let call = OutgoingRequest {
+        let key = (class_settings.retry_safety == RetrySafety::IdempotencyKey).then(|| format!("key-{id}"));
+        let timeout_ms = class_settings.deadline_ms;
+        let request = OutgoingRequest {
             id: &id,
-            class: &of.name,
+            class: &class_settings.name,
             tenant: None,
             timeout_ms: timeout_ms as u64,
             key: key.as_deref(),
-            idempotent: of.retry_safety == RetrySafety::Idempotent,
+            idempotent: class_settings.retry_safety == RetrySafety::Idempotent,
             target: &target(class, 0, WORK_MS),
             is_retry: false,
         };
-        let text = call.encode();
+        let text = request.encode();
         let attempt = ClientAttempt {
             id: id.clone(),
             class,
@@ -206,7 +216,7 @@
             key,
             process: TARGET,
             written_at: None,
-            timeout_ms: timeout_ms,
+            timeout_ms,
             ended_at: 0.0,
             result: ClientResult::Abandoned,
             retry_after_ms: None,
@@ -215,69 +225,73 @@
         PreparedRequest { id, text, timeout_ms, attempt }
     }
 
-    /// Sends the first half of a request, and waits for the end of the connection.
-    async fn stay_within_a_request(&self, mut connection: HttpConnection, request: &PreparedRequest) {
+    /// Sends the first half of a request, and waits until the proxy closes the connection.
+    async fn send_partial_request(&self, mut connection: HttpConnection, request: &PreparedRequest) {
         let half = request.text.len() / 2;
         if connection.stream.write_all(&request.text.as_bytes()[..half]).await.is_ok() {
             connection.closed().await;
         }
-        request.attempt.ended(ClientResult::NotAccepted, None);
+        request.attempt.end(ClientResult::NotAccepted, None);
     }
 
-    /// Writes requests at once or, on a connection that has brought an answer, in pieces; false if the
-    /// connection has ended.
+    /// Writes requests at once or, for [`ClientBehavior::InPieces`] on a connection that has brought a
+    /// response, in pieces. Returns false if the connection has ended.
     async fn write(
         &self,
         connection: &mut HttpConnection,
         requests: &[PreparedRequest],
-        is_kept: bool,
+        had_response: bool,
     ) -> bool {
         let text: String = requests.iter().map(|request| request.text.as_str()).collect();
-        let pieces = if self.habit == Habit::Pieces && is_kept { PIECES } else { 1 };
+        let pieces = if self.behavior == ClientBehavior::InPieces && had_response { PIECES } else { 1 };
         for piece in text.as_bytes().chunks(text.len().div_ceil(pieces)) {
             if connection.stream.write_all(piece).await.is_err() {
-                requests.iter().for_each(|request| request.attempt.ended(ClientResult::NotAccepted, None));
+                requests.iter().for_each(|request| request.attempt.end(ClientResult::NotAccepted, None));
                 return false;
             }
             if pieces > 1 {
                 self.pause(SHORT_PAUSE_MS).await;
             }
         }
-        requests.iter().for_each(|request| request.attempt.written(true));
+        requests.iter().for_each(|request| request.attempt.set_written(true));
         true
     }
 
-    /// Waits for the answer of a request and records it.
-    async fn take_answer(
+    /// Waits for the response to a request and records the result.
+    async fn read_response(
         &self,
         connection: &mut HttpConnection,
         request: PreparedRequest,
-        may_cross: MayCross,
-    ) -> Answered {
+        unread_cause: UnreadCause,
+    ) -> ResponseOutcome {
         let PreparedRequest { id, timeout_ms, attempt, .. } = request;
-        let longest = Duration::from_secs_f64((timeout_ms + LATE_ANSWER_MS) / 1e3);
-        match timeout(longest, connection.read_message(false)).await {
-            Err(_) => attempt.ended(ClientResult::Unanswered, None),
-            Ok(Ok(Some(answer))) => {
-                attempt.ended(result_of(&answer, &id), None);
-                return if closes(&answer) { Answered::Closing } else { Answered::Kept };
+        let wait = Duration::from_secs_f64((timeout_ms + MAX_LATENESS_MS) / 1e3);
+        match timeout(wait, connection.read_message(false)).await {
+            Err(_) => attempt.end(ClientResult::Unanswered, None),
+            Ok(Ok(Some(response))) => {
+                attempt.end(result_of(&response, &id), None);
+                return if closes_connection(&response) {
+                    ResponseOutcome::Close
+                } else {
+                    ResponseOutcome::KeepAlive
+                };
             }
             Ok(Ok(None) | Err(_)) => {
-                // The close crossed the request, or the connection was one too many: it was not read then. If
-                // it was forwarded all the same, the checker sees that.
-                let has_crossed = match may_cross {
-                    MayCross::Close => attempt.since_written() < CROSSED_MS,
-                    MayCross::Crowd => self.is_crowded,
-                    MayCross::Nothing => false,
+                // The proxy may have closed the connection before it read the request. If it has forwarded
+                // the request all the same, the checker finds that.
+                let is_unread = match unread_cause {
+                    UnreadCause::IdleClose => attempt.since_written_ms() < CLOSE_RACE_MS,
+                    UnreadCause::ConnectionLimit => self.has_background_load,
+                    UnreadCause::None => false,
                 };
-                if has_crossed {
-                    attempt.written(false);
-                    attempt.ended(ClientResult::NotAccepted, None);
+                if is_unread {
+                    attempt.set_written(false);
+                    attempt.end(ClientResult::NotAccepted, None);
                 } else {
-                    attempt.ended(ClientResult::Broken, None);
+                    attempt.end(ClientResult::Broken, None);
                 }
             }
         }
-        Answered::Nothing
+        ResponseOutcome::NoResponse
     }
 }
--- a/crates/fault-injection/src/soak/mod.rs
+++ b/crates/fault-injection/src/soak/mod.rs
@@ -1,12 +1,12 @@
-//! A soak of graceful shutdowns: one proxy of a fleet of real processes is asked to end while its clients go
-//! on using the connections that they have, until it is killed at the earliest time that the platform allows.
-//! Signals, faults and clients are drawn from a seed, and the invariant checker judges every request.
+//! A soak of graceful shutdowns. One proxy of a fleet of real processes gets SIGTERM while its clients go on
+//! using their connections, and SIGKILL at the earliest time that the platform allows. Signals, faults and
+//! clients are drawn from a seed, and the invariant checker judges every request.
 
 mod clients;
 mod plan;
 mod summary;
 
-pub use plan::{Crowd, Habit, SoakPlan, TimedSignal, TERM_AT_MS};
+pub use plan::{BackgroundLoad, ClientBehavior, SoakPlan, TimedSignal, TERM_AT_MS};
 pub use summary::SoakSummary;
 
 use crate::coordination_fleet::CoordinationOptions;
@@ -18,23 +18,23 @@
 use std::rc::Rc;
 use tokio::time::sleep_until;
 
-/// The replicas of a fleet whose instances coordinate.
-const REPLICAS: usize = 3;
-/// The watch on discovery fails this long before SIGTERM, in milliseconds.
-const WATCH_FAULT_LEAD_MS: f64 = 200.0;
+/// The number of voters in a fleet whose instances coordinate.
+const VOTERS: usize = 3;
+/// The link to discovery fails this long before SIGTERM, in milliseconds.
+const DISCOVERY_FAULT_LEAD_MS: f64 = 200.0;
 
-/// What a test does beside the soak, to see that the checker finds it.
-pub type Sabotage = fn(Rc<Fleet>) -> std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>;
+/// A fault that a test adds to the soak, to show that the checker finds the violations it causes.
+pub type InjectedFault = fn(Rc<Fleet>) -> std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>;
 
 /// Runs the soak of one seed on real processes of `program`.
 ///
 /// # Errors
-/// If processes, sockets or files can't be had, or a process does not become ready.
+/// If processes, sockets or files cannot be created, a process does not become ready, or requests do not end.
 pub fn run(
     program: &Path,
     seed: u64,
     output_folder: Option<PathBuf>,
-    sabotage: Option<Sabotage>,
+    injected_fault: Option<InjectedFault>,
 ) -> Result<ScenarioRun, FleetError> {
     let plan = SoakPlan::draw(seed);
     let scenario = plan.scenario().map_err(|error| FleetError::System {
@@ -42,13 +42,13 @@
         error: std::io::Error::other(error.to_string()),
     })?;
     let coordination =
-        plan.coordination.then(|| CoordinationOptions { voters: REPLICAS, fleet_section: String::new() });
+        plan.coordination.then(|| CoordinationOptions { voters: VOTERS, fleet_section: String::new() });
     let script: Script = Box::new(move |fleet| {
         Box::pin(async move {
-            if let Some(sabotage) = sabotage {
-                tokio::task::spawn_local(sabotage(fleet.clone()));
+            if let Some(injected_fault) = injected_fault {
+                tokio::task::spawn_local(injected_fault(fleet.clone()));
             }
-            drive(fleet, plan).await;
+            run_plan(fleet, plan).await;
         })
     });
     run_scenario(
@@ -59,13 +59,13 @@
     )
 }
 
-/// Starts the clients, and sends the signals of a plan up to the kill.
-async fn drive(fleet: Rc<Fleet>, plan: SoakPlan) {
+/// Starts the clients of a plan, and sends its signals up to SIGKILL.
+async fn run_plan(fleet: Rc<Fleet>, plan: SoakPlan) {
     clients::start(&fleet, &plan);
-    let watch = |ends: LinkEnds| matches!(ends, LinkEnds::ProxyToDiscovery { process: TARGET });
-    if let Some(fault) = plan.watch_fault {
-        sleep_until(fleet.history.instant(TERM_AT_MS - WATCH_FAULT_LEAD_MS)).await;
-        fleet.set_fault(fault, watch);
+    let is_target_discovery = |ends: LinkEnds| matches!(ends, LinkEnds::ProxyToDiscovery { process: TARGET });
+    if let Some(fault) = plan.discovery_fault {
+        sleep_until(fleet.history.instant(TERM_AT_MS - DISCOVERY_FAULT_LEAD_MS)).await;
+        fleet.set_fault(fault, is_target_discovery);
     }
     for signal in &plan.signals {
         sleep_until(fleet.history.instant(TERM_AT_MS + signal.at_ms)).await;
@@ -75,11 +75,12 @@
     send(&fleet, ProcessSignal::Kill);
 }
 
+/// Sends a signal to the proxy under test, unless its process has ended.
 fn send(fleet: &Fleet, signal: ProcessSignal) {
     if !fleet.processes[TARGET].is_running.get() {
         return;
     }
     if let Err(error) = fleet.signal(TARGET, signal) {
-        eprintln!("the soak: {error}");
+        eprintln!("soak: signal not sent: {error}");
     }
 }
--- a/crates/fault-injection/src/soak/plan.rs
+++ b/crates/fault-injection/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What one run of the soak does, drawn from its seed.
+//! The plan of one run of the soak, drawn from its seed.
 
 use crate::platform_rules::{earliest_kill_ms, CONNECT_AFTER_TERM_MS};
 use crate::process_supervisor::ProcessSignal;
@@ -8,79 +8,86 @@
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-/// When the first SIGTERM is sent, in milliseconds since the first request.
+/// The time of the first SIGTERM, in milliseconds since the first request.
 pub const TERM_AT_MS: f64 = 1_500.0;
-/// The run goes on this long after the kill, in milliseconds.
+/// The run continues this long after SIGKILL, in milliseconds.
 const AFTER_KILL_MS: f64 = 500.0;
 
-/// Backends that hang do so from this long before SIGTERM on, in milliseconds.
+/// If backends hang, they start to hang this long before SIGTERM, in milliseconds.
 const HANG_LEAD_MS: f64 = 100.0;
-/// The scenario, with marks for what a plan decides.
-const TEMPLATE: &str = include_str!("scenario.toml");
-/// What is added where backends hang.
+/// The scenario, with placeholders in angle brackets for what a plan decides.
+const SCENARIO_TEMPLATE: &str = include_str!("scenario.toml");
+/// The failure that is added to the scenario if backends hang.
 const HANG_TEMPLATE: &str = include_str!("hang.toml");
 
-/// A signal and its time.
+/// A signal to the proxy under test, with its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimedSignal {
-    /// Milliseconds after the first SIGTERM; negative before it.
+    /// The time in milliseconds after the first SIGTERM; negative before it.
     pub at_ms: f64,
-    /// The signal.
+    /// The signal to send.
     pub signal: ProcessSignal,
 }
 
-/// Clients beside those that are judged.
+/// Additional load on the proxy under test by clients whose requests are not recorded.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Crowd {
-    /// None.
-    Nobody,
-    /// This many connections that never send anything.
-    Idle(usize),
-    /// Connections that send a request and leave, this many a second.
-    Flood(usize),
+pub enum BackgroundLoad {
+    /// No additional load.
+    None,
+    /// This number of connections that never send anything.
+    IdleConnections(usize),
+    /// Connections that send a request and close at once, this many per second.
+    ShortConnections(usize),
 }
 
 /// How a client uses its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Habit {
-    /// One request after another.
+pub enum ClientBehavior {
+    /// Sends one request after another, with short pauses.
     Steady,
-    /// Rests after each answer for up to seconds.
-    Resting,
-    /// Sends each request in pieces.
-    Pieces,
-    /// Sends several requests at once.
+    /// Pauses for up to seconds after each response.
+    LongPauses,
+    /// Sends each request in pieces, except on a new connection.
+    InPieces,
+    /// Sends several requests at once, without waiting for responses.
     Pipelined,
-    /// Leaves some requests before their answer.
-    Leaving,
-    /// Sends half a request, and stays.
-    Half,
+    /// Closes the connection before the response of some requests.
+    Abandoning,
+    /// After its first response, sends half a request and keeps the connection open.
+    PartialRequest,
 }
 
-const HABITS: [Habit; 6] =
-    [Habit::Steady, Habit::Resting, Habit::Pieces, Habit::Pipelined, Habit::Leaving, Habit::Half];
+const BEHAVIORS: [ClientBehavior; 6] = [
+    ClientBehavior::Steady,
+    ClientBehavior::LongPauses,
+    ClientBehavior::InPieces,
+    ClientBehavior::Pipelined,
+    ClientBehavior::Abandoning,
+    ClientBehavior::PartialRequest,
+];
 
-/// One run of the soak.
+/// What one run of the soak does.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SoakPlan {
-    /// Its seed.
+    /// The seed that the plan was drawn from.
     pub seed: u64,
-    /// The longest deadline of a class, in milliseconds.
+    /// The longest deadline of all classes, in milliseconds.
     pub deadline_ms: f64,
-    /// The fraction of the first tier's backends that hang from just before SIGTERM on.
-    pub hanging: f64,
-    /// What happens to the watch on discovery just before SIGTERM.
-    pub watch_fault: Option<Fault>,
-    /// Whether the instances coordinate; the proxy that ends is a replica then.
+    /// The fraction of the first tier's backends that hang from just before SIGTERM to the end.
+    pub hanging_fraction: f64,
+    /// The fault of the link to discovery from just before SIGTERM on.
+    pub discovery_fault: Option<Fault>,
+    /// Whether the instances coordinate; the proxy under test is a voter then.
     pub coordination: bool,
-    /// What is sent to the proxy, by time.
+    /// The signals to the proxy under test before SIGKILL, in order of time.
     pub signals: Vec<TimedSignal>,
-    /// Who crowds it.
-    pub crowd: Crowd,
-    /// Its clients.
-    pub habits: Vec<Habit>,
+    /// The additional load on the proxy under test.
+    pub background_load: BackgroundLoad,
+    /// The behavior of each client whose requests are recorded.
+    pub clients: Vec<ClientBehavior>,
 }
 
+/// A random generator with the distributions that a plan needs.
 struct Draw(Xoshiro256PlusPlus);
 
 impl Draw {
@@ -88,8 +95,8 @@
         low + (high - low) * part(&mut self.0)
     }
 
-    fn happens(&mut self, chance: f64) -> bool {
-        part(&mut self.0) < chance
+    fn happens(&mut self, probability: f64) -> bool {
+        part(&mut self.0) < probability
     }
 
     fn count(&mut self, low: usize, high: usize) -> usize {
@@ -102,55 +109,65 @@
 }
 
 impl SoakPlan {
-    /// The plan of a seed; one seed gives the same plan each time.
+    /// Draws the plan of a seed. The same seed always gives the same plan.
     pub fn draw(seed: u64) -> SoakPlan {
         let mut draw = Draw(Xoshiro256PlusPlus::seed_from_u64(seed));
         let is_long = draw.happens(0.3);
         let deadline_ms = if is_long { draw.between(3_200.0, 9_000.0) } else { draw.between(500.0, 2_500.0) };
-        let hanging = draw.one_of(&[0.0, 0.0, 0.25, 0.5, 1.0]);
-        let watch_fault = draw.one_of(&[None, None, Some(Fault::Silent), Some(Fault::Reset)]);
+        let hanging_fraction = draw.one_of(&[0.0, 0.0, 0.25, 0.5, 1.0]);
+        let discovery_fault = draw.one_of(&[None, None, Some(Fault::Silent), Some(Fault::Reset)]);
         let coordination = draw.happens(0.5);
         let signals = draw_signals(&mut draw, earliest_kill_ms(deadline_ms));
-        let crowd = match draw.count(0, 3) {
-            0 => Crowd::Idle(draw.count(100, 600)),
-            1 => Crowd::Flood(draw.count(50, 300)),
-            _ => Crowd::Nobody,
+        let background_load = match draw.count(0, 3) {
+            0 => BackgroundLoad::IdleConnections(draw.count(100, 600)),
+            1 => BackgroundLoad::ShortConnections(draw.count(50, 300)),
+            _ => BackgroundLoad::None,
         };
-        let clients = draw.count(8, 24);
-        let habits = (0..clients).map(|_| draw.one_of(&HABITS)).collect();
-        SoakPlan { seed, deadline_ms, hanging, watch_fault, coordination, signals, crowd, habits }
+        let client_count = draw.count(8, 24);
+        let clients = (0..client_count).map(|_| draw.one_of(&BEHAVIORS)).collect();
+        SoakPlan {
+            seed,
+            deadline_ms,
+            hanging_fraction,
+            discovery_fault,
+            coordination,
+            signals,
+            background_load,
+            clients,
+        }
     }
 
-    /// When the proxy is killed, in milliseconds since the first request.
+    /// The time of SIGKILL, in milliseconds since the first request.
     pub fn killed_at_ms(&self) -> f64 {
         TERM_AT_MS + earliest_kill_ms(self.deadline_ms)
     }
 
-    /// The fleet and its load.
+    /// The scenario of the plan: the fleet, its load and its hanging backends.
     ///
     /// # Errors
-    /// None that depends on the seed: the tests parse what they draw.
+    /// If the scenario is invalid, which tests exclude for all seeds that they draw.
     pub fn scenario(&self) -> Result<Scenario, ScenarioError> {
         Scenario::parse(&self.scenario_text())
     }
 
     fn scenario_text(&self) -> String {
         let length = self.killed_at_ms() + AFTER_KILL_MS;
-        let class_deadline = |part: f64| format!("{:.0}ms", part * self.deadline_ms);
-        let hang = if self.hanging > 0.0 { HANG_TEMPLATE } else { "" };
-        [TEMPLATE, hang]
+        let class_deadline = |fraction: f64| format!("{:.0}ms", fraction * self.deadline_ms);
+        let hang = if self.hanging_fraction > 0.0 { HANG_TEMPLATE } else { "" };
+        [SCENARIO_TEMPLATE, hang]
             .concat()
             .replace("<length>", &format!("{length:.0}ms"))
             .replace("<notice>", &format!("{CONNECT_AFTER_TERM_MS}ms"))
             .replace("<hang-at>", &format!("{:.0}ms", TERM_AT_MS - HANG_LEAD_MS))
-            .replace("<hanging>", &self.hanging.to_string())
+            .replace("<hanging-fraction>", &self.hanging_fraction.to_string())
             .replace("<browse-deadline>", &class_deadline(0.8))
             .replace("<purchase-deadline>", &class_deadline(1.0))
             .replace("<refund-deadline>", &class_deadline(0.9))
     }
 }
 
-/// SIGTERM, in some runs once more, and SIGHUP before, between and after, in one instant or spread.
+/// Draws the signals: SIGTERM, in some runs a second one, and up to three SIGHUP from before SIGTERM until
+/// SIGKILL. Some are sent at the same instant as SIGTERM.
 fn draw_signals(draw: &mut Draw, kill_ms: f64) -> Vec<TimedSignal> {
     let mut signals = vec![TimedSignal { at_ms: 0.0, signal: ProcessSignal::Term }];
     let mut add = |at_ms, signal| signals.push(TimedSignal { at_ms, signal });
--- a/crates/fault-injection/src/soak/summary.rs
+++ b/crates/fault-injection/src/soak/summary.rs
@@ -1,40 +1,41 @@
-//! How the requests at the proxy that ended came out, the excused ones among them.
+//! The results of the requests at the proxy under test in one run of the soak.
 
 use super::clients::TARGET;
 use crate::history::{ClientAttempt, ClientResult, ProcessEvent};
 use crate::run::ScenarioRun;
 use std::fmt;
 
-/// The counts of one run, over the requests that clients sent to the proxy that ended.
+/// The numbers of requests that clients sent to the proxy under test in one run, by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SoakSummary {
-    /// Answered, with whatever status.
+    /// Requests with a response of any status, valid or not.
     pub answered: usize,
-    /// Not read, as far as the client can tell: its connection was refused, or closed as the request came.
-    pub unread: usize,
-    /// Given up by their clients.
-    pub left: usize,
-    /// Without an answer, which the checker judges: each is a violation unless an event excuses it.
+    /// Requests that the proxy did not accept, as far as the client can tell: the connection was refused, or
+    /// closed before the request was read.
+    pub not_accepted: usize,
+    /// Requests whose client closed the connection first.
+    pub abandoned: usize,
+    /// Requests without a response. Each is a violation for the checker unless an event excuses it.
     pub unanswered: usize,
-    /// Whether the process was still there when it was to be killed.
+    /// Whether the process still ran when SIGKILL was due.
     pub was_killed: bool,
 }
 
 impl SoakSummary {
-    /// The counts of a run.
+    /// Counts the requests of a run.
     pub fn of(run: &ScenarioRun) -> SoakSummary {
-        let killed = |life: &&crate::history::ProcessEventRecord| {
-            life.process == TARGET && life.event == ProcessEvent::Killed
+        let killed = |change: &&crate::history::ProcessEventRecord| {
+            change.process == TARGET && change.event == ProcessEvent::Killed
         };
         let mut summary = SoakSummary {
-            was_killed: run.observations.process_events.iter().any(|life| killed(&life)),
+            was_killed: run.observations.process_events.iter().any(|change| killed(&change)),
             ..Self::default()
         };
         run.observations
             .client_attempts
             .iter()
             .filter(|attempt| attempt.process == TARGET)
-            .for_each(|a| summary.add(a));
+            .for_each(|attempt| summary.add(attempt));
         summary
     }
 
@@ -44,8 +45,8 @@
             | ClientResult::Refused
             | ClientResult::Failed(_)
             | ClientResult::Invalid(_) => &mut self.answered,
-            ClientResult::NotAccepted => &mut self.unread,
-            ClientResult::Abandoned => &mut self.left,
+            ClientResult::NotAccepted => &mut self.not_accepted,
+            ClientResult::Abandoned => &mut self.abandoned,
             ClientResult::Broken | ClientResult::Unanswered => &mut self.unanswered,
         };
         *count += 1;
@@ -54,11 +55,11 @@
 
 impl fmt::Display for SoakSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let end = if self.was_killed { "killed" } else { "ended by itself" };
-        let SoakSummary { answered, unread, left, unanswered, .. } = self;
+        let end = if self.was_killed { "killed" } else { "exited by itself" };
+        let SoakSummary { answered, not_accepted, abandoned, unanswered, .. } = self;
         write!(
             f,
-            "{answered} answered, {unread} not read, {left} left, {unanswered} without an answer; {end}"
+            "{answered} answered, {not_accepted} not accepted, {abandoned} abandoned, {unanswered} without a response; {end}"
         )
     }
 }
--- a/crates/fault-injection/tests/referee.rs
+++ b/crates/fault-injection/tests/referee.rs
@@ -5,7 +5,7 @@
     BackendAttempt, BackendResult, BackendStart, ClientAttempt, ClientLinkFault, ClientResult, HostStall,
     Notification, Observations, ProcessEvent, ProcessEventRecord,
 };
-use hillstall_fault_injection::host_load_monitor::waited_ns;
+use hillstall_fault_injection::host_load_monitor::run_queue_wait_ns;
 use hillstall_fault_injection::invariant_checker::{
     check, late_starts_void, request_trace, GroundTruth, Rule, TrueBackend, Verdict,
 };
@@ -287,8 +287,8 @@
     assert_eq!(broken(&missing(Some(1), 1_100.0, 1_200.0)), [Rule::OneResponse], "another process stood");
     assert_eq!(broken(&missing(Some(0), 700.0, 900.0)), [Rule::OneResponse], "it was over before");
     assert!(check(&truth(), &missing(Some(1), 100.0, 400.0)).is_void());
-    assert_eq!(waited_ns("143099519 30604902 305\n"), Some(30_604_902));
-    assert_eq!(waited_ns(""), None);
+    assert_eq!(run_queue_wait_ns("143099519 30604902 305\n"), Some(30_604_902));
+    assert_eq!(run_queue_wait_ns(""), None);
 }
 
 #[test]
--- a/crates/hillstall/tests/fault_injection/harness.rs
+++ b/crates/hillstall/tests/fault_injection/harness.rs
@@ -5,7 +5,7 @@
 use hillstall_fault_injection::history::History;
 use hillstall_fault_injection::invariant_checker::{Rule, Verdict};
 use hillstall_fault_injection::run::Script;
-use hillstall_fault_injection::soak::Sabotage;
+use hillstall_fault_injection::soak::InjectedFault;
 use hillstall_fault_injection::tcp_proxy::TransferredBytes;
 use hillstall_fault_injection::{Options, ScenarioRun};
 use hillstall_simulation::scenarios;
@@ -80,7 +80,7 @@
 }
 
 /// The soak of a seed, with what is done beside it to break a rule, if anything.
-pub fn soak(seed: u64, sabotage: Option<Sabotage>) -> Played {
+pub fn soak(seed: u64, sabotage: Option<InjectedFault>) -> Played {
     play_until_valid(&format!("soak of seed {seed}"), || {
         hillstall_fault_injection::soak::run(program(), seed, None, sabotage).expect("it can be played")
     })
