--- a/crates/fault-injection/src/invariant_checker.rs
+++ b/crates/fault-injection/src/invariant_checker.rs
@@ -345,22 +345,16 @@
     fn check_retries(&self, violations: &mut Vec<Violation>) {
         let settings = &self.truth.settings;
         for (id, backend_attempts) in &self.backend_attempts_by_id {
-            let mut add_violation = |rule, description| {
+            let mut add = |rule, description| {
                 violations.push(Violation { rule, description, request_id: Some((*id).to_string()) })
             };
             let Some(client_attempt) = self.client_attempts_by_id.get(id) else {
-                add_violation(
-                    Rule::UnsolicitedRequest,
-                    "a backend received a request that no client sent".into(),
-                );
+                add(Rule::UnsolicitedRequest, "a backend received a request that no client sent".into());
                 continue;
             };
             let max_attempts = settings.permissions.max_attempts as usize;
             if backend_attempts.len() > max_attempts {
-                add_violation(
-                    Rule::AttemptLimit,
-                    format!("{} attempts, limit {max_attempts}", backend_attempts.len()),
-                );
+                add(Rule::AttemptLimit, format!("{} attempts, limit {max_attempts}", backend_attempts.len()));
             }
             let class = &settings.classes[client_attempt.class];
             let Some(executed) =
@@ -377,16 +371,10 @@
                 backend_attempts.iter().find(|retry| retry.at > executed.at && !permitted(retry.at));
             if let Some(retry) = unsafe_retry {
                 let after_ms = retry.at - executed.at;
-                add_violation(
-                    Rule::UnsafeRetry,
-                    format!("retried {after_ms:.0} ms after it may have been executed"),
-                );
+                add(Rule::UnsafeRetry, format!("retried {after_ms:.0} ms after it may have been executed"));
             }
             if client_attempt.result == ClientResult::Refused && !permitted(client_attempt.ended_at) {
-                add_violation(
-                    Rule::Rejection,
-                    "rejected although it may have been executed, and may not be retried".into(),
-                );
+                add(Rule::Rejection, "rejected although it may have been executed".into());
             }
         }
     }
--- a/crates/fault-injection/src/open_loop_clients.rs
+++ b/crates/fault-injection/src/open_loop_clients.rs
@@ -57,7 +57,8 @@
         self.open_requests.get()
     }
 
-    fn next_fraction(&self) -> f64 {
+    /// A random number from 0 to below 1.
+    fn fraction(&self) -> f64 {
         part(&mut self.random.borrow_mut())
     }
 
@@ -118,7 +119,7 @@
             .filter(|same_zone| !same_zone.is_empty())
             .unwrap_or_else(|| in_rotation(false));
         let index =
-            drawn(self.next_fraction(), candidates.iter().map(|proxy| self.proxies[*proxy].traffic_weight));
+            drawn(self.fraction(), candidates.iter().map(|proxy| self.proxies[*proxy].traffic_weight));
         candidates.get(index).copied()
     }
 
@@ -146,9 +147,8 @@
                 });
             }
             let refused = result == ClientResult::Refused;
-            let honours_retry_after =
-                retry_after_ms.is_some_and(|ms| ms > 0.0) && self.next_fraction() < parameters.honour;
-            let wait_ms = match honours_retry_after {
+            let honoured = retry_after_ms.is_some_and(|ms| ms > 0.0) && self.fraction() < parameters.honour;
+            let wait_ms = match honoured {
                 true => retry_after_ms.unwrap_or(0.0).max(parameters.wait),
                 false => parameters.wait,
             };
--- a/crates/fault-injection/tests/written_forms.rs
+++ b/crates/fault-injection/tests/external_names.rs
@@ -1,12 +1,13 @@
-//! What the drill and the process that owns its processes say to each other, and the words of its verdicts.
+//! The messages between a run and its process supervisor, and the names of rules in reports. They must stay
+//! as they are.
 
 use hillstall_fault_injection::invariant_checker::Rule;
 use hillstall_fault_injection::process_supervisor::{ProcessSignal, StartProcess, SupervisorEvent};
 use serde_json::{from_str, to_string};
 
 #[test]
-fn news_have_these_forms() {
-    let news = [
+fn supervisor_events_have_this_json_form() {
+    let events = [
         (SupervisorEvent::Started { number: 3, pid: 41 }, r#"{"started":{"number":3,"pid":41}}"#),
         (
             SupervisorEvent::Failed { number: 3, error: "gone".into() },
@@ -21,38 +22,38 @@
             r#"{"ended":{"number":3,"code":null,"signal":9}}"#,
         ),
     ];
-    for (news, text) in news {
-        assert_eq!(to_string(&news).expect("plain data"), text);
-        assert_eq!(from_str::<SupervisorEvent>(text).expect("news"), news);
+    for (event, text) in events {
+        assert_eq!(to_string(&event).expect("serializable"), text);
+        assert_eq!(from_str::<SupervisorEvent>(text).expect("valid event"), event);
     }
 }
 
 #[test]
-fn a_process_to_start_has_this_form() {
+fn the_start_command_has_this_json_form() {
     let text =
         r#"{"number":3,"program":"/bin/p","arguments":["run"],"environment":[["A","b"]],"log":"/tmp/log"}"#;
-    let start: StartProcess = from_str(text).expect("a start");
+    let start: StartProcess = from_str(text).expect("valid command");
     assert_eq!((start.number, start.program.to_str()), (3, Some("/bin/p")));
     assert_eq!((start.arguments.clone(), start.log.to_str()), (vec!["run".to_owned()], Some("/tmp/log")));
     assert_eq!(start.environment, [("A".to_owned(), "b".to_owned())]);
-    assert_eq!(to_string(&start).expect("plain data"), text);
+    assert_eq!(to_string(&start).expect("serializable"), text);
 }
 
 #[test]
-fn signals_have_these_names() {
-    let signs = [
+fn signals_have_these_json_names() {
+    let signals = [
         ProcessSignal::Kill,
         ProcessSignal::Term,
         ProcessSignal::Stop,
         ProcessSignal::Continue,
         ProcessSignal::Reload,
     ];
-    let names = signs.map(|sign| to_string(&sign).expect("plain data"));
+    let names = signals.map(|signal| to_string(&signal).expect("serializable"));
     assert_eq!(names, [r#""Kill""#, r#""Term""#, r#""Stop""#, r#""Go""#, r#""Reload""#]);
 }
 
 #[test]
-fn rules_have_these_names() {
+fn rules_have_these_names_in_reports() {
     let rules = [
         Rule::OneResponse,
         Rule::UnsafeRetry,
