--- a/crates/hot-path-bench/src/child.rs
+++ b/crates/hot-path-bench/src/child.rs
@@ -1,36 +1,37 @@
-//! A process that is measured: the proxy or the relay.
+//! The process that is measured, the proxy or the relay: its start, CPU time and memory.
 
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Longest wait for a started process to listen.
+/// Longest wait until a started process listens.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// Between two attempts to connect to it.
+/// Interval between two attempts to connect to the process.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Why a measurement failed.
 #[derive(Debug, thiserror::Error)]
 pub enum BenchError {
-    /// The program can't be started.
-    #[error("{0}: {1}")]
+    /// A program (its path) cannot be started.
+    #[error("cannot start {0}: {1}")]
     Start(String, std::io::Error),
-    /// The program does not listen in time.
-    #[error("{0} does not serve at {1}")]
+    /// A process (`the proxy` or `the relay`) does not accept connections at its address within the time
+    /// limit.
+    #[error("{0} does not accept connections at {1} within {START_TIMEOUT:?}")]
     NotListening(&'static str, SocketAddr),
-    /// A system call failed.
+    /// An operation on files or sockets failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-/// A child process that is killed when this is dropped.
+/// A measured child process; dropping this kills it.
 pub struct MeasuredProcess {
     child: Child,
 }
 
 impl MeasuredProcess {
-    /// Starts a program; `configure` sets its arguments and environment.
+    /// Starts a program without output; `configure` sets its arguments and environment.
     pub fn start(
         program: &Path,
         configure: impl FnOnce(&mut Command),
@@ -43,7 +44,7 @@
         Ok(MeasuredProcess { child })
     }
 
-    /// CPU time of all its threads so far, as the scheduler counts it in nanoseconds.
+    /// The CPU time of all present threads so far, from the counters of the Linux scheduler.
     pub fn cpu_time(&self) -> Result<Duration, BenchError> {
         let mut total_ns = 0;
         for task in std::fs::read_dir(format!("/proc/{}/task", self.child.id()))? {
@@ -53,8 +54,8 @@
         Ok(Duration::from_nanos(total_ns))
     }
 
-    /// Its anonymous memory in bytes; what the kernel holds for its sockets is not counted.
-    pub fn memory(&self) -> Result<u64, BenchError> {
+    /// The resident anonymous memory in bytes, without the kernel's memory for sockets.
+    pub fn memory_bytes(&self) -> Result<u64, BenchError> {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = text.lines().find_map(|line| line.strip_prefix("RssAnon:"));
         let kib = line.and_then(|line| line.trim().split(' ').next()?.parse::<u64>().ok());
@@ -69,12 +70,12 @@
     }
 }
 
-/// Waits until a connection can be made.
-pub async fn await_listener(what: &'static str, address: SocketAddr) -> Result<(), BenchError> {
+/// Waits until a process accepts connections. `process` names it in the error.
+pub async fn await_listener(process: &'static str, address: SocketAddr) -> Result<(), BenchError> {
     let deadline = Instant::now() + START_TIMEOUT;
     while tokio::net::TcpStream::connect(address).await.is_err() {
         if Instant::now() > deadline {
-            return Err(BenchError::NotListening(what, address));
+            return Err(BenchError::NotListening(process, address));
         }
         tokio::time::sleep(CONNECT_INTERVAL).await;
     }
--- a/crates/hot-path-bench/src/main.rs
+++ b/crates/hot-path-bench/src/main.rs
@@ -1,5 +1,6 @@
-//! Benchmark of the request path: what a request through the proxy costs, compared with a bare byte relay in the same
-//! run, with backends that answer at once. `docs/measurements/hot-path.md` has the results and the command.
+//! Benchmark of the request path. It measures the cost of a request through the proxy against a plain byte
+//! relay in the same run, with backends that answer at once. `docs/measurements/hot-path.md` has the command
+//! and the results.
 
 mod child;
 mod paths;
@@ -17,37 +18,37 @@
 
 #[derive(Subcommand)]
 enum Benchmark {
-    /// Requests a second, latency and CPU a request, beside the relay
+    /// Measures requests per second, latency and CPU time per request, for the proxy and the relay
     #[command(name = "calls")]
     Requests {
-        /// The proxy's binary
+        /// Path of the hillstall program
         #[arg(long, default_value = "target/release/hillstall")]
         proxy: PathBuf,
-        /// Concurrent clients, one run for each number
+        /// Numbers of concurrent clients; each is measured in turn
         #[arg(long = "callers", value_delimiter = ',', default_values_t = [1usize, 16, 64])]
         clients: Vec<usize>,
-        /// Seconds of each run
+        /// Seconds that the proxy and the relay are each measured per round
         #[arg(long, default_value_t = 3.0)]
         seconds: f64,
-        /// Rounds; relay and proxy take turns
+        /// Rounds per number of clients, each with a fresh proxy
         #[arg(long, default_value_t = 3)]
         rounds: usize,
     },
-    /// Memory that idle connections hold
+    /// Measures the memory of the proxy per idle client connection
     Idle {
-        /// The proxy's binary
+        /// Path of the hillstall program
         #[arg(long, default_value = "target/release/hillstall")]
         proxy: PathBuf,
-        /// Connections
+        /// The number of idle connections
         #[arg(long, default_value_t = 10_000)]
         connections: usize,
     },
-    /// The bare relay, as a process of its own
+    /// Runs the relay; the benchmark starts this as a process of its own
     #[command(hide = true)]
     Relay {
-        /// Where it listens
+        /// The address to listen at
         listen: std::net::SocketAddr,
-        /// The servers
+        /// The addresses of the backends
         servers: Vec<std::net::SocketAddr>,
     },
 }
--- a/crates/hot-path-bench/src/paths.rs
+++ b/crates/hot-path-bench/src/paths.rs
@@ -1,8 +1,8 @@
-//! The measurements. Backends and discovery run on a thread of their own, clients on this one, the relay and the proxy
-//! as processes.
+//! The measurements. Backends and discovery run on a thread of their own, clients on the main thread, and the
+//! relay and the proxy in processes of their own.
 
 use crate::child::{await_listener, BenchError, MeasuredProcess};
-use hillstall_simulation::closed_loop_clients::{self as closed_loop_clients, ClientTotals};
+use hillstall_simulation::closed_loop_clients::{self, ClientTotals};
 use hillstall_simulation::relay as bare_relay;
 use hillstall_simulation::site::{config, ProcessLimits};
 use hillstall_simulation::stand_in_thread::{listener, StandInThread};
@@ -16,20 +16,21 @@
 
 /// Number of backends.
 const BACKENDS: usize = 4;
-/// What each backend answers.
+/// The body of every response of a backend.
 const RESPONSE_BODY: &[u8] = b"{\"item\":\"lantern\",\"price\":\"4.99\",\"owned\":false}";
-/// Length of the run before a measurement, in which connections are opened and limits are learned.
+/// Length of the warm-up before a measurement, in which connections are opened and the proxy adapts its
+/// limits.
 const WARM_UP: Duration = Duration::from_millis(700);
-/// Seconds of one turn of the relay or the proxy.
+/// Seconds for which the relay and the proxy are measured in turn.
 const TURN_SECONDS: f64 = 0.25;
-/// Concurrent clients that warm the proxy up before idle connections are measured.
+/// The number of concurrent clients in the warm-up before idle connections are measured.
 const IDLE_WARM_UP_CLIENTS: usize = 16;
 
 fn runtime() -> Result<Runtime, BenchError> {
     Ok(Builder::new_current_thread().enable_all().build()?)
 }
 
-/// An address at which nobody listens at the moment.
+/// A loopback address at which nothing listens at present.
 fn free_address() -> Result<SocketAddr, BenchError> {
     Ok(listener()?.1)
 }
@@ -52,7 +53,7 @@
     Ok((proxy, address))
 }
 
-/// Starts this program once more, as the relay.
+/// Starts this program again as the relay, and waits until it listens.
 async fn start_relay(backends: &StandInThread) -> Result<(MeasuredProcess, SocketAddr), BenchError> {
     let address = free_address()?;
     let program = std::env::current_exe()?;
@@ -73,28 +74,28 @@
     })
 }
 
-/// Results of one or more runs on one path, added up.
+/// The results of one or more runs over the same path, added up.
 #[derive(Default)]
 struct RunTotals {
     responses: ClientTotals,
     seconds: f64,
     cpu_time: Duration,
-    /// Backend connections opened meanwhile.
-    opened: u64,
-    /// Backend connections open at the end.
-    open: u64,
+    /// Connections to backends that were opened during the runs.
+    opened_connections: u64,
+    /// Connections to backends that were open at the end of the last run.
+    open_connections: u64,
 }
 
 impl RunTotals {
     fn add(&mut self, other: RunTotals) {
-        // Fails only between histograms of other bounds.
+        // Fails only for histograms with different bounds; these all have the same.
         let _ = self.responses.served.add(&other.responses.served);
         self.responses.refused += other.responses.refused;
         self.responses.failed += other.responses.failed;
         self.seconds += other.seconds;
         self.cpu_time += other.cpu_time;
-        self.opened += other.opened;
-        self.open = other.open;
+        self.opened_connections += other.opened_connections;
+        self.open_connections = other.open_connections;
     }
 
     fn requests(&self) -> f64 {
@@ -111,6 +112,7 @@
         self.responses.served.value_at_quantile(quantile) as f64 / 1000.0
     }
 
+    /// A row of the table that [`requests`] prints.
     fn row(&self, path: &str, clients: usize) -> String {
         format!(
             "| {clients} | {path} | {:.0} | {:.3} | {:.3} | {:.1} | {:.0} | {} | {} | {} | {} |",
@@ -121,13 +123,13 @@
             1e6 / self.cpu_us().max(0.001),
             self.responses.refused,
             self.responses.failed,
-            self.opened,
-            self.open
+            self.opened_connections,
+            self.open_connections
         )
     }
 }
 
-/// A path that requests take to the backends.
+/// A path from the clients to the backends, through the relay or the proxy.
 #[derive(Clone, Copy)]
 struct MeasuredPath<'a> {
     backends: &'a StandInThread,
@@ -137,6 +139,7 @@
 }
 
 impl MeasuredPath<'_> {
+    /// Sends requests for some seconds, and measures the process meanwhile.
     async fn run(self, seconds: f64) -> Result<RunTotals, BenchError> {
         let connections = &self.backends.connections;
         let cpu_before = self.process.cpu_time()?;
@@ -147,8 +150,8 @@
             responses,
             seconds,
             cpu_time: self.process.cpu_time()? - cpu_before,
-            opened: connections.opened.load(Ordering::Relaxed) - opened_before,
-            open: connections.open.load(Ordering::Relaxed),
+            opened_connections: connections.opened.load(Ordering::Relaxed) - opened_before,
+            open_connections: connections.open.load(Ordering::Relaxed),
         })
     }
 }
@@ -158,16 +161,18 @@
     values.get(values.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
-/// The proxy's cost over the relay's.
+/// The cost of the proxy divided by that of the relay.
 struct CostRatio {
+    /// Ratio of the CPU time per request.
     cpu: f64,
+    /// Ratio of the median latency.
     p50: f64,
 }
 
-/// One round: a fresh proxy is warmed up, then relay and proxy take short turns, so that a machine that changes its
-/// speed changes it for both. Prints a row for each.
+/// Runs one round and prints its rows. After the warm-up of a new proxy process, relay and proxy are measured
+/// in short turns, so that changes of the machine's speed affect both alike.
 async fn round(relay: MeasuredPath<'_>, program: &Path, seconds: f64) -> Result<CostRatio, BenchError> {
-    // A fresh proxy each time: the first moments of one are part of what is measured.
+    // A new process each time, as the row "fresh proxy" reports its warm-up.
     let limits = ProcessLimits { sockets: 1_024, memory_mb: 192 };
     let (process, address) = start_proxy(program, relay.backends, limits)?;
     await_listener("the proxy", address).await?;
@@ -189,7 +194,8 @@
     })
 }
 
-/// Measures relay and proxy in turn, for each number of concurrent clients, and prints the medians of their ratios.
+/// Measures relay and proxy in turn for each number of concurrent clients. Prints a row for each run, then
+/// the medians over the rounds of the proxy's cost relative to the relay's.
 pub fn requests(program: &Path, clients: &[usize], seconds: f64, rounds: usize) -> Result<(), BenchError> {
     let backends = start_backends()?;
     LocalSet::new().block_on(&runtime()?, async {
@@ -216,7 +222,7 @@
     })
 }
 
-/// Prints the proxy's memory before and after so many idle client connections.
+/// Prints the proxy's memory before and with a number of idle client connections.
 pub fn idle(program: &Path, connections: usize) -> Result<(), BenchError> {
     let backends = start_backends()?;
     LocalSet::new().block_on(&runtime()?, async {
@@ -224,9 +230,9 @@
         let (proxy, address) = start_proxy(program, &backends, limits)?;
         await_listener("the proxy", address).await?;
         closed_loop_clients::run(address, IDLE_WARM_UP_CLIENTS, WARM_UP).await;
-        let before = proxy.memory()?;
+        let before = proxy.memory_bytes()?;
         let idle = closed_loop_clients::idle(address, connections).await?;
-        let after = proxy.memory()?;
+        let after = proxy.memory_bytes()?;
         let per_connection = after.saturating_sub(before) as f64 / idle.len().max(1) as f64;
         println!("| connections | MB before | MB with them | KiB each |");
         println!("| --- | --- | --- | --- |");
