--- a/crates/fault-injection/src/coordination_fleet.rs
+++ b/crates/fault-injection/src/coordination_fleet.rs
@@ -42,6 +42,7 @@
         disk: &Path,
     ) -> String {
         let voters: Vec<String> = voters.iter().map(|voter| format!("\"{voter}\"")).collect();
+        // `keepers` (the voters) and `keeper` (the own slot) are key names of operators' files, so they stay.
         let mut text = format!("[fleet]\nname = \"drill\"\nkeepers = [{}]\n", voters.join(", "));
         if let Some(listen) = listen {
             text += &format!(
@@ -162,7 +163,8 @@
         self.coordination.as_ref().is_some_and(|coordination| coordination.is_voter(process))
     }
 
-    /// The folder of a voter's stored replica.
+    /// The folder of a voter's stored replica. The file in it, `keeper-SLOT.redb`, keeps its name, as
+    /// instances of other versions must find it.
     pub fn disk(&self, process: usize) -> PathBuf {
         self.processes[process].folder().join("disk")
     }
@@ -199,8 +201,8 @@
     }
 }
 
-/// Parses a line of an instance's JSON log; `None` if it is no audit line. The field names are those of the
-/// audit log.
+/// Parses a line of an instance's JSON log; `None` if it is no audit line. The field names, such as `duty`
+/// for the lease, stay, as other tools read the audit log.
 fn parse_audit_line(process: usize, line: &str) -> Option<AuditLine> {
     let value: serde_json::Value = serde_json::from_str(line).ok()?;
     let fields = value.get("fields").unwrap_or(&value);
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -352,6 +352,7 @@
             })
             .collect();
         let (event_sender, events) = mpsc::unbounded_channel();
+        // `keeper` is the name of the hidden command of the program.
         let supervisor = ProcessSupervisor::start(program, &["lab", "keeper"], move |event| {
             // Fails only once the run is over and the fleet is dropped.
             let _ = event_sender.send(event);
--- a/crates/fault-injection/src/http.rs
+++ b/crates/fault-injection/src/http.rs
@@ -36,8 +36,8 @@
     Error::new(ErrorKind::InvalidData, reason.to_string())
 }
 
-fn headers(of: &[httparse::Header<'_>]) -> Vec<(String, String)> {
-    of.iter().map(|h| (h.name.to_string(), String::from_utf8_lossy(h.value).into_owned())).collect()
+fn headers(parsed: &[httparse::Header<'_>]) -> Vec<(String, String)> {
+    parsed.iter().map(|h| (h.name.to_string(), String::from_utf8_lossy(h.value).into_owned())).collect()
 }
 
 impl HttpConnection {
--- a/crates/fault-injection/src/process_supervisor.rs
+++ b/crates/fault-injection/src/process_supervisor.rs
@@ -16,7 +16,7 @@
 /// Interval between two checks for processes that have ended.
 const REAP_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A command to the supervisor. Its names are the protocol between the two processes.
+/// A command to the supervisor. The names that serde writes are its protocol, so they stay.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum SupervisorCommand {
@@ -43,7 +43,8 @@
     pub log: PathBuf,
 }
 
-/// A signal that the supervisor can send. The names of the variants are written out in its commands.
+/// A signal that the supervisor can send. The names, also `Go`, are the protocol of the supervisor, so they
+/// stay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProcessSignal {
     /// SIGKILL
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -83,8 +83,8 @@
 /// Runs a scenario with a seed on real processes of `program`.
 ///
 /// # Errors
-/// If processes, sockets or files cannot be created, a process does not become ready, a fault cannot be injected, or
-/// requests do not end.
+/// If processes, sockets or files cannot be created, a process does not become ready, a fault cannot be
+/// injected, or requests do not end.
 pub fn run(
     program: &Path,
     scenario: &Scenario,
