--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -1,7 +1,7 @@
-//! One run of a scenario, from its start to its verdict.
+//! One run of a scenario on real processes, from the start of the fleet to the verdict.
 
 use crate::faults::Faults;
-use crate::fleet::{system, Fleet, FleetError, FleetPlan, SettingsFault};
+use crate::fleet::{system_error, Fleet, FleetError, FleetPlan, SettingsFault};
 use crate::history::Observations;
 use crate::host_load_monitor;
 use crate::invariant_checker::{self, GroundTruth, Verdict};
@@ -15,144 +15,183 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, sleep_until};
 
-/// Between the start of the last process and the first request.
-const SETTLE: Duration = Duration::from_millis(300);
-/// Between two samples of the backends' capacity.
-const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Longer than any request can be open after the last has started: past it, something hangs.
-const END_WITHIN: Duration = Duration::from_secs(30);
+/// Time between the readiness of the last process and the first request, and between the end of the last
+/// request and the end of the records.
+const SETTLE_TIME: Duration = Duration::from_millis(300);
+/// Interval of the samples of the backends' capacity.
+const CAPACITY_SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest wait for open requests after the last has started. All deadlines are shorter, so a request that is
+/// open longer hangs.
+const END_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a test or an operator does during a run, beside the scenario's own failures.
+/// Actions of a test or an operator during a run, in addition to the failures of the scenario.
 pub type Script = Box<dyn FnOnce(Rc<Fleet>) -> std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>>;
 
-/// Options of a run.
+/// Options of a run; the default runs the scenario as it is and keeps no files.
 #[derive(Default)]
 pub struct Options {
-    /// Falsifies the proxies' settings, if given.
-    pub lie: Option<SettingsFault>,
-    /// The coordination of the instances, if any.
-    pub talk: Option<crate::coordination_fleet::CoordinationOptions>,
-    /// Runs beside the requests, from the first one on.
+    /// Falsifies the settings that the proxies get.
+    pub settings_fault: Option<SettingsFault>,
+    /// How the instances coordinate; `None` if they do not.
+    pub coordination: Option<crate::coordination_fleet::CoordinationOptions>,
+    /// Runs from the first request on until the last has ended.
     pub script: Option<Script>,
-    /// Where configurations and logs are kept; without it they are deleted after the run.
-    pub keep: Option<PathBuf>,
+    /// The folder in which configurations and logs are kept; without it they are deleted after the run.
+    pub output_folder: Option<PathBuf>,
 }
 
-/// The result of a run.
+/// The results of a run.
 pub struct ScenarioRun {
-    /// What clients received, counted as in the simulation.
-    pub tally: RunSummary,
-    /// The record.
-    pub seen: Observations,
-    /// The true parameters of the fleet.
+    /// The accounting of client requests, as in the simulation.
+    pub summary: RunSummary,
+    /// The records of clients, backends, discovery and processes.
+    pub observations: Observations,
+    /// The true parameters of the fleet, which the checker used.
     pub truth: GroundTruth,
-    /// The checker's verdict.
+    /// The verdict of the invariant checker.
     pub verdict: Verdict,
-    /// Number of proxy processes.
+    /// The number of proxies, of all tiers.
     pub processes: usize,
 }
 
 impl ScenarioRun {
-    /// The verdict as text.
-    pub fn told(&self) -> String {
-        invariant_checker::tell(&self.truth, &self.seen, &self.verdict)
+    /// The verdict and the excused requests as text.
+    pub fn report(&self) -> String {
+        invariant_checker::report(&self.truth, &self.observations, &self.verdict)
     }
 
-    /// Attempts at a tier per attempt sent to the proxies before it.
-    pub fn attempts_a_try(&self, tier: usize) -> f64 {
-        let hops = self.seen.hops.iter().filter(|h| self.truth.servers[h.server].tier == tier).count();
-        let dots = |id: &str| id.matches('.').count();
-        let tries = self.seen.tries.iter().filter(|t| t.written_at.is_some() && dots(&t.id) == tier).count();
-        hops as f64 / tries.max(1) as f64
+    /// The number of attempts at the backends of a tier per attempt at the proxies before that tier.
+    pub fn attempt_ratio(&self, tier: usize) -> f64 {
+        let backend_attempts = self
+            .observations
+            .backend_attempts
+            .iter()
+            .filter(|attempt| self.truth.servers[attempt.server].tier == tier)
+            .count();
+        // Each tier adds a suffix after a dot to the request id.
+        let tier_of = |id: &str| id.matches('.').count();
+        let client_attempts = self
+            .observations
+            .client_attempts
+            .iter()
+            .filter(|attempt| attempt.written_at.is_some() && tier_of(&attempt.id) == tier)
+            .count();
+        backend_attempts as f64 / client_attempts.max(1) as f64
     }
 }
 
 /// Runs a scenario with a seed on real processes of `program`.
 ///
 /// # Errors
-/// If processes, sockets or files can't be had, or a process does not become ready.
+/// If processes, sockets or files cannot be created, a process does not become ready, a fault cannot be
+/// injected, or requests do not end.
 pub fn run(
     program: &Path,
     scenario: &Scenario,
     seed: u64,
     options: Options,
 ) -> Result<ScenarioRun, FleetError> {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(system("the rig"))?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(system_error("cannot start the runtime"))?;
     // Deleted with its files at the end of this function.
-    let passing = tempfile::tempdir().map_err(system("a folder"))?;
-    let path = options.keep.clone().unwrap_or_else(|| passing.path().to_path_buf());
-    LocalSet::new().block_on(&runtime, play(program, scenario, seed, options, &path))
+    let temporary_folder = tempfile::tempdir().map_err(system_error("cannot create a folder for the run"))?;
+    let path = options.output_folder.clone().unwrap_or_else(|| temporary_folder.path().to_path_buf());
+    LocalSet::new().block_on(&runtime, run_in(program, scenario, seed, options, &path))
 }
 
 #[allow(clippy::too_many_lines, reason = "one run from its start to its verdict")]
-async fn play(
+async fn run_in(
     program: &Path,
     scenario: &Scenario,
     seed: u64,
     options: Options,
     folder: &Path,
 ) -> Result<ScenarioRun, FleetError> {
-    let figures = setup::draw(scenario, seed);
-    let fleet =
-        Fleet::start(FleetPlan { program, figures, seed, lie: options.lie, talk: options.talk, folder })
-            .await?;
-    let zero = Instant::now() + SETTLE;
-    fleet.history.begin(zero);
-    sleep_until(zero.into()).await;
+    let parameters = setup::draw(scenario, seed);
+    let fleet = Fleet::start(FleetPlan {
+        program,
+        parameters,
+        seed,
+        settings_fault: options.settings_fault,
+        coordination: options.coordination,
+        folder,
+    })
+    .await?;
+    let first_request_at = Instant::now() + SETTLE_TIME;
+    fleet.history.set_first_request(first_request_at);
+    sleep_until(first_request_at.into()).await;
     let faults = Faults::new(fleet.clone());
-    faults.play();
+    faults.schedule();
     let script = options.script.map(|script| spawn_local(script(fleet.clone())));
-    let watch = spawn_local(watch(fleet.clone()));
-    let pulse = spawn_local(host_load_monitor::watch(fleet.clone()));
+    let capacity_samples = spawn_local(sample_capacity(fleet.clone()));
+    let stall_records = spawn_local(host_load_monitor::record_stalls(fleet.clone()));
     let clients = OpenLoopClients::new(fleet.clone(), seed);
-    clients.play(seed).await;
-    let end = Instant::now() + END_WITHIN;
-    while clients.open() > 0 {
+    clients.run(seed).await;
+    let end = Instant::now() + END_TIMEOUT;
+    while clients.open_requests() > 0 {
         if Instant::now() > end {
-            let why = std::io::Error::other(format!("{} calls have not ended", clients.open()));
-            return Err(FleetError::System { what: "the clients".into(), why });
+            let unfinished = format!(
+                "{} requests have not ended {END_TIMEOUT:?} after the last has started",
+                clients.open_requests()
+            );
+            return Err(FleetError::System {
+                operation: "clients".into(),
+                error: std::io::Error::other(unfinished),
+            });
         }
         sleep(Duration::from_millis(10)).await;
     }
-    // Late responses of attempts that timed out are still recorded.
-    sleep(SETTLE).await;
-    watch.abort();
-    pulse.abort();
+    // Responses that come after the timeout of their attempt are still recorded.
+    sleep(SETTLE_TIME).await;
+    capacity_samples.abort();
+    stall_records.abort();
     if let Some(script) = script {
         script.abort();
     }
-    if let Some(wrong) = faults.take_errors().into_iter().next() {
-        return Err(FleetError::System { what: "a fault".into(), why: std::io::Error::other(wrong) });
+    if let Some(error) = faults.take_errors().into_iter().next() {
+        return Err(FleetError::System {
+            operation: "fault injection".into(),
+            error: std::io::Error::other(error),
+        });
     }
     let truth = fleet.truth();
-    let seen = fleet.history.take();
+    let observations = fleet.history.take();
     let chokes = fleet.servers.iter().map(|server| u64::from(server.chokes())).sum();
-    let empty = RunSummary::new("drill", seed, 1.0, fleet.figures.tenant_quotas());
-    let mut tally = fleet.tally.replace(empty);
-    for hop in &seen.hops {
-        tally.record_attempt(hop.at, truth.servers[hop.server].tier);
+    let empty = RunSummary::new("drill", seed, 1.0, fleet.parameters.tenant_quotas());
+    let mut summary = fleet.summary.replace(empty);
+    for attempt in &observations.backend_attempts {
+        summary.record_attempt(attempt.at, truth.servers[attempt.server].tier);
     }
-    for a_try in seen.tries.iter().filter(|t| t.process < fleet.fronts && t.written_at.is_some()) {
-        tally.record_arrival_at(a_try.process);
-        if a_try.ended == crate::history::ClientResult::Refused {
-            tally.record_rejection_by(a_try.process);
+    for attempt in observations
+        .client_attempts
+        .iter()
+        .filter(|attempt| attempt.process < fleet.first_tier_count && attempt.written_at.is_some())
+    {
+        summary.record_arrival_at(attempt.process);
+        if attempt.result == crate::history::ClientResult::Refused {
+            summary.record_rejection_by(attempt.process);
         }
     }
-    let verdict = invariant_checker::check(&truth, &seen);
+    let verdict = invariant_checker::check(&truth, &observations);
     let processes = fleet.processes.len();
-    Ok(ScenarioRun { tally: tally.finish(chokes), seen, truth, verdict, processes })
+    Ok(ScenarioRun { summary: summary.finish(chokes), observations, truth, verdict, processes })
 }
 
-/// Samples the capacity of the first tier.
-async fn watch(fleet: Rc<Fleet>) {
-    let whole = fleet.figures.tiers[0].full_capacity();
-    let first = fleet.figures.tiers[0].machines.len();
+/// Samples the capacity of the first tier, as a fraction of its full capacity, until it is dropped.
+async fn sample_capacity(fleet: Rc<Fleet>) {
+    let full_capacity = fleet.parameters.tiers[0].full_capacity();
+    let count = fleet.parameters.tiers[0].machines.len();
     loop {
-        sleep(POLL_INTERVAL).await;
-        let states: Vec<(f64, bool)> = fleet.servers[..first].iter().map(|s| s.state()).collect();
-        let able: f64 = states.iter().map(|s| s.0).sum();
+        sleep(CAPACITY_SAMPLE_INTERVAL).await;
+        let states: Vec<(f64, bool)> = fleet.servers[..count].iter().map(|s| s.state()).collect();
+        let capacity: f64 = states.iter().map(|s| s.0).sum();
         let choked = states.iter().filter(|s| s.1).count() as u64;
-        fleet.tally.borrow_mut().record_capacity_sample(fleet.history.now().max(0.0), able / whole, choked);
+        fleet.summary.borrow_mut().record_capacity_sample(
+            fleet.history.now().max(0.0),
+            capacity / full_capacity,
+            choked,
+        );
     }
 }
--- a/crates/hillstall/src/fault_injection.rs
+++ b/crates/hillstall/src/fault_injection.rs
@@ -65,14 +65,14 @@
     let (mut runs, mut failed_seeds) = (Vec::new(), Vec::new());
     for seed in seeds {
         let run = run_seed(&program, name, scenario, *seed, options)?;
-        print(&format!("seed {seed}: {}", run.told()));
+        print(&format!("seed {seed}: {}", run.report()));
         print(&format_figures(&run));
-        if !matches!(run.verdict, Verdict::Kept) {
+        if !matches!(run.verdict, Verdict::Passed) {
             failed_seeds.push(seed.to_string());
         }
         // A void run says nothing about the proxies, so it is left out of the results.
         if !run.verdict.is_void() {
-            runs.push(run.tally);
+            runs.push(run.summary);
         }
     }
     if let Some(path) = &options.json {
@@ -101,12 +101,12 @@
         let run = soak::run(&program, *seed, keep, None)
             .map_err(|error| FaultInjectionError::Run { scenario: SOAK_NAME.into(), source: error.into() })?;
         match run.verdict {
-            Verdict::Kept => passed += 1,
+            Verdict::Passed => passed += 1,
             Verdict::Void(_) => void += 1,
-            Verdict::Broken(_) => print(&format!("{:?}\n", SoakPlan::draw(*seed))),
+            Verdict::Violated(_) => print(&format!("{:?}\n", SoakPlan::draw(*seed))),
         }
-        print(&format!("seed {seed}: {}  {}\n", run.told(), SoakSummary::of(&run)));
-        if !matches!(run.verdict, Verdict::Kept) {
+        print(&format!("seed {seed}: {}  {}\n", run.report(), SoakSummary::of(&run)));
+        if !matches!(run.verdict, Verdict::Passed) {
             failed_seeds.push(seed.to_string());
         }
     }
@@ -128,7 +128,7 @@
     options: &RunOptions,
 ) -> Result<ScenarioRun, FaultInjectionError> {
     let keep = options.output_folder.as_ref().map(|folder| folder.join(format!("seed-{seed}")));
-    let options = Options { keep, ..Options::default() };
+    let options = Options { output_folder: keep, ..Options::default() };
     hillstall_fault_injection::run(program, scenario, seed, options)
         .map_err(|error| FaultInjectionError::Run { scenario: name.to_string(), source: error.into() })
 }
@@ -167,10 +167,10 @@
 
 /// Counts of a run on real processes that the table does not have.
 fn format_figures(run: &ScenarioRun) -> String {
-    let observed = &run.seen;
-    let [first_tier, second_tier] = [0, 1].map(|tier| run.attempts_a_try(tier));
+    let observed = &run.observations;
+    let [first_tier, second_tier] = [0, 1].map(|tier| run.attempt_ratio(tier));
     let handshakes: u64 = observed.handshakes.iter().sum();
-    let mut lateness = observed.lateness.clone();
+    let mut lateness = observed.start_delays_ms.clone();
     lateness.sort_by(f64::total_cmp);
     let p99 = lateness.get((lateness.len() as f64 * 0.99) as usize).copied().unwrap_or(0.0);
     format!(
@@ -179,10 +179,10 @@
          {handshakes} connections to servers, {} requests to discovery; largest load on a server in slow \
          start: {:.2} of its capacity; 99th percentile of client lateness: {p99:.1} ms\n",
         run.processes,
-        run.tally.offered,
-        observed.tries.len(),
-        observed.hops.len(),
-        observed.list_calls,
+        run.summary.offered,
+        observed.client_attempts.len(),
+        observed.backend_attempts.len(),
+        observed.discovery_requests,
         overshoot(&run.truth, observed),
     )
 }
--- a/crates/hillstall/tests/coordination/scenario.rs
+++ b/crates/hillstall/tests/coordination/scenario.rs
@@ -1,7 +1,7 @@
 //! Runs a fault-injection scenario with a script of admin commands and faults, and checks its audit lines.
 
 use crate::harness::{run_with_options, ValidRun};
-use hillstall_fault_injection::coordination_fleet::{judge, AuditLine, CoordinationOptions};
+use hillstall_fault_injection::coordination_fleet::{check_audit_lines, AuditLine, CoordinationOptions};
 use hillstall_fault_injection::fleet::{Fleet, LinkEnds};
 use hillstall_fault_injection::process_supervisor::ProcessSignal;
 use hillstall_fault_injection::run::Script;
@@ -51,7 +51,7 @@
     for attempt in 1..=MAX_ATTEMPTS {
         match run_once(name, replicas, section, script.clone()) {
             Ok(run) => {
-                let violations = judge(&run.audit_lines);
+                let violations = check_audit_lines(&run.audit_lines);
                 assert!(violations.is_empty(), "{}", violations.join("\n"));
                 run.valid_run.assert_invariants_hold();
                 return run;
@@ -82,11 +82,11 @@
         let whole_script: Script = Box::new(move |fleet| {
             Box::pin(async move {
                 let result = script(fleet.clone()).await.map_err(|error| with_log_lines(&fleet, error));
-                outcome.replace((Some(result), fleet.acts()));
+                outcome.replace((Some(result), fleet.audit_lines()));
             })
         });
-        let talk = Some(CoordinationOptions { keepers: replicas, section: section.to_owned() });
-        Options { script: Some(whole_script), talk, ..Options::default() }
+        let talk = Some(CoordinationOptions { voters: replicas, fleet_section: section.to_owned() });
+        Options { script: Some(whole_script), coordination: talk, ..Options::default() }
     });
     let (result, audit_lines) = outcome.take();
     match result {
@@ -126,7 +126,7 @@
     line: &str,
     expected_start: &str,
 ) -> Result<String, String> {
-    let answer = fleet.line(process, line).await.unwrap_or_default();
+    let answer = fleet.admin_command(process, line).await.unwrap_or_default();
     ensure(answer.starts_with(expected_start), || {
         format!("{line}: got {answer:?}, expected {expected_start:?}")
     })?;
@@ -136,7 +136,7 @@
 /// Kills an instance, and waits until it has ended.
 pub async fn kill_and_wait(fleet: &Fleet, process: usize) -> ScriptResult {
     fleet.signal(process, ProcessSignal::Kill)?;
-    while fleet.processes[process].runs.get() {
+    while fleet.processes[process].is_running.get() {
         sleep(Duration::from_millis(10)).await;
     }
     Ok(())
@@ -145,18 +145,18 @@
 /// Injects a fault into the selected links; fails if they have carried nothing before, as the fault would
 /// then have no effect.
 pub fn inject_fault(fleet: &Fleet, fault: Fault, links: impl Fn(LinkEnds) -> bool + Copy) -> ScriptResult {
-    let passed = fleet.passed(links);
-    fleet.set(fault, links);
-    ensure(passed.forth > 0, || "the links for the fault have carried nothing".into())
+    let passed = fleet.transferred(links);
+    fleet.set_fault(fault, links);
+    ensure(passed.to_target > 0, || "the links for the fault have carried nothing".into())
 }
 
 /// Waits until all instances have the replicated state and accept changes, and the coordinator's lease is
 /// held.
 pub async fn wait_until_settled(fleet: &Fleet) -> ScriptResult {
     for process in 0..fleet.processes.len() {
-        fleet.until(process, "FLEET", STEP_TIMEOUT, |text| text.contains("gates open")).await?;
+        fleet.wait_for_answer(process, "FLEET", STEP_TIMEOUT, |text| text.contains("gates open")).await?;
     }
-    fleet.new_owner(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await.map(|_| ())
+    fleet.wait_for_lease_holder(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await.map(|_| ())
 }
 
 /// Milliseconds since a moment.
--- a/crates/hillstall/tests/coordination/windows.rs
+++ b/crates/hillstall/tests/coordination/windows.rs
@@ -39,7 +39,9 @@
 /// [`BUSY_PREFIX`].
 async fn wait_for_stage(fleet: &Fleet, wanted: &str) -> Result<String, String> {
     let late = |text: &str| text.contains("could not begin in time");
-    let text = fleet.until(5, "WINDOW", WINDOW_TIMEOUT, |text| late(text) || text.contains(wanted)).await?;
+    let text = fleet
+        .wait_for_answer(5, "WINDOW", WINDOW_TIMEOUT, |text| late(text) || text.contains(wanted))
+        .await?;
     ensure(!late(&text), || format!("{BUSY_PREFIX}{text}"))?;
     Ok(text)
 }
@@ -57,14 +59,14 @@
         "WINDOW PLAN {site} begin={} length={length_s}s lead={in_s}s latest=8s reserve=10",
         timestamp_in(in_s)
     );
-    let text = fleet.line(4, &line).await.unwrap_or_default();
+    let text = fleet.admin_command(4, &line).await.unwrap_or_default();
     ensure(text.starts_with("200"), || format!("{line}: {text}"))
 }
 
 /// Number of attempts that reached some servers from one time to another, in milliseconds after the first
 /// request.
 fn attempts_at(run: &ScenarioRun, servers: &[usize], from: f64, to: f64) -> usize {
-    let hops = run.valid_run.0.seen.hops.iter();
+    let hops = run.valid_run.0.observations.backend_attempts.iter();
     hops.filter(|h| servers.contains(&h.server) && h.at >= from && h.at < to).count()
 }
 
@@ -115,9 +117,9 @@
         wait_until_settled(&fleet).await?;
         plan_window(&fleet, "zone-1", 9, 3).await?;
         wait_for_stage(&fleet, "zone-1 shifting").await?;
-        let (first, token) = fleet.new_owner(SHIFT_LEASE, &[], STEP_TIMEOUT).await?;
+        let (first, token) = fleet.wait_for_lease_holder(SHIFT_LEASE, &[], STEP_TIMEOUT).await?;
         fleet.signal(first, ProcessSignal::Kill)?;
-        let (_, newer) = fleet.new_owner(SHIFT_LEASE, &[first], STEP_TIMEOUT).await?;
+        let (_, newer) = fleet.wait_for_lease_holder(SHIFT_LEASE, &[first], STEP_TIMEOUT).await?;
         ensure(newer > token, || format!("{newer} after {token}"))?;
         wait_for_stage(&fleet, "zone-1 running").await?;
         wait_for_stage(&fleet, "zone-1 done").await?;
@@ -131,18 +133,18 @@
         wait_until_settled(&fleet).await?;
         plan_window(&fleet, "zone-1", 9, 3).await?;
         wait_for_stage(&fleet, "zone-1 shifting").await?;
-        let (first, _) = fleet.new_owner(SHIFT_LEASE, &[], STEP_TIMEOUT).await?;
+        let (first, _) = fleet.wait_for_lease_holder(SHIFT_LEASE, &[], STEP_TIMEOUT).await?;
         fleet.signal(first, ProcessSignal::Stop)?;
-        fleet.new_owner(SHIFT_LEASE, &[first], STEP_TIMEOUT).await?;
+        fleet.wait_for_lease_holder(SHIFT_LEASE, &[first], STEP_TIMEOUT).await?;
         wait_for_stage(&fleet, "zone-1 running").await?;
         // The resumed holder now sends the commands that it had queued.
-        fleet.signal(first, ProcessSignal::Go)?;
+        fleet.signal(first, ProcessSignal::Continue)?;
         wait_for_stage(&fleet, "zone-1 done").await.map(|_| ())
     });
     let tokens: std::collections::BTreeSet<u64> = run
         .audit_lines
         .iter()
-        .filter(|a| a.duty == SHIFT_LEASE && a.what == "carried out")
+        .filter(|a| a.lease == SHIFT_LEASE && a.action == "carried out")
         .map(|a| a.token)
         .collect();
     assert!(tokens.len() >= 2, "fewer than two holders moved traffic: {tokens:?}");
@@ -155,15 +157,14 @@
         plan_window(&fleet, "zone-1", 12, 6).await?;
         let partly_shifted =
             |text: &str| text.lines().any(|l| l.contains("zone-1 shifting") && !l.contains("part=100%"));
-        fleet.until(5, "WINDOW", WINDOW_TIMEOUT, partly_shifted).await?;
+        fleet.wait_for_answer(5, "WINDOW", WINDOW_TIMEOUT, partly_shifted).await?;
         let servers = fleet.servers_of_zone(2);
-        let lost =
-            |ends: LinkEnds| matches!(ends, LinkEnds::Server { server, .. } if servers.contains(&server));
-        fleet.set(Fault::Reset, lost);
+        let lost = |ends: LinkEnds| matches!(ends, LinkEnds::ProxyToBackend { server, .. } if servers.contains(&server));
+        fleet.set_fault(Fault::Reset, lost);
         let comes_back =
             |text: &str| text.lines().any(|l| l.contains("zone-1 returning") || l.contains("zone-1 done"));
-        fleet.until(5, "WINDOW", WINDOW_TIMEOUT, comes_back).await?;
-        fleet.set(Fault::None, lost);
+        fleet.wait_for_answer(5, "WINDOW", WINDOW_TIMEOUT, comes_back).await?;
+        fleet.set_fault(Fault::None, lost);
         let text = wait_for_stage(&fleet, "zone-1 done").await?;
         ensure(text.contains("why=incident"), || text.clone())
     });
@@ -176,11 +177,12 @@
         plan_window(&fleet, "zone-1", 8, 3).await?;
         plan_window(&fleet, "zone-2", 8, 3).await?;
         fleet
-            .until(5, "WINDOW", WINDOW_TIMEOUT, |text| {
+            .wait_for_answer(5, "WINDOW", WINDOW_TIMEOUT, |text| {
                 text.contains("zone-1 shifting") || text.contains("zone-2 shifting")
             })
             .await?;
-        let text = fleet.line(3, "INCIDENT OPEN major fleet ann a bad feeling").await.unwrap_or_default();
+        let text =
+            fleet.admin_command(3, "INCIDENT OPEN major fleet ann a bad feeling").await.unwrap_or_default();
         ensure(text.starts_with("200"), || text.clone())?;
         // The site that is shifting gets its traffic back, and neither window begins.
         let both_ended = |text: &str| {
@@ -189,7 +191,7 @@
                     .any(|l| l.contains(&format!("{site} done")) || l.contains(&format!("{site} postponed")))
             })
         };
-        let text = fleet.until(5, "WINDOW", WINDOW_TIMEOUT, both_ended).await?;
+        let text = fleet.wait_for_answer(5, "WINDOW", WINDOW_TIMEOUT, both_ended).await?;
         ensure(text.contains("why="), || text.clone())
     });
 }
@@ -200,15 +202,15 @@
         wait_until_settled(&fleet).await?;
         plan_window(&fleet, "zone-1", 7, 60).await?;
         wait_for_stage(&fleet, "zone-1 running").await?;
-        fleet.until(8, "FLEET", STEP_TIMEOUT, |text| text.contains("part zone-1 0.000")).await?;
+        fleet.wait_for_answer(8, "FLEET", STEP_TIMEOUT, |text| text.contains("part zone-1 0.000")).await?;
         for replica in 0..3 {
             fleet.signal(replica, ProcessSignal::Kill)?;
         }
         // The traffic fraction stays in force for `holds`, and then rises over `way_back`.
         let partly_returned =
             |text: &str| text.contains("part zone-1 0.") && !text.contains("part zone-1 0.000");
-        fleet.until(8, "FLEET", WINDOW_TIMEOUT, partly_returned).await?;
-        fleet.until(8, "FLEET", WINDOW_TIMEOUT, |text| text.contains("part zone-1 1.000")).await?;
+        fleet.wait_for_answer(8, "FLEET", WINDOW_TIMEOUT, partly_returned).await?;
+        fleet.wait_for_answer(8, "FLEET", WINDOW_TIMEOUT, |text| text.contains("part zone-1 1.000")).await?;
         for replica in 0..3 {
             fleet.start_process(replica).await?;
         }
--- a/crates/hillstall/tests/fault_injection/harness.rs
+++ b/crates/hillstall/tests/fault_injection/harness.rs
@@ -6,7 +6,7 @@
 use hillstall_fault_injection::history::History;
 use hillstall_fault_injection::invariant_checker::{Rule, Verdict};
 use hillstall_fault_injection::run::Script;
-use hillstall_fault_injection::soak::Sabotage;
+use hillstall_fault_injection::soak::InjectedFault;
 use hillstall_fault_injection::tcp_proxy::TransferredBytes;
 use hillstall_fault_injection::{Options, ScenarioRun};
 use hillstall_simulation::scenarios;
@@ -67,16 +67,16 @@
 impl ValidRun {
     /// Panics if an invariant was violated, with the histories of the first requests that violate it.
     pub fn assert_invariants_hold(&self) {
-        assert!(matches!(self.0.verdict, Verdict::Kept), "{}", self.0.told());
+        assert!(matches!(self.0.verdict, Verdict::Passed), "{}", self.0.report());
     }
 
     /// Panics unless the invariant checker has found a violation of `rule`, which the test causes on purpose.
     pub fn assert_violates(&self, rule: Rule) {
         assert!(
-            self.0.verdict.breaks(rule),
+            self.0.verdict.violates(rule),
             "the violation of {} is not detected: {}",
             rule.name(),
-            self.0.told()
+            self.0.report()
         );
     }
 }
@@ -91,7 +91,7 @@
 }
 
 /// Runs the shutdown soak with a seed. `sabotage`, if any, runs beside it to violate an invariant.
-pub fn run_soak(seed: u64, sabotage: Option<Sabotage>) -> ValidRun {
+pub fn run_soak(seed: u64, sabotage: Option<InjectedFault>) -> ValidRun {
     run_until_valid(&format!("soak of seed {seed}"), || {
         hillstall_fault_injection::soak::run(hillstall_path(), seed, None, sabotage)
             .expect("the run can be carried out")
@@ -121,7 +121,7 @@
 /// Runs an embedded scenario with wrong settings in the proxies, which `fault` makes from the right ones.
 pub fn run_with_settings_fault(name: &str, seed: u64, fault: impl Fn(&mut Settings) + 'static) -> ValidRun {
     let fault: SettingsFault = Rc::new(fault);
-    run_with_options(name, seed, || Options { lie: Some(fault.clone()), ..Options::default() })
+    run_with_options(name, seed, || Options { settings_fault: Some(fault.clone()), ..Options::default() })
 }
 
 /// Runs an embedded scenario as it is.
@@ -158,7 +158,7 @@
     samples.borrow_mut().clear();
     for at_s in times_s {
         wait_until_s(&fleet.history, at_s).await;
-        samples.borrow_mut().push(fleet.passed(is_selected));
+        samples.borrow_mut().push(fleet.transferred(is_selected));
     }
 }
 
@@ -169,5 +169,5 @@
 
 /// The service of a run, in percent.
 pub fn service_percent(run: &ValidRun) -> f64 {
-    100.0 * run.0.tally.service
+    100.0 * run.0.summary.service
 }
--- a/crates/hillstall/tests/fault_injection/main.rs
+++ b/crates/hillstall/tests/fault_injection/main.rs
@@ -11,7 +11,7 @@
 };
 use hillstall_decision::{BackendState, RetrySafety, Settings};
 use hillstall_fault_injection::fleet::{LinkEnds, SettingsFault};
-use hillstall_fault_injection::history::{BackendResult, ClientResult, ProcessEvent, ProcessLifetime};
+use hillstall_fault_injection::history::{BackendResult, ClientResult, ProcessEvent, ProcessEventRecord};
 use hillstall_fault_injection::invariant_checker::{self, Rule};
 use hillstall_fault_injection::Options;
 use hillstall_simulation::stability::ServiceCourse;
@@ -44,26 +44,33 @@
     let shared = samples.clone();
     let normal = run_with_script("drill-one-way", 1, move |fleet| {
         sample_transfers(fleet, shared.clone(), [2.9, 3.1, 4.9], |ends| {
-            matches!(ends, LinkEnds::Server { process: 0 | 1, .. })
+            matches!(ends, LinkEnds::ProxyToBackend { process: 0 | 1, .. })
         })
     });
     normal.assert_invariants_hold();
     let samples = samples.borrow();
-    assert!(samples[2].forth > samples[1].forth, "requests no longer reach the servers: {samples:?}");
-    assert_eq!(samples[2].back, samples[1].back, "responses still come back");
+    assert!(samples[2].to_target > samples[1].to_target, "requests no longer reach the servers: {samples:?}");
+    assert_eq!(samples[2].to_client, samples[1].to_client, "responses still come back");
     let violating =
         run_with_settings_fault("drill-one-way", 1, declare_non_idempotent_as(RetrySafety::IdempotencyKey));
-    violating.assert_violates(Rule::BarredRepeat);
+    violating.assert_violates(Rule::UnsafeRetry);
 }
 
 #[test]
 fn restarted_servers_are_not_overloaded_by_all_proxies_together() {
     let normal = run_embedded("drill-cold", 1);
     normal.assert_invariants_hold();
-    assert_eq!(normal.0.seen.starts.len(), 3, "three servers were restarted");
+    assert_eq!(normal.0.observations.backend_starts.len(), 3, "three servers were restarted");
     let attempts_after = |from: f64| {
-        let was_restarted = |server: usize| normal.0.seen.starts.iter().any(|s| s.server == server);
-        normal.0.seen.hops.iter().filter(|h| was_restarted(h.server) && h.at > from).count()
+        let was_restarted =
+            |server: usize| normal.0.observations.backend_starts.iter().any(|s| s.server == server);
+        normal
+            .0
+            .observations
+            .backend_attempts
+            .iter()
+            .filter(|h| was_restarted(h.server) && h.at > from)
+            .count()
     };
     assert!(attempts_after(4_500.0) > 20, "the restarted servers get too few requests");
     // The endpoint list gives each restarted server thirty times the weight of the others. Proxies without
@@ -73,24 +80,25 @@
         disable_load_shedding(settings);
     });
     let violating = run_with_options("drill-cold", 1, || Options {
-        lie: Some(settings_fault.clone()),
-        script: Some(Box::new(|fleet| Box::pin(async move { fleet.weight_again.set(30.0) }))),
+        settings_fault: Some(settings_fault.clone()),
+        script: Some(Box::new(|fleet| Box::pin(async move { fleet.restarted_weight.set(30.0) }))),
         ..Options::default()
     });
-    let overshoot = |run: &ValidRun| invariant_checker::overshoot(&run.0.truth, &run.0.seen);
+    let overshoot = |run: &ValidRun| invariant_checker::overshoot(&run.0.truth, &run.0.observations);
     print_comparison(
         "largest load on a server in slow start, of its capacity",
         overshoot(&normal),
         overshoot(&violating),
     );
-    violating.assert_violates(Rule::Cold);
+    violating.assert_violates(Rule::SlowStart);
 }
 
 #[test]
 fn a_draining_server_gets_no_new_requests_after_the_grace_period() {
     let normal = run_embedded("drill-release", 1);
     normal.assert_invariants_hold();
-    let drains = normal.0.seen.told.iter().filter(|t| t.status == BackendState::Draining).count();
+    let drains =
+        normal.0.observations.notifications.iter().filter(|t| t.status == BackendState::Draining).count();
     assert!(drains >= 2 * 4, "not all entry proxies got all draining states: {drains}");
     let violating =
         run_with_settings_fault("drill-release", 1, |settings| settings.rules.drain_grace_ms = 60_000.0);
@@ -101,13 +109,15 @@
 fn service_recovers_after_five_of_seven_entry_proxies_are_killed_at_once() {
     let normal = run_embedded("drill-kill", 1);
     normal.assert_invariants_hold();
-    let killed = normal.0.seen.lives.iter().filter(|l| l.what == ProcessEvent::Killed).count();
+    let killed =
+        normal.0.observations.process_events.iter().filter(|l| l.event == ProcessEvent::Killed).count();
     assert_eq!(killed, 5, "five of seven entry proxies are killed");
-    let broken_attempts = normal.0.seen.tries.iter().filter(|t| t.ended == ClientResult::Broken).count();
+    let broken_attempts =
+        normal.0.observations.client_attempts.iter().filter(|t| t.result == ClientResult::Broken).count();
     assert!(broken_attempts > 0, "no client connection broke");
     // In the last three seconds all proxies run again, without what they had learned before.
     let final_service = |run: &ValidRun| {
-        let last = &run.0.tally.seconds[6..];
+        let last = &run.0.summary.seconds[6..];
         let sum = |of: fn(&hillstall_simulation::sim::Second) -> f64| last.iter().map(of).sum::<f64>();
         100.0 * sum(|s| s.served_weight) / sum(|s| s.offered_weight)
     };
@@ -115,7 +125,7 @@
     // A process that ends without a request to do so counts as crashed.
     let violating = run_with_script("drill-kill", 1, |fleet| async move {
         wait_until_s(&fleet.history, 2.0).await;
-        fleet.strike(6).expect("the supervisor accepts the command");
+        fleet.kill_unrecorded(6).expect("the supervisor accepts the command");
     });
     violating.assert_violates(Rule::Crash);
 }
@@ -124,33 +134,47 @@
 fn graceful_restarts_of_an_overloaded_tier_lose_no_request() {
     let normal = run_embedded("drill-roll", 1);
     normal.assert_invariants_hold();
-    let ended = normal.0.seen.lives.iter().filter(|l| matches!(l.what, ProcessEvent::Ended(Some(0)))).count();
+    let ended = normal
+        .0
+        .observations
+        .process_events
+        .iter()
+        .filter(|l| matches!(l.event, ProcessEvent::Exited(Some(0))))
+        .count();
     assert_eq!(ended, 5, "all five entry proxies shut down gracefully");
     assert!(
-        normal.0.tally.rejected > 0.02,
+        normal.0.summary.rejected > 0.02,
         "the tier is not overloaded: {:.3} rejected",
-        normal.0.tally.rejected
+        normal.0.summary.rejected
     );
     // A process that is killed instead of shut down gracefully loses the requests that it had accepted.
     let violating = run_with_script("drill-roll", 1, |fleet| async move {
         wait_until_s(&fleet.history, 1.5).await;
         let at = fleet.history.now();
-        fleet
-            .history
-            .note(|seen| seen.lives.push(ProcessLifetime { process: 4, at, what: ProcessEvent::Asked }));
-        fleet.strike(4).expect("the supervisor accepts the command");
+        fleet.history.record(|seen| {
+            seen.process_events.push(ProcessEventRecord { process: 4, at, event: ProcessEvent::SigtermSent })
+        });
+        fleet.kill_unrecorded(4).expect("the supervisor accepts the command");
     });
-    violating.assert_violates(Rule::OneAnswer);
+    violating.assert_violates(Rule::OneResponse);
 }
 
 #[test]
 fn suspended_proxies_resume_with_the_current_endpoint_list() {
     let normal = run_embedded("drill-stop", 1);
     normal.assert_invariants_hold();
-    let count = |what: ProcessEvent| normal.0.seen.lives.iter().filter(|l| l.what == what).count();
-    assert_eq!((count(ProcessEvent::Stopped), count(ProcessEvent::Went)), (2, 2));
+    let count = |event: ProcessEvent| {
+        normal.0.observations.process_events.iter().filter(|l| l.event == event).count()
+    };
+    assert_eq!((count(ProcessEvent::Stopped), count(ProcessEvent::Continued)), (2, 2));
     let attempts_by_suspended = |from: f64, to: f64| {
-        normal.0.seen.hops.iter().filter(|h| h.process < 2 && h.at > from && h.at < to).count()
+        normal
+            .0
+            .observations
+            .backend_attempts
+            .iter()
+            .filter(|h| h.process < 2 && h.at > from && h.at < to)
+            .count()
     };
     assert!(
         attempts_by_suspended(0.0, 2_400.0) > 0 && attempts_by_suspended(6_000.0, 11_000.0) > 0,
@@ -166,15 +190,17 @@
 fn invariants_hold_while_discovery_is_down_and_processes_die() {
     let normal = run_embedded("drill-list", 1);
     normal.assert_invariants_hold();
-    let notifications =
-        |from: f64, to: f64| normal.0.seen.told.iter().filter(|t| t.at > from && t.at < to).count();
+    let notifications = |from: f64, to: f64| {
+        normal.0.observations.notifications.iter().filter(|t| t.at > from && t.at < to).count()
+    };
     assert_eq!(notifications(1_600.0, 6_400.0), 0, "discovery sends nothing while it is down");
     assert!(notifications(6_400.0, 11_000.0) > 0, "discovery is not used after it is back");
-    let lost = normal.0.seen.hops.iter().filter(|h| h.done == BackendResult::Lost).count();
+    let lost =
+        normal.0.observations.backend_attempts.iter().filter(|h| h.result == BackendResult::Lost).count();
     assert!(lost > 0, "no attempt was lost with its server");
     let violating =
         run_with_settings_fault("drill-list", 1, declare_non_idempotent_as(RetrySafety::Idempotent));
-    violating.assert_violates(Rule::BarredRepeat);
+    violating.assert_violates(Rule::UnsafeRetry);
 }
 
 #[test]
@@ -187,9 +213,10 @@
     });
     // Percentage of requests served of the two tenants that keep within their quotas.
     let others = |run: &ValidRun| {
-        let tries = || run.0.seen.tries.iter().filter(|t| t.tenant > 0 && !t.id.contains('.'));
+        let tries =
+            || run.0.observations.client_attempts.iter().filter(|t| t.tenant > 0 && !t.id.contains('.'));
         let requests: std::collections::BTreeSet<_> = tries().map(|t| t.id.split('-').next()).collect();
-        100.0 * tries().filter(|t| t.ended == ClientResult::Served).count() as f64 / requests.len() as f64
+        100.0 * tries().filter(|t| t.result == ClientResult::Served).count() as f64 / requests.len() as f64
     };
     print_comparison("% served of the requests of the other tenants", others(&normal), others(&without));
     assert!(others(&normal) > others(&without) + 5.0, "quotas have no effect");
@@ -201,7 +228,7 @@
     normal.assert_invariants_hold();
     let without = run_with_settings_fault("drill-burst", 1, disable_load_shedding);
     print_comparison("service", service_percent(&normal), service_percent(&without));
-    assert_eq!(normal.0.tally.chokes, 0, "a server was overloaded");
+    assert_eq!(normal.0.summary.chokes, 0, "a server was overloaded");
     assert!(service_percent(&without) < service_percent(&normal) - 10.0, "load shedding has no effect");
 }
 
@@ -209,21 +236,23 @@
 fn requests_have_at_most_six_attempts_while_servers_reject_them() {
     let normal = run_embedded("drill-full", 1);
     normal.assert_invariants_hold();
-    let rejected = normal.0.seen.hops.iter().filter(|h| h.done == BackendResult::TurnedAway).count();
+    let rejected =
+        normal.0.observations.backend_attempts.iter().filter(|h| h.result == BackendResult::Rejected).count();
     assert!(rejected > 10, "servers rejected only {rejected} attempts");
     let violating =
         run_with_settings_fault("drill-full", 1, |settings| settings.permissions.max_attempts = 30);
-    violating.assert_violates(Rule::Attempts);
+    violating.assert_violates(Rule::AttemptLimit);
 }
 
 #[test]
 fn remaining_servers_are_not_overloaded_while_half_are_lost() {
     let normal = run_embedded("drill-half", 1);
     normal.assert_invariants_hold();
-    let course = |run: &ValidRun| ServiceCourse::of(&run.0.tally.seconds, 4.0, 8.0);
+    let course = |run: &ValidRun| ServiceCourse::of(&run.0.summary.seconds, 4.0, 8.0);
     // Of a load of 85% of the capacity, the remaining half of the servers can serve 50 / 85.
     let served_of_possible = |course: ServiceCourse| course.during_loss / (0.5 / 0.85);
-    let killed = normal.0.seen.lives.iter().filter(|l| l.what == ProcessEvent::Killed).count();
+    let killed =
+        normal.0.observations.process_events.iter().filter(|l| l.event == ProcessEvent::Killed).count();
     assert_eq!(killed, 3, "the proxies on the machines of three lost servers are killed too");
     let without = run_with_settings_fault("drill-half", 1, disable_load_shedding);
     print_comparison(
@@ -231,7 +260,7 @@
         100.0 * served_of_possible(course(&normal)),
         100.0 * served_of_possible(course(&without)),
     );
-    assert_eq!(normal.0.tally.chokes, 0, "a remaining server was overloaded");
+    assert_eq!(normal.0.summary.chokes, 0, "a remaining server was overloaded");
     assert!(served_of_possible(course(&normal)) >= 0.75, "{:?}", course(&normal));
     assert!(course(&normal).recovery_seconds.is_some_and(|after| after <= 8.0), "{:?}", course(&normal));
     assert!(
--- a/crates/hillstall/tests/fault_injection/soak.rs
+++ b/crates/hillstall/tests/fault_injection/soak.rs
@@ -17,8 +17,10 @@
 fn failure(seed: u64) -> Option<String> {
     let run = run_soak(seed, None);
     match run.0.verdict {
-        Verdict::Kept => None,
-        _ => Some(format!("hillstall lab soak --seed {seed}\n{:?}\n{}", SoakPlan::draw(seed), run.0.told())),
+        Verdict::Passed => None,
+        _ => {
+            Some(format!("hillstall lab soak --seed {seed}\n{:?}\n{}", SoakPlan::draw(seed), run.0.report()))
+        }
     }
 }
 
@@ -47,11 +49,11 @@
         Some(|fleet| {
             Box::pin(async move {
                 tokio::time::sleep_until(fleet.history.instant(TERM_AT_MS + 60.0)).await;
-                fleet.strike(0).expect("the supervisor accepts the command");
+                fleet.kill_unrecorded(0).expect("the supervisor accepts the command");
             })
         }),
     );
-    run.assert_violates(Rule::OneAnswer);
+    run.assert_violates(Rule::OneResponse);
 }
 
 #[test]
@@ -61,10 +63,10 @@
         Some(|fleet| {
             Box::pin(async move {
                 tokio::time::sleep_until(fleet.history.instant(TERM_AT_MS + 200.0)).await;
-                let door = hillstall_fault_injection::fleet::LinkEnds::Door { process: 0 };
+                let door = hillstall_fault_injection::fleet::LinkEnds::ClientToProxy { process: 0 };
                 fleet.link(door).reset();
             })
         }),
     );
-    run.assert_violates(Rule::OneAnswer);
+    run.assert_violates(Rule::OneResponse);
 }
