--- a/crates/simulation/src/sim/accounting.rs
+++ b/crates/simulation/src/sim/accounting.rs
@@ -75,7 +75,7 @@
     /// Capacity of the first tier's machines as a fraction of their capacity when warm and healthy; mean of
     /// the samples.
     pub capacity: f64,
-    /// Maximum number of choked machines in the first tier.
+    /// Maximum number of choked machines in the first tier over the samples of this second.
     pub choked: u64,
     /// Median latency of the answered requests, in milliseconds.
     pub p50_ms: f64,
@@ -93,7 +93,8 @@
 /// Results of a run. Serialized names are those of stored runs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunSummary {
-    /// The cell of a sweep that the run belongs to; empty outside of a sweep.
+    /// The cell of the results table that the run belongs to: a cell of a sweep or of a stability map, or a
+    /// recorded day. Empty for a run that stands alone.
     #[serde(default)]
     pub cell: String,
     /// Name of the policy.
@@ -136,7 +137,7 @@
     pub chokes: u64,
     /// Attempts sent to a machine more than 2 s after the proxies were notified that it drains or is gone.
     pub late_sends: u64,
-    /// Number of second responses to a request, and of requests that a proxy never answered.
+    /// Number of responses to a request beyond its first, and of requests that a proxy never answered.
     #[serde(rename = "wrong_answers")]
     pub response_errors: u64,
     /// Side effects of all proxies together; zero where they were not counted.
--- a/crates/simulation/src/sim/attempts.rs
+++ b/crates/simulation/src/sim/attempts.rs
@@ -253,8 +253,8 @@
         self.continue_completed_work(machine);
     }
 
-    /// Sends a proxy's final response to the source of the request. A second response to a request is counted
-    /// as an error.
+    /// Sends a proxy's final response to the source of the request. Any further response to a request is
+    /// counted as an error.
     pub(super) fn respond(&mut self, request: usize, end: ResponseKind, retry_after: f64) {
         let state = &mut self.requests[request];
         if state.abandoned {
--- a/crates/simulation/src/sim/clients.rs
+++ b/crates/simulation/src/sim/clients.rs
@@ -101,7 +101,7 @@
         self.totals.record_arrival_at(proxy);
         self.side_effects.on_arrival(class);
         let attempt_timeout = self.attempt_timeout(class);
-        // The proxy must send its response one way before the client's timeout or deadline.
+        // The proxy must send its response one network delay before the client's timeout or deadline.
         let ttl = attempt_timeout.min(deadline - self.now + self.parameters.client_delay)
             - 2.0 * self.parameters.client_delay;
         self.client_requests[client_request].proxy_request = Some(self.requests.len());
--- a/crates/simulation/src/sim/failures.rs
+++ b/crates/simulation/src/sim/failures.rs
@@ -115,7 +115,7 @@
                     self.queue.schedule(self.now + i as f64 * interval, SimEvent::GracefulRestart { proxy });
                 }
             }
-            // Reloading an unchanged file has no effect, and stopped processes are not modelled in simulated
+            // Reloading an unchanged file has no effect, and stopped proxies are not modelled in simulated
             // time.
             FailureKind::RollProxies | FailureKind::ReloadProxies | FailureKind::StopProxies => {}
             FailureKind::Cut => self.switch_link_fault(index, begins),
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -84,7 +84,8 @@
     pub name: String,
     /// The machines of the tier.
     pub machines: Vec<DrawnBackend>,
-    /// Capacity and limits of each machine; the speed is that of the machine.
+    /// Capacity and limits of each machine. The speed in it is replaced by that of the machine's entry in
+    /// `machines`.
     pub spec: MachineSpec,
     /// Work of all requests that one client request causes at this tier, as a fraction of the client
     /// request's work.
@@ -209,8 +210,8 @@
     pub failures: Vec<DrawnFailure>,
 }
 
-/// Draws the parameters of a run. The order of the draws is fixed: a seed must give the same run in later
-/// versions.
+/// Draws the parameters of a run. The order of the draws is fixed: with another order, a seed would give
+/// another run.
 #[allow(clippy::too_many_lines, reason = "one parameter after another, in the order of the random stream")]
 pub fn draw(scenario: &Scenario, seed: u64) -> DrawnScenario {
     let rng = &mut stream_rng(seed, Stream::Parameters);
--- a/crates/simulation/src/site.rs
+++ b/crates/simulation/src/site.rs
@@ -7,7 +7,7 @@
 /// Resource limits that the platform file gives a proxy process.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessLimits {
-    /// Maximum number of open sockets.
+    /// Maximum number of open file descriptors; the platform file calls it `sockets`.
     pub sockets: usize,
     /// Memory limit in MB.
     pub memory_mb: usize,
