--- a/crates/fault-injection/src/coordination_fleet.rs
+++ b/crates/fault-injection/src/coordination_fleet.rs
@@ -189,7 +189,8 @@
         std::fs::write(&path, bytes).map_err(system_error(path.display().to_string()))
     }
 
-    /// The audit lines in the logs of all instances, in order of time.
+    /// The audit lines in the logs of all instances, in order of time. All instances run on this host, so
+    /// their times are by the same clock.
     pub fn audit_lines(&self) -> Vec<AuditLine> {
         let mut audit_lines = Vec::new();
         for process in &self.processes {
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -27,7 +27,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Longest wait for a process to be ready.
+/// Longest wait for a process to be ready; far above what a start takes, so that only a hang reaches it.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Interval between two readiness checks of a starting process.
 const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(15);
@@ -253,7 +253,7 @@
         let history = Rc::new(History::default());
         let connection_links = ConnectionLinks::default();
         let link_processes: Rc<RefCell<Vec<usize>>> = Rc::default();
-        let plans = plan_processes(&parameters).map_err(system_error("ports"))?;
+        let plans = plan_processes(&parameters).map_err(system_error("cannot reserve the ports"))?;
         let incarnations = Rc::new(RefCell::new(vec![0u32; plans.len()]));
         let identify_sender: IdentifySender = {
             let (link_processes, incarnations) = (link_processes.clone(), incarnations.clone());
@@ -263,7 +263,7 @@
             })
         };
         let servers = start_backends(&parameters, &plans, &history, (&connection_links, &identify_sender))
-            .map_err(system_error("servers"))?;
+            .map_err(system_error("cannot create the backends"))?;
         // The links, and the address by which each proxy reaches each backend.
         let backend_addresses: Rc<RefCell<HashMap<(usize, usize), SocketAddr>>> = Rc::default();
         let mut links: Vec<(LinkEnds, Rc<TcpProxy>)> = Vec::new();
--- a/crates/fault-injection/src/host_load_monitor.rs
+++ b/crates/fault-injection/src/host_load_monitor.rs
@@ -15,7 +15,8 @@
 const TIMER_SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
 /// The number of timer samples per sample of the processes.
 const TIMER_SAMPLES_PER_PROCESS_SAMPLE: usize = 10;
-/// A wait of a thread is recorded as a stall if it is longer than this, in milliseconds.
+/// A delay of the harness's own timer, or a wait of a thread, is recorded as a stall if it is longer than
+/// this, in milliseconds.
 const MIN_STALL_MS: f64 = 40.0;
 
 /// The time that a thread has waited for a processor, in nanoseconds: the second number in the text of its
--- a/crates/fault-injection/src/invariant_checker.rs
+++ b/crates/fault-injection/src/invariant_checker.rs
@@ -184,8 +184,7 @@
 /// are not part of the scenario.
 pub fn stalls_void(stalls: &[HostStall]) -> Option<String> {
     let worst = stalls.iter().max_by(|a, b| (a.to - a.from).total_cmp(&(b.to - b.from)))?;
-    // In reports, the text follows "the host was overloaded:", which "it" refers to.
-    let stalled = worst.process.map_or("it".into(), |process| format!("process {process}"));
+    let stalled = worst.process.map_or("the harness".into(), |process| format!("process {process}"));
     let stall_ms = worst.to - worst.from;
     (stall_ms > MAX_STALL_MS)
         .then(|| format!("{stalled} got no processor time for {stall_ms:.0} ms, more than {MAX_STALL_MS} ms"))
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -34,7 +34,8 @@
     pub settings_fault: Option<SettingsFault>,
     /// How the instances coordinate; `None` if they do not.
     pub coordination: Option<crate::coordination_fleet::CoordinationOptions>,
-    /// Runs from the first request on until the last has ended.
+    /// Runs beside the requests, from the first one on; stopped if it still runs shortly after the last has
+    /// ended.
     pub script: Option<Script>,
     /// The folder in which configurations and logs are kept; without it they are deleted after the run.
     pub output_folder: Option<PathBuf>,
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -185,8 +185,9 @@
         Ok(())
     }
 
-    /// Kills the backend's process. Its links refuse connections from now on, unless `silently`: then the
-    /// machine is gone too, and the caller silences the links.
+    /// Kills the backend's process. Its open connections are reset, and its links refuse new ones from now
+    /// on, unless `silently`: then the machine is gone too, and the caller silences the links, which hold the
+    /// resets back as well.
     pub fn kill(&self, silently: bool) {
         let links = self.links.borrow();
         if let Some(task) = self.listener_task.borrow_mut().take() {
@@ -494,8 +495,8 @@
     }
 }
 
-/// A connection that ends within this time after a request was written was closed before the proxy could read
-/// the request, in milliseconds.
+/// If a connection that has brought responses before ends within this time after a request was written, the
+/// proxy is taken to have closed it as idle before it could read the request, in milliseconds.
 pub(crate) const CLOSE_RACE_MS: f64 = 20.0;
 
 /// The result of an attempt at a proxy, its Retry-After in milliseconds, and the connection if it can be
--- a/crates/fault-injection/src/tcp_proxy.rs
+++ b/crates/fault-injection/src/tcp_proxy.rs
@@ -1,4 +1,5 @@
-//! A link between two processes: a TCP proxy that forwards bytes, or injects a fault.
+//! A link between two processes: a TCP proxy that forwards bytes, or blocks, delays, slows or resets them by
+//! an injected [`Fault`].
 //!
 //! The client of a link is the side that connects, the target the address that the link forwards to.
 
--- a/crates/fault-injection/tests/external_names.rs
+++ b/crates/fault-injection/tests/external_names.rs
@@ -1,5 +1,5 @@
-//! The JSON messages between a run and its process supervisor, and the names of rules in reports, compared with
-//! literal texts.
+//! The JSON messages between a run and its process supervisor, and the names of rules in reports, compared
+//! with literal texts.
 
 use hillstall_fault_injection::invariant_checker::Rule;
 use hillstall_fault_injection::process_supervisor::{ProcessSignal, StartProcess, SupervisorEvent};
--- a/crates/fault-injection/tests/link_faults.rs
+++ b/crates/fault-injection/tests/link_faults.rs
@@ -13,7 +13,7 @@
 
 /// How long a test waits before it concludes that nothing arrives; far above a round trip on loopback.
 const SILENCE: Duration = Duration::from_millis(300);
-/// Time limit of a test, so that a hang fails it.
+/// Time limit of a test; far above what any test takes, so that only a hang reaches it.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn run_test(test: impl Future<Output = ()>) {
@@ -125,7 +125,8 @@
         let started = Instant::now();
         open.write_all(&[7; 300]).await.expect("written");
         open.read_exact(&mut [0; 300]).await.expect("received");
-        // 300 bytes at 1,000 bytes per second, to the server and back.
+        // 300 bytes take 0.3 s at 1,000 bytes per second. They come back while the rest is still sent, so the
+        // way back adds only the time of the last piece.
         assert!(started.elapsed() >= Duration::from_millis(250), "{:?}", started.elapsed());
     });
 }
--- a/crates/hillstall/src/fault_injection.rs
+++ b/crates/hillstall/src/fault_injection.rs
@@ -177,7 +177,7 @@
         "  {} processes, {} requests, {} client attempts, {} attempts at servers; attempts per client attempt: \
          {first_tier:.2} at tier 0, {second_tier:.2} at tier 1\n  \
          {handshakes} connections to servers, {} requests to discovery; largest load on a server in slow \
-         start: {:.2} of its capacity; 99th percentile of client lateness: {p99:.1} ms\n",
+         start: {:.2} times the load it takes; 99th percentile of client lateness: {p99:.1} ms\n",
         run.processes,
         run.summary.offered,
         observed.client_attempts.len(),
--- a/crates/hillstall/tests/coordination/scenario.rs
+++ b/crates/hillstall/tests/coordination/scenario.rs
@@ -150,8 +150,8 @@
     ensure(passed.to_target > 0, || "the links for the fault have carried nothing".into())
 }
 
-/// Waits until all instances have the replicated state and accept changes, and the coordinator's lease is
-/// held.
+/// Waits until all instances have the replicated state and accept commands of lease holders, and the
+/// coordinator's lease is held.
 pub async fn wait_until_settled(fleet: &Fleet) -> ScriptResult {
     for process in 0..fleet.processes.len() {
         fleet.wait_for_answer(process, "FLEET", STEP_TIMEOUT, |text| text.contains("gates open")).await?;
--- a/crates/hillstall/tests/fault_injection/main.rs
+++ b/crates/hillstall/tests/fault_injection/main.rs
@@ -86,7 +86,7 @@
     });
     let overshoot = |run: &ValidRun| invariant_checker::overshoot(&run.0.truth, &run.0.observations);
     print_comparison(
-        "largest load on a server in slow start, of its capacity",
+        "largest load on a server in slow start, as a multiple of the load it takes",
         overshoot(&normal),
         overshoot(&violating),
     );
--- a/crates/hillstall/tests/fault_injection/soak.rs
+++ b/crates/hillstall/tests/fault_injection/soak.rs
@@ -9,7 +9,7 @@
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=12;
 /// The seeds whose plans are checked without running them.
 const DRAWN_SEEDS: std::ops::RangeInclusive<u64> = 1..=300;
-/// A seed whose plan has no crowd of clients, and whose proxy has requests open when a test violates an
+/// A seed whose plan has no additional load, and whose proxy has requests open when a test violates an
 /// invariant.
 const BROKEN_SEED: u64 = 4;
 
