--- a/crates/decision/src/admission.rs
+++ b/crates/decision/src/admission.rs
@@ -131,7 +131,8 @@
         1.0 - RESERVED_FRACTION * sparseness
     }
 
-    /// Counts a request that arrived.
+    /// Counts a request that arrived towards the offered traffic of its class, from which the priorities of
+    /// classes are derived.
     pub(crate) fn on_request(&mut self, now: Millis, class: usize) {
         self.priorities.record_offered(now, class);
     }
--- a/crates/decision/src/class_priority.rs
+++ b/crates/decision/src/class_priority.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Counts a request that arrived.
+    /// Counts a request that arrived towards the offered traffic of its class.
     pub(crate) fn record_offered(&mut self, now: Millis, class: usize) {
         self.offered[class].add(now, TRAFFIC_TIME_CONSTANT_MS, 1.0);
     }
--- a/crates/decision/src/demand.rs
+++ b/crates/decision/src/demand.rs
@@ -18,7 +18,8 @@
 const MIN_SKEW: f64 = 1.5;
 /// Multiple of an even share from which demand is certain evidence of skew.
 const CERTAIN_SKEW: f64 = 2.5;
-/// Standard deviations above an even share that are no evidence of skew at an instance with few requests.
+/// Number of standard deviations by which demand may exceed [`MIN_SKEW`] at an instance with few requests and
+/// still be no evidence of skew.
 const RANDOM_DEVIATIONS: f64 = 2.0;
 /// The skew is at most the number of instances divided by this; a fleet of up to this many instances is
 /// small. There each instance has enough traffic to learn its limits well and can overload the tier by
--- a/crates/decision/src/limiter.rs
+++ b/crates/decision/src/limiter.rs
@@ -69,8 +69,8 @@
     pub(crate) headroom: f64,
     /// The factor by which this instance currently scales its limits.
     pub(crate) scale: f64,
-    /// While the tier has lost capacity: the multiple of its value at full capacity up to which a limit may
-    /// rise.
+    /// How far a limit may rise while the capacity of the tier is reduced, as a multiple of the limit at full
+    /// capacity; `None` if the capacity is not reduced.
     pub(crate) max_limit_factor: Option<f64>,
 }
 
--- a/crates/decision/src/selection.rs
+++ b/crates/decision/src/selection.rs
@@ -88,7 +88,8 @@
     zone_fractions: ZoneFractions,
     /// Recently served requests.
     served: DecayingSum,
-    /// Capacity of the subset at the last draw for a request that cannot have run yet.
+    /// Capacity of the subset at the last draw. Draws for requests that may have run don't count, as they can
+    /// be restricted to the backends that deduplicate the request.
     subset_capacity: f64,
     /// The candidates of the current draw; the buffer is reused.
     candidates: Vec<Candidate>,
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -165,31 +165,32 @@
     pub cpu_us_per_request: f64,
 }
 
-/// The costs that are deducted from the score, each multiplied by the quantity that it is charged for.
-/// Decisions read only `cross_zone`.
+/// The prices of the costs that are deducted from the score. Each price is multiplied by the quantity that it
+/// is charged for. Decisions read only `cross_zone`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// For attempts that go to another zone, as a fraction of first attempts.
+    /// Price of attempts that go to another zone, counted as a fraction of first attempts.
     pub cross_zone: f64,
-    /// For backend work that led to no served answer, as a fraction of the work offered.
+    /// Price of backend work that led to no served answer, counted as a fraction of the work offered.
     pub waste: f64,
-    /// For priority weight that was not served within its latency objective.
+    /// Price of the priority weight of requests that were not served within their latency objective.
     pub late_or_failed: f64,
-    /// For health checks, per first attempt.
+    /// Price of health checks, counted per first attempt.
     pub probe: f64,
-    /// For the average number of open connections, divided by 100 times the number of backends.
+    /// Price of open connections, counted as their average number divided by 100 times the number of
+    /// backends.
     pub connection: f64,
-    /// For new connections, per first attempt.
+    /// Price of new connections, counted per first attempt.
     pub handshake: f64,
-    /// For entries of endpoint lists received, per 100 first attempts.
+    /// Price of received entries of endpoint lists, counted per 100 first attempts.
     pub endpoint_list_entries: f64,
-    /// For backends running or ordered, as a fraction of the backends at the start.
+    /// Price of backends running or ordered, counted as a fraction of the backends at the start.
     pub backends: f64,
-    /// For moves of data, per first attempt.
+    /// Price of moves of data, counted per first attempt.
     pub data_moves: f64,
-    /// For fetches from the origin, per first attempt.
+    /// Price of fetches from the origin, counted per first attempt.
     pub origin_fetches: f64,
-    /// For messages of 256 bytes to other instances, per first attempt.
+    /// Price of messages of 256 bytes to other instances, counted per first attempt.
     pub peer_messages: f64,
 }
 
@@ -204,9 +205,10 @@
     pub worst_class: f64,
     /// Weight of the worst-served tenant, counting only requests within its quota. No decision reads it.
     pub worst_tenant: f64,
-    /// Weight of the availability in nines, over windows of five seconds. No decision reads it.
+    /// Weight of the availability over windows of five seconds, counted in nines (0.999 is three nines). No
+    /// decision reads it.
     pub availability: f64,
-    /// The availability in nines that earns the full weight `availability`. No decision reads it.
+    /// The number of nines from which the availability earns its full weight. No decision reads it.
     pub full_at_nines: f64,
 }
 
--- a/crates/decision/tests/false_overload.rs
+++ b/crates/decision/tests/false_overload.rs
@@ -5,8 +5,8 @@
 use common::*;
 use hillstall_decision::*;
 
-/// Runs rounds of four requests, all of which end after `took`: one as `end` ends it, the others served.
-/// Returns how many requests are admitted at once afterwards.
+/// Runs rounds of four requests, which all end after `took`: `end` ends the last one of each round, and the
+/// others are served. Returns how many requests are admitted at once afterwards.
 fn admitted_requests(rounds: usize, took: Millis, end: impl Fn(&mut Proxy, Sent)) -> usize {
     let mut p = Proxy::new(settings(), &backends(4));
     for _ in 0..rounds {
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -295,7 +295,7 @@
                     let retry_safety = self.classes[record.class].retry_safety;
                     prop_assert!(
                         retry_safety == RetrySafety::Idempotent || record.may_have_run.is_none(),
-                        "rejected although it may have run"
+                        "a request that must not run twice was rejected although it may have run"
                     );
                     record.answered = true;
                 }
--- a/crates/decision/tests/sparse_instances.rs
+++ b/crates/decision/tests/sparse_instances.rs
@@ -50,7 +50,7 @@
 #[test]
 fn new_instances_together_admit_a_few_requests_per_backend() {
     let sum = admitted_per_backend(&mut fleet(), 20);
-    assert!((6.0..=16.0).contains(&sum), "{sum:.1} requests for each backend");
+    assert!((6.0..=16.0).contains(&sum), "{sum:.1} requests admitted per backend");
 }
 
 #[test]
@@ -62,8 +62,14 @@
     serve_sequentially(&mut fleet, 9, 150.0);
     let (after, at_most_after) = (admitted_per_backend(&mut fleet, 1), admitted_per_backend(&mut fleet, 20));
     // With many requests submitted at once, hardly any instance admits a second one.
-    assert!(at_most_after < 1.2 * at_most, "{at_most:.1} requests for each backend, then {at_most_after:.1}");
-    assert!(after > 1.1 * before, "the limits must still rise: {before:.1}, then {after:.1}");
+    assert!(
+        at_most_after < 1.2 * at_most,
+        "{at_most:.1} requests admitted per backend, then {at_most_after:.1}"
+    );
+    assert!(
+        after > 1.1 * before,
+        "the limits must still rise: {before:.1} requests admitted per backend, then {after:.1}"
+    );
 }
 
 #[test]
@@ -77,7 +83,7 @@
     let after = admitted_per_backend(&mut fleet, 1);
     assert!(
         after < 0.8 * before,
-        "{before:.1} requests for each backend, {after:.1} after four late answers"
+        "{before:.1} requests admitted per backend before four late answers, {after:.1} after them"
     );
 }
 
@@ -86,7 +92,7 @@
     let mut own = Proxy::new(Settings { fleet_size: 24, ..settings() }, &backends(24));
     let out = (0..40).filter(|_| own.send_request(0, 0, 4_000.0).is_some()).count();
     // A limit of nine requests, doubled until the first answer, and one more at random.
-    assert!((18..=19).contains(&out), "{out}");
+    assert!((18..=19).contains(&out), "{out} requests admitted before the first answer");
 }
 
 #[test]
--- a/crates/overload/src/capacity.rs
+++ b/crates/overload/src/capacity.rs
@@ -71,9 +71,10 @@
         self.scale < REDUCED_SCALE
     }
 
-    /// Returns the multiple of its value at full capacity up to which a limit may rise while capacity is
-    /// reduced; `None` otherwise. The remaining backends may serve somewhat more than before, but timely
-    /// answers to few requests are little evidence of what the tier can serve once all backends are back.
+    /// Returns how far a limit may rise while capacity is reduced, as a multiple of the limit at full
+    /// capacity; `None` if capacity is not reduced. The remaining backends may serve somewhat more than
+    /// before, but timely answers to few requests are little evidence of what the tier can serve once all
+    /// backends are back.
     pub fn max_limit_factor(&self) -> Option<f64> {
         self.is_reduced().then_some(2.0 - self.fraction)
     }
--- a/crates/proxy-core/src/connect_hedging.rs
+++ b/crates/proxy-core/src/connect_hedging.rs
@@ -24,7 +24,7 @@
 /// The shortest hedge delay. Shorter delays may come from a brief stall of a machine rather than a lost
 /// packet.
 pub const MIN_HEDGE_DELAY: Duration = Duration::from_millis(10);
-/// Hedges added to the budget by each first connect.
+/// Hedges added to the budget by each connect that is not itself a hedge.
 const HEDGES_PER_CONNECTION: f64 = 0.5;
 /// The maximum of the hedge budget, and its initial value.
 const MAX_HEDGE_BUDGET: f64 = 10.0;
@@ -59,8 +59,9 @@
 }
 
 impl<K: Eq + Hash> ConnectHedging<K> {
-    /// Called when a first connect to a backend is started. Returns the time after which it may be hedged;
-    /// `None` if too few connect times of the backend are known, or its last connect failed.
+    /// Called when a connect to a backend is started that is not itself a hedge. Returns the time after which
+    /// it may be hedged; `None` if too few connect times of the backend are known, or its last connect
+    /// failed.
     pub fn hedge_delay(&mut self, backend: &K) -> Option<Duration> {
         self.hedge_budget = (self.hedge_budget + HEDGES_PER_CONNECTION).min(MAX_HEDGE_BUDGET);
         let history = self.backends.get(backend)?;
--- a/crates/proxy-core/tests/limits.rs
+++ b/crates/proxy-core/tests/limits.rs
@@ -5,9 +5,9 @@
 #[test]
 fn quota_enforces_its_limit_and_releases_dropped_reservations() {
     let quota = ResourceQuota::new(10);
-    let first = quota.reserve(7).expect("there is capacity");
+    let first = quota.reserve(7).expect("the reservation is within the limit");
     assert!(quota.reserve(4).is_none() && quota.reserve(usize::MAX).is_none());
-    let _second = quota.reserve(3).expect("there is capacity");
+    let _second = quota.reserve(3).expect("the reservation is within the limit");
     drop(first);
     assert!(quota.reserve(7).is_some());
 }
@@ -18,8 +18,10 @@
     let sockets = |limits: &Limits| {
         limits.client_connections.limit() + limits.backend_connections.limit() + RESERVED_SOCKETS
     };
-    let reserved =
-        shared.client_connections.reserve(alone.client_connections.limit()).expect("there is capacity");
+    let reserved = shared
+        .client_connections
+        .reserve(alone.client_connections.limit())
+        .expect("the reservation is within the limit");
     shared.share_with(1);
     assert!(2 * sockets(&shared) <= 384 && 2 * shared.buffered_bytes.limit() <= alone.buffered_bytes.limit());
     assert!(shared.client_connections.is_exceeded() && shared.client_connections.reserve(1).is_none());
--- a/crates/proxy-core/tests/sockets.rs
+++ b/crates/proxy-core/tests/sockets.rs
@@ -71,7 +71,7 @@
     let mut lost = 0;
     for _ in 0..ROUNDS {
         let listener = blocking_listener();
-        let address = listener.local_addr().expect("listener address");
+        let address = listener.local_addr().expect("read the listener address");
         let stop = Arc::new(AtomicBool::new(false));
         let clients: Vec<_> = (0..CLIENTS)
             .map(|_| {
