--- a/crates/http1/src/backend_connection.rs
+++ b/crates/http1/src/backend_connection.rs
@@ -47,7 +47,7 @@
         Ok(BackendConnection { sender, protocol, closed: false, stream, _reservation: reservation })
     }
 
-    /// The stream of the connection, with the state of its traffic.
+    /// The TCP stream of the connection, which shows how far its request and response have got.
     pub fn stream(&self) -> &TrackedStream {
         &self.stream
     }
--- a/crates/http1/src/server/body_prefix.rs
+++ b/crates/http1/src/server/body_prefix.rs
@@ -40,7 +40,7 @@
 
     /// Checks what depends on the body: the framing of its chunks, and that only a POST has one.
     pub(super) fn check(&self, connection: &ClientConnection, method: &Method) -> Result<(), RequestError> {
-        if connection.stream.is_ambiguous() {
+        if connection.stream.has_ambiguous_framing() {
             return Err(RequestError::InvalidChunks);
         }
         let is_empty = self.pieces.is_empty() && self.remainder.is_none();
--- a/crates/http1/src/server/maintenance.rs
+++ b/crates/http1/src/server/maintenance.rs
@@ -90,7 +90,7 @@
             connection.request_in_progress.set(false);
             connection.close(CloseMode::Immediate);
         }
-        // The rest of a response that the client does not read is dropped.
+        // Connections whose client does not read its response: the rest of the response is dropped.
         for connection in
             connections.values().filter(|connection| connection.stream.is_write_stalled(tuning.stall_timeout))
         {
--- a/crates/http1/src/server/request_head.rs
+++ b/crates/http1/src/server/request_head.rs
@@ -101,7 +101,7 @@
     headers: &HeaderMap,
 ) -> Result<(), RequestError> {
     let codings = headers.get_all(TRANSFER_ENCODING).iter();
-    if connection.stream.is_ambiguous() || codings.count() > 1 {
+    if connection.stream.has_ambiguous_framing() || codings.count() > 1 {
         return Err(RequestError::AmbiguousLength);
     }
     let coding = single_value(headers, TRANSFER_ENCODING.as_str());
@@ -126,7 +126,7 @@
     is_valid.then_some(microseconds / MICROSECONDS_PER_MILLISECOND)
 }
 
-/// The value of a header that occurs exactly once.
+/// The value of a header; `None` if the header is missing, repeated or not printable ASCII.
 pub(super) fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?;
--- a/crates/http1/src/stream.rs
+++ b/crates/http1/src/stream.rs
@@ -30,7 +30,8 @@
     Chunked(Rc<Cell<bool>>),
 }
 
-/// A TCP stream with the state of its traffic. The peer is a client or a backend.
+/// A TCP stream that records when data was last read and written, and how far the current message has got.
+/// The peer is a client, a backend or the discovery service.
 pub struct TrackedStream {
     socket: RefCell<TcpStream>,
     last_read: Cell<Instant>,
@@ -132,7 +133,7 @@
     }
 
     /// Whether a request had two lengths, or the framing of the received bytes could not be parsed.
-    pub fn is_ambiguous(&self) -> bool {
+    pub fn has_ambiguous_framing(&self) -> bool {
         self.framing.as_ref().is_some_and(|framing| framing.borrow().is_ambiguous())
     }
 
--- a/crates/http1/tests/discovery.rs
+++ b/crates/http1/tests/discovery.rs
@@ -8,7 +8,7 @@
 #[test]
 fn fetched_list_may_span_several_lines() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind a listener");
-    let address = listener.local_addr().expect("listener address");
+    let address = listener.local_addr().expect("read the listener address");
     let service = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("open a connection");
         let mut request = [0; 1024];
--- a/crates/http1/tests/stream.rs
+++ b/crates/http1/tests/stream.rs
@@ -11,7 +11,7 @@
 /// A connection on the loopback interface: the stream to write to, and its peer.
 async fn connected_stream() -> (HyperStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
-    let address = listener.local_addr().expect("listener address");
+    let address = listener.local_addr().expect("read the listener address");
     let socket = TcpStream::connect(address).await.expect("open a connection");
     let (peer, _) = listener.accept().await.expect("accept the connection");
     (HyperStream(TrackedStream::new(socket, &Tuning::default())), peer)
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -9,7 +9,7 @@
     RetrySafety, Rules, Settings, Tenant,
 };
 
-/// Converts validated settings.
+/// Converts settings whose values and consistency have been checked.
 pub fn convert(raw: RawSettings) -> Settings {
     Settings {
         rank: raw.rank,
@@ -112,15 +112,15 @@
     Prices {
         cross_zone: raw.cross_zone,
         waste: raw.waste,
-        late_or_failed: raw.late_fail,
+        late_or_failed: raw.late_or_failed,
         probe: raw.probe,
         connection: raw.connection,
         handshake: raw.handshake,
         endpoint_list_entries: raw.list_lines,
-        backends: raw.fleet,
-        data_moves: raw.moves,
-        origin_fetches: raw.origin,
-        peer_messages: raw.peer,
+        backends: raw.backends,
+        data_moves: raw.data_moves,
+        origin_fetches: raw.origin_fetches,
+        peer_messages: raw.peer_messages,
     }
 }
 
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -35,7 +35,7 @@
     pub streaming: bool,
 }
 
-/// The retry safety of a class.
+/// The retry safety of a class: whether a request that may have run can be retried.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RawRetrySafety {
@@ -118,14 +118,14 @@
     pub cpu_us_per_request: f64,
 }
 
-/// Capabilities of the clients.
+/// Capabilities of the clients: whether they mark their retries.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct RawClients {
     pub marks_retry: bool,
 }
 
-/// The costs that are deducted from the score.
+/// The prices of the costs that are deducted from the score.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct RawPrices {
@@ -133,8 +133,8 @@
     pub cross_zone: f64,
     #[serde(deserialize_with = "not_negative")]
     pub waste: f64,
-    #[serde(deserialize_with = "not_negative")]
-    pub late_fail: f64,
+    #[serde(rename = "LateFail", deserialize_with = "not_negative")]
+    pub late_or_failed: f64,
     #[serde(deserialize_with = "not_negative")]
     pub probe: f64,
     #[serde(deserialize_with = "not_negative")]
@@ -143,14 +143,14 @@
     pub handshake: f64,
     #[serde(rename = "MembershipMode", deserialize_with = "not_negative")]
     pub list_lines: f64,
-    #[serde(deserialize_with = "not_negative")]
-    pub fleet: f64,
-    #[serde(deserialize_with = "not_negative")]
-    pub moves: f64,
-    #[serde(deserialize_with = "not_negative")]
-    pub origin: f64,
-    #[serde(deserialize_with = "not_negative")]
-    pub peer: f64,
+    #[serde(rename = "Fleet", deserialize_with = "not_negative")]
+    pub backends: f64,
+    #[serde(rename = "Moves", deserialize_with = "not_negative")]
+    pub data_moves: f64,
+    #[serde(rename = "Origin", deserialize_with = "not_negative")]
+    pub origin_fetches: f64,
+    #[serde(rename = "Peer", deserialize_with = "not_negative")]
+    pub peer_messages: f64,
 }
 
 /// The weights of the components of the score.
@@ -202,7 +202,8 @@
     pub via: RawReportVia,
 }
 
-/// Properties of the kind of service.
+/// Properties of the kind of service: whether requests between tiers carry the remaining time of the client,
+/// and whether backends cache by routing key.
 #[derive(Default, Deserialize)]
 #[serde(expecting = "struct RawFamily", rename_all = "PascalCase", default)]
 pub struct RawServiceFamily {
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -280,8 +280,11 @@
         for bad in bad {
             let mut json = full();
             *value_at(&mut json, &key) = bad.clone();
-            let error = read(&json).expect_err(&format!("{key} = {bad}"));
-            assert!(error.contains(&format!(" {key}: ")), "{key} = {bad}: {error}");
+            let error = read(&json).expect_err(&format!("{key} = {bad} was accepted"));
+            assert!(
+                error.contains(&format!(" {key}: ")),
+                "the error does not name the key of {key} = {bad}: {error}"
+            );
         }
     }
 }
@@ -310,19 +313,22 @@
     for (key, bad) in cases {
         let mut json = full();
         *value_at(&mut json, key) = bad.clone();
-        let error = read(&json).expect_err(&format!("{key} = {bad}"));
-        assert!(error.contains(&format!(" {key}: ")), "{key} = {bad}: {error}");
+        let error = read(&json).expect_err(&format!("{key} = {bad} was accepted"));
+        assert!(
+            error.contains(&format!(" {key}: ")),
+            "the error does not name the key of {key} = {bad}: {error}"
+        );
     }
     let infinite = full().to_string().replace("10000.0", "1e999");
     assert!(
         hillstall_settings::parse_settings(infinite.as_bytes()).is_err(),
-        "a number that overflows to infinity"
+        "a number that overflows to infinity was accepted"
     );
     assert!(hillstall_settings::parse_settings(b"{}")
         .map_err(|error| error.to_string())
         .is_err_and(|e| e.contains("MembershipMode") || e.contains("missing field")));
     assert!(
         hillstall_settings::parse_settings(format!("{} x", full()).as_bytes()).is_err(),
-        "text after the settings"
+        "text after the settings was accepted"
     );
 }
--- a/crates/sim-adapter/src/lib.rs
+++ b/crates/sim-adapter/src/lib.rs
@@ -1,4 +1,5 @@
-//! The simulator adapter: runs the decision module in the simulator over its wire format.
+//! The simulator adapter: runs the decision module for the simulator, which sends it events and gets its
+//! actions as frames of a binary wire format.
 
 pub mod host;
 pub mod wire;
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BatchHeader {
     /// The number of records that follow.
-    pub records: u32,
+    pub record_count: u32,
     /// The size of the whole frame in bytes.
     pub size: u32,
     /// The clock time of the simulator, in milliseconds.
@@ -36,7 +36,7 @@
     pub fn parse(bytes: &[u8; BATCH_HEADER_SIZE]) -> Result<BatchHeader, FrameError> {
         let mut reader = Reader::new(bytes);
         let header = BatchHeader {
-            records: reader.u32()?,
+            record_count: reader.u32()?,
             size: reader.u32()?,
             now: reader.f64()?,
             batch: reader.u32()?,
@@ -45,8 +45,8 @@
             return Err(FrameError::SizeBelowHeader(header.size));
         };
         // A record has at least one byte.
-        if header.records as usize > body {
-            return Err(FrameError::TooManyRecords { records: header.records, body });
+        if header.record_count as usize > body {
+            return Err(FrameError::TooManyRecords { record_count: header.record_count, body });
         }
         if !header.now.is_finite() {
             return Err(FrameError::InvalidClock);
@@ -90,7 +90,7 @@
         /// The slot of the list; not valid if `kind` is `Failed`.
         slot: u8,
     },
-    /// Delivers any other event to an instance.
+    /// Delivers an event other than `EndpointsChanged` to an instance.
     Event {
         /// The number of the instance.
         instance: u32,
@@ -107,7 +107,7 @@
     }
     let mut reader = Reader::new(body);
     let mut records = Vec::new();
-    for _ in 0..header.records {
+    for _ in 0..header.record_count {
         records.push(reader.record()?);
     }
     match reader.remaining() {
--- a/crates/sim-adapter/src/wire/error.rs
+++ b/crates/sim-adapter/src/wire/error.rs
@@ -14,7 +14,7 @@
     /// The body is too small for the declared number of records.
     TooManyRecords {
         /// The declared number of records.
-        records: u32,
+        record_count: u32,
         /// The size of the body in bytes.
         body: usize,
     },
@@ -33,7 +33,7 @@
     FieldPastEnd(usize),
     /// A list of this many entries extends past the end of the frame.
     ListPastEnd(usize),
-    /// A list slot out of range.
+    /// The slot of an endpoint list is not below [`LIST_SLOTS`].
     InvalidListSlot(u8),
     /// An unknown record code.
     UnknownRecord(u8),
@@ -56,8 +56,8 @@
                     "the declared size of {size} bytes is below the header size of {BATCH_HEADER_SIZE} bytes"
                 )
             }
-            FrameError::TooManyRecords { records, body } => {
-                write!(f, "{records} records cannot fit in a body of {body} bytes")
+            FrameError::TooManyRecords { record_count, body } => {
+                write!(f, "{record_count} records cannot fit in a body of {body} bytes")
             }
             FrameError::InvalidClock => f.write_str("the clock is not a finite number"),
             FrameError::SizeMismatch { declared, actual } => {
--- a/crates/sim-adapter/src/wire/reply.rs
+++ b/crates/sim-adapter/src/wire/reply.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Default)]
 pub struct ReplyFrame {
     bytes: Vec<u8>,
-    records: u32,
+    record_count: u32,
 }
 
 impl ReplyFrame {
@@ -36,7 +36,7 @@
     pub fn clear(&mut self) {
         self.bytes.clear();
         self.bytes.resize(REPLY_HEADER_SIZE, 0);
-        self.records = 0;
+        self.record_count = 0;
     }
 
     /// Appends a record that the instance failed, because its settings are invalid or its balancer panicked.
@@ -86,13 +86,13 @@
     pub fn finish(&mut self, batch: u32) -> &[u8] {
         let size = self.bytes.len() as u32;
         self.bytes[0..4].copy_from_slice(&size.to_be_bytes());
-        self.bytes[4..8].copy_from_slice(&self.records.to_be_bytes());
+        self.bytes[4..8].copy_from_slice(&self.record_count.to_be_bytes());
         self.bytes[8..12].copy_from_slice(&batch.to_be_bytes());
         &self.bytes
     }
 
     fn start(&mut self, code: u8, instance: u32) -> &mut Vec<u8> {
-        self.records += 1;
+        self.record_count += 1;
         self.bytes.push(code);
         self.bytes.extend(instance.to_be_bytes());
         &mut self.bytes
