--- a/crates/fault-injection/src/open_loop_clients.rs
+++ b/crates/fault-injection/src/open_loop_clients.rs
@@ -134,12 +134,11 @@
             self.fleet.summary.borrow_mut().record_outcome(arrival.at_ms, worth, outcome);
         };
         self.fleet.summary.borrow_mut().record_request(arrival.at_ms, arrival.tenant, arrival.weight);
-        let deadline_at = arrival.at_ms + class.deadline;
-        let (mut retries, mut attempt_at) = (0, arrival.at_ms);
+        let deadline = arrival.at_ms + class.deadline;
+        let (mut retries, mut sent_at) = (0, arrival.at_ms);
         loop {
-            self.fleet.summary.borrow_mut().record_client_attempt(attempt_at);
-            let timeout_at =
-                (attempt_at + parameters.attempt_timeout_fraction * class.deadline).min(deadline_at);
+            self.fleet.summary.borrow_mut().record_client_attempt(sent_at);
+            let timeout_at = (sent_at + parameters.attempt_timeout_fraction * class.deadline).min(deadline);
             let (result, retry_after_ms) = self.run_attempt(number, retries, &arrival, timeout_at).await;
             let now = history.now();
             if result == ClientResult::Served && now <= timeout_at {
@@ -156,7 +155,7 @@
                 false => parameters.retry_wait,
             };
             retries += 1;
-            if retries > parameters.retries || now + wait_ms >= deadline_at {
+            if retries > parameters.retries || now + wait_ms >= deadline {
                 return finish(if refused {
                     accounting::RequestOutcome::Rejected
                 } else {
@@ -164,7 +163,7 @@
                 });
             }
             sleep_until(history.instant(now + wait_ms)).await;
-            attempt_at = now + wait_ms;
+            sent_at = now + wait_ms;
         }
     }
 
