--- a/crates/change-freeze/src/rules.rs
+++ b/crates/change-freeze/src/rules.rs
@@ -115,8 +115,8 @@
     }
 }
 
-/// A rule that decides whether a change gets its permit. `Display` writes its name in the operator
-/// documentation.
+/// A rule that decides whether a change gets its permit. `Display` writes the name that the operator
+/// documentation gives the rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PrecedenceRule {
     /// Two changes whose scopes overlap are never in flight at once.
--- a/crates/change-freeze/src/state/change.rs
+++ b/crates/change-freeze/src/state/change.rs
@@ -27,7 +27,8 @@
     InFlight,
     /// An incident blocks the change in flight, which has to react as declared in its request.
     Reacting,
-    /// The change did not report within the reaction timeout that it has reacted.
+    /// The change had to react to an incident and was not finished within the reaction timeout. Overlapping
+    /// changes wait until it is finished, or a person has checked and cleared it.
     Overdue,
 }
 
--- a/crates/change-freeze/src/state/command.rs
+++ b/crates/change-freeze/src/state/command.rs
@@ -49,14 +49,14 @@
     },
     /// A person takes responsibility for an incident.
     AssignIncident {
-        /// The incident's number.
+        /// The number of the incident that the person takes responsibility for.
         incident: SequenceNumber,
         /// The main name of the person who takes responsibility.
         person: String,
     },
     /// An incident is over. It still blocks changes until its cooldown has elapsed.
     ResolveIncident {
-        /// The incident's number.
+        /// The number of the incident to resolve.
         incident: SequenceNumber,
         /// Who resolves the incident. The coordinator may resolve only incidents that it has opened and that
         /// have no assignee.
@@ -64,16 +64,16 @@
     },
     /// An incident's cooldown has elapsed, as measured by a replica.
     CooldownElapsed {
-        /// The incident's number.
+        /// The number of the incident to remove, which is resolved.
         incident: SequenceNumber,
         /// The incident's version when the timer started.
         version: u64,
     },
     /// Links a change to an incident as its remedy, so that the incident does not block the change.
     LinkRemedy {
-        /// The incident's number.
+        /// The number of the incident that no longer blocks the change.
         incident: SequenceNumber,
-        /// The change's number.
+        /// The number of the change that is the remedy.
         change: SequenceNumber,
         /// The main name of the person who links them.
         person: String,
@@ -85,19 +85,19 @@
     RequestEmergencyChange(ChangeRequest),
     /// A change is complete, was rolled back, or is no longer wanted.
     FinishChange {
-        /// The change's number.
+        /// The number of the change to remove.
         change: SequenceNumber,
     },
     /// A change has stayed in its status for the maximum time, as measured by a replica.
     ExpireChange {
-        /// The change's number.
+        /// The number of the change whose time in its status has run out.
         change: SequenceNumber,
         /// The change's version when the timer started.
         version: u64,
     },
     /// A person has checked that an overdue change is over.
     ClearOverdueChange {
-        /// The change's number.
+        /// The number of the overdue change.
         change: SequenceNumber,
         /// The main name of the person who has checked the change.
         person: String,
@@ -119,16 +119,16 @@
     Permitted(SequenceNumber),
     /// The change waits for another one.
     Queued {
-        /// The change's number.
+        /// The number of the change that waits.
         change: SequenceNumber,
-        /// The number of the change that it waits for.
+        /// The number of another change, in flight or ahead in the queue, for which `change` waits.
         behind: SequenceNumber,
     },
     /// The emergency change with this number waits for a second person.
     AwaitingSecondApproval(SequenceNumber),
     /// The change stays queued because an incident blocks it.
     Blocked {
-        /// The change's number, under which it can be linked as a remedy.
+        /// The number of the queued change, under which it can be linked as a remedy.
         change: SequenceNumber,
         /// The number of the incident that blocks the change.
         incident: SequenceNumber,
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -72,8 +72,8 @@
     last_number: u64,
     /// Reads without an answer yet, by their number.
     pending_reads: BTreeMap<u64, ReadRequester>,
-    /// The index that the state must reach before fenced commands are accepted, once the read has returned
-    /// it.
+    /// The index that the state must reach before fenced commands are accepted; `None` until the linearizable
+    /// read of the minimum tokens has returned it, and once it is reached.
     fencing_read_index: Option<u64>,
     read_sent_at: Option<Millis>,
     lease_expiry: ExpiryMonitor,
@@ -209,7 +209,7 @@
     }
 
     /// Updates the leases after a change of the state, and starts to accept fenced commands once the state
-    /// has reached the index of the fencing read.
+    /// has reached the index that the read of the minimum tokens has returned.
     fn on_state_changed(&mut self, now: Millis) {
         let state = known_state(&self.replica, &self.followed);
         self.leases.on_table_update(now, state.leases());
@@ -236,8 +236,8 @@
     }
 }
 
-/// The implementation of [`Node::state`], which borrows only these two fields: callers change other fields
-/// meanwhile.
+/// [`Node::state`] as a function of the two fields that it reads. A caller that borrows only these can modify
+/// other fields of the node while it uses the state.
 fn known_state<'a, D: ReplicaStorage>(
     replica: &'a Option<Replica<D>>,
     followed: &'a FollowedReplica,
--- a/crates/consensus/src/node/fenced_commands.rs
+++ b/crates/consensus/src/node/fenced_commands.rs
@@ -34,7 +34,8 @@
         self.outputs.extend(audit_event.map(Output::Audit));
     }
 
-    /// Outputs the traffic fractions that have changed.
+    /// Outputs the traffic fraction of each site for which it has changed enough since it was last output: by
+    /// a command, by the ramp after it, or because the last command has expired.
     pub(super) fn output_changed_fractions(&mut self, now: Millis) {
         let changed = self.leases.take_changed_fractions(now);
         self.outputs.extend(changed.into_iter().map(|(site, fraction)| Output::SiteFraction(site, fraction)));
--- a/crates/consensus/src/node/following.rs
+++ b/crates/consensus/src/node/following.rs
@@ -20,7 +20,8 @@
     /// Whether the connection to the replica is up.
     pub(super) connected: bool,
     pub(super) state: State,
-    /// When the state was last known to be the replica's; `None` before the first state was received.
+    /// When the replica last updated `state`, or sent a heartbeat whose index `state` had reached; `None`
+    /// before the first state was received.
     state_updated_at: Option<Millis>,
     last_received_at: Millis,
     silence_timeout: Millis,
@@ -39,8 +40,8 @@
         }
     }
 
-    /// How long ago the state was last known to be the replica's, in milliseconds; `None` if none was
-    /// received yet.
+    /// How long ago, in milliseconds, the replica last updated `state`, or sent a heartbeat whose index
+    /// `state` had reached; `None` if no state was received yet.
     pub(super) fn state_age(&self, now: Millis) -> Option<Millis> {
         self.state_updated_at.map(|at| now.saturating_sub(at))
     }
@@ -139,7 +140,8 @@
             Err(error) => {
                 let (size, slot) = (bytes.len(), self.followed.slot);
                 self.outputs.push(Output::Log(format!(
-                    "ignored a state of {size} bytes from replica {slot}, not of this version: {error}"
+                    "can't decode a state of {size} bytes from replica {slot}, which may run another version; \
+                     this instance keeps its previous state: {error}"
                 )));
                 None
             }
--- a/crates/consensus/src/node/lease_holder.rs
+++ b/crates/consensus/src/node/lease_holder.rs
@@ -17,11 +17,11 @@
         if held_leases.is_empty() {
             return;
         }
-        let time_of_day = self.consensus_time(now, unix);
+        let consensus_time = self.consensus_time(now, unix);
         let mut load = self.reports.fleet_load(now);
         for held_lease in held_leases {
             if held_lease.site.is_some() {
-                if let Some(command) = self.shift_traffic(now, time_of_day, &held_lease, &mut load) {
+                if let Some(command) = self.shift_traffic(now, consensus_time, &held_lease, &mut load) {
                     self.broadcast_command(now, command);
                 }
             } else if is_coordinator(&held_lease) {
--- a/crates/consensus/src/node/traffic_shift.rs
+++ b/crates/consensus/src/node/traffic_shift.rs
@@ -21,7 +21,7 @@
     pub(super) fn shift_traffic(
         &mut self,
         now: Millis,
-        time_of_day: Millis,
+        consensus_time: Millis,
         held_lease: &HeldLease,
         load: &mut FleetLoad,
     ) -> Option<FencedCommand<TrafficFraction>> {
@@ -31,7 +31,7 @@
         load.blocker = shift_blocker(state.freeze(), &window, site);
         let controller = self.shift_controllers.entry(held_lease.lease.clone()).or_default();
         let next_command =
-            controller.next_command((time_of_day, now), (number, &window), load, &self.config.pacing);
+            controller.next_command((consensus_time, now), (number, &window), load, &self.config.pacing);
         let fenced_command = window.stage.takes_traffic_away().then(|| {
             self.leases.next_fenced_command(
                 &held_lease.lease,
--- a/crates/consensus/tests/samples/freeze.rs
+++ b/crates/consensus/tests/samples/freeze.rs
@@ -9,7 +9,7 @@
     Requester, Response,
 };
 
-/// A request for a change of this kind.
+/// A request for a change, with a fixed priority, maximum duration and reaction.
 pub fn request(kind: ChangeKind, scope: Scope, who: &str) -> ChangeRequest {
     ChangeRequest {
         kind,
--- a/crates/coordination/src/redb_storage.rs
+++ b/crates/coordination/src/redb_storage.rs
@@ -62,13 +62,13 @@
     /// A corrupt file could not be renamed.
     #[error("corrupt replica storage can't be renamed: {source}")]
     SetAside {
-        /// The operating system's error.
+        /// Why the file can't be renamed.
         source: std::io::Error,
     },
     /// The database can't be opened for another reason.
     #[error("replica storage can't be opened: {source}")]
     Open {
-        /// The database's error.
+        /// Why `redb` can't open the file.
         source: redb::DatabaseError,
     },
 }
--- a/crates/coordination/src/runtime/audit.rs
+++ b/crates/coordination/src/runtime/audit.rs
@@ -1,5 +1,6 @@
-//! Log lines of the runtime: audit lines on leases and fenced commands, by which it is checked afterwards
-//! whether lease holders have kept the rules, and rate-limited warnings.
+//! Log lines of the runtime: audit lines on leases and fenced commands, and rate-limited warnings. In the
+//! audit lines the fault-injection tests look for stale commands, two holders of one token, and two sites
+//! drained at once.
 
 use hillstall_consensus::node::AuditEvent;
 use hillstall_lease::Instance;
--- a/crates/lease/src/table.rs
+++ b/crates/lease/src/table.rs
@@ -239,8 +239,8 @@
         } else {
             record.candidates.push(Candidate { instance, rank, heartbeats: 0 });
         }
-        // A holder is not replaced by a candidate of a lower rank: a change of holder costs more than it
-        // gains.
+        // A holder keeps the lease even if a candidate is preferred to it by a lower rank: a change of holder
+        // costs more than it gains.
         if record.grant.is_none() {
             record.grant_next(&mut self.newest_token);
         }
--- a/crates/lease/tests/fleet/main.rs
+++ b/crates/lease/tests/fleet/main.rs
@@ -39,7 +39,7 @@
     let recovery = (END_AT - HOLDER_SEEN_WITHIN_MS - FAULTS_END_AT) / 1_000;
     assert!(
         seeds_without_holder.is_empty(),
-        "no holder {recovery} s after the last fault: {seeds_without_holder:?}"
+        "no lease holder from {recovery} s after the last fault on, with seeds {seeds_without_holder:?}"
     );
     assert!(
         grants > 0 && accepted_commands > 0,
--- a/crates/maintenance/src/windows/mod.rs
+++ b/crates/maintenance/src/windows/mod.rs
@@ -65,7 +65,8 @@
 
     fn plan(&mut self, plan: &WindowPlan) -> Result<(), WindowError> {
         plan.validate()?;
-        // Each replica plans the calendar's windows, and plans them again after each restart.
+        // The leading replica proposes the calendar's windows, each one again until its own copy of the state
+        // contains it.
         if self.all.values().any(|window| window.plan.is_same_occurrence(plan)) {
             return Ok(());
         }
--- a/crates/maintenance/tests/windows/calendar.rs
+++ b/crates/maintenance/tests/windows/calendar.rs
@@ -67,9 +67,15 @@
         recurrence("south", "2026-03-12T12:00:00", "UTC", Some("1h")),
     ];
     let conflicts = find_conflicts(&recurrences, &sites, now);
-    let has = |recurrence: usize, key: &str| {
+    let has_conflict = |recurrence: usize, key: &str| {
         conflicts.iter().any(|conflict| conflict.recurrence == recurrence && conflict.key == key)
     };
-    assert!(has(1, "start") && has(2, "site") && has(3, "start") && has(4, "lead"), "{conflicts:?}");
+    assert!(
+        has_conflict(1, "start")
+            && has_conflict(2, "site")
+            && has_conflict(3, "start")
+            && has_conflict(4, "lead"),
+        "{conflicts:?}"
+    );
     assert!(!conflicts.iter().any(|conflict| conflict.recurrence == 0), "{conflicts:?}");
 }
