--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -496,7 +496,7 @@
     /// Starts a proxy again, without any learned state, and waits until it is ready.
     pub async fn start_process(&self, number: usize) -> Result<(), FleetError> {
         let end = Instant::now() + READY_TIMEOUT;
-        // The previous process must have been reaped first.
+        // The supervisor must have reaped the previous process before the next one starts.
         while self.processes[number].is_running.get() && Instant::now() < end {
             sleep(READINESS_CHECK_INTERVAL).await;
         }
@@ -604,11 +604,11 @@
     (connection_links, identify_sender): (&ConnectionLinks, &IdentifySender),
 ) -> IoResult<Vec<Rc<Server>>> {
     let classes: Vec<(String, bool, bool)> = (parameters.classes.iter())
-        .map(|c| {
+        .map(|class| {
             (
-                c.name.clone(),
-                c.retry_safety == ClassRetrySafety::Safe,
-                c.retry_safety == ClassRetrySafety::Keyed,
+                class.name.clone(),
+                class.retry_safety == ClassRetrySafety::Safe,
+                class.retry_safety == ClassRetrySafety::Keyed,
             )
         })
         .collect();
--- a/crates/fault-injection/src/invariant_checker.rs
+++ b/crates/fault-injection/src/invariant_checker.rs
@@ -98,7 +98,7 @@
     pub name: String,
     /// The tier, from 0.
     pub tier: usize,
-    /// How much load it takes after a restart without overload.
+    /// The model of how much load it tolerates in slow start, after a restart.
     pub slow_start: SlowStartModel,
 }
 
@@ -169,7 +169,7 @@
 /// The reason why late client requests make a run void, if they do. Late requests change the load of the
 /// scenario.
 pub fn late_starts_void(start_delays_ms: &[f64]) -> Option<String> {
-    let late = start_delays_ms.iter().filter(|late| **late > LATE_START_MS).count();
+    let late = start_delays_ms.iter().filter(|delay_ms| **delay_ms > LATE_START_MS).count();
     let fraction = late as f64 / start_delays_ms.len().max(1) as f64;
     let worst = start_delays_ms.iter().copied().fold(0.0, f64::max);
     (fraction > MAX_LATE_FRACTION).then(|| {
@@ -201,7 +201,7 @@
     counts
 }
 
-/// The largest load on any backend in slow start, as a multiple of the load it takes; above 1 it is
+/// The largest load on any backend in slow start, as a multiple of the load it tolerates; above 1 it is
 /// overloaded.
 pub fn overshoot(truth: &GroundTruth, observations: &Observations) -> f64 {
     Checker::new(truth, observations)
@@ -264,7 +264,7 @@
                     }
                     healthy = true;
                 }
-                // A proxy that exits without SIGKILL owes all responses.
+                // A proxy that exits without SIGKILL must have answered all requests before.
                 ProcessEvent::Exited(_) => {}
                 ProcessEvent::Killed | ProcessEvent::Stopped => healthy = false,
             }
@@ -413,8 +413,8 @@
         }
     }
 
-    /// For each restart of a backend: the backend, its largest load as a multiple of the load it takes, and
-    /// the time of that.
+    /// For each restart of a backend: the backend, its largest load as a multiple of the load it tolerates,
+    /// and the time of that.
     fn overshoots(&self) -> Vec<(usize, f64, f64)> {
         let each = self.observations.backend_starts.iter().map(|start| {
             let sent_since_start =
@@ -437,7 +437,7 @@
             if multiple > 1.0 {
                 let name = &self.truth.servers[server].name;
                 let description = format!(
-                    "{name} was sent {multiple:.2} times the load it takes in slow start, at {when:.0} ms"
+                    "{name} was sent {multiple:.2} times the load it tolerates in slow start, at {when:.0} ms"
                 );
                 violations.push(Violation { rule: Rule::SlowStart, description, request_id: None });
             }
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -199,7 +199,8 @@
         let now = self.history.now();
         self.update_machine(|machine, done| {
             machine.kill(now, done);
-            // Work that completed at this moment is lost with the rest.
+            // Jobs that complete at the moment of the kill are lost like all others; their requests get no
+            // response.
             done.clear();
         });
         self.waiters.borrow_mut().clear();
@@ -244,7 +245,7 @@
         while !done.is_empty() {
             for job in std::mem::take(&mut done) {
                 let waiter = self.waiters.borrow_mut().remove(&job);
-                // A job whose request has ended releases its slot.
+                // No request waits for this job any more, so its slot is released here.
                 if waiter.is_none_or(|waiter| waiter.send(()).is_err()) {
                     self.machine.borrow_mut().release(self.history.now(), &mut done);
                 }
@@ -495,7 +496,7 @@
     }
 }
 
-/// If a connection that has brought responses before ends within this time after a request was written, the
+/// If a connection that has carried responses before ends within this time after a request was written, the
 /// proxy is taken to have closed it as idle before it could read the request, in milliseconds.
 pub(crate) const CLOSE_RACE_MS: f64 = 20.0;
 
--- a/crates/fault-injection/src/soak/clients.rs
+++ b/crates/fault-injection/src/soak/clients.rs
@@ -171,7 +171,7 @@
     }
 
     /// Reads the responses of requests that were written together, and returns whether the connection can be
-    /// used further. Once one of the requests has got a response, the proxy owes one to all of them.
+    /// used further. Once one of the requests has got a response, the proxy must answer all of them.
     async fn read_responses(
         &self,
         connection: &mut HttpConnection,
@@ -234,7 +234,7 @@
         request.attempt.end(ClientResult::NotAccepted, None);
     }
 
-    /// Writes requests at once or, for [`ClientBehavior::InPieces`] on a connection that has brought a
+    /// Writes requests at once or, for [`ClientBehavior::InPieces`] on a connection that has carried a
     /// response, in pieces. Returns false if the connection has ended.
     async fn write(
         &self,
--- a/crates/fault-injection/src/tcp_proxy.rs
+++ b/crates/fault-injection/src/tcp_proxy.rs
@@ -214,7 +214,7 @@
     }
 
     async fn connection(self: Rc<TcpProxy>, client: TcpStream) {
-        self.count(|p| p.connections += 1);
+        self.count(|counts| counts.connections += 1);
         let resets = self.resets.get();
         let target = match self.fault.get() {
             Fault::Reset => None,
@@ -287,8 +287,9 @@
             };
             let (piece, unwritten) = rest.split_at(max_bytes.clamp(1, rest.len()));
             to.write_all(piece).await?;
-            self.count(|p| {
-                *(if is_to_target { &mut p.to_target } else { &mut p.to_client }) += piece.len() as u64
+            self.count(|counts| {
+                *(if is_to_target { &mut counts.to_target } else { &mut counts.to_client }) +=
+                    piece.len() as u64
             });
             rest = unwritten;
         }
--- a/crates/hillstall/src/admin.rs
+++ b/crates/hillstall/src/admin.rs
@@ -36,7 +36,7 @@
     pub driver: Rc<Driver<HttpClient>>,
     /// Tells `PING` whether clients can be served.
     pub server: Rc<HttpServer>,
-    /// Executes the commands on coordination; absent if coordination is off.
+    /// Executes the admin commands for coordination; `None` if coordination is off.
     pub coordination: Option<Rc<CoordinationHandle>>,
 }
 
--- a/crates/hillstall/src/config.rs
+++ b/crates/hillstall/src/config.rs
@@ -43,7 +43,7 @@
     /// The file can't be read.
     #[error("{path}: {source}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: String,
         /// The cause.
         source: std::io::Error,
@@ -51,7 +51,7 @@
     /// The content of the file is invalid.
     #[error("{path}: {source}")]
     Invalid {
-        /// The file.
+        /// The path of the file.
         path: String,
         /// The cause.
         source: ParseError,
@@ -70,13 +70,13 @@
     /// Neither the file nor the environment has a required key.
     #[error("{key}: missing")]
     Missing {
-        /// The key.
+        /// The name of the key.
         key: &'static str,
     },
     /// The value of a key is not an IP address with a port.
     #[error("{key}: {source}")]
     Address {
-        /// The key.
+        /// The name of the key.
         key: &'static str,
         /// The cause.
         source: InvalidAddress,
--- a/crates/hillstall/src/fault_injection.rs
+++ b/crates/hillstall/src/fault_injection.rs
@@ -35,15 +35,17 @@
     /// A run could not be carried out.
     #[error("{scenario}: {source}")]
     Run {
-        /// The scenario.
+        /// The name of the scenario.
         scenario: String,
         /// The cause.
         source: Box<dyn Error>,
     },
-    /// Some runs violated an invariant, or are void because the test rig was late.
-    #[error("{scenario}: invariants violated, or run void because the test rig was late, with seed {seeds}")]
+    /// Some runs violated an invariant, or are void because the host was overloaded.
+    #[error(
+        "{scenario}: invariants violated, or run void because the host was overloaded, with seed {seeds}"
+    )]
     Verdict {
-        /// The scenario.
+        /// The name of the scenario.
         scenario: String,
         /// The seeds of these runs, separated by commas.
         seeds: String,
@@ -165,19 +167,20 @@
     text
 }
 
-/// Counts of a run on real processes that the table does not have.
+/// Figures of a run on real processes that the table does not have.
 fn format_figures(run: &ScenarioRun) -> String {
     let observed = &run.observations;
     let [first_tier, second_tier] = [0, 1].map(|tier| run.attempt_ratio(tier));
     let handshakes: u64 = observed.handshakes.iter().sum();
-    let mut lateness = observed.start_delays_ms.clone();
-    lateness.sort_by(f64::total_cmp);
-    let p99 = lateness.get((lateness.len() as f64 * 0.99) as usize).copied().unwrap_or(0.0);
+    let mut start_delays = observed.start_delays_ms.clone();
+    start_delays.sort_by(f64::total_cmp);
+    let p99 = start_delays.get((start_delays.len() as f64 * 0.99) as usize).copied().unwrap_or(0.0);
     format!(
         "  {} processes, {} requests, {} client attempts, {} attempts at servers; attempts per client attempt: \
          {first_tier:.2} at tier 0, {second_tier:.2} at tier 1\n  \
          {handshakes} connections to servers, {} requests to discovery; largest load on a server in slow \
-         start: {:.2} times the load it takes; 99th percentile of client lateness: {p99:.1} ms\n",
+         start: {:.2} times the load it tolerates; 99th percentile of the start delay of client \
+         requests: {p99:.1} ms\n",
         run.processes,
         run.summary.offered,
         observed.client_attempts.len(),
--- a/crates/hillstall/src/handover.rs
+++ b/crates/hillstall/src/handover.rs
@@ -25,7 +25,8 @@
 /// This process's connections to an older and a newer process of the same proxy.
 pub struct Handover {
     socket_path: PathBuf,
-    /// The connection to the older process, until [`Handover::start`] waits for its end.
+    /// The connection to the older process, if there is one. The task of [`Handover::start`] takes it out and
+    /// waits until it closes.
     older: Cell<Option<UnixStream>>,
     has_newer: Cell<bool>,
 }
--- a/crates/hillstall/src/operator/problem.rs
+++ b/crates/hillstall/src/operator/problem.rs
@@ -34,7 +34,7 @@
     /// The file can't be read.
     #[error("{}: {source}", .path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
         /// The cause.
         source: ReadError,
@@ -62,7 +62,7 @@
     InvalidValue {
         /// The source of the key.
         origin: ValueOrigin,
-        /// The key.
+        /// The name of the key.
         key: String,
         /// The cause.
         source: InvalidValue,
--- a/crates/hillstall/src/operator/value.rs
+++ b/crates/hillstall/src/operator/value.rs
@@ -12,23 +12,23 @@
 pub enum ValueKind {
     /// A duration with a unit, such as "250ms", "5s" or "2m".
     Duration {
-        /// The lower bound.
+        /// The smallest allowed value.
         min: Duration,
-        /// The upper bound.
+        /// The largest allowed value.
         max: Duration,
     },
     /// A size with a unit, such as "64KiB" or "32MiB".
     Size {
-        /// The lower bound, in bytes.
+        /// The smallest allowed value, in bytes.
         min: usize,
-        /// The upper bound, in bytes.
+        /// The largest allowed value, in bytes.
         max: usize,
     },
     /// A whole number.
     Integer {
-        /// The lower bound.
+        /// The smallest allowed value.
         min: u64,
-        /// The upper bound.
+        /// The largest allowed value.
         max: u64,
     },
     /// One of these words.
@@ -67,7 +67,7 @@
     /// The text is none of the words that the key allows.
     #[error("{text:?} is none of {}", .choices.join(", "))]
     NotAChoice {
-        /// The text.
+        /// The text that was given.
         text: String,
         /// The words that are allowed.
         choices: &'static [&'static str],
@@ -78,11 +78,11 @@
     /// The value is outside the bounds of its key.
     #[error("{value} is out of bounds: from {min} to {max}")]
     OutOfBounds {
-        /// The value.
+        /// The value that is out of bounds.
         value: SettingValue,
-        /// The lower bound.
+        /// The smallest allowed value.
         min: SettingValue,
-        /// The upper bound.
+        /// The largest allowed value.
         max: SettingValue,
     },
 }
--- a/crates/hillstall/src/output.rs
+++ b/crates/hillstall/src/output.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", .path.display())]
 pub struct FileError {
-    /// The file.
+    /// The path of the file.
     pub path: PathBuf,
     /// The cause.
     pub source: std::io::Error,
--- a/crates/hillstall/src/proxy.rs
+++ b/crates/hillstall/src/proxy.rs
@@ -36,7 +36,7 @@
     /// Listening on the address for clients failed.
     #[error("listen: {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address that can't be listened on.
         address: SocketAddr,
         /// The cause.
         source: std::io::Error,
@@ -44,7 +44,7 @@
     /// Listening on the address for admin commands failed.
     #[error("admin_addr: {address}: {source}")]
     AdminListen {
-        /// The address.
+        /// The address that can't be listened on.
         address: SocketAddr,
         /// The cause.
         source: std::io::Error,
@@ -52,7 +52,7 @@
     /// A signal handler can't be installed.
     #[error("{name}: {source}")]
     Signal {
-        /// The signal.
+        /// The name of the signal.
         name: &'static str,
         /// The cause.
         source: std::io::Error,
--- a/crates/hillstall/src/simulation/error.rs
+++ b/crates/hillstall/src/simulation/error.rs
@@ -33,7 +33,7 @@
     /// A line of a results file is invalid.
     #[error("{path}: line {line}: {source}")]
     InvalidResult {
-        /// The file.
+        /// The path of the file.
         path: String,
         /// The line number, from 1.
         line: usize,
--- a/crates/hillstall/tests/coordination/change_freeze.rs
+++ b/crates/hillstall/tests/coordination/change_freeze.rs
@@ -93,8 +93,9 @@
         ensure(fleet.transferred(between) == before, || "messages pass between the two sides".into())?;
         fleet.set_fault(Fault::None, between);
         // Both sides converge on one state: one permit for the site, and nothing in flight beside it.
-        let same =
-            |text: &str| text.lines().filter(|l| l.contains("drain site:zone-0 in-flight")).count() == 1;
+        let same = |text: &str| {
+            text.lines().filter(|line| line.contains("drain site:zone-0 in-flight")).count() == 1
+        };
         for process in 0..5 {
             fleet.wait_for_answer(process, "CHANGE", STEP_TIMEOUT, same).await?;
         }
@@ -112,7 +113,7 @@
         let servers: Vec<usize> = fleet.servers_of_zone(1);
         let lost = |ends: LinkEnds| matches!(ends, LinkEnds::ProxyToBackend { server, .. } if servers.contains(&server));
         fleet.set_fault(Fault::Reset, lost);
-        let is_open = |text: &str| text.lines().any(|l| l.contains("site:zone-1 active by=rule/"));
+        let is_open = |text: &str| text.lines().any(|line| line.contains("site:zone-1 active by=rule/"));
         fleet.wait_for_answer(9, "INCIDENT", STEP_TIMEOUT, is_open).await?;
         fleet
             .wait_for_answer(9, "CHANGE", STEP_TIMEOUT, |text| text.contains("upgrade site:zone-1 reacts"))
@@ -152,7 +153,7 @@
         // The holder is suspended; another takes over the lease, and the first one is resumed.
         fleet.signal(first, ProcessSignal::Stop)?;
         let (second, newer) = fleet.wait_for_lease_holder(COORDINATOR_LEASE, &[first], STEP_TIMEOUT).await?;
-        ensure(newer > token, || format!("{newer} after {token}"))?;
+        ensure(newer > token, || format!("the second holder's token {newer} is not above {token}"))?;
         send_command(&fleet, second, "INCIDENT OPEN major site:zone-2 ann", "200").await?;
         inject_fault(&fleet, Fault::LoseFromTarget, links_from(first))?;
         fleet.signal(first, ProcessSignal::Continue)?;
@@ -168,6 +169,6 @@
             })
             .await?;
         let now = fleet.wait_for_lease_holder(COORDINATOR_LEASE, &[], STEP_TIMEOUT).await?;
-        ensure(now.1 >= newer, || format!("{now:?} after {newer}"))
+        ensure(now.1 >= newer, || format!("the holder is now {now:?}, with a token below {newer}"))
     });
 }
--- a/crates/hillstall/tests/coordination/lease_holders.rs
+++ b/crates/hillstall/tests/coordination/lease_holders.rs
@@ -190,8 +190,9 @@
         let new = fleet.wait_for_answer(lost, "FLEET", STEP_TIMEOUT, |text| {
             let own = id(text);
             own != "?"
-                && text.lines().any(|l| {
-                    l.starts_with("keeper ") && l.split("members ").nth(1).is_some_and(|m| m.contains(&own))
+                && text.lines().any(|line| {
+                    line.starts_with("keeper ")
+                        && line.split("members ").nth(1).is_some_and(|members| members.contains(&own))
                 })
         });
         let new = new.await?;
@@ -218,7 +219,8 @@
             let voter = |text: &str| {
                 let line = text.lines().find_map(|line| line.strip_prefix("keeper ")).unwrap_or("");
                 let own = line.split(' ').next().unwrap_or("?");
-                line.split("members ").nth(1).is_some_and(|m| m.contains(own)) && !line.contains("changing")
+                line.split("members ").nth(1).is_some_and(|members| members.contains(own))
+                    && !line.contains("changing")
             };
             fleet.wait_for_answer(replica, "FLEET", STEP_TIMEOUT, voter).await?;
         }
@@ -257,7 +259,7 @@
     run_scenario("drill-duties", 3, "", |fleet| async move {
         wait_until_settled(&fleet).await?;
         let follows = |text: &str| {
-            text.lines().find_map(|l| l.strip_prefix("follows ")?.split(' ').next()?.parse().ok())
+            text.lines().find_map(|line| line.strip_prefix("follows ")?.split(' ').next()?.parse().ok())
         };
         let text = fleet.admin_command(6, "FLEET").await.unwrap_or_default();
         let replica: usize = follows(&text).ok_or("instance 6 follows no replica")?;
--- a/crates/hillstall/tests/coordination/scenario.rs
+++ b/crates/hillstall/tests/coordination/scenario.rs
@@ -85,8 +85,8 @@
                 outcome.replace((Some(result), fleet.audit_lines()));
             })
         });
-        let talk = Some(CoordinationOptions { voters: replicas, fleet_section: section.to_owned() });
-        Options { script: Some(whole_script), coordination: talk, ..Options::default() }
+        let coordination = Some(CoordinationOptions { voters: replicas, fleet_section: section.to_owned() });
+        Options { script: Some(whole_script), coordination, ..Options::default() }
     });
     let (result, audit_lines) = outcome.take();
     match result {
--- a/crates/hillstall/tests/coordination/windows.rs
+++ b/crates/hillstall/tests/coordination/windows.rs
@@ -66,8 +66,10 @@
 /// Number of attempts that reached some servers from one time to another, in milliseconds after the first
 /// request.
 fn attempts_at(run: &ScenarioRun, servers: &[usize], from: f64, to: f64) -> usize {
-    let hops = run.valid_run.0.observations.backend_attempts.iter();
-    hops.filter(|h| servers.contains(&h.server) && h.at >= from && h.at < to).count()
+    let attempts = run.valid_run.0.observations.backend_attempts.iter();
+    attempts
+        .filter(|attempt| servers.contains(&attempt.server) && attempt.at >= from && attempt.at < to)
+        .count()
 }
 
 #[test]
@@ -120,7 +122,7 @@
         let (first, token) = fleet.wait_for_lease_holder(SHIFT_LEASE, &[], STEP_TIMEOUT).await?;
         fleet.signal(first, ProcessSignal::Kill)?;
         let (_, newer) = fleet.wait_for_lease_holder(SHIFT_LEASE, &[first], STEP_TIMEOUT).await?;
-        ensure(newer > token, || format!("{newer} after {token}"))?;
+        ensure(newer > token, || format!("the newer holder's token {newer} is not above {token}"))?;
         wait_for_stage(&fleet, "zone-1 running").await?;
         wait_for_stage(&fleet, "zone-1 done").await?;
         Ok(fleet.start_process(first).await?)
@@ -144,8 +146,8 @@
     let tokens: std::collections::BTreeSet<u64> = run
         .audit_lines
         .iter()
-        .filter(|a| a.lease == SHIFT_LEASE && a.action == "carried out")
-        .map(|a| a.token)
+        .filter(|audit_line| audit_line.lease == SHIFT_LEASE && audit_line.action == "carried out")
+        .map(|audit_line| audit_line.token)
         .collect();
     assert!(tokens.len() >= 2, "fewer than two holders moved traffic: {tokens:?}");
 }
@@ -155,14 +157,16 @@
     run_window_scenario(|fleet| async move {
         wait_until_settled(&fleet).await?;
         plan_window(&fleet, "zone-1", 12, 6).await?;
-        let partly_shifted =
-            |text: &str| text.lines().any(|l| l.contains("zone-1 shifting") && !l.contains("part=100%"));
+        let partly_shifted = |text: &str| {
+            text.lines().any(|line| line.contains("zone-1 shifting") && !line.contains("part=100%"))
+        };
         fleet.wait_for_answer(5, "WINDOW", WINDOW_TIMEOUT, partly_shifted).await?;
         let servers = fleet.servers_of_zone(2);
         let lost = |ends: LinkEnds| matches!(ends, LinkEnds::ProxyToBackend { server, .. } if servers.contains(&server));
         fleet.set_fault(Fault::Reset, lost);
-        let comes_back =
-            |text: &str| text.lines().any(|l| l.contains("zone-1 returning") || l.contains("zone-1 done"));
+        let comes_back = |text: &str| {
+            text.lines().any(|line| line.contains("zone-1 returning") || line.contains("zone-1 done"))
+        };
         fleet.wait_for_answer(5, "WINDOW", WINDOW_TIMEOUT, comes_back).await?;
         fleet.set_fault(Fault::None, lost);
         let text = wait_for_stage(&fleet, "zone-1 done").await?;
@@ -187,8 +191,9 @@
         // The site that is shifting gets its traffic back, and neither window begins.
         let both_ended = |text: &str| {
             ["zone-1", "zone-2"].iter().all(|site| {
-                text.lines()
-                    .any(|l| l.contains(&format!("{site} done")) || l.contains(&format!("{site} postponed")))
+                text.lines().any(|line| {
+                    line.contains(&format!("{site} done")) || line.contains(&format!("{site} postponed"))
+                })
             })
         };
         let text = fleet.wait_for_answer(5, "WINDOW", WINDOW_TIMEOUT, both_ended).await?;
--- a/crates/hillstall/tests/fault_injection/harness.rs
+++ b/crates/hillstall/tests/fault_injection/harness.rs
@@ -1,4 +1,4 @@
-//! Runs fault-injection scenarios, a few at a time. A run that is void because the test rig was late is
+//! Runs fault-injection scenarios, a few at a time. A run that is void because the host was overloaded is
 //! repeated with no other run beside it.
 
 use hillstall_decision::Settings;
@@ -27,7 +27,7 @@
 struct SlotUse {
     /// Slots taken; a run without others takes all of them.
     taken: usize,
-    /// Runs that wait for all slots, before which no other run starts.
+    /// Runs that wait for all slots. While there are any, no other run takes a slot.
     waiting_for_all: usize,
 }
 
@@ -90,10 +90,10 @@
     })
 }
 
-/// Runs the shutdown soak with a seed. `sabotage`, if any, runs beside it to violate an invariant.
-pub fn run_soak(seed: u64, sabotage: Option<InjectedFault>) -> ValidRun {
+/// Runs the shutdown soak with a seed. `injected_fault`, if any, runs beside it to violate an invariant.
+pub fn run_soak(seed: u64, injected_fault: Option<InjectedFault>) -> ValidRun {
     run_until_valid(&format!("soak of seed {seed}"), || {
-        hillstall_fault_injection::soak::run(hillstall_path(), seed, None, sabotage)
+        hillstall_fault_injection::soak::run(hillstall_path(), seed, None, injected_fault)
             .expect("the run can be carried out")
     })
 }
--- a/crates/hillstall/tests/fault_injection/main.rs
+++ b/crates/hillstall/tests/fault_injection/main.rs
@@ -25,7 +25,9 @@
 /// A settings fault that gives another retry safety to the classes that are not idempotent.
 fn declare_non_idempotent_as(retry_safety: RetrySafety) -> impl Fn(&mut Settings) {
     move |settings| {
-        for class in settings.classes.iter_mut().filter(|c| c.retry_safety == RetrySafety::NonIdempotent) {
+        for class in
+            settings.classes.iter_mut().filter(|class| class.retry_safety == RetrySafety::NonIdempotent)
+        {
             class.retry_safety = retry_safety;
         }
     }
@@ -63,13 +65,13 @@
     assert_eq!(normal.0.observations.backend_starts.len(), 3, "three servers were restarted");
     let attempts_after = |from: f64| {
         let was_restarted =
-            |server: usize| normal.0.observations.backend_starts.iter().any(|s| s.server == server);
+            |server: usize| normal.0.observations.backend_starts.iter().any(|start| start.server == server);
         normal
             .0
             .observations
             .backend_attempts
             .iter()
-            .filter(|h| was_restarted(h.server) && h.at > from)
+            .filter(|attempt| was_restarted(attempt.server) && attempt.at > from)
             .count()
     };
     assert!(attempts_after(4_500.0) > 20, "the restarted servers get too few requests");
@@ -86,7 +88,7 @@
     });
     let overshoot = |run: &ValidRun| invariant_checker::overshoot(&run.0.truth, &run.0.observations);
     print_comparison(
-        "largest load on a server in slow start, as a multiple of the load it takes",
+        "largest load on a server in slow start, as a multiple of the load it tolerates",
         overshoot(&normal),
         overshoot(&violating),
     );
@@ -97,8 +99,13 @@
 fn a_draining_server_gets_no_new_requests_after_the_grace_period() {
     let normal = run_embedded("drill-release", 1);
     normal.assert_invariants_hold();
-    let drains =
-        normal.0.observations.notifications.iter().filter(|t| t.status == BackendState::Draining).count();
+    let drains = normal
+        .0
+        .observations
+        .notifications
+        .iter()
+        .filter(|notification| notification.status == BackendState::Draining)
+        .count();
     assert!(drains >= 2 * 4, "not all entry proxies got all draining states: {drains}");
     let violating =
         run_with_settings_fault("drill-release", 1, |settings| settings.rules.drain_grace_ms = 60_000.0);
@@ -109,17 +116,27 @@
 fn service_recovers_after_five_of_seven_entry_proxies_are_killed_at_once() {
     let normal = run_embedded("drill-kill", 1);
     normal.assert_invariants_hold();
-    let killed =
-        normal.0.observations.process_events.iter().filter(|l| l.event == ProcessEvent::Killed).count();
+    let killed = normal
+        .0
+        .observations
+        .process_events
+        .iter()
+        .filter(|record| record.event == ProcessEvent::Killed)
+        .count();
     assert_eq!(killed, 5, "five of seven entry proxies are killed");
-    let broken_attempts =
-        normal.0.observations.client_attempts.iter().filter(|t| t.result == ClientResult::Broken).count();
+    let broken_attempts = normal
+        .0
+        .observations
+        .client_attempts
+        .iter()
+        .filter(|attempt| attempt.result == ClientResult::Broken)
+        .count();
     assert!(broken_attempts > 0, "no client connection broke");
     // In the last three seconds all proxies run again, without what they had learned before.
     let final_service = |run: &ValidRun| {
         let last = &run.0.summary.seconds[6..];
         let sum = |of: fn(&hillstall_simulation::sim::Second) -> f64| last.iter().map(of).sum::<f64>();
-        100.0 * sum(|s| s.served_weight) / sum(|s| s.offered_weight)
+        100.0 * sum(|second| second.served_weight) / sum(|second| second.offered_weight)
     };
     assert!(final_service(&normal) > 85.0, "service is {:.1} after the restarts", final_service(&normal));
     // A process that ends without a request to do so counts as crashed.
@@ -139,7 +156,7 @@
         .observations
         .process_events
         .iter()
-        .filter(|l| matches!(l.event, ProcessEvent::Exited(Some(0))))
+        .filter(|record| matches!(record.event, ProcessEvent::Exited(Some(0))))
         .count();
     assert_eq!(ended, 5, "all five entry proxies shut down gracefully");
     assert!(
@@ -151,8 +168,12 @@
     let violating = run_with_script("drill-roll", 1, |fleet| async move {
         wait_until_s(&fleet.history, 1.5).await;
         let at = fleet.history.now();
-        fleet.history.record(|seen| {
-            seen.process_events.push(ProcessEventRecord { process: 4, at, event: ProcessEvent::SigtermSent })
+        fleet.history.record(|observations| {
+            observations.process_events.push(ProcessEventRecord {
+                process: 4,
+                at,
+                event: ProcessEvent::SigtermSent,
+            })
         });
         fleet.kill_unrecorded(4).expect("the supervisor accepts the command");
     });
@@ -164,7 +185,7 @@
     let normal = run_embedded("drill-stop", 1);
     normal.assert_invariants_hold();
     let count = |event: ProcessEvent| {
-        normal.0.observations.process_events.iter().filter(|l| l.event == event).count()
+        normal.0.observations.process_events.iter().filter(|record| record.event == event).count()
     };
     assert_eq!((count(ProcessEvent::Stopped), count(ProcessEvent::Continued)), (2, 2));
     let attempts_by_suspended = |from: f64, to: f64| {
@@ -173,7 +194,7 @@
             .observations
             .backend_attempts
             .iter()
-            .filter(|h| h.process < 2 && h.at > from && h.at < to)
+            .filter(|attempt| attempt.process < 2 && attempt.at > from && attempt.at < to)
             .count()
     };
     assert!(
@@ -191,12 +212,23 @@
     let normal = run_embedded("drill-list", 1);
     normal.assert_invariants_hold();
     let notifications = |from: f64, to: f64| {
-        normal.0.observations.notifications.iter().filter(|t| t.at > from && t.at < to).count()
+        normal
+            .0
+            .observations
+            .notifications
+            .iter()
+            .filter(|notification| notification.at > from && notification.at < to)
+            .count()
     };
     assert_eq!(notifications(1_600.0, 6_400.0), 0, "discovery sends nothing while it is down");
     assert!(notifications(6_400.0, 11_000.0) > 0, "discovery is not used after it is back");
-    let lost =
-        normal.0.observations.backend_attempts.iter().filter(|h| h.result == BackendResult::Lost).count();
+    let lost = normal
+        .0
+        .observations
+        .backend_attempts
+        .iter()
+        .filter(|attempt| attempt.result == BackendResult::Lost)
+        .count();
     assert!(lost > 0, "no attempt was lost with its server");
     let violating =
         run_with_settings_fault("drill-list", 1, declare_non_idempotent_as(RetrySafety::Idempotent));
@@ -213,10 +245,17 @@
     });
     // Percentage of requests served of the two tenants that keep within their quotas.
     let others = |run: &ValidRun| {
-        let tries =
-            || run.0.observations.client_attempts.iter().filter(|t| t.tenant > 0 && !t.id.contains('.'));
-        let requests: std::collections::BTreeSet<_> = tries().map(|t| t.id.split('-').next()).collect();
-        100.0 * tries().filter(|t| t.result == ClientResult::Served).count() as f64 / requests.len() as f64
+        let attempts = || {
+            run.0
+                .observations
+                .client_attempts
+                .iter()
+                .filter(|attempt| attempt.tenant > 0 && !attempt.id.contains('.'))
+        };
+        let requests: std::collections::BTreeSet<_> =
+            attempts().map(|attempt| attempt.id.split('-').next()).collect();
+        100.0 * attempts().filter(|attempt| attempt.result == ClientResult::Served).count() as f64
+            / requests.len() as f64
     };
     print_comparison("% served of the requests of the other tenants", others(&normal), others(&without));
     assert!(others(&normal) > others(&without) + 5.0, "quotas have no effect");
@@ -236,8 +275,13 @@
 fn requests_have_at_most_six_attempts_while_servers_reject_them() {
     let normal = run_embedded("drill-full", 1);
     normal.assert_invariants_hold();
-    let rejected =
-        normal.0.observations.backend_attempts.iter().filter(|h| h.result == BackendResult::Rejected).count();
+    let rejected = normal
+        .0
+        .observations
+        .backend_attempts
+        .iter()
+        .filter(|attempt| attempt.result == BackendResult::Rejected)
+        .count();
     assert!(rejected > 10, "servers rejected only {rejected} attempts");
     let violating =
         run_with_settings_fault("drill-full", 1, |settings| settings.permissions.max_attempts = 30);
@@ -251,8 +295,13 @@
     let course = |run: &ValidRun| ServiceCourse::of(&run.0.summary.seconds, 4.0, 8.0);
     // Of a load of 85% of the capacity, the remaining half of the servers can serve 50 / 85.
     let served_of_possible = |course: ServiceCourse| course.during_loss / (0.5 / 0.85);
-    let killed =
-        normal.0.observations.process_events.iter().filter(|l| l.event == ProcessEvent::Killed).count();
+    let killed = normal
+        .0
+        .observations
+        .process_events
+        .iter()
+        .filter(|record| record.event == ProcessEvent::Killed)
+        .count();
     assert_eq!(killed, 3, "the proxies on the machines of three lost servers are killed too");
     let without = run_with_settings_fault("drill-half", 1, disable_load_shedding);
     print_comparison(
--- a/crates/hillstall/tests/fault_injection/soak.rs
+++ b/crates/hillstall/tests/fault_injection/soak.rs
@@ -63,8 +63,8 @@
         Some(|fleet| {
             Box::pin(async move {
                 tokio::time::sleep_until(fleet.history.instant(TERM_AT_MS + 200.0)).await;
-                let door = hillstall_fault_injection::fleet::LinkEnds::ClientToProxy { process: 0 };
-                fleet.link(door).reset();
+                let client_link = hillstall_fault_injection::fleet::LinkEnds::ClientToProxy { process: 0 };
+                fleet.link(client_link).reset();
             })
         }),
     );
--- a/crates/hillstall/tests/proxy/commands.rs
+++ b/crates/hillstall/tests/proxy/commands.rs
@@ -181,12 +181,12 @@
 #[test]
 fn operator_file_of_the_repository_is_valid_and_has_every_key() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/hillstall.toml");
-    let text = std::fs::read_to_string(&file).expect("it is there");
+    let text = std::fs::read_to_string(&file).expect("the operator file is there");
     let all = hillstall(&["config", "show", "--json"]);
     let all: serde_json::Map<String, serde_json::Value> = serde_json::from_slice(&all.stdout).expect("JSON");
     // The keys are commented out with their defaults. With all of them in force the file must be valid, and
     // all values must equal the defaults.
-    let files = Files::new(&text.lines().map(|l| uncommented(l) + "\n").collect::<String>());
+    let files = Files::new(&text.lines().map(|line| uncommented(line) + "\n").collect::<String>());
     let operator = files.operator.to_str().expect("text");
     assert_eq!(stdout(&hillstall(&["check", operator])), format!("{operator}: good\n"));
     let shown = hillstall(&["config", "show", "--json", "--operator", operator]);
@@ -220,9 +220,10 @@
     let request = "GET /api/lantern HTTP/1.1\r\nHost: d\r\nRequest-Id: a1\r\nRequest-Class: browse\r\n\
                    Request-Timeout-Ms: 1000\r\n\r\n";
     wait_until("the demo serves", || {
-        try_request(address, request).is_some_and(|m| m.status() == 200 && m.body.starts_with(b"{"))
+        try_request(address, request)
+            .is_some_and(|message| message.status() == 200 && message.body.starts_with(b"{"))
     });
-    child.kill().and_then(|()| child.wait()).expect("it ends");
+    child.kill().and_then(|()| child.wait()).expect("the demo ends");
 }
 
 /// The section `[fleet]` of a fleet whose only replica is this instance.
--- a/crates/hillstall/tests/proxy/handover.rs
+++ b/crates/hillstall/tests/proxy/handover.rs
@@ -55,7 +55,8 @@
     );
     stream.write_all(&[REDUCED]).expect("the byte is sent");
     wait_until("the newer process serves", || {
-        try_request(address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n").is_some_and(|m| m.status() == 200)
+        try_request(address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n")
+            .is_some_and(|message| message.status() == 200)
     });
     newer.kill().expect("the process is killed");
     newer.wait().expect("the process has ended");
--- a/crates/hillstall/tests/proxy/harness.rs
+++ b/crates/hillstall/tests/proxy/harness.rs
@@ -197,7 +197,7 @@
         thread::spawn(move || loop {
             thread::sleep(Duration::from_millis(500));
             if *sends_heartbeats.lock().unwrap() {
-                watches.lock().unwrap().retain_mut(|w| w.write_all(chunk("").as_bytes()).is_ok());
+                watches.lock().unwrap().retain_mut(|watch| watch.write_all(chunk("").as_bytes()).is_ok());
             }
         });
         discovery
@@ -310,9 +310,9 @@
 
     fn wait_until_serving(&mut self) -> bool {
         let end = Instant::now() + WAIT_TIMEOUT;
-        while Instant::now() < end && self.child.try_wait().expect("its state").is_none() {
+        while Instant::now() < end && self.child.try_wait().expect("the state of the process").is_none() {
             if try_request(self.address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n")
-                .is_some_and(|m| m.status() == 200)
+                .is_some_and(|message| message.status() == 200)
             {
                 return true;
             }
@@ -343,7 +343,8 @@
 
     /// The names of the process's threads, sorted.
     pub fn threads(&self) -> Vec<String> {
-        let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("its threads");
+        let tasks =
+            std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("the threads of the process");
         let names = tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("comm")).ok());
         let mut names: Vec<String> = names.map(|name| name.trim().to_owned()).collect();
         names.sort();
@@ -351,12 +352,12 @@
     }
 
     pub fn is_running(&mut self) -> bool {
-        self.child.try_wait().expect("its state").is_none()
+        self.child.try_wait().expect("the state of the process").is_none()
     }
 
     pub fn wait(&mut self) -> ExitStatus {
         wait_until("the proxy ends", || !self.is_running());
-        self.child.wait().expect("its status")
+        self.child.wait().expect("the exit status of the process")
     }
 }
 
--- a/crates/hillstall/tests/proxy/main.rs
+++ b/crates/hillstall/tests/proxy/main.rs
@@ -24,7 +24,8 @@
 
 /// Starts a proxy whose discovery lists these backends as `b0`, `b1` and so on.
 fn start_proxy(backends: &[&Backend]) -> (Proxy, Discovery) {
-    let names = backends.iter().enumerate().map(|(i, b)| endpoint(&format!("b{i}"), b.address, "ready"));
+    let names =
+        backends.iter().enumerate().map(|(i, backend)| endpoint(&format!("b{i}"), backend.address, "ready"));
     let discovery = Discovery::start(Some(endpoint_list(5, true, &names.collect::<Vec<_>>())));
     (Proxy::start(&platform_config(discovery.address, &endpoint_list(0, true, &[]))), discovery)
 }
@@ -70,8 +71,11 @@
     let rejecting = Backend::answering("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
     let healthy = Backend::answering(OK);
     let names = [("dead", dead), ("full", rejecting.address), ("good", healthy.address)];
-    let discovery =
-        Discovery::start(Some(endpoint_list(5, true, &names.map(|(n, a)| endpoint(n, a, "ready")))));
+    let discovery = Discovery::start(Some(endpoint_list(
+        5,
+        true,
+        &names.map(|(name, address)| endpoint(name, address, "ready")),
+    )));
     let proxy = Proxy::start(&platform_config(discovery.address, &endpoint_list(0, true, &[])));
     // Five requests, so that the retries needed stay within the retry budget of a fresh proxy.
     for n in 0..5 {
@@ -363,7 +367,7 @@
     }
     let truncated = connect_and_send(proxy.address, &valid[..valid.len() - 2]);
     truncated.shutdown(Shutdown::Write).expect("it ends");
-    assert!(read_response(&truncated).is_none_or(|m| (400..500).contains(&m.status())));
+    assert!(read_response(&truncated).is_none_or(|message| (400..500).contains(&message.status())));
     assert!(proxy.is_running());
     assert_eq!(backend.request_count(), 1);
 }
--- a/crates/hillstall/tests/proxy/operations.rs
+++ b/crates/hillstall/tests/proxy/operations.rs
@@ -5,7 +5,8 @@
 
 /// Starts a proxy with an admin address, whose discovery lists these backends.
 fn start_for_backends(backends: &[&Backend]) -> (Proxy, SocketAddr, Discovery) {
-    let names = backends.iter().enumerate().map(|(i, b)| endpoint(&format!("b{i}"), b.address, "ready"));
+    let names =
+        backends.iter().enumerate().map(|(i, backend)| endpoint(&format!("b{i}"), backend.address, "ready"));
     let discovery = Discovery::start(Some(endpoint_list(5, true, &names.collect::<Vec<_>>())));
     let (proxy, admin) =
         Proxy::start_with_admin(&platform_config(discovery.address, &endpoint_list(0, true, &[])));
@@ -87,8 +88,8 @@
     assert_eq!(proxy.request(&build_request("read", "a4", 8_000, "")).status(), 503);
     drop(waiting);
     wait_until("no request is open", || metric(admin, "svc_current") == 0);
-    let once =
-        ["answered", "deferred", "errored"].map(|n| metric(admin, &format!("svc_{n}{{group=\"once\"}}")));
+    let once = ["answered", "deferred", "errored"]
+        .map(|name| metric(admin, &format!("svc_{name}{{group=\"once\"}}")));
     assert_eq!(once, [1, 0, 1], "the request whose client disconnected is not counted");
     assert_eq!(metric(admin, "svc_deferred{group=\"read\"}"), 1);
 }
--- a/crates/hillstall/tests/proxy/operator_file.rs
+++ b/crates/hillstall/tests/proxy/operator_file.rs
@@ -53,8 +53,11 @@
         serde_json::from_str(&fixture("every-key.shown.json")).expect("JSON");
     for (key, entry) in shown {
         let from = entry["from"].as_str().expect("text");
-        let line: usize =
-            from.rsplit(':').next().and_then(|n| n.parse().ok()).unwrap_or_else(|| panic!("{from}"));
+        let line: usize = from
+            .rsplit(':')
+            .next()
+            .and_then(|number| number.parse().ok())
+            .unwrap_or_else(|| panic!("{from}"));
         let (name, value) = file[line - 1].split_once(" = ").unwrap_or_else(|| panic!("{key}: {from}"));
         assert!(key.ends_with(&format!(".{name}")), "{key} is not on line {line}");
         assert_eq!(entry["value"].as_str(), Some(value.trim_matches('"')), "{key}");
--- a/crates/hillstall/tests/proxy/operator_settings.rs
+++ b/crates/hillstall/tests/proxy/operator_settings.rs
@@ -41,7 +41,10 @@
     assert_eq!(operator.duration("pool.rest"), Duration::from_millis(3));
     assert_eq!((operator.integer("pool.kept"), operator.integer("pool.waits")), (7, 9));
     let from: Vec<String> = operator.entries().map(|(_, _, from)| from.to_string()).collect();
-    assert!(from.iter().any(|f| f.ends_with(":2")) && from.contains(&"$HILLSTALL_POOL_KEPT".to_string()));
+    assert!(
+        from.iter().any(|origin| origin.ends_with(":2"))
+            && from.contains(&"$HILLSTALL_POOL_KEPT".to_string())
+    );
 }
 
 #[test]
@@ -61,7 +64,7 @@
     ];
     for (place, why) in expected {
         assert!(
-            problems.iter().any(|t| t.contains(place) && t.contains(why)),
+            problems.iter().any(|problem| problem.contains(place) && problem.contains(why)),
             "{place}{why} in {problems:#?}"
         );
     }
@@ -70,7 +73,7 @@
 
 #[test]
 fn syntax_errors_missing_files_and_contradicting_keys_are_reported() {
-    assert!(problems("[pool\nrest = 1\n").iter().any(|t| t.contains(":1: ")));
+    assert!(problems("[pool\nrest = 1\n").iter().any(|problem| problem.contains(":1: ")));
     assert!(problems("[messages]\nlongest = \"32KiB\"\n")[0].contains("must not be larger than"));
     let sources = Sources { file: Some("/nowhere/at-all.toml".into()), flags: vec!["pool.rest".into()] };
     let problems = OperatorConfig::read(&sources, |_| None).expect_err("the file does not exist");
--- a/crates/hillstall/tests/proxy/platform_file.rs
+++ b/crates/hillstall/tests/proxy/platform_file.rs
@@ -8,7 +8,10 @@
     let file = tempfile::NamedTempFile::new().expect("a file");
     std::fs::write(file.path(), text).expect("the write succeeds");
     let prefix = format!("{}:", file.path().display());
-    find_problems(file.path()).iter().map(|t| t.strip_prefix(&prefix).unwrap_or(t).to_string()).collect()
+    find_problems(file.path())
+        .iter()
+        .map(|problem| problem.strip_prefix(&prefix).unwrap_or(problem).to_string())
+        .collect()
 }
 
 fn valid_file() -> String {
@@ -37,7 +40,7 @@
         .replace("\"status\": \"ready\"", "\"status\": 7")
         .replace("\"sockets\": 64", "\"sockets\": -64");
     let problems = problems(&text);
-    let line = |part: &str| text.lines().position(|l| l.contains(part)).expect(part) + 1;
+    let line = |part: &str| text.lines().position(|line| line.contains(part)).expect(part) + 1;
     let expected = [
         (line("nowhere"), "discovery: "),
         (line("-1500"), "settings.Classes[1].HardLimit: -1500 is out of range: it must be above 0"),
@@ -48,7 +51,7 @@
     ];
     for (line, problem) in expected {
         assert!(
-            problems.iter().any(|t| t.starts_with(&format!("{line}: {problem}"))),
+            problems.iter().any(|found| found.starts_with(&format!("{line}: {problem}"))),
             "{line}: {problem} in {problems:#?}"
         );
     }
@@ -58,7 +61,9 @@
 #[test]
 fn missing_keys_and_invalid_json_are_reported() {
     assert!(problems(&valid_file().replace("\"seed\"", "\"sead\""))[0].contains("seed"));
-    assert!(problems("{\n\"listen\": 1,\n").iter().any(|t| t.starts_with("3: ") || t.starts_with("2: ")));
+    assert!(problems("{\n\"listen\": 1,\n")
+        .iter()
+        .any(|problem| problem.starts_with("3: ") || problem.starts_with("2: ")));
 }
 
 proptest::proptest! {
--- a/crates/hillstall/tests/proxy/protocol_violations.rs
+++ b/crates/hillstall/tests/proxy/protocol_violations.rs
@@ -168,7 +168,7 @@
     let (mut proxy, _discovery) = start_with_limit(&backend, "\"sockets\":1024", "\"sockets\":256");
     let mut regular = connect_and_send(proxy.address, &build_request("read", "g0", 20_000, ""));
     assert_eq!(read_response(&regular).expect("a response").status(), 200);
-    // Connections that carry only health checks must not displace regular clients either.
+    // Connections without a request, and those with only health checks, must not displace regular clients.
     let irregular = ["", "GET /up HTTP/1.1\r\nHost: p\r\n\r\n"];
     let flood: Vec<TcpStream> =
         (0..600).map(|n| connect_and_send(proxy.address, irregular[n / 300])).collect();
--- a/crates/hillstall/tests/proxy/shutdown.rs
+++ b/crates/hillstall/tests/proxy/shutdown.rs
@@ -58,7 +58,8 @@
     let address = proxy.address;
     let clients: Vec<_> =
         (0..CLIENTS).map(|client| thread::spawn(move || request_until_refused(address, client))).collect();
-    let ended: Vec<(usize, usize)> = clients.into_iter().map(|c| c.join().expect("it ends")).collect();
+    let ended: Vec<(usize, usize)> =
+        clients.into_iter().map(|client| client.join().expect("the client thread ends")).collect();
     assert!(proxy.wait().success());
     let (answered, lost) = ended.iter().fold((0, 0), |sum, client| (sum.0 + client.0, sum.1 + client.1));
     assert!(answered > CLIENTS, "{answered} answers");
--- a/crates/hot-path-bench/src/child.rs
+++ b/crates/hot-path-bench/src/child.rs
@@ -13,11 +13,11 @@
 /// Why a measurement failed.
 #[derive(Debug, thiserror::Error)]
 pub enum BenchError {
-    /// A program (its path) cannot be started.
+    /// A program cannot be started; the first field is its path.
     #[error("cannot start {0}: {1}")]
     Start(String, std::io::Error),
-    /// A process (`the proxy` or `the relay`) does not accept connections at its address within the time
-    /// limit.
+    /// A process does not accept connections at its address within the time limit. The first field names it:
+    /// `the proxy` or `the relay`.
     #[error("{0} does not accept connections at {1} within {START_TIMEOUT:?}")]
     NotListening(&'static str, SocketAddr),
     /// An operation on files or sockets failed.
--- a/crates/simulation/src/access_log_report.rs
+++ b/crates/simulation/src/access_log_report.rs
@@ -220,7 +220,7 @@
         let folder = std::env::temp_dir().join(format!("hillstall-calls-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         std::fs::write(folder.join("n0.log"), b"not sent: \xff\n").expect("a file");
-        let why = AccessLogReport::read(&folder).expect_err("nothing to count").to_string();
+        let why = AccessLogReport::read(&folder).expect_err("a folder without records").to_string();
         std::fs::remove_dir_all(&folder).expect("the folder is removed");
         assert!(why.contains("log.calls"), "{why}");
         assert!(matches!(AccessLogReport::read(&folder), Err(ReadLogError::File { .. })));
--- a/crates/simulation/src/fleet_ratio.rs
+++ b/crates/simulation/src/fleet_ratio.rs
@@ -76,7 +76,7 @@
             "load in slow start, of what is tolerated",
             "rejected fraction, spread over copies",
             "top class rejected unsent %",
-            "inverted among these %",
+            "priority inversions, of these rejections %",
             "choked",
         ]
         .map(String::from)
@@ -89,17 +89,17 @@
             rows.push(vec![
                 format!("{:.2}", cell.load),
                 cell.instances.to_string(),
-                with_interval(mean(|t| 100.0 * t.service), 1),
+                with_interval(mean(|run| 100.0 * run.service), 1),
                 with_interval(self.ratio(cell), 3),
-                without_interval(mean(|t| t.client_attempts), 2),
-                without_interval(mean(|t| t.attempts), 2),
-                without_interval(mean(|t| t.side_effects.attempts_at_failing), 2),
-                without_interval(mean(|t| t.side_effects.new_connections), 2),
-                without_interval(mean(|t| t.side_effects.slow_start_load), 2),
-                without_interval(mean(|t| t.side_effects.rejection_spread), 3),
-                without_interval(mean(|t| 100.0 * t.side_effects.top_class_rejected), 2),
-                without_interval(mean(|t| 100.0 * t.side_effects.inversions), 1),
-                without_interval(mean(|t| t.chokes as f64), 1),
+                without_interval(mean(|run| run.client_attempts), 2),
+                without_interval(mean(|run| run.attempts), 2),
+                without_interval(mean(|run| run.side_effects.attempts_at_failing), 2),
+                without_interval(mean(|run| run.side_effects.new_connections), 2),
+                without_interval(mean(|run| run.side_effects.slow_start_load), 2),
+                without_interval(mean(|run| run.side_effects.rejection_spread), 3),
+                without_interval(mean(|run| 100.0 * run.side_effects.top_class_rejected), 2),
+                without_interval(mean(|run| 100.0 * run.side_effects.inversions), 1),
+                without_interval(mean(|run| run.chokes as f64), 1),
             ]);
         }
         rows
@@ -121,26 +121,26 @@
         };
         let plots = [
             lines("Fleet ratio", "copies", "", &curves(&|cell| self.ratio(cell).mean))?,
-            lines("Attempts per client request", "copies", "", &curves(&mean(|t| t.attempts)))?,
+            lines("Attempts per client request", "copies", "", &curves(&mean(|run| run.attempts)))?,
             lines(
                 "Attempts at a failing server",
                 "copies",
                 "1/s",
-                &curves(&mean(|t| t.side_effects.attempts_at_failing)),
+                &curves(&mean(|run| run.side_effects.attempts_at_failing)),
             )?,
             lines(
                 "New connections per server",
                 "copies",
                 "1/s",
-                &curves(&mean(|t| t.side_effects.new_connections)),
+                &curves(&mean(|run| run.side_effects.new_connections)),
             )?,
             lines(
                 "Spread of the rejected fractions",
                 "copies",
                 "",
-                &curves(&mean(|t| t.side_effects.rejection_spread)),
+                &curves(&mean(|run| run.side_effects.rejection_spread)),
             )?,
-            lines("Inversions", "copies", "%", &curves(&mean(|t| 100.0 * t.side_effects.inversions)))?,
+            lines("Inversions", "copies", "%", &curves(&mean(|run| 100.0 * run.side_effects.inversions)))?,
         ];
         Ok(page(title, &self.rows(), &plots))
     }
--- a/crates/simulation/src/model/work.rs
+++ b/crates/simulation/src/model/work.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WorkDistribution {
-    /// Always the mean.
+    /// The work of every request is the class's mean.
     Fixed,
     /// Exponential: coefficient of variation 1.
     #[default]
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -6,7 +6,7 @@
 
 /// Why a report can't be drawn.
 #[derive(Debug, thiserror::Error)]
-#[error("plot: {0}")]
+#[error("can't draw a plot: {0}")]
 pub struct PlotError(String);
 
 type Column = (&'static str, fn(&RunSummary) -> f64, usize);
@@ -14,18 +14,18 @@
 /// The columns of the table: heading, figure and decimals. The headings stay, as operators know them from
 /// stored reports.
 const COLUMNS: [Column; 12] = [
-    ("service", |t| 100.0 * t.service, 2),
-    ("worst 10 s", |t| 100.0 * t.worst_window, 1),
-    ("late %", |t| 100.0 * t.late, 2),
-    ("refused %", |t| 100.0 * t.rejected, 2),
-    ("by hot proxies %", |t| 100.0 * t.rejected_hot, 1),
-    ("by cool proxies %", |t| 100.0 * t.rejected_cool, 1),
-    ("failed %", |t| 100.0 * t.failed, 2),
-    ("p50 ms", |t| t.p50_ms, 1),
-    ("p99 ms", |t| t.p99_ms, 0),
-    ("tries", |t| t.client_attempts, 2),
-    ("attempts", |t| t.attempts, 2),
-    ("choked", |t| t.chokes as f64, 1),
+    ("service", |run| 100.0 * run.service, 2),
+    ("worst 10 s", |run| 100.0 * run.worst_window, 1),
+    ("late %", |run| 100.0 * run.late, 2),
+    ("refused %", |run| 100.0 * run.rejected, 2),
+    ("by hot proxies %", |run| 100.0 * run.rejected_hot, 1),
+    ("by cool proxies %", |run| 100.0 * run.rejected_cool, 1),
+    ("failed %", |run| 100.0 * run.failed, 2),
+    ("p50 ms", |run| run.p50_ms, 1),
+    ("p99 ms", |run| run.p99_ms, 0),
+    ("tries", |run| run.client_attempts, 2),
+    ("attempts", |run| run.attempts, 2),
+    ("choked", |run| run.chokes as f64, 1),
 ];
 
 /// Groups runs by [`RunSummary::group`], in the order of each group's first run.
@@ -56,7 +56,7 @@
                 false => format!("{:.decimals$}", mean.mean),
             });
         }
-        row.push(runs.iter().map(|t| t.late_sends + t.response_errors).sum::<u64>().to_string());
+        row.push(runs.iter().map(|run| run.late_sends + run.response_errors).sum::<u64>().to_string());
         rows.push(row);
     }
     rows
@@ -137,8 +137,9 @@
 
 /// The mean of a figure over runs, second by second.
 fn curve(runs: &[RunSummary], figure: impl Fn(&Second) -> f64) -> Vec<f64> {
-    let seconds = runs.iter().map(|t| t.seconds.len()).min().unwrap_or(0);
-    let mean = |s: usize| runs.iter().map(|t| figure(&t.seconds[s])).sum::<f64>() / runs.len().max(1) as f64;
+    let seconds = runs.iter().map(|run| run.seconds.len()).min().unwrap_or(0);
+    let mean =
+        |s: usize| runs.iter().map(|run| figure(&run.seconds[s])).sum::<f64>() / runs.len().max(1) as f64;
     (0..seconds).map(mean).collect()
 }
 
--- a/crates/simulation/src/stability.rs
+++ b/crates/simulation/src/stability.rs
@@ -81,16 +81,16 @@
 
     /// Number of seeds with which service did not recover.
     pub fn unrecovered_seeds(&self) -> usize {
-        self.courses.iter().filter(|c| c.recovery_seconds.is_none()).count()
+        self.courses.iter().filter(|course| course.recovery_seconds.is_none()).count()
     }
 
     /// The longest recovery among the seeds with which service recovered, in seconds.
     fn longest_recovery(&self) -> f64 {
-        self.courses.iter().filter_map(|c| c.recovery_seconds).fold(0.0, f64::max)
+        self.courses.iter().filter_map(|course| course.recovery_seconds).fold(0.0, f64::max)
     }
 
     fn chokes(&self) -> f64 {
-        self.runs.iter().map(|t| t.chokes as f64).sum::<f64>() / self.runs.len().max(1) as f64
+        self.runs.iter().map(|run| run.chokes as f64).sum::<f64>() / self.runs.len().max(1) as f64
     }
 
     /// The cell's name in stored runs, by which [`StabilityMap::compare_with`] finds the earlier runs of the
@@ -160,21 +160,22 @@
         let heading = [
             "load",
             "lost",
-            "service before",
-            "during",
+            "service before the loss",
+            "service during the loss",
             "of the servable load %",
-            "recovered after s, mean",
-            "longest",
+            "mean time to recovery s",
+            "longest time to recovery s",
             "not recovered",
             "choked",
         ];
         let row = |cell: &StabilityCell| {
-            let during = cell.mean(|c| 100.0 * c.during_loss);
-            let recoveries: Vec<f64> = cell.courses.iter().filter_map(|c| c.recovery_seconds).collect();
+            let during = cell.mean(|course| 100.0 * course.during_loss);
+            let recoveries: Vec<f64> =
+                cell.courses.iter().filter_map(|course| course.recovery_seconds).collect();
             vec![
                 format!("{:.2}", cell.load),
                 format!("{:.2}", cell.lost_fraction),
-                format!("{:.1}", cell.mean(|c| 100.0 * c.baseline).mean),
+                format!("{:.1}", cell.mean(|course| 100.0 * course.baseline).mean),
                 format!("{:.1} ± {:.1}", during.mean, during.half_width),
                 format!("{:.0}", during.mean / cell.servable_fraction()),
                 format!("{:.1}", Mean::of(&recoveries).mean),
@@ -200,7 +201,7 @@
         let (mut rows, mut worse) = (vec![heading.to_vec()], 0);
         for cell in &self.cells {
             let name = cell.name();
-            let of_seed = |seed: u64| earlier.iter().find(|t| t.cell == name && t.seed == seed);
+            let of_seed = |seed: u64| earlier.iter().find(|run| run.cell == name && run.seed == seed);
             let pairs: Vec<(f64, f64)> = (cell.runs.iter())
                 .filter_map(|now| of_seed(now.seed).map(|then| (100.0 * then.service, 100.0 * now.service)))
                 .collect();
@@ -208,14 +209,14 @@
                 continue;
             }
             let mean = |of: fn(&(f64, f64)) -> f64| Mean::of(&pairs.iter().map(of).collect::<Vec<_>>());
-            let gain = mean(|p| p.1 - p.0);
+            let gain = mean(|pair| pair.1 - pair.0);
             let is_worse = gain.mean < -WORSE_POINTS;
             worse += usize::from(is_worse);
             rows.push(vec![
                 format!("{:.2}", cell.load),
                 format!("{:.2}", cell.lost_fraction),
-                format!("{:.1}", mean(|p| p.0).mean),
-                format!("{:.1}", mean(|p| p.1).mean),
+                format!("{:.1}", mean(|pair| pair.0).mean),
+                format!("{:.1}", mean(|pair| pair.1).mean),
                 format!("{:+.1} ± {:.1}", gain.mean, gain.half_width),
                 if is_worse { "worse" } else { "" }.to_string(),
             ]);
@@ -230,7 +231,7 @@
         };
         let part =
             |cell: &StabilityCell| 100.0 * cell.unrecovered_seeds() as f64 / cell.courses.len().max(1) as f64;
-        let during = |cell: &StabilityCell| cell.mean(|c| 100.0 * c.during_loss).mean;
+        let during = |cell: &StabilityCell| cell.mean(|course| 100.0 * course.during_loss).mean;
         let axis = "fraction of servers lost";
         let plots = [
             lines("Service while the loss lasts", axis, "%", &curves(&during))?,
--- a/crates/simulation/tests/experiments.rs
+++ b/crates/simulation/tests/experiments.rs
@@ -42,10 +42,10 @@
 fn policies_get_the_same_requests_and_the_order_of_results_is_fixed() {
     let scenario = scenarios::find("one-hangs").expect("embedded");
     let summaries = runs(&scenario, &[PolicyName::Random, PolicyName::Hillstall], &[1, 2], || {});
-    let order: Vec<(&str, u64)> = summaries.iter().map(|t| (t.policy.as_str(), t.seed)).collect();
+    let order: Vec<(&str, u64)> = summaries.iter().map(|run| (run.policy.as_str(), run.seed)).collect();
     assert_eq!(order, [("random", 1), ("random", 2), ("hillstall", 1), ("hillstall", 2)]);
     for seed in 0..2 {
-        let offered = |t: &RunSummary| t.seconds.iter().map(|s| s.offered).collect::<Vec<_>>();
+        let offered = |run: &RunSummary| run.seconds.iter().map(|s| s.offered).collect::<Vec<_>>();
         assert_eq!(offered(&summaries[seed]), offered(&summaries[seed + 2]));
     }
 }
@@ -84,7 +84,7 @@
 fn a_policy_has_no_gain_over_itself() {
     let scenario = scenarios::find("one-hangs").expect("embedded");
     let summaries = runs(&scenario, &[PolicyName::Random], &[1, 2, 3], || {});
-    assert_eq!(gain(&summaries, &summaries, |t| t.service), Mean { mean: 0.0, half_width: 0.0 });
+    assert_eq!(gain(&summaries, &summaries, |run| run.service), Mean { mean: 0.0, half_width: 0.0 });
 }
 
 #[test]
@@ -108,7 +108,8 @@
         let why = Scenario::parse(&text.replacen(from, to, 1)).expect_err("wrong");
         why.to_string()
     };
-    let line = |part: &str| 1 + text.lines().position(|l| l.contains(part)).expect("there");
+    let line =
+        |part: &str| 1 + text.lines().position(|l| l.contains(part)).expect("the scenario has this line");
     let unknown = error_of("swing = 0.2", "swnig = 0.2");
     assert!(
         unknown.contains(&format!("line {}", line("swing = 0.2"))) && unknown.contains("swnig"),
