--- a/crates/fault-injection/src/open_loop_clients.rs
+++ b/crates/fault-injection/src/open_loop_clients.rs
@@ -7,7 +7,7 @@
 use crate::server::{send_request, target, RecordedAttempt};
 use hillstall_decision::RetrySafety;
 use hillstall_simulation::random::uniform;
-use hillstall_simulation::sim::accounting;
+use hillstall_simulation::sim::accounting::RequestOutcome;
 use hillstall_simulation::sim::arrivals::{weighted_index, Arrival, Arrivals};
 use hillstall_simulation::sim::setup::{stream_rng, Stream};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -144,7 +144,7 @@
             let now = history.now();
             if result == ClientResult::Served && now <= timeout_at {
                 let latency_ms = now - arrival.at_ms;
-                return finish(accounting::RequestOutcome::Answered {
+                return finish(RequestOutcome::Answered {
                     latency_ms,
                     within_objective: latency_ms <= class.latency_objective,
                 });
@@ -157,11 +157,7 @@
             };
             retries += 1;
             if retries > parameters.retries || now + wait_ms >= deadline_at {
-                return finish(if refused {
-                    accounting::RequestOutcome::Rejected
-                } else {
-                    accounting::RequestOutcome::Failed
-                });
+                return finish(if refused { RequestOutcome::Rejected } else { RequestOutcome::Failed });
             }
             sleep_until(history.instant(now + wait_ms)).await;
             attempt_at = now + wait_ms;
