--- a/crates/simulation/src/stability.rs
+++ b/crates/simulation/src/stability.rs
@@ -161,10 +161,10 @@
             "load",
             "lost",
             "service before the loss",
-            "service during the loss",
+            "during",
             "of the servable load %",
             "mean time to recovery s",
-            "longest time to recovery s",
+            "longest",
             "not recovered",
             "choked",
         ];
